--- a/crates/audit/src/constraint.rs
+++ b/crates/audit/src/constraint.rs
@@ -53,8 +53,12 @@
         Field::Attr(name) => spot.attrs.get(name).cloned(),
     };
     let order = match (told, &compare.value) {
-        (Some(Attr::Text(text)), Value::Set(all)) => return compare.op == Op::In && all.contains(&text),
-        (Some(Attr::Set(all)), Value::Text(text)) => return compare.op == Op::Has && all.contains(text),
+        (Some(Attr::Text(text)), Value::Set(all)) => {
+            return compare.op == Op::In && all.contains(&text);
+        }
+        (Some(Attr::Set(all)), Value::Text(text)) => {
+            return compare.op == Op::Has && all.contains(text);
+        }
         (Some(Attr::Text(a)), Value::Text(b)) if matches!(compare.op, Op::Eq | Op::Ne) => a.cmp(b),
         (Some(Attr::Number(a)), Value::Number(b)) => a.total_cmp(b),
         (Some(Attr::Version(mut a)), Value::Version(b)) => {
@@ -80,7 +84,9 @@
 impl Scene<'_> {
     fn is(&self, copy: &Copy, who: &Who) -> bool {
         match who {
-            Who::Copies => (copy.class.as_str(), copy.service.as_str()) == (self.class, self.service),
+            Who::Copies => {
+                (copy.class.as_str(), copy.service.as_str()) == (self.class, self.service)
+            }
             Who::Service(name) => copy.service == *name,
             Who::Label(key, value) => copy.labels.iter().any(|(k, v)| (k, v) == (key, value)),
         }
@@ -117,19 +123,27 @@
     pub fn open(&self, constraint: &Constraint) -> Vec<String> {
         let passes = |spot: &&Spot| {
             spot.ready
-                && constraint.clauses.iter().filter(|clause| clause.strength == Strength::Require).all(
-                    |clause| match &clause.rule {
+                && constraint
+                    .clauses
+                    .iter()
+                    .filter(|clause| clause.strength == Strength::Require)
+                    .all(|clause| match &clause.rule {
                         Rule::Where(expr) if !expr.is_about_copies() => self.holds(expr, spot),
                         _ => true,
-                    },
-                )
+                    })
         };
-        self.spots.values().filter(passes).map(|spot| spot.name.clone()).collect()
+        self.spots
+            .values()
+            .filter(passes)
+            .map(|spot| spot.name.clone())
+            .collect()
     }
 
     /// The requirements that a copy on this node does not keep; even spreads are judged elsewhere.
     pub fn breaks(&self, constraint: &Constraint, node: &str) -> Vec<String> {
-        let Some(spot) = self.spots.get(node) else { return Vec::new() };
+        let Some(spot) = self.spots.get(node) else {
+            return Vec::new();
+        };
         let keeps = |rule: &Rule| match rule {
             Rule::Where(expr) => self.holds(expr, spot),
             Rule::Spread { by, how } => place(spot, *by).is_some_and(|here| {
@@ -142,7 +156,13 @@
                 }
             }),
         };
-        let required = constraint.clauses.iter().filter(|clause| clause.strength == Strength::Require);
-        required.filter(|clause| !keeps(&clause.rule)).map(ToString::to_string).collect()
+        let required = constraint
+            .clauses
+            .iter()
+            .filter(|clause| clause.strength == Strength::Require);
+        required
+            .filter(|clause| !keeps(&clause.rule))
+            .map(ToString::to_string)
+            .collect()
     }
 }
--- a/crates/audit/src/judge/cold.rs
+++ b/crates/audit/src/judge/cold.rs
@@ -7,10 +7,20 @@
 impl Judge {
     /// Rule 4: offers to one cold node by all placers.
     pub(super) fn cold(&mut self, frame: &Frame, placer: &str) {
-        let site = self.placers.get(placer).map(|placer| placer.told.site.clone()).unwrap_or_default();
-        let told = time(site.warm_after.as_ref()).zip(time(site.cold_window.as_ref())).zip(site.cold_offers);
-        let Some(((warm, window), most)) = told else { return };
-        let Some(life) = self.nodes.get_mut(&frame.place) else { return };
+        let site = self
+            .placers
+            .get(placer)
+            .map(|placer| placer.told.site.clone())
+            .unwrap_or_default();
+        let told = time(site.warm_after.as_ref())
+            .zip(time(site.cold_window.as_ref()))
+            .zip(site.cold_offers);
+        let Some(((warm, window), most)) = told else {
+            return;
+        };
+        let Some(life) = self.nodes.get_mut(&frame.place) else {
+            return;
+        };
         if frame.time_us >= life.started_us + warm {
             return;
         }
@@ -24,7 +34,11 @@
             .collect();
         if young.len() as f64 > most && !life.over {
             life.over = true;
-            let text = format!("{} offers reached {} in its window while cold", young.len(), frame.place);
+            let text = format!(
+                "{} offers reached {} in its window while cold",
+                young.len(),
+                frame.place
+            );
             self.breach(Rule::ColdNodes, young, text);
         }
     }
--- a/crates/audit/src/judge/known.rs
+++ b/crates/audit/src/judge/known.rs
@@ -94,7 +94,11 @@
     /// way can't send it, and has that time again afterwards.
     pub(super) fn due(&self, at: u64) -> u64 {
         let by = at.saturating_add(SLACK_US);
-        let over = self.stalls.iter().filter(|(from, to)| *from <= by && at < *to).map(|(_, to)| *to);
+        let over = self
+            .stalls
+            .iter()
+            .filter(|(from, to)| *from <= by && at < *to)
+            .map(|(_, to)| *to);
         over.max().map_or(by, |to| to.saturating_add(SLACK_US))
     }
 
--- a/crates/audit/src/judge/mod.rs
+++ b/crates/audit/src/judge/mod.rs
@@ -133,10 +133,16 @@
             Event::PlacerStarted => {
                 let text = String::from_utf8_lossy(&frame.bytes);
                 let placer = self.placers.entry(frame.place.clone()).or_default();
-                *placer = Placer { told: toml::from_str(&text).unwrap_or_default(), ..Placer::default() };
+                *placer = Placer {
+                    told: toml::from_str(&text).unwrap_or_default(),
+                    ..Placer::default()
+                };
                 self.lives.insert(frame.link, frame.place.clone());
                 self.versions.began(&frame.place);
-                let mine = self.attempts.values_mut().filter(|attempt| attempt.placer == frame.place);
+                let mine = self
+                    .attempts
+                    .values_mut()
+                    .filter(|attempt| attempt.placer == frame.place);
                 mine.for_each(|attempt| attempt.forgotten = true);
             }
             Event::PlacerEnded => self.placer_ended(&frame.place),
@@ -159,11 +165,17 @@
                 }
             }
             Event::NodeStarted => {
-                let life = NodeLife { started_us: frame.time_us, ..NodeLife::default() };
+                let life = NodeLife {
+                    started_us: frame.time_us,
+                    ..NodeLife::default()
+                };
                 self.nodes.insert(frame.place.clone(), life);
             }
             Event::NodeEnded => {
-                let there = self.by_node.iter().filter(|((_, node), _)| *node == frame.place);
+                let there = self
+                    .by_node
+                    .iter()
+                    .filter(|((_, node), _)| *node == frame.place);
                 for id in there.flat_map(|(_, attempts)| attempts) {
                     if let Some(attempt) = self.attempts.get_mut(id) {
                         attempt.dead = true;
@@ -174,7 +186,11 @@
             Event::NodeWrote => self.message(frame, Self::node_wrote),
             Event::PlacerStalled => {
                 let stall = (frame.time_us, frame.time_us + frame.link + SLACK_US);
-                self.placers.entry(frame.place.clone()).or_default().stalls.push(stall);
+                self.placers
+                    .entry(frame.place.clone())
+                    .or_default()
+                    .stalls
+                    .push(stall);
             }
             Event::Script | Event::Clock => {}
         }
@@ -193,8 +209,14 @@
     }
 
     fn close(&mut self, id: AttemptId, how: Closed) {
-        let Some(attempt) = self.attempts.get_mut(&id) else { return };
-        if attempt.closed.replace(attempt.closed.unwrap_or(how)).is_none() {
+        let Some(attempt) = self.attempts.get_mut(&id) else {
+            return;
+        };
+        if attempt
+            .closed
+            .replace(attempt.closed.unwrap_or(how))
+            .is_none()
+        {
             attempt.closed_us = self.last_us;
         }
         let (placer, node) = (attempt.placer.clone(), attempt.node.clone());
--- a/crates/audit/src/judge/nodes.rs
+++ b/crates/audit/src/judge/nodes.rs
@@ -13,14 +13,22 @@
     pub(super) fn node_hears(&mut self, frame: &Frame, message: Message) {
         self.plan_sent(frame, &message);
         match message {
-            Message::Offer { attempt: id, task, within_ms, .. } => {
+            Message::Offer {
+                attempt: id,
+                task,
+                within_ms,
+                ..
+            } => {
                 self.report.offers += 1;
                 let late_us = match within_ms {
                     0 => u64::MAX,
                     ms => frame.time_us + u64::from(ms) * 1_000,
                 };
-                let told =
-                    self.placers.get(&frame.place).map(|placer| placer.told.clone()).unwrap_or_default();
+                let told = self
+                    .placers
+                    .get(&frame.place)
+                    .map(|placer| placer.told.clone())
+                    .unwrap_or_default();
                 let class = told.class(&task.class);
                 let attempt = Attempt {
                     frame: frame.number,
@@ -46,9 +54,17 @@
                 self.sent(frame, id, &attempt);
                 self.spread(frame, &attempt);
                 self.constraint(frame, id, &attempt);
-                self.drain(frame, &frame.place.clone(), &frame.peer.clone(), Some(attempt.frame));
+                self.drain(
+                    frame,
+                    &frame.place.clone(),
+                    &frame.peer.clone(),
+                    Some(attempt.frame),
+                );
                 self.by_job.entry(task.job).or_default().push(id);
-                self.by_node.entry((frame.place.clone(), frame.peer.clone())).or_default().insert(id);
+                self.by_node
+                    .entry((frame.place.clone(), frame.peer.clone()))
+                    .or_default()
+                    .insert(id);
                 let service = (frame.place.clone(), task.class, task.service);
                 self.of_service.entry(service).or_default().push(id);
                 self.attempts.insert(id, attempt);
@@ -66,7 +82,11 @@
         let pair = (frame.place.clone(), frame.peer.clone());
         match message {
             Message::Welcome { life, .. } => {
-                if self.node_life.insert(pair.clone(), life).is_some_and(|before| before != life) {
+                if self
+                    .node_life
+                    .insert(pair.clone(), life)
+                    .is_some_and(|before| before != life)
+                {
                     for id in self.at(&pair.0, &pair.1) {
                         self.close(id, Closed::Ended);
                     }
@@ -76,7 +96,10 @@
             }
             Message::Holds { held, last } => {
                 for one in held {
-                    self.holds.entry(pair.clone()).or_default().insert(one.attempt);
+                    self.holds
+                        .entry(pair.clone())
+                        .or_default()
+                        .insert(one.attempt);
                     if let Some(attempt) = self.attempts.get_mut(&one.attempt) {
                         attempt.unlinked = false;
                         attempt.forgotten = false;
@@ -98,26 +121,51 @@
                     for id in self.at(&pair.0, &pair.1) {
                         let accepted = self.attempts[&id].accepted;
                         if !held.contains(&id) {
-                            self.close(id, if accepted { Closed::Ended } else { Closed::NeverRan });
+                            self.close(
+                                id,
+                                if accepted {
+                                    Closed::Ended
+                                } else {
+                                    Closed::NeverRan
+                                },
+                            );
                         }
                     }
                 }
             }
             Message::Accepted { attempt, .. } => self.accepted(frame, attempt, None),
             Message::Refused { attempt, .. } => self.close(attempt, Closed::NeverRan),
-            Message::Ended { attempt, end, ran, .. } => self.over(attempt, &end, ran),
+            Message::Ended {
+                attempt, end, ran, ..
+            } => self.over(attempt, &end, ran),
             _ => {}
         }
     }
 
     pub(super) fn over(&mut self, id: AttemptId, end: &End, ran: bool) {
-        let never = !ran || *end == End::Unknown && !self.attempts.get(&id).is_some_and(|a| a.accepted);
-        self.close(id, if never { Closed::NeverRan } else { Closed::Ended });
+        let never =
+            !ran || *end == End::Unknown && !self.attempts.get(&id).is_some_and(|a| a.accepted);
+        self.close(
+            id,
+            if never {
+                Closed::NeverRan
+            } else {
+                Closed::Ended
+            },
+        );
     }
 
     pub(super) fn node_read(&mut self, frame: &Frame, message: Message) {
         self.plan_read(frame, &message);
-        let Message::Offer { attempt, task, stamp, .. } = message else { return };
+        let Message::Offer {
+            attempt,
+            task,
+            stamp,
+            ..
+        } = message
+        else {
+            return;
+        };
         if task.repeat == Repeat::Unsafe {
             self.unsafe_read.insert(attempt, task.job);
         }
@@ -143,19 +191,31 @@
                     None => self.unsafe_read.get(&attempt).cloned(),
                 };
                 let Some(job) = job else { return };
-                let placer = sent.and_then(|sent| Some((self.placers.get(&sent.placer)?, &sent.class)));
-                let may_again = placer.is_some_and(|(placer, class)| placer.told.comes_again(class).0);
+                let placer =
+                    sent.and_then(|sent| Some((self.placers.get(&sent.placer)?, &sent.class)));
+                let may_again =
+                    placer.is_some_and(|(placer, class)| placer.told.comes_again(class).0);
                 let runs = self.ran.entry(job.clone()).or_default();
                 if runs.iter().all(|(id, _)| *id != attempt) {
                     runs.push((attempt, frame.number));
                 }
                 if runs.len() > 1 && !may_again {
                     let frames = runs.iter().map(|(_, number)| *number).collect();
-                    self.breach(Rule::NoSecondRun, frames, format!("unsafe job {job} was taken twice"));
+                    self.breach(
+                        Rule::NoSecondRun,
+                        frames,
+                        format!("unsafe job {job} was taken twice"),
+                    );
                 }
             }
-            Message::Ended { attempt, ran: false, .. } => {
-                self.ran.values_mut().for_each(|runs| runs.retain(|(id, _)| *id != attempt));
+            Message::Ended {
+                attempt,
+                ran: false,
+                ..
+            } => {
+                self.ran
+                    .values_mut()
+                    .for_each(|runs| runs.retain(|(id, _)| *id != attempt));
             }
             _ => {}
         }
--- a/crates/audit/src/judge/second.rs
+++ b/crates/audit/src/judge/second.rs
@@ -15,12 +15,16 @@
             let attempt = &self.attempts[&id];
             let harmless = match attempt.repeat {
                 Repeat::Safe => true,
-                Repeat::Keyed => attempt.group == Group::All || attempt.closed == Some(Closed::NeverRan),
+                Repeat::Keyed => {
+                    attempt.group == Group::All || attempt.closed == Some(Closed::NeverRan)
+                }
                 Repeat::Unsafe => attempt.closed == Some(Closed::NeverRan),
             };
             if !harmless {
-                let text =
-                    format!("job {job} was refused though its attempt on {} may have run", attempt.node);
+                let text = format!(
+                    "job {job} was refused though its attempt on {} may have run",
+                    attempt.node
+                );
                 let frames = vec![attempt.frame, at];
                 self.breach(Rule::NoSecondRun, frames, text);
             }
@@ -35,17 +39,27 @@
         let placed_before = |old_id: &AttemptId, old: &Attempt| {
             old.accepted && (old_id.request, old_id.life) != (id.request, id.life)
         };
-        let first = before.iter().map(|old| (old, &self.attempts[old])).filter(|(old_id, old)| {
-            old.closed != Some(Closed::NeverRan)
-                && !(placed_before(old_id, old) && old.how_closed() == Some(Closed::Ended))
-        });
+        let first = before
+            .iter()
+            .map(|old| (old, &self.attempts[old]))
+            .filter(|(old_id, old)| {
+                old.closed != Some(Closed::NeverRan)
+                    && !(placed_before(old_id, old) && old.how_closed() == Some(Closed::Ended))
+            });
         let first_us = first.map(|(_, old)| old.sent_us).min();
-        let told = self.placers.get(&new.placer).map(|placer| placer.told.clone()).unwrap_or_default();
+        let told = self
+            .placers
+            .get(&new.placer)
+            .map(|placer| placer.told.clone())
+            .unwrap_or_default();
         let (after_end, after_unknown) = told.comes_again(&new.class);
         let lost_after = time(told.links.lost_after.as_ref()).unwrap_or(60_000_000);
         let place = |node: &str| {
             let placer = self.placers.get(&new.placer);
-            placer.and_then(|placer| placer.places.get(node)).cloned().unwrap_or_default()
+            placer
+                .and_then(|placer| placer.places.get(node))
+                .cloned()
+                .unwrap_or_default()
         };
         let mut breaches = Vec::new();
         for old_id in before {
@@ -62,7 +76,9 @@
             let closed = old.how_closed();
             let wrong = match closed {
                 Some(Closed::NeverRan) => None,
-                Some(Closed::Ended) if lost => (!after_end).then_some("its class forbids a second start"),
+                Some(Closed::Ended) if lost => {
+                    (!after_end).then_some("its class forbids a second start")
+                }
                 Some(Closed::Ended) => {
                     let may = new.repeat == Repeat::Safe || keyed;
                     (!may).then_some("it may have run, and its class forbids to send it again")
@@ -70,11 +86,13 @@
                 None if old.accepted => {
                     // A copy that nobody has seen end: only a node that is gone lets go of it.
                     let gone = self.placers.get(&new.placer);
-                    let gone = gone.is_some_and(|placer| placer.closed_by_list.contains_key(&old.node));
+                    let gone =
+                        gone.is_some_and(|placer| placer.closed_by_list.contains_key(&old.node));
                     let down = self.unlinked.get(&(new.placer.clone(), old.node.clone()));
-                    let gone = gone || down.is_some_and(|since| frame.time_us >= since + lost_after);
-                    let let_go =
-                        gone && after_unknown || old.given_up() && (new.repeat == Repeat::Safe || keyed);
+                    let gone =
+                        gone || down.is_some_and(|since| frame.time_us >= since + lost_after);
+                    let let_go = gone && after_unknown
+                        || old.given_up() && (new.repeat == Repeat::Safe || keyed);
                     (!let_go).then_some("its copy there lives")
                 }
                 None if !unknown => Some("its attempt there is out"),
@@ -86,7 +104,10 @@
                 }
             };
             if let Some(why) = wrong {
-                let text = format!("job {} was sent to {} after {}: {why}", new.job, new.node, old.node);
+                let text = format!(
+                    "job {} was sent to {} after {}: {why}",
+                    new.job, new.node, old.node
+                );
                 breaches.push((vec![old.frame, frame.number], text));
             }
         }
--- a/crates/audit/src/judge/spread.rs
+++ b/crates/audit/src/judge/spread.rs
@@ -10,8 +10,14 @@
 
 impl Judge {
     pub(super) fn spread(&mut self, frame: &Frame, new: &Attempt) {
-        let Some(placer) = self.placers.get(&new.placer) else { return };
-        let Some(spread) = placer.told.class(&new.class).and_then(|class| class.spread.clone()) else {
+        let Some(placer) = self.placers.get(&new.placer) else {
+            return;
+        };
+        let Some(spread) = placer
+            .told
+            .class(&new.class)
+            .and_then(|class| class.spread.clone())
+        else {
             return;
         };
         let place = |node: &str| {
@@ -23,10 +29,19 @@
             }
         };
         let service = (new.placer.clone(), new.class.clone(), new.service.clone());
-        let all = self.of_service.get(&service).into_iter().flatten().map(|id| &self.attempts[id]);
-        let here = all.filter(|old| old.closed.is_none()).filter(|old| !old.given_up() || old.accepted);
-        let frames: Vec<usize> =
-            here.filter(|old| place(&old.node) == place(&new.node)).map(|old| old.frame).collect();
+        let all = self
+            .of_service
+            .get(&service)
+            .into_iter()
+            .flatten()
+            .map(|id| &self.attempts[id]);
+        let here = all
+            .filter(|old| old.closed.is_none())
+            .filter(|old| !old.given_up() || old.accepted);
+        let frames: Vec<usize> = here
+            .filter(|old| place(&old.node) == place(&new.node))
+            .map(|old| old.frame)
+            .collect();
         if frames.len() + 1 > spread.most {
             let text = format!(
                 "job {} makes {} of service {} in one {}, at most {} may stand",
@@ -43,14 +58,32 @@
 
     /// Rule 5 for one offer with a constraint: the copies of its placer that are known to stand, or may.
     pub(super) fn constraint(&mut self, frame: &Frame, id: AttemptId, new: &Attempt) {
-        let Some(text) = &new.native.constraint else { return };
-        let Some(placer) = self.placers.get(&new.placer) else { return };
-        let named =
-            |name: &str| placer.told.constraint.iter().find(|c| c.name == name).map(|c| c.text.as_str());
-        let Ok(constraint) = Constraint::parse_with(text, named) else { return };
-        let mine = self.by_node.iter().filter(|((of, _), _)| *of == new.placer).flat_map(|(_, ids)| ids);
+        let Some(text) = &new.native.constraint else {
+            return;
+        };
+        let Some(placer) = self.placers.get(&new.placer) else {
+            return;
+        };
+        let named = |name: &str| {
+            placer
+                .told
+                .constraint
+                .iter()
+                .find(|c| c.name == name)
+                .map(|c| c.text.as_str())
+        };
+        let Ok(constraint) = Constraint::parse_with(text, named) else {
+            return;
+        };
+        let mine = self
+            .by_node
+            .iter()
+            .filter(|((of, _), _)| *of == new.placer)
+            .flat_map(|(_, ids)| ids);
         // What was given up may stand until its node tells: it counts.
-        let live = mine.map(|id| &self.attempts[id]).filter(|old| !old.forgotten);
+        let live = mine
+            .map(|id| &self.attempts[id])
+            .filter(|old| !old.forgotten);
         let copy = |old: &Attempt| Copy {
             node: old.node.clone(),
             class: old.class.clone(),
@@ -62,12 +95,20 @@
         for (name, spot) in &mut spots {
             spot.ready &= !placer.closed_by_hand.contains_key(name);
         }
-        let scene = Scene { spots: &spots, copies: &copies, class: &new.class, service: &new.service };
+        let scene = Scene {
+            spots: &spots,
+            copies: &copies,
+            class: &new.class,
+            service: &new.service,
+        };
         let open = scene.open(&constraint);
         for clause in &constraint.clauses {
             if let (
                 Strength::Require,
-                constraint::Rule::Spread { by, how: constraint::Spread::Within(skew) },
+                constraint::Rule::Spread {
+                    by,
+                    how: constraint::Spread::Within(skew),
+                },
             ) = (clause.strength, &clause.rule)
             {
                 self.even.push(Even {
@@ -83,8 +124,10 @@
             }
         }
         for clause in scene.breaks(&constraint, &new.node) {
-            let text =
-                format!("job {} was sent to {}, and `{clause}` does not hold there", new.job, new.node);
+            let text = format!(
+                "job {} was sent to {}, and `{clause}` does not hold there",
+                new.job, new.node
+            );
             self.breach(Rule::Spread, vec![frame.number], text);
         }
     }
@@ -100,8 +143,13 @@
     pub(super) fn evenly(&mut self, even: &Even) {
         let new = &self.attempts[&even.attempt];
         let service = (new.placer.clone(), new.class.clone(), new.service.clone());
-        let all: Vec<&Attempt> =
-            self.of_service.get(&service).into_iter().flatten().map(|id| &self.attempts[id]).collect();
+        let all: Vec<&Attempt> = self
+            .of_service
+            .get(&service)
+            .into_iter()
+            .flatten()
+            .map(|id| &self.attempts[id])
+            .collect();
         let at = |node: &str| even.spots.get(node).and_then(|spot| place(spot, even.by));
         let Some(here) = at(&new.node) else { return };
         let decided_before = |old: &Attempt| {
@@ -111,7 +159,9 @@
                     || old.sent_us.saturating_add(SLACK_US) <= even.time_us)
         };
         let sure = |old: &&&Attempt| {
-            decided_before(old) && old.closed_us > even.time_us && at(&old.node).as_ref() == Some(&here)
+            decided_before(old)
+                && old.closed_us > even.time_us
+                && at(&old.node).as_ref() == Some(&here)
         };
         let stood = all.iter().filter(sure).count() as u32;
         let around = |old: &&&Attempt| {
@@ -119,10 +169,16 @@
                 && old.sent_us <= even.time_us + EVEN_SLACK_US
                 && old.closed_us.saturating_add(EVEN_SLACK_US) >= even.time_us
         };
-        let near: Vec<_> = all.iter().filter(around).filter_map(|old| at(&old.node)).collect();
+        let near: Vec<_> = all
+            .iter()
+            .filter(around)
+            .filter_map(|old| at(&old.node))
+            .collect();
         let places = even.open.iter().filter_map(|node| at(node));
-        let fewest =
-            places.map(|place| near.iter().filter(|other| **other == place).count()).min().unwrap_or(0);
+        let fewest = places
+            .map(|place| near.iter().filter(|other| **other == place).count())
+            .min()
+            .unwrap_or(0);
         if stood >= fewest as u32 + even.skew {
             let text = format!(
                 "job {} was sent to {}, and `{}` does not hold there",
--- a/crates/audit/src/judge/told.rs
+++ b/crates/audit/src/judge/told.rs
@@ -117,9 +117,11 @@
             toml::Value::Integer(number) => Some(Attr::Number(*number as f64)),
             toml::Value::Float(number) => Some(Attr::Number(*number)),
             toml::Value::Boolean(yes) => Some(Attr::Text(yes.to_string())),
-            toml::Value::Array(all) => {
-                Some(Attr::Set(all.iter().filter_map(|one| one.as_str().map(str::to_owned)).collect()))
-            }
+            toml::Value::Array(all) => Some(Attr::Set(
+                all.iter()
+                    .filter_map(|one| one.as_str().map(str::to_owned))
+                    .collect(),
+            )),
             _ => None,
         };
         Spot {
@@ -127,7 +129,11 @@
             kind: self.kind.clone(),
             rack: self.rack.clone(),
             hall: self.hall.clone(),
-            attrs: self.attrs.iter().filter_map(|(name, value)| Some((name.clone(), attr(value)?))).collect(),
+            attrs: self
+                .attrs
+                .iter()
+                .filter_map(|(name, value)| Some((name.clone(), attr(value)?)))
+                .collect(),
             ready: self.health.is_empty() || self.health == "ready",
         }
     }
@@ -144,7 +150,9 @@
 
     /// Whether a lost task of the class may come again: after its end, and where its end is not known.
     pub(super) fn comes_again(&self, class: &str) -> (bool, bool) {
-        let Some(class) = self.class(class) else { return (false, false) };
+        let Some(class) = self.class(class) else {
+            return (false, false);
+        };
         match (class.comes_again.as_deref(), class.repeat.as_str()) {
             (Some("always"), _) | (None, "safe") => (true, true),
             (Some("ended"), _) | (None, "keyed") => (true, false),
@@ -157,7 +165,10 @@
         let spec: Value = serde_json::from_slice(payload).unwrap_or_default();
         let word = |key: &str| spec.get(key).and_then(Value::as_str).unwrap_or_default();
         let own = Native::parse(word("native")).unwrap_or_default();
-        let category = self.category.iter().find(|category| category.name == word("category"));
+        let category = self
+            .category
+            .iter()
+            .find(|category| category.name == word("category"));
         match category.and_then(|category| Native::parse(&category.native).ok()) {
             Some(category) => own.or(&category),
             None => own,
@@ -169,7 +180,10 @@
         let word = |key: &str| spec.get(key).and_then(Value::as_str).unwrap_or_default();
         let own = Native::parse(word("native")).ok()?.class;
         let category = || {
-            let category = self.category.iter().find(|category| category.name == word("category"))?;
+            let category = self
+                .category
+                .iter()
+                .find(|category| category.name == word("category"))?;
             Native::parse(&category.native).ok()?.class
         };
         match own.or_else(category) {
--- a/crates/audit/src/judge/versions.rs
+++ b/crates/audit/src/judge/versions.rs
@@ -4,7 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use reedring_nodeproto::{
-    AttemptId, Delta, DeltaStep, Edit, Message, Order, Reason, Record, SectionKey, Stamp, Version, level,
+    AttemptId, Delta, DeltaStep, Edit, Message, Order, Reason, Record, SectionKey, Stamp, Version,
+    level,
 };
 use serde::Deserialize;
 
@@ -49,7 +50,9 @@
 impl Node {
     /// What is under this level it refuses.
     fn floor(&self) -> u64 {
-        self.learned.or(self.record.map(|record| record.floor())).unwrap_or(0)
+        self.learned
+            .or(self.record.map(|record| record.floor()))
+            .unwrap_or(0)
     }
 
     /// An offer by this stamp raises a learner's floor to the joint form of its plan.
@@ -102,7 +105,12 @@
         if let Ok(Text { site }) = toml::from_str(text) {
             let window_us = time(site.cold_window.as_ref());
             let warm_us = time(site.warm_after.as_ref());
-            let cold = Cold { placers: site.placers, offers: site.cold_offers, window_us, warm_us };
+            let cold = Cold {
+                placers: site.placers,
+                offers: site.cold_offers,
+                window_us,
+                warm_us,
+            };
             self.texts.insert(version, cold);
         }
     }
@@ -110,7 +118,11 @@
     /// A plan whose text was told as what changed: of cold nodes only `[site]` says anything.
     fn changed_text(&mut self, delta: &Delta) {
         let site = delta.edits.iter().find_map(|edit| match edit {
-            Edit::Put { key: SectionKey::Site, text, .. } => Some(text),
+            Edit::Put {
+                key: SectionKey::Site,
+                text,
+                ..
+            } => Some(text),
             _ => None,
         });
         match (site, self.texts.get(&delta.base).copied()) {
@@ -124,7 +136,12 @@
     fn bound(&self, stamp: &Stamp) -> Option<Cold> {
         let new = *self.texts.get(&stamp.version)?;
         let before = |version: &&Version| version.number + 1 == stamp.version.number;
-        let old = self.texts.keys().find(before).filter(|_| stamp.joint).map(|version| self.texts[version]);
+        let old = self
+            .texts
+            .keys()
+            .find(before)
+            .filter(|_| stamp.joint)
+            .map(|version| self.texts[version]);
         let Some(old) = old else { return Some(new) };
         Some(Cold {
             placers: new.placers.max(old.placers),
@@ -151,10 +168,16 @@
     pub(super) fn plan_sent(&mut self, frame: &Frame, message: &Message) {
         let versions = &mut self.versions;
         match message {
-            Message::Hello { acts: Some((stamp, _)), .. } | Message::Plan(Order::Ask { stamp }) => {
+            Message::Hello {
+                acts: Some((stamp, _)),
+                ..
+            }
+            | Message::Plan(Order::Ask { stamp }) => {
                 acts(versions, frame, stamp);
             }
-            Message::Offer { stamp: Some(stamp), .. } => {
+            Message::Offer {
+                stamp: Some(stamp), ..
+            } => {
                 acts(versions, frame, stamp);
                 self.cold_part(frame, *stamp);
             }
@@ -168,7 +191,9 @@
                     versions.step(delta.target, 0, frame.time_us);
                 }
             }
-            Message::Plan(Order::Joint { version, text, .. } | Order::Force { version, text, .. }) => {
+            Message::Plan(
+                Order::Joint { version, text, .. } | Order::Force { version, text, .. },
+            ) => {
                 versions.text(*version, text);
             }
             _ => {}
@@ -178,14 +203,21 @@
     /// Its part of a cold node's budget, by the stricter of the plans that it acts by.
     fn cold_part(&mut self, frame: &Frame, stamp: Stamp) {
         let born = self.nodes.get(&frame.peer).map(|life| life.started_us);
-        let Some((bound, born)) = self.versions.bound(&stamp).zip(born) else { return };
-        let Some(((offers, window), warm)) = bound.offers.zip(bound.window_us).zip(bound.warm_us) else {
+        let Some((bound, born)) = self.versions.bound(&stamp).zip(born) else {
+            return;
+        };
+        let Some(((offers, window), warm)) = bound.offers.zip(bound.window_us).zip(bound.warm_us)
+        else {
             return;
         };
         if frame.time_us >= born + warm {
             return;
         }
-        let placer = self.versions.placers.entry(frame.place.clone()).or_default();
+        let placer = self
+            .versions
+            .placers
+            .entry(frame.place.clone())
+            .or_default();
         let sent = placer.cold.entry(frame.peer.clone()).or_default();
         sent.retain(|(at, _)| at + window > frame.time_us);
         sent.push((frame.time_us, frame.number));
@@ -209,31 +241,45 @@
             let node = self.versions.nodes.entry(frame.place.clone()).or_default();
             let floor = node.floor();
             stamp.iter().for_each(|stamp| node.reads(stamp));
-            self.versions.read.insert(*attempt, (*stamp, floor, frame.number));
+            self.versions
+                .read
+                .insert(*attempt, (*stamp, floor, frame.number));
         }
     }
 
     /// What a node told.
     pub(super) fn plan_told(&mut self, frame: &Frame, message: &Message) {
         match message {
-            Message::Welcome { record: Some(record), .. } | Message::Record(record) => {
-                self.recorded(frame, record)
+            Message::Welcome {
+                record: Some(record),
+                ..
             }
+            | Message::Record(record) => self.recorded(frame, record),
             Message::Accepted { attempt, .. } => {
-                let Some((stamp, floor, read)) = self.versions.read.get(attempt).copied() else { return };
+                let Some((stamp, floor, read)) = self.versions.read.get(attempt).copied() else {
+                    return;
+                };
                 let node = self.versions.nodes.get(&frame.place);
                 let replaced = node.is_some_and(|node| {
-                    let later = |record: Record| Some(record.force) != node.first && node.first.is_some();
+                    let later =
+                        |record: Record| Some(record.force) != node.first && node.first.is_some();
                     node.record.is_some_and(later) || node.learned.is_some() && floor > 0
                 });
                 let level = stamp.map(|stamp| stamp.level());
                 if level.is_some_and(|level| level < floor) || level.is_none() && replaced {
                     let told = level.map_or("no plan".to_owned(), |level| format!("level {level}"));
-                    let text = format!("{} accepted an offer by {told}, its floor was {floor}", frame.place);
+                    let text = format!(
+                        "{} accepted an offer by {told}, its floor was {floor}",
+                        frame.place
+                    );
                     self.breach(Rule::Versions, vec![read, frame.number], text);
                 }
             }
-            Message::Refused { reason: Reason::Superseded, attempt, .. } => {
+            Message::Refused {
+                reason: Reason::Superseded,
+                attempt,
+                ..
+            } => {
                 if let Some(placer) = self.lives.get(&attempt.life).cloned() {
                     self.versions.placers.entry(placer).or_default().superseded += 1;
                 }
@@ -256,20 +302,41 @@
         }
         let node = versions.nodes.entry(frame.place.clone()).or_default();
         if !record.stuck {
-            node.joint.extend(record.next.filter(|next| next.joint).map(|next| next.version));
+            node.joint.extend(
+                record
+                    .next
+                    .filter(|next| next.joint)
+                    .map(|next| next.version),
+            );
         }
         let rose = before.is_some_and(|before| before.force.number < record.force.number);
-        let new = versions.steps.get(&record.force).is_none_or(|steps| steps[2].is_none());
+        let new = versions
+            .steps
+            .get(&record.force)
+            .is_none_or(|steps| steps[2].is_none());
         versions.step(record.force, 2, frame.time_us);
         if rose && new {
             // The first node at which it is in force: a majority of the voters had kept it as joint by then.
-            let control: BTreeSet<&String> =
-                self.placers.values().flat_map(|placer| &placer.control).collect();
+            let control: BTreeSet<&String> = self
+                .placers
+                .values()
+                .flat_map(|placer| &placer.control)
+                .collect();
             let listed = self.placers.values().flat_map(|placer| placer.spots.keys());
-            let voters: BTreeSet<&String> = if control.is_empty() { listed.collect() } else { control };
-            let kept = self.versions.nodes.iter().filter(|(_, node)| node.joint.contains(&record.force));
-            let kept: Vec<&String> =
-                kept.map(|(name, _)| name).filter(|name| voters.contains(name)).collect();
+            let voters: BTreeSet<&String> = if control.is_empty() {
+                listed.collect()
+            } else {
+                control
+            };
+            let kept = self
+                .versions
+                .nodes
+                .iter()
+                .filter(|(_, node)| node.joint.contains(&record.force));
+            let kept: Vec<&String> = kept
+                .map(|(name, _)| name)
+                .filter(|name| voters.contains(name))
+                .collect();
             if kept.len() < voters.len() / 2 + 1 {
                 let text = format!(
                     "plan {} was in force at {} when {} of {} voters had kept it",
@@ -285,23 +352,39 @@
 
     /// One plan a number, and what became of each plan and placer, in lines.
     pub(super) fn plans_at_the_end(&mut self) {
-        let in_force: Vec<Version> =
-            self.versions.steps.iter().filter(|(_, steps)| steps[2].is_some()).map(|(v, _)| *v).collect();
-        for two in in_force.windows(2).filter(|two| two[0].number == two[1].number) {
+        let in_force: Vec<Version> = self
+            .versions
+            .steps
+            .iter()
+            .filter(|(_, steps)| steps[2].is_some())
+            .map(|(v, _)| *v)
+            .collect();
+        for two in in_force
+            .windows(2)
+            .filter(|two| two[0].number == two[1].number)
+        {
             self.breach(
                 Rule::Versions,
                 Vec::new(),
                 format!("plans {} and {} were both in force", two[0], two[1]),
             );
         }
-        let at =
-            |time: Option<u64>| time.map_or("never".to_owned(), |us| format!("{:.3} s", us as f64 / 1e6));
+        let at = |time: Option<u64>| {
+            time.map_or("never".to_owned(), |us| format!("{:.3} s", us as f64 / 1e6))
+        };
         let mut lines: Vec<String> = Vec::new();
         for (version, [offered, joint, force]) in &self.versions.steps {
             let (offered, joint, force) = (at(*offered), at(*joint), at(*force));
-            lines.push(format!("plan {version}: offered {offered}, joint {joint}, in force {force}"));
+            lines.push(format!(
+                "plan {version}: offered {offered}, joint {joint}, in force {force}"
+            ));
         }
-        for (name, placer) in self.versions.placers.iter().filter(|(_, placer)| !placer.acted.is_empty()) {
+        for (name, placer) in self
+            .versions
+            .placers
+            .iter()
+            .filter(|(_, placer)| !placer.acted.is_empty())
+        {
             let acted = placer.acted.iter().map(|acted| {
                 let joint = if acted.stamp.joint { "joint " } else { "" };
                 let Acted { time_us, stamp } = acted;
@@ -325,12 +408,23 @@
 
     /// For how long a placer acted by a plan that another had replaced.
     fn behind(&self, placer: &Placer) -> u64 {
-        let ends = placer.acted.iter().skip(1).map(|next| next.time_us).chain([self.last_us]);
+        let ends = placer
+            .acted
+            .iter()
+            .skip(1)
+            .map(|next| next.time_us)
+            .chain([self.last_us]);
         let spans = placer.acted.iter().zip(ends);
         let late = spans.map(|(acted, end)| {
-            let newer = self.versions.steps.iter().filter(|(v, _)| v.number > acted.stamp.version.number);
+            let newer = self
+                .versions
+                .steps
+                .iter()
+                .filter(|(v, _)| v.number > acted.stamp.version.number);
             let replaced = newer.filter_map(|(_, steps)| steps[2]).min();
-            replaced.map_or(0, |replaced| end.saturating_sub(replaced.max(acted.time_us)))
+            replaced.map_or(0, |replaced| {
+                end.saturating_sub(replaced.max(acted.time_us))
+            })
         });
         late.sum()
     }
@@ -341,6 +435,9 @@
     // Links write by themselves, so what was decided before may be written after: only what goes on is news.
     let last = placer.acted.last().map_or(0, |acted| acted.stamp.level());
     if std::mem::take(&mut placer.began) || stamp.level() > last {
-        placer.acted.push(Acted { time_us: frame.time_us, stamp: *stamp });
+        placer.acted.push(Acted {
+            time_us: frame.time_us,
+            stamp: *stamp,
+        });
     }
 }
--- a/crates/audit/src/trace.rs
+++ b/crates/audit/src/trace.rs
@@ -124,7 +124,10 @@
             Sink::Memory(bytes) => bytes.extend_from_slice(MAGIC),
             Sink::Broken(_) => {}
         }
-        Ok(Self { began: Instant::now(), out: Mutex::new(sink) })
+        Ok(Self {
+            began: Instant::now(),
+            out: Mutex::new(sink),
+        })
     }
 
     /// A recorder that writes a file, in place of one that is there.
@@ -133,7 +136,9 @@
     /// Where the file can't be made.
     pub fn create(path: &Path) -> io::Result<Self> {
         let recorder = Self::new(Sink::File(File::create(path)?))?;
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let began = unix.saturating_sub(recorder.began.elapsed());
         recorder.record(Event::Clock, "", "", began.as_micros() as u64, b"");
         Ok(recorder)
@@ -146,7 +151,10 @@
 
     /// Records what just crossed.
     pub fn record(&self, event: Event, place: &str, peer: &str, link: u64, bytes: &[u8]) {
-        let mut out = self.out.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let mut out = self
+            .out
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner);
         // The time is taken under the lock, so that it never goes back from record to record.
         let time_us = self.began.elapsed().as_micros() as u64;
         let mut body = Vec::with_capacity(32 + place.len() + peer.len() + bytes.len());
@@ -156,11 +164,14 @@
         put(&mut body, place);
         put(&mut body, peer);
         body.extend_from_slice(bytes);
-        let (length, sum) = ((body.len() as u32).to_be_bytes(), crc32c::crc32c(&body).to_be_bytes());
+        let (length, sum) = (
+            (body.len() as u32).to_be_bytes(),
+            crc32c::crc32c(&body).to_be_bytes(),
+        );
         match &mut *out {
-            Sink::Memory(all) => {
-                [&length[..], &body, &sum].iter().for_each(|part| all.extend_from_slice(part))
-            }
+            Sink::Memory(all) => [&length[..], &body, &sum]
+                .iter()
+                .for_each(|part| all.extend_from_slice(part)),
             Sink::File(file) => {
                 let whole = [&length[..], &body, &sum].concat();
                 if let Err(error) = file.write_all(&whole) {
@@ -177,7 +188,11 @@
     /// # Errors
     /// Where a record could not be written.
     pub fn finish(&self) -> io::Result<Vec<u8>> {
-        match &mut *self.out.lock().unwrap_or_else(std::sync::PoisonError::into_inner) {
+        match &mut *self
+            .out
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
+        {
             Sink::File(file) => file.flush().map(|()| Vec::new()),
             Sink::Memory(bytes) => Ok(bytes.clone()),
             Sink::Broken(kind) => Err(io::Error::from(*kind)),
@@ -209,16 +224,24 @@
         return traces.into_iter().flatten().collect();
     }
     let began = |trace: &[Frame]| {
-        trace.iter().find(|frame| frame.event == Event::Clock).map_or(0, |frame| frame.link)
+        trace
+            .iter()
+            .find(|frame| frame.event == Event::Clock)
+            .map_or(0, |frame| frame.link)
     };
     let first = traces.iter().map(|trace| began(trace)).min().unwrap_or(0);
     let mut all: Vec<Frame> = Vec::new();
     for trace in traces {
         let after = began(&trace) - first;
-        all.extend(trace.into_iter().map(|frame| Frame { time_us: frame.time_us + after, ..frame }));
+        all.extend(trace.into_iter().map(|frame| Frame {
+            time_us: frame.time_us + after,
+            ..frame
+        }));
     }
     all.sort_by_key(|frame| frame.time_us);
-    all.iter_mut().zip(0..).for_each(|(frame, number)| frame.number = number);
+    all.iter_mut()
+        .zip(0..)
+        .for_each(|(frame, number)| frame.number = number);
     all
 }
 
@@ -243,7 +266,15 @@
     let time_us = u64::from_be_bytes(number(&mut bytes)?);
     let link = u64::from_be_bytes(number(&mut bytes)?);
     let (place, peer) = (text(&mut bytes)?, text(&mut bytes)?);
-    Some(Frame { number: number_of, time_us, event, place, peer, link, bytes: bytes.to_vec() })
+    Some(Frame {
+        number: number_of,
+        time_us,
+        event,
+        place,
+        peer,
+        link,
+        bytes: bytes.to_vec(),
+    })
 }
 
 /// Reads a whole trace. A last record that was cut short, as by a kill, is left out.
@@ -255,13 +286,23 @@
     let mut frames = Vec::new();
     while !rest.is_empty() {
         let (number_of, at) = (frames.len(), bytes.len() - rest.len());
-        let wrong = |why| TraceError::Record { number: number_of, at, why };
-        let Some(length) = number(&mut rest).map(u32::from_be_bytes) else { break };
+        let wrong = |why| TraceError::Record {
+            number: number_of,
+            at,
+            why,
+        };
+        let Some(length) = number(&mut rest).map(u32::from_be_bytes) else {
+            break;
+        };
         if length as usize > MAX_RECORD {
             return Err(wrong("its length is over the limit"));
         }
-        let Some(bytes) = take(&mut rest, length as usize) else { break };
-        let Some(sum) = number(&mut rest).map(u32::from_be_bytes) else { break };
+        let Some(bytes) = take(&mut rest, length as usize) else {
+            break;
+        };
+        let Some(sum) = number(&mut rest).map(u32::from_be_bytes) else {
+            break;
+        };
         if crc32c::crc32c(bytes) != sum {
             return Err(wrong("its checksum does not fit"));
         }
@@ -282,7 +323,10 @@
         let bytes = recorder.finish().unwrap();
         let frames = read(&bytes).unwrap();
         assert_eq!(frames.len(), 2);
-        assert_eq!((frames[0].event, frames[0].link, &frames[0].bytes[..]), (Event::ToNode, 3, &b"abc"[..]));
+        assert_eq!(
+            (frames[0].event, frames[0].link, &frames[0].bytes[..]),
+            (Event::ToNode, 3, &b"abc"[..])
+        );
         for cut in MAGIC.len()..bytes.len() {
             assert!(read(&bytes[..cut]).unwrap().len() < 2);
         }
@@ -297,7 +341,10 @@
             let mut bytes = whole.clone();
             bytes[at] ^= 1;
             // A longer length looks like a cut end; nothing else passes.
-            assert!(read(&bytes).is_err() || read(&bytes).unwrap().is_empty(), "byte {at}");
+            assert!(
+                read(&bytes).is_err() || read(&bytes).unwrap().is_empty(),
+                "byte {at}"
+            );
         }
     }
 }
--- a/crates/audit/tests/rules.rs
+++ b/crates/audit/tests/rules.rs
@@ -3,8 +3,8 @@
 use reedring_audit::{Event, Frame, Recorder, Report, Rule, audit, read};
 use reedring_drmaa::framing::wrap;
 use reedring_nodeproto::{
-    AttemptId, Ballot, Digest, End, Held, HeldState, Introduced, Message, Order, Reason, Record, Stamp, Task,
-    Version, decode, encode,
+    AttemptId, Ballot, Digest, End, Held, HeldState, Introduced, Message, Order, Reason, Record,
+    Stamp, Task, Version, decode, encode,
 };
 
 const SETTINGS: &str = r#"
@@ -45,19 +45,24 @@
 impl Trace {
     fn new() -> Self {
         let trace = Self(Recorder::in_memory());
-        trace.0.record(Event::PlacerStarted, "p", "", 1, SETTINGS.as_bytes());
+        trace
+            .0
+            .record(Event::PlacerStarted, "p", "", 1, SETTINGS.as_bytes());
         trace.0.record(Event::Listed, "p", "", 0, LIST.as_bytes());
         trace
     }
 
     fn call(&self, id: u64, method: &str, params: &str) {
-        let text = format!(r#"{{"jsonrpc":"2.0","id":{id},"method":"{method}","params":{params}}}"#);
-        self.0.record(Event::FromClient, "p", "", 1, &wrap(text.as_bytes()));
+        let text =
+            format!(r#"{{"jsonrpc":"2.0","id":{id},"method":"{method}","params":{params}}}"#);
+        self.0
+            .record(Event::FromClient, "p", "", 1, &wrap(text.as_bytes()));
     }
 
     fn answer(&self, id: u64, result: &str) {
         let text = format!(r#"{{"jsonrpc":"2.0","id":{id},"result":{result}}}"#);
-        self.0.record(Event::ToClient, "p", "", 1, &wrap(text.as_bytes()));
+        self.0
+            .record(Event::ToClient, "p", "", 1, &wrap(text.as_bytes()));
     }
 
     fn taken(&self, job: &str, class: &str) {
@@ -69,7 +74,10 @@
     fn told(&self, job: &str, outcome: &str) {
         self.call(2, "drmaa_wait", r#"{"key":{"session":"s"},"job":null}"#);
         let usage = format!(r#"[["reedring.outcome","{outcome}"]]"#);
-        self.answer(2, &format!(r#"{{"ended":{{"job":"{job}","end":"aborted","usage":{usage}}}}}"#));
+        self.answer(
+            2,
+            &format!(r#"{{"ended":{{"job":"{job}","end":"aborted","usage":{usage}}}}}"#),
+        );
     }
 
     fn offer(&self, job: &str, class: &str, node: &str, request: u64, number: u16) -> AttemptId {
@@ -84,7 +92,12 @@
         (request, number): (u64, u16),
         stamp: Option<Stamp>,
     ) -> AttemptId {
-        let task = Task { job: job.into(), class: class.into(), service: "v".into(), ..Task::default() };
+        let task = Task {
+            job: job.into(),
+            class: class.into(),
+            service: "v".into(),
+            ..Task::default()
+        };
         self.offer_task(task, node, (request, number), stamp)
     }
 
@@ -95,8 +108,17 @@
         (request, number): (u64, u16),
         stamp: Option<Stamp>,
     ) -> AttemptId {
-        let attempt = AttemptId { life: 1, request, number };
-        let offer = encode(&Message::Offer { attempt, task: Box::new(task), within_ms: 0, stamp });
+        let attempt = AttemptId {
+            life: 1,
+            request,
+            number,
+        };
+        let offer = encode(&Message::Offer {
+            attempt,
+            task: Box::new(task),
+            within_ms: 0,
+            stamp,
+        });
         self.0.record(Event::ToNode, "p", node, 1, &offer);
         self.0.record(Event::NodeRead, node, "p", 1, &offer);
         attempt
@@ -104,32 +126,69 @@
 
     /// An offer under an even spread over the halls.
     fn offer_evenly(&self, job: &str, node: &str, request: u64) -> AttemptId {
-        let payload = br#"{"native":"class=safe service=v constraint='require spread by hall within 1'"}"#;
+        let payload =
+            br#"{"native":"class=safe service=v constraint='require spread by hall within 1'"}"#;
         let (class, service, payload) = ("safe".into(), "v".into(), payload.to_vec());
-        let task = Task { job: job.into(), class, service, payload, ..Task::default() };
+        let task = Task {
+            job: job.into(),
+            class,
+            service,
+            payload,
+            ..Task::default()
+        };
         self.offer_task(task, node, (request, 0), None)
     }
 
     fn node(&self, node: &str, message: &Message) {
-        self.0.record(Event::NodeWrote, node, "p", 1, &encode(message));
-        self.0.record(Event::FromNode, "p", node, 1, &encode(message));
+        self.0
+            .record(Event::NodeWrote, node, "p", 1, &encode(message));
+        self.0
+            .record(Event::FromNode, "p", node, 1, &encode(message));
     }
 
     fn accepted(&self, node: &str, attempt: AttemptId) {
-        self.node(node, &Message::Accepted { attempt, report: Vec::new() });
+        self.node(
+            node,
+            &Message::Accepted {
+                attempt,
+                report: Vec::new(),
+            },
+        );
     }
 
     fn refused(&self, node: &str, attempt: AttemptId) {
         let (reason, text, report) = (Reason::Crowded, String::new(), Vec::new());
-        self.node(node, &Message::Refused { attempt, reason, text, report });
+        self.node(
+            node,
+            &Message::Refused {
+                attempt,
+                reason,
+                text,
+                report,
+            },
+        );
     }
 
     fn ended(&self, node: &str, attempt: AttemptId, end: End, ran: bool) {
-        self.node(node, &Message::Ended { attempt, end, ran, report: Vec::new() });
+        self.node(
+            node,
+            &Message::Ended {
+                attempt,
+                end,
+                ran,
+                report: Vec::new(),
+            },
+        );
     }
 
     fn stop(&self, node: &str, attempt: AttemptId) {
-        self.0.record(Event::ToNode, "p", node, 1, &encode(&Message::Stop { attempt }));
+        self.0.record(
+            Event::ToNode,
+            "p",
+            node,
+            1,
+            &encode(&Message::Stop { attempt }),
+        );
     }
 
     fn judge(self) -> Report {
@@ -138,7 +197,10 @@
 
     fn breaks(self) -> Vec<Rule> {
         let report = self.judge();
-        report.breaches.iter().for_each(|breach| assert!(!breach.frames.is_empty(), "{breach:?}"));
+        report
+            .breaches
+            .iter()
+            .for_each(|breach| assert!(!breach.frames.is_empty(), "{breach:?}"));
         report.breaches.iter().map(|breach| breach.rule).collect()
     }
 }
@@ -183,9 +245,12 @@
 
 #[test]
 fn what_may_have_run_is_sent_again_only_as_its_class_allows() {
-    for (class, node, clean) in
-        [("safe", "b1", true), ("keyed", "a2", true), ("keyed", "b1", false), ("unsafe", "a2", false)]
-    {
+    for (class, node, clean) in [
+        ("safe", "b1", true),
+        ("keyed", "a2", true),
+        ("keyed", "b1", false),
+        ("unsafe", "a2", false),
+    ] {
         let trace = Trace::new();
         let first = trace.offer("s.1.1", class, "a1", 1, 0);
         trace.stop("a1", first);
@@ -213,9 +278,11 @@
 
 #[test]
 fn a_lost_task_comes_again_only_as_its_class_allows() {
-    for (class, end, clean) in
-        [("safe", End::Evicted, true), ("keyed", End::Evicted, true), ("unsafe", End::Evicted, false)]
-    {
+    for (class, end, clean) in [
+        ("safe", End::Evicted, true),
+        ("keyed", End::Evicted, true),
+        ("unsafe", End::Evicted, false),
+    ] {
         let trace = Trace::new();
         let first = trace.offer("s.1.1", class, "a1", 1, 0);
         trace.accepted("a1", first);
@@ -239,14 +306,29 @@
         trace.offer("s.1.1", "keyed", "a1", 2, 1);
         let mut frames = read(&trace.0.finish().unwrap()).unwrap();
         let is_offer = |frame: &&Frame| {
-            frame.event == Event::ToNode && matches!(decode(&frame.bytes), Ok(Message::Offer { .. }))
+            frame.event == Event::ToNode
+                && matches!(decode(&frame.bytes), Ok(Message::Offer { .. }))
+        };
+        let offers: Vec<usize> = frames
+            .iter()
+            .filter(is_offer)
+            .map(|frame| frame.number)
+            .collect();
+        let [_, second, third] = offers[..] else {
+            panic!("{offers:?}")
         };
-        let offers: Vec<usize> = frames.iter().filter(is_offer).map(|frame| frame.number).collect();
-        let [_, second, third] = offers[..] else { panic!("{offers:?}") };
         // The window is one hour: the second placing comes later than that, its second try in time or not.
-        frames[second..].iter_mut().for_each(|frame| frame.time_us += 2 * HOUR_US);
-        frames[third..].iter_mut().for_each(|frame| frame.time_us += tries_apart_us);
-        assert_eq!(audit(&frames).breaches.is_empty(), clean, "{tries_apart_us}");
+        frames[second..]
+            .iter_mut()
+            .for_each(|frame| frame.time_us += 2 * HOUR_US);
+        frames[third..]
+            .iter_mut()
+            .for_each(|frame| frame.time_us += tries_apart_us);
+        assert_eq!(
+            audit(&frames).breaches.is_empty(),
+            clean,
+            "{tries_apart_us}"
+        );
     }
 }
 
@@ -259,7 +341,10 @@
         "a1",
         "p",
         1,
-        &encode(&Message::Accepted { attempt: first, report: Vec::new() }),
+        &encode(&Message::Accepted {
+            attempt: first,
+            report: Vec::new(),
+        }),
     );
     let second = trace.offer("s.1.1", "unsafe", "a2", 1, 1);
     trace.accepted("a2", second);
@@ -272,10 +357,20 @@
     trace.taken("s.1.1", "unsafe");
     let first = trace.offer("s.1.1", "unsafe", "a1", 1, 0);
     trace.0.record(Event::PlacerEnded, "p", "", 1, b"");
-    trace.0.record(Event::PlacerStarted, "p", "", 2, SETTINGS.as_bytes());
+    trace
+        .0
+        .record(Event::PlacerStarted, "p", "", 2, SETTINGS.as_bytes());
     trace.0.record(Event::Listed, "p", "", 0, LIST.as_bytes());
-    let task = Task { job: "s.1.1".into(), class: "unsafe".into(), ..Task::default() };
-    let held = vec![Held { attempt: first, task, state: HeldState::Running }];
+    let task = Task {
+        job: "s.1.1".into(),
+        class: "unsafe".into(),
+        ..Task::default()
+    };
+    let held = vec![Held {
+        attempt: first,
+        task,
+        state: HeldState::Running,
+    }];
     trace.node("a1", &Message::Holds { held, last: true });
     trace.ended("a1", first, End::Exited(0), true);
     trace.told("s.1.1", "placed");
@@ -290,7 +385,8 @@
         "p",
         "",
         0,
-        LIST.replace("\"a1\",", "\"a1\", health = \"draining\",").as_bytes(),
+        LIST.replace("\"a1\",", "\"a1\", health = \"draining\",")
+            .as_bytes(),
     );
     std::thread::sleep(std::time::Duration::from_millis(1));
     trace.offer("s.1.1", "safe", "a1", 1, 0);
@@ -332,9 +428,18 @@
         apart_us: u64,
         clean: bool,
     }
-    let case =
-        |first_is_even, first_node, apart_us, clean| Case { first_is_even, first_node, apart_us, clean };
-    for Case { first_is_even, first_node, apart_us, clean } in [
+    let case = |first_is_even, first_node, apart_us, clean| Case {
+        first_is_even,
+        first_node,
+        apart_us,
+        clean,
+    };
+    for Case {
+        first_is_even,
+        first_node,
+        apart_us,
+        clean,
+    } in [
         case(false, "a1", 100_000, true),
         case(false, "a1", 400_000, false),
         case(false, "a2", 0, false),
@@ -349,21 +454,39 @@
         }
         trace.offer_evenly("s.1.2", "a2", 2);
         let mut frames = read(&trace.0.finish().unwrap()).unwrap();
-        let offers: Vec<usize> =
-            frames.iter().filter(|frame| frame.event == Event::ToNode).map(|frame| frame.number).collect();
-        let [_, second] = offers[..] else { panic!("{offers:?}") };
-        frames[second..].iter_mut().for_each(|frame| frame.time_us += apart_us);
-        let breaches: Vec<Rule> = audit(&frames).breaches.iter().map(|breach| breach.rule).collect();
+        let offers: Vec<usize> = frames
+            .iter()
+            .filter(|frame| frame.event == Event::ToNode)
+            .map(|frame| frame.number)
+            .collect();
+        let [_, second] = offers[..] else {
+            panic!("{offers:?}")
+        };
+        frames[second..]
+            .iter_mut()
+            .for_each(|frame| frame.time_us += apart_us);
+        let breaches: Vec<Rule> = audit(&frames)
+            .breaches
+            .iter()
+            .map(|breach| breach.rule)
+            .collect();
         let expected: &[Rule] = if clean { &[] } else { &[Rule::Spread] };
-        assert_eq!(breaches, expected, "{first_is_even} {first_node} {apart_us}");
+        assert_eq!(
+            breaches, expected,
+            "{first_is_even} {first_node} {apart_us}"
+        );
     }
 }
 
 #[test]
 fn noise_is_counted_and_judged_as_nothing() {
     let trace = Trace::new();
-    trace.0.record(Event::FromNode, "p", "a1", 1, b"\x00\x01noise");
-    trace.0.record(Event::FromClient, "p", "", 1, b"GET / HTTP/1.1\r\n\r\n");
+    trace
+        .0
+        .record(Event::FromNode, "p", "a1", 1, b"\x00\x01noise");
+    trace
+        .0
+        .record(Event::FromClient, "p", "", 1, b"GET / HTTP/1.1\r\n\r\n");
     let report = trace.judge();
     assert_eq!((report.unreadable, report.breaches.len()), (2, 0));
 }
@@ -371,20 +494,36 @@
 // ---- Plans ----
 
 fn version(number: u64) -> Version {
-    Version { number, digest: Digest([number as u8; 16]) }
+    Version {
+        number,
+        digest: Digest([number as u8; 16]),
+    }
 }
 
 /// A record with this plan in force, and the next one joint or not.
 fn record(force: u64, next: Option<(u64, bool)>) -> Message {
     let introduced = |(number, joint)| {
         let ballot = Ballot { round: 1, by: 1 };
-        Introduced { ballot, version: version(number), joint }
+        Introduced {
+            ballot,
+            version: version(number),
+            joint,
+        }
     };
-    Message::Record(Record { force: version(force), next: next.map(introduced), ..Record::default() })
+    Message::Record(Record {
+        force: version(force),
+        next: next.map(introduced),
+        ..Record::default()
+    })
 }
 
 fn stamp(number: u64, joint: bool) -> Option<Stamp> {
-    Some(Stamp { version: version(number), joint, list: 1, build: 1 })
+    Some(Stamp {
+        version: version(number),
+        joint,
+        list: 1,
+        build: 1,
+    })
 }
 
 #[test]
@@ -395,7 +534,11 @@
         trace.taken("s.1.1", "safe");
         let attempt = trace.offer_by("s.1.1", "safe", "a1", (1, 0), stamp(number, joint));
         trace.accepted("a1", attempt);
-        let want = if clean { Vec::new() } else { vec![Rule::Versions] };
+        let want = if clean {
+            Vec::new()
+        } else {
+            vec![Rule::Versions]
+        };
         assert_eq!(trace.breaks(), want, "{number} {joint}");
     }
 }
@@ -404,10 +547,18 @@
 fn a_plan_in_force_without_a_majority_breaks_the_check_of_plans() {
     for joint in [["a1"].as_slice(), &["a1", "b1"]] {
         let trace = Trace::new();
-        ["a1", "a2", "b1"].iter().for_each(|node| trace.node(node, &record(1, None)));
-        joint.iter().for_each(|node| trace.node(node, &record(1, Some((2, true)))));
+        ["a1", "a2", "b1"]
+            .iter()
+            .for_each(|node| trace.node(node, &record(1, None)));
+        joint
+            .iter()
+            .for_each(|node| trace.node(node, &record(1, Some((2, true)))));
         trace.node("a1", &record(2, None));
-        let want = if joint.len() > 1 { Vec::new() } else { vec![Rule::Versions] };
+        let want = if joint.len() > 1 {
+            Vec::new()
+        } else {
+            vec![Rule::Versions]
+        };
         assert_eq!(trace.breaks(), want, "{joint:?}");
     }
 }
@@ -415,19 +566,31 @@
 #[test]
 fn more_than_the_stricter_part_of_a_cold_budget_breaks_the_check_of_plans() {
     let text = |placers: u32| {
-        format!("[site]\nplacers = {placers}\ncold_offers = 3.0\ncold_window = \"1h\"\nwarm_after = \"1h\"\n")
+        format!(
+            "[site]\nplacers = {placers}\ncold_offers = 3.0\ncold_window = \"1h\"\nwarm_after = \"1h\"\n"
+        )
     };
     let sent = |joint: bool, offers: u64| {
         let trace = Trace::new();
         trace.0.record(Event::NodeStarted, "a1", "", 1, b"");
         for (number, placers) in [(1, 1), (2, 3)] {
             let (version, text) = (version(number), text(placers));
-            let order = Order::Force { version, text, list: 1 };
-            trace.0.record(Event::ToNode, "p", "a1", 1, &encode(&Message::Plan(order)));
+            let order = Order::Force {
+                version,
+                text,
+                list: 1,
+            };
+            trace
+                .0
+                .record(Event::ToNode, "p", "a1", 1, &encode(&Message::Plan(order)));
         }
         for n in 1..=offers {
             // By plan 1 alone all three are its own; by both, one.
-            let by = if joint { stamp(2, true) } else { stamp(1, false) };
+            let by = if joint {
+                stamp(2, true)
+            } else {
+                stamp(1, false)
+            };
             trace.offer_by(&format!("s.1.{n}"), "safe", "a1", (n, 0), by);
         }
         trace.breaks()
@@ -439,9 +602,18 @@
 
 /// A learner's record, by the plan whose joint form is its floor; 0 is none yet.
 fn learner(number: u64) -> Record {
-    let introduced = Introduced { ballot: Ballot::default(), version: version(number), joint: true };
+    let introduced = Introduced {
+        ballot: Ballot::default(),
+        version: version(number),
+        joint: true,
+    };
     let next = (number > 0).then_some(introduced);
-    Record { next, learns: true, stuck: true, ..Record::default() }
+    Record {
+        next,
+        learns: true,
+        stuck: true,
+        ..Record::default()
+    }
 }
 
 #[test]
@@ -461,7 +633,11 @@
             let attempt = trace.offer_by(&format!("s.1.{n}"), "safe", "a1", (n, 0), by);
             trace.accepted("a1", attempt);
         }
-        let want = if clean { Vec::new() } else { vec![Rule::Versions] };
+        let want = if clean {
+            Vec::new()
+        } else {
+            vec![Rule::Versions]
+        };
         assert_eq!(trace.breaks(), want, "{second:?}");
     }
 }
@@ -472,7 +648,16 @@
     let trace = Trace::new();
     trace.node("a1", &Message::Record(learner(2)));
     let (node, life, up_ms, can_suspend) = ("a1".to_owned(), 9, 0, true);
-    trace.node("a1", &Message::Welcome { node, life, up_ms, can_suspend, record: Some(learner(0)) });
+    trace.node(
+        "a1",
+        &Message::Welcome {
+            node,
+            life,
+            up_ms,
+            can_suspend,
+            record: Some(learner(0)),
+        },
+    );
     trace.taken("s.1.1", "safe");
     let attempt = trace.offer_by("s.1.1", "safe", "a1", (1, 0), stamp(1, false));
     trace.accepted("a1", attempt);
@@ -486,13 +671,25 @@
         node = [{ name = "a1", control = true }, { name = "a2", control = true }, { name = "b1", control = true },
                 { name = "b2" }, { name = "b3" }]
     "#;
-    for (joint, clean) in [(["a1"].as_slice(), false), (&["a1", "b2", "b3"], false), (&["a1", "b1"], true)] {
+    for (joint, clean) in [
+        (["a1"].as_slice(), false),
+        (&["a1", "b2", "b3"], false),
+        (&["a1", "b1"], true),
+    ] {
         let trace = Trace::new();
         trace.0.record(Event::Listed, "p", "", 0, list.as_bytes());
-        ["a1", "a2", "b1", "b2", "b3"].iter().for_each(|node| trace.node(node, &record(1, None)));
-        joint.iter().for_each(|node| trace.node(node, &record(1, Some((2, true)))));
+        ["a1", "a2", "b1", "b2", "b3"]
+            .iter()
+            .for_each(|node| trace.node(node, &record(1, None)));
+        joint
+            .iter()
+            .for_each(|node| trace.node(node, &record(1, Some((2, true)))));
         trace.node("a1", &record(2, None));
-        let want = if clean { Vec::new() } else { vec![Rule::Versions] };
+        let want = if clean {
+            Vec::new()
+        } else {
+            vec![Rule::Versions]
+        };
         assert_eq!(trace.breaks(), want, "{joint:?}");
     }
 }
@@ -505,7 +702,13 @@
         trace.0.record(Event::NodeStarted, "a1", "", 1, b"");
         trace.node("a1", &Message::Record(learner(0)));
         for (n, plan) in [(1, 2), (2, 2), (3, 2), (4, fourth)] {
-            trace.offer_by(&format!("s.1.{n}"), "safe", "a1", (n, 0), stamp(plan, false));
+            trace.offer_by(
+                &format!("s.1.{n}"),
+                "safe",
+                "a1",
+                (n, 0),
+                stamp(plan, false),
+            );
         }
         assert_eq!(trace.breaks(), want, "the fourth by plan {fourth}");
     }
--- a/crates/capacity/src/axis.rs
+++ b/crates/capacity/src/axis.rs
@@ -43,7 +43,9 @@
 
     /// The name of the first field, this axis aside, in which two sizes differ.
     pub fn differing_field(self, one: &Size, other: &Size) -> Option<&'static str> {
-        let axis = Self::ALL.iter().find(|axis| **axis != self && axis.of(one) != axis.of(other));
+        let axis = Self::ALL
+            .iter()
+            .find(|axis| **axis != self && axis.of(one) != axis.of(other));
         match axis {
             Some(axis) => Some(axis.name()),
             None if one.control_machines != other.control_machines => Some("control-machines"),
--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -64,11 +64,22 @@
     pub fn along(axis: Axis, points: &[Point]) -> Result<Self, FitError> {
         require_sizes(axis, points, 2)?;
         require_others_equal(axis, points)?;
-        let coordinates: Vec<(f64, f64)> =
-            points.iter().map(|point| (axis.of(&point.size), point.value)).collect();
+        let coordinates: Vec<(f64, f64)> = points
+            .iter()
+            .map(|point| (axis.of(&point.size), point.value))
+            .collect();
         let fit = least_squares(&coordinates);
-        let results = [fit.intercept, fit.slope, fit.residual, fit.relative_residual];
-        if results.iter().all(|result| result.is_finite()) { Ok(fit) } else { Err(FitError::NotFinite) }
+        let results = [
+            fit.intercept,
+            fit.slope,
+            fit.residual,
+            fit.relative_residual,
+        ];
+        if results.iter().all(|result| result.is_finite()) {
+            Ok(fit)
+        } else {
+            Err(FitError::NotFinite)
+        }
     }
 
     /// The value of the line at a value of its axis.
@@ -79,7 +90,15 @@
 
 fn require_sizes(axis: Axis, points: &[Point], needed: usize) -> Result<(), FitError> {
     let found = different_values(axis, points).len();
-    if found < needed { Err(FitError::TooFewSizes { axis, found, needed }) } else { Ok(()) }
+    if found < needed {
+        Err(FitError::TooFewSizes {
+            axis,
+            found,
+            needed,
+        })
+    } else {
+        Ok(())
+    }
 }
 
 /// The different values of the points on the axis, smallest first.
@@ -93,7 +112,11 @@
 fn require_others_equal(axis: Axis, points: &[Point]) -> Result<(), FitError> {
     for (index, point) in points.iter().enumerate() {
         if let Some(field) = axis.differing_field(&points[0].size, &point.size) {
-            return Err(FitError::OtherAxesDiffer { axis, point: index, field });
+            return Err(FitError::OtherAxesDiffer {
+                axis,
+                point: index,
+                field,
+            });
         }
     }
     Ok(())
@@ -103,7 +126,10 @@
 fn least_squares(coordinates: &[(f64, f64)]) -> Fit {
     let mean_x = mean(coordinates.iter().map(|(x, _)| *x));
     let mean_y = mean(coordinates.iter().map(|(_, y)| *y));
-    let centred: Vec<(f64, f64)> = coordinates.iter().map(|(x, y)| (x - mean_x, y - mean_y)).collect();
+    let centred: Vec<(f64, f64)> = coordinates
+        .iter()
+        .map(|(x, y)| (x - mean_x, y - mean_y))
+        .collect();
     let square: f64 = centred.iter().map(|(x, _)| x * x).sum();
     let product: f64 = centred.iter().map(|(x, y)| x * y).sum();
     let slope = product / square;
@@ -113,7 +139,11 @@
         intercept: mean_y - slope * mean_x,
         slope,
         residual,
-        relative_residual: if magnitude == 0.0 { 0.0 } else { residual / magnitude },
+        relative_residual: if magnitude == 0.0 {
+            0.0
+        } else {
+            residual / magnitude
+        },
         points: coordinates.len(),
     }
 }
--- a/crates/capacity/src/fit/foretold.rs
+++ b/crates/capacity/src/fit/foretold.rs
@@ -24,7 +24,11 @@
     pub fn relative_error(&self) -> Option<f64> {
         let played = self.played?;
         let difference = (self.foretold - played).abs();
-        Some(if difference == 0.0 { 0.0 } else { difference / played.abs() })
+        Some(if difference == 0.0 {
+            0.0
+        } else {
+            difference / played.abs()
+        })
     }
 
     /// Whether the relative error is at most [`AIM`]; `None` if nothing was measured at that size.
@@ -40,9 +44,14 @@
     super::require_others_equal(axis, points)?;
     let values = different_values(axis, points);
     let largest = values[values.len() - 1];
-    let (at_largest, smaller): (Vec<Point>, Vec<Point>) =
-        points.iter().partition(|point| axis.of(&point.size) == largest);
+    let (at_largest, smaller): (Vec<Point>, Vec<Point>) = points
+        .iter()
+        .partition(|point| axis.of(&point.size) == largest);
     let fit = Fit::along(axis, &smaller)?;
     let played = super::mean(at_largest.iter().map(|point| point.value));
-    Ok(Foretold { size: at_largest[0].size, foretold: fit.at(largest), played: Some(played) })
+    Ok(Foretold {
+        size: at_largest[0].size,
+        foretold: fit.at(largest),
+        played: Some(played),
+    })
 }
--- a/crates/capacity/src/measurement/validation.rs
+++ b/crates/capacity/src/measurement/validation.rs
@@ -54,11 +54,18 @@
 impl fmt::Display for Fault {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotAMeasure(value) => write!(formatter, "{value} is not a finite number of at least 0"),
+            Self::NotAMeasure(value) => {
+                write!(formatter, "{value} is not a finite number of at least 0")
+            }
             Self::Zero => write!(formatter, "must be at least 1"),
             Self::Empty => write!(formatter, "must not be empty"),
             Self::NotOneLine => write!(formatter, "must be one line without control characters"),
-            Self::Duplicate { first, role, phase, quantity } => {
+            Self::Duplicate {
+                first,
+                role,
+                phase,
+                quantity,
+            } => {
                 write!(
                     formatter,
                     "{role} {phase} {quantity} at this size is already in measurements[{first}]"
@@ -81,19 +88,27 @@
     /// Checks the runs and writes them as indented JSON with a final newline.
     pub fn to_json(&self) -> Result<String, ValidationError> {
         self.validate()?;
-        let mut text = serde_json::to_string_pretty(self).expect("run files have no maps with odd keys");
+        let mut text =
+            serde_json::to_string_pretty(self).expect("run files have no maps with odd keys");
         text.push('\n');
         Ok(text)
     }
 
     /// Checks every run; the error names the first faulty place.
     pub fn validate(&self) -> Result<(), ValidationError> {
-        self.0.iter().enumerate().try_for_each(|(index, run)| validate_run(run, &format!("[{index}]")))
+        self.0
+            .iter()
+            .enumerate()
+            .try_for_each(|(index, run)| validate_run(run, &format!("[{index}]")))
     }
 }
 
 fn validate_run(run: &Run, place: &str) -> Result<(), ValidationError> {
-    let texts = [("command", &run.command), ("mechanism", &run.mechanism), ("revision", &run.revision)];
+    let texts = [
+        ("command", &run.command),
+        ("mechanism", &run.mechanism),
+        ("revision", &run.revision),
+    ];
     for (field, text) in texts {
         validate_text(text, &format!("{place}.{field}"))?;
     }
@@ -114,13 +129,19 @@
     } else {
         return Ok(());
     };
-    Err(ValidationError { place: place.to_owned(), fault })
+    Err(ValidationError {
+        place: place.to_owned(),
+        fault,
+    })
 }
 
 fn validate_size(size: &Size, place: &str) -> Result<(), ValidationError> {
     for (field, count) in [("nodes", size.nodes), ("placers", size.placers)] {
         if count == 0 {
-            return Err(ValidationError { place: format!("{place}.{field}"), fault: Fault::Zero });
+            return Err(ValidationError {
+                place: format!("{place}.{field}"),
+                fault: Fault::Zero,
+            });
         }
     }
     validate_number(size.changes_per_hour, &format!("{place}.changes-per-hour"))
@@ -130,7 +151,10 @@
     if value.is_finite() && value >= 0.0 {
         return Ok(());
     }
-    Err(ValidationError { place: place.to_owned(), fault: Fault::NotAMeasure(value) })
+    Err(ValidationError {
+        place: place.to_owned(),
+        fault: Fault::NotAMeasure(value),
+    })
 }
 
 fn validate_first(
@@ -138,7 +162,10 @@
     earlier: &[Measurement],
     place: &str,
 ) -> Result<(), ValidationError> {
-    let Some(first) = earlier.iter().position(|other| measures_the_same(measurement, other)) else {
+    let Some(first) = earlier
+        .iter()
+        .position(|other| measures_the_same(measurement, other))
+    else {
         return Ok(());
     };
     let fault = Fault::Duplicate {
@@ -147,7 +174,10 @@
         phase: measurement.phase,
         quantity: measurement.quantity,
     };
-    Err(ValidationError { place: place.to_owned(), fault })
+    Err(ValidationError {
+        place: place.to_owned(),
+        fault,
+    })
 }
 
 fn measures_the_same(one: &Measurement, other: &Measurement) -> bool {
--- a/crates/capacity/src/page.rs
+++ b/crates/capacity/src/page.rs
@@ -80,7 +80,11 @@
 
 /// Renders the table of a run file, with its markers and a final newline.
 pub fn render(runs: &RunFile) -> String {
-    let mut lines = vec![table::opening_marker(TABLE_NAME), table::header(), table::separator()];
+    let mut lines = vec![
+        table::opening_marker(TABLE_NAME),
+        table::header(),
+        table::separator(),
+    ];
     lines.extend(row::rows(runs).iter().map(row::Row::to_line));
     lines.push(table::END_MARKER.to_owned());
     lines.join("\n") + "\n"
--- a/crates/capacity/src/page/check.rs
+++ b/crates/capacity/src/page/check.rs
@@ -6,7 +6,12 @@
 use crate::measurement::{Measurement, Phase, Quantity, Role, RunFile};
 
 /// The columns that say which measurements a row is about.
-const KEY: [Column; 4] = [Column::Role, Column::Phase, Column::Quantity, Column::Mechanism];
+const KEY: [Column; 4] = [
+    Column::Role,
+    Column::Phase,
+    Column::Quantity,
+    Column::Mechanism,
+];
 
 /// Checks that the page has the table of the runs, and lists all that differs in the order of the page.
 ///
@@ -21,7 +26,11 @@
     comparison.check_missing();
     let mut problems = comparison.problems;
     problems.sort_by_key(|problem| (problem.line, problem.column));
-    if problems.is_empty() { Ok(()) } else { Err(problems) }
+    if problems.is_empty() {
+        Ok(())
+    } else {
+        Err(problems)
+    }
 }
 
 struct Comparison<'a> {
@@ -36,7 +45,13 @@
 impl<'a> Comparison<'a> {
     fn new(table: &'a Table, runs: &'a RunFile) -> Self {
         let matches = vec![None; table.rows.len()];
-        Self { table, runs, expected: rows(runs), matches, problems: Vec::new() }
+        Self {
+            table,
+            runs,
+            expected: rows(runs),
+            matches,
+            problems: Vec::new(),
+        }
     }
 
     /// Rows with the right formula find their expected row first, so that one wrong formula among several rows
@@ -56,8 +71,9 @@
                 continue;
             }
             let free = |index: &usize| !self.matches.contains(&Some(*index));
-            let found =
-                (0..self.expected.len()).filter(free).find(|index| stands_for(row, &self.expected[*index]));
+            let found = (0..self.expected.len())
+                .filter(free)
+                .find(|index| stands_for(row, &self.expected[*index]));
             self.matches[page_index] = found;
         }
     }
@@ -84,14 +100,26 @@
         if measurements(self.runs).any(|measurement| is_about(row, measurement)) {
             return vec![row.problem_at(Column::Formula, Problem::MeasuredAfterAll)];
         }
-        let figures =
-            [Column::Foretold, Column::Budget, Column::Ratio, Column::Command, Column::Mechanism].into_iter();
-        figures.filter_map(|column| difference(row, column, NOTHING)).collect()
+        let figures = [
+            Column::Foretold,
+            Column::Budget,
+            Column::Ratio,
+            Column::Command,
+            Column::Mechanism,
+        ]
+        .into_iter();
+        figures
+            .filter_map(|column| difference(row, column, NOTHING))
+            .collect()
     }
 
     /// Rows with measurements stand in the expected order, then come the rows without in any order.
     fn check_order(&mut self) {
-        let measured_rows = self.expected.iter().filter(|row| !row.is_not_measured()).count();
+        let measured_rows = self
+            .expected
+            .iter()
+            .filter(|row| !row.is_not_measured())
+            .count();
         let mut latest: Option<(usize, usize)> = None;
         for (row, matched) in self.table.rows.iter().zip(&self.matches) {
             let rank = match matched {
@@ -101,7 +129,8 @@
             };
             match latest {
                 Some((latest_rank, line)) if rank < latest_rank => {
-                    self.problems.push(row.problem_at(Column::Role, Problem::OutOfOrder(line)));
+                    self.problems
+                        .push(row.problem_at(Column::Role, Problem::OutOfOrder(line)));
                 }
                 _ => latest = Some((rank, row.line)),
             }
@@ -112,18 +141,25 @@
         for (index, expected) in self.expected.iter().enumerate() {
             if !self.matches.contains(&Some(index)) {
                 let problem = Problem::MissingRow(expected.to_line());
-                self.problems.push(PageProblem { line: self.table.end_line, column: 1, problem });
+                self.problems.push(PageProblem {
+                    line: self.table.end_line,
+                    column: 1,
+                    problem,
+                });
             }
         }
     }
 }
 
 fn same_key(row: &PageRow, expected: &Row) -> bool {
-    KEY.iter().all(|column| row.text(*column) == expected.cell(*column))
+    KEY.iter()
+        .all(|column| row.text(*column) == expected.cell(*column))
 }
 
 fn same_texts(one: &PageRow, other: &PageRow) -> bool {
-    Column::ALL.iter().all(|column| one.text(*column) == other.text(*column))
+    Column::ALL
+        .iter()
+        .all(|column| one.text(*column) == other.text(*column))
 }
 
 fn is_not_measured(row: &PageRow) -> bool {
@@ -132,7 +168,9 @@
 
 fn differences(row: &PageRow, expected: &Row) -> Vec<PageProblem> {
     let columns = Column::ALL.iter();
-    columns.filter_map(|column| difference(row, *column, expected.cell(*column))).collect()
+    columns
+        .filter_map(|column| difference(row, *column, expected.cell(*column)))
+        .collect()
 }
 
 fn difference(row: &PageRow, column: Column, expected: &str) -> Option<PageProblem> {
@@ -140,7 +178,11 @@
     if printed == expected {
         return None;
     }
-    let problem = Problem::Differs { column, printed: printed.to_owned(), expected: expected.to_owned() };
+    let problem = Problem::Differs {
+        column,
+        printed: printed.to_owned(),
+        expected: expected.to_owned(),
+    };
     Some(row.problem_at(column, problem))
 }
 
@@ -152,11 +194,18 @@
 fn unknown_names(row: &PageRow) -> Vec<PageProblem> {
     let any_allowed = |column| is_not_measured(row) && row.text(column) == NOTHING;
     let known = [
-        (Column::Role, Role::from_name(row.text(Column::Role)).is_some()),
-        (Column::Phase, any_allowed(Column::Phase) || Phase::from_name(row.text(Column::Phase)).is_some()),
+        (
+            Column::Role,
+            Role::from_name(row.text(Column::Role)).is_some(),
+        ),
+        (
+            Column::Phase,
+            any_allowed(Column::Phase) || Phase::from_name(row.text(Column::Phase)).is_some(),
+        ),
         (
             Column::Quantity,
-            any_allowed(Column::Quantity) || Quantity::from_name(row.text(Column::Quantity)).is_some(),
+            any_allowed(Column::Quantity)
+                || Quantity::from_name(row.text(Column::Quantity)).is_some(),
         ),
     ];
     let unknown = known.into_iter().filter(|(_, known)| !known);
--- a/crates/capacity/src/page/figure.rs
+++ b/crates/capacity/src/page/figure.rs
@@ -18,12 +18,30 @@
 
 /// Smallest first. Memory has binary units, traffic decimal ones.
 const PERCENT: [PrintedUnit; 1] = [unit(0.01, "%")];
-const BINARY_BYTES: [PrintedUnit; 4] =
-    [unit(1.0, "B"), unit(1_024.0, "KiB"), unit(1_048_576.0, "MiB"), unit(1_073_741_824.0, "GiB")];
-const BYTES: [PrintedUnit; 4] = [unit(1.0, "B"), unit(1e3, "KB"), unit(1e6, "MB"), unit(1e9, "GB")];
-const BYTES_PER_SECOND: [PrintedUnit; 4] =
-    [unit(1.0, "B/s"), unit(1e3, "KB/s"), unit(1e6, "MB/s"), unit(1e9, "GB/s")];
-const SECONDS: [PrintedUnit; 4] = [unit(1e-9, "ns"), unit(1e-6, "µs"), unit(1e-3, "ms"), unit(1.0, "s")];
+const BINARY_BYTES: [PrintedUnit; 4] = [
+    unit(1.0, "B"),
+    unit(1_024.0, "KiB"),
+    unit(1_048_576.0, "MiB"),
+    unit(1_073_741_824.0, "GiB"),
+];
+const BYTES: [PrintedUnit; 4] = [
+    unit(1.0, "B"),
+    unit(1e3, "KB"),
+    unit(1e6, "MB"),
+    unit(1e9, "GB"),
+];
+const BYTES_PER_SECOND: [PrintedUnit; 4] = [
+    unit(1.0, "B/s"),
+    unit(1e3, "KB/s"),
+    unit(1e6, "MB/s"),
+    unit(1e9, "GB/s"),
+];
+const SECONDS: [PrintedUnit; 4] = [
+    unit(1e-9, "ns"),
+    unit(1e-6, "µs"),
+    unit(1e-3, "ms"),
+    unit(1.0, "s"),
+];
 const MESSAGES: [PrintedUnit; 1] = [unit(1.0, "messages")];
 const MESSAGES_PER_SECOND: [PrintedUnit; 1] = [unit(1.0, "messages/s")];
 const DESCRIPTORS: [PrintedUnit; 1] = [unit(1.0, "descriptors")];
@@ -44,8 +62,16 @@
 /// Prints a value of a quantity with its unit.
 pub(super) fn with_unit(quantity: Quantity, value: f64) -> String {
     let units = units(quantity);
-    let printed_unit = units.iter().rev().find(|unit| value.abs() >= unit.holds).unwrap_or(&units[0]);
-    format!("{} {}", plain(value / printed_unit.holds), printed_unit.name)
+    let printed_unit = units
+        .iter()
+        .rev()
+        .find(|unit| value.abs() >= unit.holds)
+        .unwrap_or(&units[0]);
+    format!(
+        "{} {}",
+        plain(value / printed_unit.holds),
+        printed_unit.name
+    )
 }
 
 /// Prints a number without a unit.
--- a/crates/capacity/src/page/row.rs
+++ b/crates/capacity/src/page/row.rs
@@ -50,8 +50,16 @@
 }
 
 fn group_rows(group: &Group) -> Vec<Row> {
-    let rows: Vec<Row> = group.series().iter().filter_map(|series| line_row(&group.key, series)).collect();
-    if rows.is_empty() { vec![no_line_row(group)] } else { rows }
+    let rows: Vec<Row> = group
+        .series()
+        .iter()
+        .filter_map(|series| line_row(&group.key, series))
+        .collect();
+    if rows.is_empty() {
+        vec![no_line_row(group)]
+    } else {
+        rows
+    }
 }
 
 /// The row of a series; `None` if the line through it or its prediction overflows.
@@ -69,7 +77,9 @@
         key.quantity.to_string(),
         formula(key, &fit, series, prediction.rate),
         figure::with_unit(prediction.quantity, prediction.value),
-        budget.map_or(NOTHING.to_owned(), |budget| figure::with_unit(budget.quantity, budget.most)),
+        budget.map_or(NOTHING.to_owned(), |budget| {
+            figure::with_unit(budget.quantity, budget.most)
+        }),
         ratio.map_or(NOTHING.to_owned(), figure::plain),
         command_cell(&series.samples),
         escaped(&key.mechanism),
@@ -90,10 +100,16 @@
         let value = fit.at(axis.of(&TARGET));
         let per_second = Rate::quantity_per_second(key.quantity);
         match (per_second, Rate::of(key.role, key.phase)) {
-            (Some(quantity), Some(rate)) => {
-                Self { quantity, value: value * rate.events_per_second, rate: Some(rate) }
-            }
-            _ => Self { quantity: key.quantity, value, rate: None },
+            (Some(quantity), Some(rate)) => Self {
+                quantity,
+                value: value * rate.events_per_second,
+                rate: Some(rate),
+            },
+            _ => Self {
+                quantity: key.quantity,
+                value,
+                rate: None,
+            },
         }
     }
 }
@@ -115,9 +131,12 @@
 
 /// What a series holds fixed at another value than the target's, such as `placers 2`.
 fn differences_from_target(axis: Axis, held: &Size) -> Vec<String> {
-    let others = Axis::ALL.iter().filter(|other| **other != axis && other.of(held) != other.of(&TARGET));
-    let mut differences: Vec<String> =
-        others.map(|other| format!("{other} {}", figure::plain(other.of(held)))).collect();
+    let others = Axis::ALL
+        .iter()
+        .filter(|other| **other != axis && other.of(held) != other.of(&TARGET));
+    let mut differences: Vec<String> = others
+        .map(|other| format!("{other} {}", figure::plain(other.of(held))))
+        .collect();
     if held.control_machines != TARGET.control_machines {
         differences.push(format!("control-machines {}", held.control_machines));
     }
@@ -145,7 +164,10 @@
             continue;
         }
         for phase in Phase::ALL {
-            if !groups.iter().any(|group| group.key.role == *role && group.key.phase == *phase) {
+            if !groups
+                .iter()
+                .any(|group| group.key.role == *role && group.key.phase == *phase)
+            {
                 rows.push(not_measured_row(*role, Some(*phase)));
             }
         }
@@ -168,8 +190,10 @@
 }
 
 fn command_cell(samples: &[Sample]) -> String {
-    let commands: Vec<String> =
-        commands(samples).iter().map(|command| format!("`{}`", escaped(command))).collect();
+    let commands: Vec<String> = commands(samples)
+        .iter()
+        .map(|command| format!("`{}`", escaped(command)))
+        .collect();
     commands.join("; ")
 }
 
--- a/crates/capacity/src/page/table.rs
+++ b/crates/capacity/src/page/table.rs
@@ -41,7 +41,11 @@
 
     /// A problem at one cell.
     pub(super) fn problem_at(&self, column: Column, problem: Problem) -> PageProblem {
-        PageProblem { line: self.line, column: self.cells[column as usize].column, problem }
+        PageProblem {
+            line: self.line,
+            column: self.cells[column as usize].column,
+            problem,
+        }
     }
 }
 
@@ -105,13 +109,22 @@
         if let Some(open) = self.open.take() {
             self.problem(line, 1, Problem::Unclosed(open.line));
         }
-        let name = text.strip_prefix(MARKER_START).and_then(|rest| rest.strip_suffix(MARKER_END));
+        let name = text
+            .strip_prefix(MARKER_START)
+            .and_then(|rest| rest.strip_suffix(MARKER_END));
         let problem = match name.map(str::trim) {
             None => Some(Problem::BadMarker),
-            Some(TABLE_NAME) => self.table.as_ref().map(|_| Problem::SecondTable(TABLE_NAME)),
+            Some(TABLE_NAME) => self
+                .table
+                .as_ref()
+                .map(|_| Problem::SecondTable(TABLE_NAME)),
             Some(name) => Some(Problem::UnknownTable(name.to_owned())),
         };
-        self.open = Some(OpenTable { line, wanted: problem.is_none(), rows: Vec::new() });
+        self.open = Some(OpenTable {
+            line,
+            wanted: problem.is_none(),
+            rows: Vec::new(),
+        });
         if let Some(problem) = problem {
             self.problem(line, 1, problem);
         }
@@ -127,7 +140,10 @@
             _ => {}
         }
         if open.wanted {
-            self.table = Some(Table { rows: open.rows, end_line: line });
+            self.table = Some(Table {
+                rows: open.rows,
+                end_line: line,
+            });
         }
     }
 
@@ -144,7 +160,14 @@
         let cells = cells(text);
         let found = cells.len();
         let Ok(cells) = <[Cell; COLUMNS]>::try_from(cells) else {
-            return self.problem(line, 1, Problem::CellCount { found, expected: COLUMNS });
+            return self.problem(
+                line,
+                1,
+                Problem::CellCount {
+                    found,
+                    expected: COLUMNS,
+                },
+            );
         };
         if let Some(open) = &mut self.open {
             open.rows.push(PageRow { line, cells });
@@ -165,7 +188,11 @@
     }
 
     fn problem(&mut self, line: usize, column: usize, problem: Problem) {
-        self.problems.push(PageProblem { line, column, problem });
+        self.problems.push(PageProblem {
+            line,
+            column,
+            problem,
+        });
     }
 }
 
--- a/crates/capacity/src/series.rs
+++ b/crates/capacity/src/series.rs
@@ -56,17 +56,29 @@
                 quantity: measurement.quantity,
                 mechanism: run.mechanism.trim().to_owned(),
             };
-            let point = Point { size: measurement.size, value: measurement.value };
-            samples_by_key.entry(key).or_default().push(Sample { point, command: run.command.clone() });
+            let point = Point {
+                size: measurement.size,
+                value: measurement.value,
+            };
+            samples_by_key.entry(key).or_default().push(Sample {
+                point,
+                command: run.command.clone(),
+            });
         }
     }
-    samples_by_key.into_iter().map(|(key, samples)| Group { key, samples }).collect()
+    samples_by_key
+        .into_iter()
+        .map(|(key, samples)| Group { key, samples })
+        .collect()
 }
 
 impl Group {
     /// The series along each axis. A sample is in one series per axis at most, and may be in several series.
     pub fn series(&self) -> Vec<Series> {
-        Axis::ALL.iter().flat_map(|axis| self.series_along(*axis)).collect()
+        Axis::ALL
+            .iter()
+            .flat_map(|axis| self.series_along(*axis))
+            .collect()
     }
 
     /// How many different sizes were measured.
@@ -86,7 +98,10 @@
             let sample = sample.clone();
             match all.iter_mut().find(|series| series.others_equal(&sample)) {
                 Some(series) => series.samples.push(sample),
-                None => all.push(Series { axis, samples: vec![sample] }),
+                None => all.push(Series {
+                    axis,
+                    samples: vec![sample],
+                }),
             }
         }
         all.retain(Series::has_two_sizes);
@@ -106,12 +121,16 @@
     }
 
     fn others_equal(&self, sample: &Sample) -> bool {
-        self.axis.differing_field(self.held_size(), &sample.point.size).is_none()
+        self.axis
+            .differing_field(self.held_size(), &sample.point.size)
+            .is_none()
     }
 
     fn has_two_sizes(&self) -> bool {
         let first = self.axis.of(self.held_size());
-        self.samples.iter().any(|sample| self.axis.of(&sample.point.size) != first)
+        self.samples
+            .iter()
+            .any(|sample| self.axis.of(&sample.point.size) != first)
     }
 }
 
--- a/crates/capacity/src/target.rs
+++ b/crates/capacity/src/target.rs
@@ -72,7 +72,9 @@
         if role != Role::Placer {
             return None;
         }
-        PLACER_BUDGETS.into_iter().find(|budget| budget.quantity == quantity)
+        PLACER_BUDGETS
+            .into_iter()
+            .find(|budget| budget.quantity == quantity)
     }
 
     /// How much of the budget a predicted value takes: 1 is all of it, more is over it.
--- a/crates/capacity/tests/common/mod.rs
+++ b/crates/capacity/tests/common/mod.rs
@@ -22,10 +22,19 @@
 
 /// A run file of one run.
 pub fn one_run(measurements: Vec<Measurement>) -> RunFile {
-    RunFile(vec![Run { measurements, ..run("scale --seed 7", "every node votes") }])
+    RunFile(vec![Run {
+        measurements,
+        ..run("scale --seed 7", "every node votes")
+    }])
 }
 
 /// A measurement of a placer.
 pub fn placer(size: Size, phase: Phase, quantity: Quantity, value: f64) -> Measurement {
-    Measurement { size, role: Role::Placer, phase, quantity, value }
+    Measurement {
+        size,
+        role: Role::Placer,
+        phase,
+        quantity,
+        value,
+    }
 }
--- a/crates/capacity/tests/fit.rs
+++ b/crates/capacity/tests/fit.rs
@@ -12,7 +12,13 @@
 type SizeChange = fn(&mut Size);
 
 fn points(coordinates: &[(u32, f64)]) -> Vec<Point> {
-    coordinates.iter().map(|(count, value)| Point { size: nodes(*count), value: *value }).collect()
+    coordinates
+        .iter()
+        .map(|(count, value)| Point {
+            size: nodes(*count),
+            value: *value,
+        })
+        .collect()
 }
 
 fn along_nodes(coordinates: &[(u32, f64)]) -> Result<Fit, FitError> {
@@ -20,7 +26,10 @@
 }
 
 fn assert_close(found: f64, expected: f64, tolerance: f64) {
-    assert!((found - expected).abs() <= tolerance, "{found} is not {expected} within {tolerance}");
+    assert!(
+        (found - expected).abs() <= tolerance,
+        "{found} is not {expected} within {tolerance}"
+    );
 }
 
 #[test]
@@ -55,15 +64,56 @@
         control_machines: TARGET.control_machines,
     };
     let sizes = [
-        (Axis::Nodes, Size { nodes: other.nodes, ..TARGET }, 1.0),
-        (Axis::Placers, Size { placers: other.placers, ..TARGET }, 2.0),
-        (Axis::ChangesPerHour, Size { changes_per_hour: other.changes_per_hour, ..TARGET }, 3.0),
-        (Axis::RunningTasks, Size { running_tasks: other.running_tasks, ..TARGET }, 4.0),
-        (Axis::Teams, Size { teams: other.teams, ..TARGET }, 5.0),
+        (
+            Axis::Nodes,
+            Size {
+                nodes: other.nodes,
+                ..TARGET
+            },
+            1.0,
+        ),
+        (
+            Axis::Placers,
+            Size {
+                placers: other.placers,
+                ..TARGET
+            },
+            2.0,
+        ),
+        (
+            Axis::ChangesPerHour,
+            Size {
+                changes_per_hour: other.changes_per_hour,
+                ..TARGET
+            },
+            3.0,
+        ),
+        (
+            Axis::RunningTasks,
+            Size {
+                running_tasks: other.running_tasks,
+                ..TARGET
+            },
+            4.0,
+        ),
+        (
+            Axis::Teams,
+            Size {
+                teams: other.teams,
+                ..TARGET
+            },
+            5.0,
+        ),
     ];
     assert_eq!(sizes.len(), Axis::ALL.len());
     for (axis, size, step) in sizes {
-        let points = [Point { size: TARGET, value: 10.0 }, Point { size, value: 70.0 }];
+        let points = [
+            Point {
+                size: TARGET,
+                value: 10.0,
+            },
+            Point { size, value: 70.0 },
+        ];
         assert_close(Fit::along(axis, &points).unwrap().slope, 60.0 / step, 1e-9);
     }
 }
@@ -72,7 +122,12 @@
 fn noise_moves_the_line_little() {
     // 200 points on 50 + 3 x, moved by a fixed sequence between -1 and 1.
     let coordinates: Vec<(u32, f64)> = (1..=200)
-        .map(|x| (x, 50.0 + 3.0 * f64::from(x) + f64::from(x * 7_919 % 2_001) / 1_000.0 - 1.0))
+        .map(|x| {
+            (
+                x,
+                50.0 + 3.0 * f64::from(x) + f64::from(x * 7_919 % 2_001) / 1_000.0 - 1.0,
+            )
+        })
         .collect();
     let fit = along_nodes(&coordinates).unwrap();
     assert_close(fit.slope, 3.0, 0.01);
@@ -84,8 +139,9 @@
 fn a_large_offset_costs_no_precision() {
     let offset = 1e12;
     let start = 4_000_000_000;
-    let coordinates: Vec<(u32, f64)> =
-        (0..5).map(|step| (start + step, offset + 0.5 * f64::from(step))).collect();
+    let coordinates: Vec<(u32, f64)> = (0..5)
+        .map(|step| (start + step, offset + 0.5 * f64::from(step)))
+        .collect();
     let fit = along_nodes(&coordinates).unwrap();
     assert_close(fit.slope, 0.5, 1e-4);
     assert_close(fit.residual, 0.0, 1e-3);
@@ -94,14 +150,33 @@
 #[test]
 fn all_zero_has_no_residual() {
     let fit = along_nodes(&[(1, 0.0), (2, 0.0)]).unwrap();
-    assert_eq!((fit.intercept, fit.slope, fit.residual, fit.relative_residual), (0.0, 0.0, 0.0, 0.0));
+    assert_eq!(
+        (
+            fit.intercept,
+            fit.slope,
+            fit.residual,
+            fit.relative_residual
+        ),
+        (0.0, 0.0, 0.0, 0.0)
+    );
 }
 
 #[test]
 fn a_line_needs_two_different_sizes() {
-    for (coordinates, found) in [(vec![], 0), (vec![(5, 1.0)], 1), (vec![(5, 1.0), (5, 2.0)], 1)] {
+    for (coordinates, found) in [
+        (vec![], 0),
+        (vec![(5, 1.0)], 1),
+        (vec![(5, 1.0), (5, 2.0)], 1),
+    ] {
         let error = along_nodes(&coordinates).unwrap_err();
-        assert_eq!(error, FitError::TooFewSizes { axis: Axis::Nodes, found, needed: 2 });
+        assert_eq!(
+            error,
+            FitError::TooFewSizes {
+                axis: Axis::Nodes,
+                found,
+                needed: 2
+            }
+        );
     }
     let error = along_nodes(&[(5, 1.0)]).unwrap_err().to_string();
     assert_eq!(error, "1 different values of nodes, where 2 are needed");
@@ -120,19 +195,47 @@
         let mut points = points(&[(1, 1.0), (2, 2.0), (3, 3.0)]);
         change(&mut points[2].size);
         let error = Fit::along(Axis::Nodes, &points).unwrap_err();
-        assert_eq!(error, FitError::OtherAxesDiffer { axis: Axis::Nodes, point: 2, field });
+        assert_eq!(
+            error,
+            FitError::OtherAxesDiffer {
+                axis: Axis::Nodes,
+                point: 2,
+                field
+            }
+        );
     }
 }
 
 #[test]
 fn a_line_that_is_not_finite_is_an_error() {
     for value in [f64::NAN, f64::INFINITY, f64::MAX] {
-        assert_eq!(along_nodes(&[(1, value), (2, -value)]), Err(FitError::NotFinite));
+        assert_eq!(
+            along_nodes(&[(1, value), (2, -value)]),
+            Err(FitError::NotFinite)
+        );
     }
-    let tiny = Size { changes_per_hour: f64::MIN_POSITIVE, ..TARGET };
-    let none = Size { changes_per_hour: 0.0, ..TARGET };
-    let points = [Point { size: none, value: 1.0 }, Point { size: tiny, value: 2.0 }];
-    assert_eq!(Fit::along(Axis::ChangesPerHour, &points), Err(FitError::NotFinite));
+    let tiny = Size {
+        changes_per_hour: f64::MIN_POSITIVE,
+        ..TARGET
+    };
+    let none = Size {
+        changes_per_hour: 0.0,
+        ..TARGET
+    };
+    let points = [
+        Point {
+            size: none,
+            value: 1.0,
+        },
+        Point {
+            size: tiny,
+            value: 2.0,
+        },
+    ];
+    assert_eq!(
+        Fit::along(Axis::ChangesPerHour, &points),
+        Err(FitError::NotFinite)
+    );
 }
 
 #[test]
@@ -149,7 +252,11 @@
         (100.0, None, None, None),
     ];
     for (foretold, played, error, within_aim) in cases {
-        let prediction = Foretold { size: TARGET, foretold, played };
+        let prediction = Foretold {
+            size: TARGET,
+            foretold,
+            played,
+        };
         assert_eq!(prediction.within_aim(), within_aim, "{prediction:?}");
         if let Some(error) = error {
             assert_eq!(prediction.relative_error(), Some(error), "{prediction:?}");
@@ -166,18 +273,41 @@
     assert_eq!(prediction.played, Some(40.0));
     assert_eq!(prediction.within_aim(), Some(true));
     let error = foretell_largest(Axis::Nodes, &points[..2]).unwrap_err();
-    assert_eq!(error, FitError::TooFewSizes { axis: Axis::Nodes, found: 2, needed: 3 });
+    assert_eq!(
+        error,
+        FitError::TooFewSizes {
+            axis: Axis::Nodes,
+            found: 2,
+            needed: 3
+        }
+    );
     points[3].size.teams += 1;
     let error = foretell_largest(Axis::Nodes, &points).unwrap_err();
-    assert_eq!(error, FitError::OtherAxesDiffer { axis: Axis::Nodes, point: 3, field: "teams" });
+    assert_eq!(
+        error,
+        FitError::OtherAxesDiffer {
+            axis: Axis::Nodes,
+            point: 3,
+            field: "teams"
+        }
+    );
 }
 
 fn rate_point(changes_per_hour: f64, value: f64) -> Point {
-    Point { size: Size { changes_per_hour, ..TARGET }, value }
+    Point {
+        size: Size {
+            changes_per_hour,
+            ..TARGET
+        },
+        value,
+    }
 }
 
 fn along_rate(coordinates: &[(f64, f64)]) -> Fit {
-    let points: Vec<Point> = coordinates.iter().map(|(x, y)| rate_point(*x, *y)).collect();
+    let points: Vec<Point> = coordinates
+        .iter()
+        .map(|(x, y)| rate_point(*x, *y))
+        .collect();
     Fit::along(Axis::ChangesPerHour, &points).unwrap()
 }
 
--- a/crates/capacity/tests/measurement.rs
+++ b/crates/capacity/tests/measurement.rs
@@ -70,7 +70,11 @@
     same(Phase::ALL, Phase::name);
     same(Quantity::ALL, Quantity::name);
     same(Axis::ALL, Axis::name);
-    assert!(Role::ALL.iter().all(|role| Role::from_name(role.name()) == Some(*role)));
+    assert!(
+        Role::ALL
+            .iter()
+            .all(|role| Role::from_name(role.name()) == Some(*role))
+    );
     assert_eq!(Role::from_name("Placer"), None);
 }
 
@@ -79,9 +83,18 @@
     let faults = [
         ("{}", "invalid type: map"),
         ("[] []", "after the list of runs: trailing characters"),
-        (&TWO_MEASUREMENTS.replace("1e7", "\"many\""), "[0].measurements[1].value: invalid type: string"),
-        (&TWO_MEASUREMENTS.replace("1e7", "NaN"), "[0].measurements[1]"),
-        (&TWO_MEASUREMENTS.replace("1e7", "1e999"), "[0].measurements[1].value: number out of range"),
+        (
+            &TWO_MEASUREMENTS.replace("1e7", "\"many\""),
+            "[0].measurements[1].value: invalid type: string",
+        ),
+        (
+            &TWO_MEASUREMENTS.replace("1e7", "NaN"),
+            "[0].measurements[1]",
+        ),
+        (
+            &TWO_MEASUREMENTS.replace("1e7", "1e999"),
+            "[0].measurements[1].value: number out of range",
+        ),
         (
             &TWO_MEASUREMENTS.replace("idle", "resting"),
             "[0].measurements[1].phase: unknown variant `resting`",
@@ -90,29 +103,45 @@
             &TWO_MEASUREMENTS.replace("1e7", "1e7, \"unit\": 1"),
             "[0].measurements[1].unit: unknown field `unit`",
         ),
-        (&TWO_MEASUREMENTS.replace("1e7", "-1"), "[0].measurements[1].value: -1 is not a finite number"),
+        (
+            &TWO_MEASUREMENTS.replace("1e7", "-1"),
+            "[0].measurements[1].value: -1 is not a finite number",
+        ),
     ];
     for (text, expected) in faults {
         let error = RunFile::from_json(text).expect_err(expected).to_string();
-        assert!(error.contains(expected), "{error:?} should say {expected:?}");
+        assert!(
+            error.contains(expected),
+            "{error:?} should say {expected:?}"
+        );
     }
 }
 
 #[test]
 fn values_must_be_finite_and_not_negative() {
     for value in [-1.0, f64::NAN, f64::INFINITY, f64::NEG_INFINITY] {
-        let expected = format!("[0].measurements[0].value: {value} is not a finite number of at least 0");
-        assert_eq!(fault_of_run(|run| run.measurements[0].value = value), expected);
+        let expected =
+            format!("[0].measurements[0].value: {value} is not a finite number of at least 0");
+        assert_eq!(
+            fault_of_run(|run| run.measurements[0].value = value),
+            expected
+        );
         let expected = format!(
             "[0].measurements[0].size.changes-per-hour: {value} is not a finite number of at least 0"
         );
-        assert_eq!(fault_of_size(|size| size.changes_per_hour = value), expected);
+        assert_eq!(
+            fault_of_size(|size| size.changes_per_hour = value),
+            expected
+        );
     }
 }
 
 #[test]
 fn a_cluster_has_a_node_and_a_placer() {
-    assert_eq!(fault_of_size(|size| size.nodes = 0), "[0].measurements[0].size.nodes: must be at least 1");
+    assert_eq!(
+        fault_of_size(|size| size.nodes = 0),
+        "[0].measurements[0].size.nodes: must be at least 1"
+    );
     assert_eq!(
         fault_of_size(|size| size.placers = 0),
         "[0].measurements[0].size.placers: must be at least 1"
@@ -121,16 +150,31 @@
 
 #[test]
 fn texts_are_one_line_that_says_something() {
-    assert_eq!(fault_of_run(|run| run.command = " ".to_owned()), "[0].command: must not be empty");
-    assert_eq!(fault_of_run(|run| run.mechanism.clear()), "[0].mechanism: must not be empty");
+    assert_eq!(
+        fault_of_run(|run| run.command = " ".to_owned()),
+        "[0].command: must not be empty"
+    );
+    assert_eq!(
+        fault_of_run(|run| run.mechanism.clear()),
+        "[0].mechanism: must not be empty"
+    );
     let fault = fault_of_run(|run| run.revision = "a\nb".to_owned());
-    assert_eq!(fault, "[0].revision: must be one line without control characters");
+    assert_eq!(
+        fault,
+        "[0].revision: must be one line without control characters"
+    );
 }
 
 #[test]
 fn a_run_measures_each_thing_once() {
-    let again = Measurement { value: 2.0, ..measurement() };
-    let other_phase = Measurement { phase: Phase::Starts, ..measurement() };
+    let again = Measurement {
+        value: 2.0,
+        ..measurement()
+    };
+    let other_phase = Measurement {
+        phase: Phase::Starts,
+        ..measurement()
+    };
     let runs = one_run(vec![measurement(), other_phase, again]);
     assert_eq!(
         fault_of(&runs),
@@ -140,7 +184,13 @@
 
 #[test]
 fn another_run_or_another_size_may_measure_it_again() {
-    let mut runs = one_run(vec![measurement(), Measurement { size: nodes(651), ..measurement() }]);
+    let mut runs = one_run(vec![
+        measurement(),
+        Measurement {
+            size: nodes(651),
+            ..measurement()
+        },
+    ]);
     runs.0.push(runs.0[0].clone());
     assert_eq!(runs.validate(), Ok(()));
 }
--- a/crates/capacity/tests/page.rs
+++ b/crates/capacity/tests/page.rs
@@ -8,7 +8,9 @@
 const RUNS: &str = "docs/capacity/runs.json";
 
 fn read(path: &str) -> String {
-    let full_path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..").join(path);
+    let full_path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("../..")
+        .join(path);
     std::fs::read_to_string(&full_path).unwrap_or_else(|error| panic!("{path}: {error}"))
 }
 
--- a/crates/capacity/tests/page_check.rs
+++ b/crates/capacity/tests/page_check.rs
@@ -49,7 +49,12 @@
 const MEMORY_ROW: usize = 8;
 const END: usize = 27;
 
-fn at_two_sizes(role: Role, phase: Phase, quantity: Quantity, values: [f64; 2]) -> [Measurement; 2] {
+fn at_two_sizes(
+    role: Role,
+    phase: Phase,
+    quantity: Quantity,
+    values: [f64; 2],
+) -> [Measurement; 2] {
     [(1_000, values[0]), (2_000, values[1])].map(|(count, value)| Measurement {
         size: nodes(count),
         role,
@@ -60,7 +65,10 @@
 }
 
 fn every_node_votes() -> Run {
-    let tasks = |running_tasks| Size { running_tasks, ..nodes(1_000) };
+    let tasks = |running_tasks| Size {
+        running_tasks,
+        ..nodes(1_000)
+    };
     let mut measurements = vec![
         placer(tasks(1_000), Phase::Starts, Quantity::ProcessorShare, 0.001),
         placer(tasks(3_000), Phase::Starts, Quantity::ProcessorShare, 0.002),
@@ -73,21 +81,50 @@
         },
     ];
     let sweeps = [
-        (Role::Placer, Phase::Idle, Quantity::ResidentBytes, [30.0 * MIB, 50.0 * MIB]),
-        (Role::Placer, Phase::PlanChange, Quantity::BytesPerEvent, [50_000.0, 90_000.0]),
-        (Role::Placer, Phase::PlanChange, Quantity::SecondsToForce, [1.0, 0.5]),
-        (Role::Node, Phase::ListChange, Quantity::MessagesPerEvent, [3.0, 5.0]),
+        (
+            Role::Placer,
+            Phase::Idle,
+            Quantity::ResidentBytes,
+            [30.0 * MIB, 50.0 * MIB],
+        ),
+        (
+            Role::Placer,
+            Phase::PlanChange,
+            Quantity::BytesPerEvent,
+            [50_000.0, 90_000.0],
+        ),
+        (
+            Role::Placer,
+            Phase::PlanChange,
+            Quantity::SecondsToForce,
+            [1.0, 0.5],
+        ),
+        (
+            Role::Node,
+            Phase::ListChange,
+            Quantity::MessagesPerEvent,
+            [3.0, 5.0],
+        ),
     ];
     for (role, phase, quantity, values) in sweeps {
         measurements.extend(at_two_sizes(role, phase, quantity, values));
     }
-    Run { measurements, ..run("scale --seed 7", "every node votes") }
+    Run {
+        measurements,
+        ..run("scale --seed 7", "every node votes")
+    }
 }
 
 fn five_control_machines(command: &str, count: u32) -> Run {
-    let size = Size { control_machines: 5, ..nodes(count) };
+    let size = Size {
+        control_machines: 5,
+        ..nodes(count)
+    };
     let memory = placer(size, Phase::Idle, Quantity::ResidentBytes, 20.0 * MIB);
-    Run { measurements: vec![memory], ..run(command, "5 | more") }
+    Run {
+        measurements: vec![memory],
+        ..run(command, "5 | more")
+    }
 }
 
 fn runs() -> RunFile {
@@ -105,13 +142,21 @@
 }
 
 fn problems_with(page: &str, runs: &RunFile) -> Vec<String> {
-    check(page, runs).err().unwrap_or_default().iter().map(PageProblem::to_string).collect()
+    check(page, runs)
+        .err()
+        .unwrap_or_default()
+        .iter()
+        .map(PageProblem::to_string)
+        .collect()
 }
 
 /// The page with the first `from` on a line replaced; fails if it is not there.
 fn changed(line: usize, from: &str, to: &str) -> String {
     let mut lines: Vec<String> = PAGE.lines().map(str::to_owned).collect();
-    assert!(lines[line - 1].contains(from), "line {line} has no {from:?}");
+    assert!(
+        lines[line - 1].contains(from),
+        "line {line} has no {from:?}"
+    );
     lines[line - 1] = lines[line - 1].replacen(from, to, 1);
     lines.join("\n")
 }
@@ -153,16 +198,34 @@
 
 #[test]
 fn each_rendered_table_passes_its_own_check() {
-    assert_eq!(check(&render(&RunFile::default()), &RunFile::default()), Ok(()));
+    assert_eq!(
+        check(&render(&RunFile::default()), &RunFile::default()),
+        Ok(())
+    );
     assert_eq!(check(&render(&runs()), &runs()), Ok(()));
 }
 
 #[test]
 fn each_changed_cell_is_named() {
     let changes = [
-        ("formula", "20.5 KiB", "20.4 KiB", "10.0 MiB + 20.5 KiB × nodes"),
-        ("formula", "10.0 MiB", "10.1 MiB", "10.0 MiB + 20.5 KiB × nodes"),
-        ("formula", "× nodes", "× placers", "10.0 MiB + 20.5 KiB × nodes"),
+        (
+            "formula",
+            "20.5 KiB",
+            "20.4 KiB",
+            "10.0 MiB + 20.5 KiB × nodes",
+        ),
+        (
+            "formula",
+            "10.0 MiB",
+            "10.1 MiB",
+            "10.0 MiB + 20.5 KiB × nodes",
+        ),
+        (
+            "formula",
+            "× nodes",
+            "× placers",
+            "10.0 MiB + 20.5 KiB × nodes",
+        ),
         ("formula", "+ 20.5", "- 20.5", "10.0 MiB + 20.5 KiB × nodes"),
         ("foretold at target", "114 MiB", "113 MiB", "114 MiB"),
         ("foretold at target", "114 MiB", "114 MB", "114 MiB"),
@@ -170,7 +233,12 @@
         ("ratio", "0.891", "0.892", "0.891"),
         ("ratio", "0.891", "0.89", "0.891"),
         ("ratio", "0.891", "-", "0.891"),
-        ("command", "`scale --seed 7`", "`scale --seed 8`", "`scale --seed 7`"),
+        (
+            "command",
+            "`scale --seed 7`",
+            "`scale --seed 8`",
+            "`scale --seed 7`",
+        ),
     ];
     for (column_name, from, to, expected) in changes {
         let page = changed(MEMORY_ROW, from, to);
@@ -188,7 +256,11 @@
     let page = changed(FIRST_ROW, "0.324/s", "0.325/s");
     assert_eq!(problems(&page).len(), 1);
     assert!(problems(&page)[0].contains("(10.0 KB + 40.0 B × nodes) × 0.325/s"));
-    let page = changed(FIRST_ROW, "(10.0 KB + 40.0 B × nodes) × 0.324/s", "10.0 KB + 40.0 B × nodes");
+    let page = changed(
+        FIRST_ROW,
+        "(10.0 KB + 40.0 B × nodes) × 0.324/s",
+        "10.0 KB + 40.0 B × nodes",
+    );
     assert_eq!(problems(&page).len(), 1);
 }
 
@@ -196,7 +268,11 @@
 fn what_a_line_holds_fixed_is_checked() {
     let page = changed(FIRST_ROW + 1, ", with nodes 1000", "");
     assert_eq!(problems(&page).len(), 1);
-    assert!(problems(&page)[0].contains("column 39: formula is"), "{}", problems(&page)[0]);
+    assert!(
+        problems(&page)[0].contains("column 39: formula is"),
+        "{}",
+        problems(&page)[0]
+    );
 }
 
 #[test]
@@ -204,8 +280,14 @@
     let page = changed(MEMORY_ROW, "every node votes", "some nodes vote");
     let found = problems(&page);
     assert_eq!(found.len(), 2, "{found:?}");
-    assert_eq!(found[0], format!("line {MEMORY_ROW}, column 3: the runs give no such row"));
-    assert_eq!(found[1], format!("line {END}, column 1: missing row `{}`", line(MEMORY_ROW)));
+    assert_eq!(
+        found[0],
+        format!("line {MEMORY_ROW}, column 3: the runs give no such row")
+    );
+    assert_eq!(
+        found[1],
+        format!("line {END}, column 1: missing row `{}`", line(MEMORY_ROW))
+    );
 }
 
 #[test]
@@ -213,8 +295,10 @@
     for first in FIRST_ROW..FIRST_ROW + 6 {
         let mut lines: Vec<&str> = PAGE.lines().collect();
         lines.swap(first - 1, first);
-        let expected =
-            format!("line {}, column 3: out of order: belongs before the row of line {first}", first + 1);
+        let expected = format!(
+            "line {}, column 3: out of order: belongs before the row of line {first}",
+            first + 1
+        );
         assert_eq!(problems(&lines.join("\n")), [expected]);
     }
 }
@@ -227,7 +311,10 @@
     lines.insert(FIRST_ROW - 1, row);
     let found = problems(&lines.join("\n"));
     assert_eq!(found.len(), 7, "{found:?}");
-    assert_eq!(found[0], "line 7, column 3: out of order: belongs before the row of line 6");
+    assert_eq!(
+        found[0],
+        "line 7, column 3: out of order: belongs before the row of line 6"
+    );
 }
 
 #[test]
@@ -244,7 +331,10 @@
     let sweep = at_two_sizes(Role::Client, Phase::Idle, Quantity::Descriptors, [4.0, 5.0]);
     runs.0[0].measurements.extend(sweep);
     let found = problems_with(PAGE, &runs);
-    assert_eq!(found[0], "line 25, column 20: marked `not measured`, but the runs measured it");
+    assert_eq!(
+        found[0],
+        "line 25, column 20: marked `not measured`, but the runs measured it"
+    );
     assert!(
         found[1].contains("missing row `| client | idle | descriptors | 3.00 descriptors + "),
         "{found:?}"
@@ -255,17 +345,36 @@
 
 #[test]
 fn a_row_not_measured_may_name_more_than_is_rendered() {
-    let page = with_line_before(END, "| node | idle | resident-bytes | not measured | - | - | - | - | - |");
+    let page = with_line_before(
+        END,
+        "| node | idle | resident-bytes | not measured | - | - | - | - | - |",
+    );
     assert_eq!(problems(&page), [""; 0]);
-    let page = with_line_before(END, "| node | idle | resident-bytes | not measured | - | - | 1 | - | - |");
-    assert_eq!(problems(&page), [format!("line {END}, column 57: ratio is `1`, the runs give `-`")]);
+    let page = with_line_before(
+        END,
+        "| node | idle | resident-bytes | not measured | - | - | 1 | - | - |",
+    );
+    assert_eq!(
+        problems(&page),
+        [format!(
+            "line {END}, column 57: ratio is `1`, the runs give `-`"
+        )]
+    );
 }
 
 #[test]
 fn what_was_measured_is_not_marked_not_measured() {
-    let measured = ["node | idle | descriptors", "node | idle | -", "node | - | -", "placer | starts | -"];
+    let measured = [
+        "node | idle | descriptors",
+        "node | idle | -",
+        "node | - | -",
+        "placer | starts | -",
+    ];
     for key in measured {
-        let page = with_line_before(END, &format!("| {key} | not measured | - | - | - | - | - |"));
+        let page = with_line_before(
+            END,
+            &format!("| {key} | not measured | - | - | - | - | - |"),
+        );
         let column = key.len() + 6;
         let expected =
             format!("line {END}, column {column}: marked `not measured`, but the runs measured it");
@@ -273,15 +382,24 @@
     }
     let page = changed(MEMORY_ROW, "10.0 MiB + 20.5 KiB × nodes", "not measured");
     let found = problems(&page);
-    assert!(found[0].ends_with("marked `not measured`, but the runs measured it"), "{found:?}");
-    assert!(found.iter().any(|problem| problem.contains("missing row")), "{found:?}");
+    assert!(
+        found[0].ends_with("marked `not measured`, but the runs measured it"),
+        "{found:?}"
+    );
+    assert!(
+        found.iter().any(|problem| problem.contains("missing row")),
+        "{found:?}"
+    );
 }
 
 #[test]
 fn a_repeated_row_is_named() {
     for number in FIRST_ROW..END {
         let page = with_line_before(number, line(number));
-        let expected = format!("line {}, column 3: the same row as line {number}", number + 1);
+        let expected = format!(
+            "line {}, column 3: the same row as line {number}",
+            number + 1
+        );
         assert_eq!(problems(&page), [expected]);
     }
 }
@@ -295,8 +413,14 @@
         ("resident-bytes", "memory", "quantity"),
     ] {
         let found = problems(&changed(MEMORY_ROW, from, to));
-        assert!(found[0].ends_with(&format!("`{to}` is no {what}")), "{found:?}");
-        assert!(found[0].starts_with(&format!("line {MEMORY_ROW}, column {}:", column_of(MEMORY_ROW, from))));
+        assert!(
+            found[0].ends_with(&format!("`{to}` is no {what}")),
+            "{found:?}"
+        );
+        assert!(found[0].starts_with(&format!(
+            "line {MEMORY_ROW}, column {}:",
+            column_of(MEMORY_ROW, from)
+        )));
     }
 }
 
@@ -307,26 +431,79 @@
             PAGE.replace("<!-- capacity-table: costs -->", ""),
             "line 27, column 1: `<!-- end -->` without a table",
         ),
-        (PAGE.replace("<!-- end -->", ""), "line 27, column 1: a row begins with `| ` and ends with ` |`"),
-        (String::new(), "line 1, column 1: the page has no table `costs`"),
-        (changed(3, "costs", "cost"), "line 3, column 1: there is no table `cost`"),
-        (changed(3, " -->", ""), "line 3, column 1: not a marker of the form"),
-        (changed(4, "ratio", "share"), "line 4, column 1: expected `| role | phase |"),
-        (changed(5, "---", "--"), "line 5, column 1: expected `| --- |"),
-        (with_line_before(4, ""), "line 4, column 1: expected `| role"),
-        (with_line_before(END, ""), "line 27, column 1: a row begins with"),
-        (with_line_before(END, "|"), "line 27, column 1: a row begins with"),
-        (with_line_before(END, "| |"), "line 27, column 1: a row begins with"),
-        (changed(MEMORY_ROW, " | 0.891", ""), "line 8, column 1: 8 cells where 9 are expected"),
-        (changed(MEMORY_ROW, "0.891", "0.891 | 1"), "line 8, column 1: 10 cells where 9 are expected"),
-        (format!("{PAGE}\n{PAGE}"), "line 33, column 1: the page already has a table `costs`"),
-        (with_line_before(10, line(3)), "line 10, column 1: the table of line 3 has no `<!-- end -->`"),
-        (with_line_before(4, "<!-- end -->"), "line 4, column 1: expected `| role"),
-        (with_line_before(5, "<!-- end -->"), "line 5, column 1: expected `| ---"),
+        (
+            PAGE.replace("<!-- end -->", ""),
+            "line 27, column 1: a row begins with `| ` and ends with ` |`",
+        ),
+        (
+            String::new(),
+            "line 1, column 1: the page has no table `costs`",
+        ),
+        (
+            changed(3, "costs", "cost"),
+            "line 3, column 1: there is no table `cost`",
+        ),
+        (
+            changed(3, " -->", ""),
+            "line 3, column 1: not a marker of the form",
+        ),
+        (
+            changed(4, "ratio", "share"),
+            "line 4, column 1: expected `| role | phase |",
+        ),
+        (
+            changed(5, "---", "--"),
+            "line 5, column 1: expected `| --- |",
+        ),
+        (
+            with_line_before(4, ""),
+            "line 4, column 1: expected `| role",
+        ),
+        (
+            with_line_before(END, ""),
+            "line 27, column 1: a row begins with",
+        ),
+        (
+            with_line_before(END, "|"),
+            "line 27, column 1: a row begins with",
+        ),
+        (
+            with_line_before(END, "| |"),
+            "line 27, column 1: a row begins with",
+        ),
+        (
+            changed(MEMORY_ROW, " | 0.891", ""),
+            "line 8, column 1: 8 cells where 9 are expected",
+        ),
+        (
+            changed(MEMORY_ROW, "0.891", "0.891 | 1"),
+            "line 8, column 1: 10 cells where 9 are expected",
+        ),
+        (
+            format!("{PAGE}\n{PAGE}"),
+            "line 33, column 1: the page already has a table `costs`",
+        ),
+        (
+            with_line_before(10, line(3)),
+            "line 10, column 1: the table of line 3 has no `<!-- end -->`",
+        ),
+        (
+            with_line_before(4, "<!-- end -->"),
+            "line 4, column 1: expected `| role",
+        ),
+        (
+            with_line_before(5, "<!-- end -->"),
+            "line 5, column 1: expected `| ---",
+        ),
     ];
     for (page, expected) in cases {
         let found = problems(&page);
-        assert!(found.first().is_some_and(|first| first.starts_with(expected)), "{expected}: {found:?}");
+        assert!(
+            found
+                .first()
+                .is_some_and(|first| first.starts_with(expected)),
+            "{expected}: {found:?}"
+        );
     }
 }
 
@@ -341,10 +518,24 @@
 
 /// One quantity measured along two axes, so that its two rows differ in their formulas alone.
 fn two_lines_of_one_quantity() -> RunFile {
-    let sizes = [nodes(1_000), nodes(2_000), Size { teams: 100, ..nodes(1_000) }];
+    let sizes = [
+        nodes(1_000),
+        nodes(2_000),
+        Size {
+            teams: 100,
+            ..nodes(1_000)
+        },
+    ];
     let memory = |(size, mib)| placer(size, Phase::Idle, Quantity::ResidentBytes, mib * MIB);
-    let measurements = sizes.into_iter().zip([30.0, 50.0, 20.0]).map(memory).collect();
-    RunFile(vec![Run { measurements, ..run("scale", "every node votes") }])
+    let measurements = sizes
+        .into_iter()
+        .zip([30.0, 50.0, 20.0])
+        .map(memory)
+        .collect();
+    RunFile(vec![Run {
+        measurements,
+        ..run("scale", "every node votes")
+    }])
 }
 
 #[test]
@@ -353,36 +544,69 @@
     let page = render(&runs);
     assert_eq!(check(&page, &runs), Ok(()));
     let mut lines: Vec<&str> = page.lines().collect();
-    assert!(lines[3].contains("× nodes") && lines[4].contains("× teams"), "{page}");
+    assert!(
+        lines[3].contains("× nodes") && lines[4].contains("× teams"),
+        "{page}"
+    );
     lines.swap(3, 4);
     let swapped = problems_with(&lines.join("\n"), &runs);
-    assert_eq!(swapped, ["line 5, column 3: out of order: belongs before the row of line 4"]);
+    assert_eq!(
+        swapped,
+        ["line 5, column 3: out of order: belongs before the row of line 4"]
+    );
     lines.remove(4);
     let missing = problems_with(&lines.join("\n"), &runs);
     assert_eq!(missing.len(), 1, "{missing:?}");
-    assert!(missing[0].contains("missing row") && missing[0].contains("× nodes"), "{missing:?}");
+    assert!(
+        missing[0].contains("missing row") && missing[0].contains("× nodes"),
+        "{missing:?}"
+    );
 }
 
 #[test]
 fn a_line_that_overflows_is_no_line() {
-    let steep = at_two_sizes(Role::Node, Phase::Idle, Quantity::Descriptors, [0.0, f64::MAX / 2.0]);
-    let runs = RunFile(vec![Run { measurements: steep.to_vec(), ..run("scale", "every node votes") }]);
+    let steep = at_two_sizes(
+        Role::Node,
+        Phase::Idle,
+        Quantity::Descriptors,
+        [0.0, f64::MAX / 2.0],
+    );
+    let runs = RunFile(vec![Run {
+        measurements: steep.to_vec(),
+        ..run("scale", "every node votes")
+    }]);
     assert!(
-        render(&runs).contains("| node | idle | descriptors | no line (2 sizes) | - | - | - | `scale` |")
+        render(&runs)
+            .contains("| node | idle | descriptors | no line (2 sizes) | - | - | - | `scale` |")
     );
 }
 
 #[test]
 fn a_prediction_that_overflows_is_no_line() {
     let memory = |changes_per_hour, value| {
-        let size = Size { changes_per_hour, ..TARGET };
+        let size = Size {
+            changes_per_hour,
+            ..TARGET
+        };
         placer(size, Phase::Idle, Quantity::ResidentBytes, value)
     };
     let points = [(0.0, 0.0), (4e-155, 1e153)];
     let measurements: Vec<Measurement> = points.map(|(rate, value)| memory(rate, value)).to_vec();
-    let points: Vec<Point> = measurements.iter().map(|m| Point { size: m.size, value: m.value }).collect();
+    let points: Vec<Point> = measurements
+        .iter()
+        .map(|m| Point {
+            size: m.size,
+            value: m.value,
+        })
+        .collect();
     let fit = Fit::along(Axis::ChangesPerHour, &points).expect("the line itself is finite");
     assert_eq!(fit.at(TARGET.changes_per_hour), f64::INFINITY);
-    let runs = RunFile(vec![Run { measurements, ..run("scale", "every node votes") }]);
-    assert!(render(&runs).contains("| placer | idle | resident-bytes | no line (2 sizes) | - | - | - |"));
+    let runs = RunFile(vec![Run {
+        measurements,
+        ..run("scale", "every node votes")
+    }]);
+    assert!(
+        render(&runs)
+            .contains("| placer | idle | resident-bytes | no line (2 sizes) | - | - | - |")
+    );
 }
--- a/crates/capacity/tests/series.rs
+++ b/crates/capacity/tests/series.rs
@@ -18,21 +18,39 @@
     let series = groups[0].series();
     series
         .iter()
-        .map(|series| (series.axis, series.points().iter().map(|point| point.value).collect()))
+        .map(|series| {
+            (
+                series.axis,
+                series.points().iter().map(|point| point.value).collect(),
+            )
+        })
         .collect()
 }
 
 #[test]
 fn sizes_around_one_size_give_a_series_per_axis() {
     let base = nodes(100);
-    let more_teams = Size { teams: 1_000, ..base };
-    let runs = one_run(vec![memory(base, 1.0), memory(nodes(200), 2.0), memory(more_teams, 3.0)]);
-    assert_eq!(series_of(&runs), [(Axis::Nodes, vec![1.0, 2.0]), (Axis::Teams, vec![1.0, 3.0])]);
+    let more_teams = Size {
+        teams: 1_000,
+        ..base
+    };
+    let runs = one_run(vec![
+        memory(base, 1.0),
+        memory(nodes(200), 2.0),
+        memory(more_teams, 3.0),
+    ]);
+    assert_eq!(
+        series_of(&runs),
+        [(Axis::Nodes, vec![1.0, 2.0]), (Axis::Teams, vec![1.0, 3.0])]
+    );
 }
 
 #[test]
 fn two_sweeps_of_one_axis_are_two_series() {
-    let small = |count| Size { placers: 2, ..nodes(count) };
+    let small = |count| Size {
+        placers: 2,
+        ..nodes(count)
+    };
     let runs = one_run(vec![
         memory(nodes(100), 1.0),
         memory(small(100), 2.0),
@@ -50,15 +68,32 @@
 
 #[test]
 fn sizes_that_differ_on_two_axes_give_no_series() {
-    let runs = one_run(vec![memory(nodes(100), 1.0), memory(Size { placers: 2, ..nodes(200) }, 2.0)]);
+    let runs = one_run(vec![
+        memory(nodes(100), 1.0),
+        memory(
+            Size {
+                placers: 2,
+                ..nodes(200)
+            },
+            2.0,
+        ),
+    ]);
     assert_eq!(series_of(&runs), []);
     assert_eq!(groups(&runs)[0].size_count(), 2);
 }
 
 #[test]
 fn another_number_of_control_machines_is_no_axis() {
-    let runs =
-        one_run(vec![memory(nodes(100), 1.0), memory(Size { control_machines: 5, ..nodes(200) }, 2.0)]);
+    let runs = one_run(vec![
+        memory(nodes(100), 1.0),
+        memory(
+            Size {
+                control_machines: 5,
+                ..nodes(200)
+            },
+            2.0,
+        ),
+    ]);
     assert_eq!(series_of(&runs), []);
 }
 
@@ -82,7 +117,14 @@
         with("scale 200", " every node votes", memory(nodes(200), 4.0)),
     ]);
     assert_eq!(series_of(&runs), [(Axis::Nodes, vec![1.0, 2.0, 4.0])]);
-    assert_eq!(commands(&groups(&runs)[0].samples), ["scale 100", "scale 200"]);
-    runs.0.push(with("scale 400", "5 control machines", memory(nodes(400), 8.0)));
+    assert_eq!(
+        commands(&groups(&runs)[0].samples),
+        ["scale 100", "scale 200"]
+    );
+    runs.0.push(with(
+        "scale 400",
+        "5 control machines",
+        memory(nodes(400), 8.0),
+    ));
     assert_eq!(groups(&runs).len(), 2);
 }
--- a/crates/capacity/tests/target.rs
+++ b/crates/capacity/tests/target.rs
@@ -5,7 +5,10 @@
 
 #[test]
 fn the_target_is_the_size_the_users_gave() {
-    assert_eq!((TARGET.nodes, TARGET.placers, TARGET.running_tasks), (5_200, 32, 89_000));
+    assert_eq!(
+        (TARGET.nodes, TARGET.placers, TARGET.running_tasks),
+        (5_200, 32, 89_000)
+    );
     assert_eq!((TARGET.teams, TARGET.control_machines), (590, 8));
     assert!((TARGET.changes_per_hour * 24.0 - 28_000.0).abs() < 1e-9);
 }
@@ -22,7 +25,11 @@
                 _ => None,
             };
             let budget = Budget::of(*role, *quantity);
-            assert_eq!(budget.map(|budget| budget.most), expected, "{role} {quantity}");
+            assert_eq!(
+                budget.map(|budget| budget.most),
+                expected,
+                "{role} {quantity}"
+            );
             assert!(budget.is_none_or(|budget| budget.quantity == *quantity));
         }
     }
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -45,9 +45,18 @@
             }
         }
         for whose in ["the plan", "the placer's own"] {
-            let tables = whose_tables(&text).into_iter().filter(|(_, of)| *of == whose);
+            let tables = whose_tables(&text)
+                .into_iter()
+                .filter(|(_, of)| *of == whose);
             let names: Vec<String> = tables.map(|(name, _)| name).collect();
-            println!("{whose}: {}", if names.is_empty() { "nothing".to_owned() } else { names.join(", ") });
+            println!(
+                "{whose}: {}",
+                if names.is_empty() {
+                    "nothing".to_owned()
+                } else {
+                    names.join(", ")
+                }
+            );
         }
         let nodes = beside(&self.file, &settings.nodes);
         match NodeList::parse(&read(&nodes)?, &nodes.display().to_string(), &settings) {
--- a/crates/cli/src/constraint.rs
+++ b/crates/cli/src/constraint.rs
@@ -45,7 +45,12 @@
     /// The text.
     text: String,
     /// Settings whose node list it is explained against, without a placer.
-    #[arg(long, value_name = "FILE", conflicts_with = "contact", required_unless_present = "contact")]
+    #[arg(
+        long,
+        value_name = "FILE",
+        conflicts_with = "contact",
+        required_unless_present = "contact"
+    )]
     config: Option<PathBuf>,
     /// A running placer's contact.
     #[arg(long, env = "REEDRING_CONTACT", value_name = "CONTACT")]
@@ -68,14 +73,23 @@
     let list = NodeList::parse(&read(&nodes)?, &nodes.display().to_string(), &settings)?;
     let line = |node: &reedring_settings::NodeEntry| {
         let mut line = Line::named(&node.name).hall(&node.hall).rack(&node.rack);
-        line.kind =
-            settings.kinds.get(usize::from(node.kind)).map(|kind| kind.name.clone()).unwrap_or_default();
+        line.kind = settings
+            .kinds
+            .get(usize::from(node.kind))
+            .map(|kind| kind.name.clone())
+            .unwrap_or_default();
         line.attrs = node.attrs.clone();
         (line.ready, line.dark) = (node.health == Health::Ready, node.health == Health::Gone);
         line
     };
     // Control machines take no tasks, and no constraint counts them.
-    let fleet = Fleet::new(list.nodes.iter().filter(|node| !node.control).map(line).collect());
+    let fleet = Fleet::new(
+        list.nodes
+            .iter()
+            .filter(|node| !node.control)
+            .map(line)
+            .collect(),
+    );
     Ok((settings, fleet))
 }
 
@@ -84,8 +98,14 @@
     let result = match site {
         None => Constraint::parse(text),
         Some((settings, fleet)) => settings.constraint(text).and_then(|constraint| {
-            let kinds = settings.kinds.iter().map(|kind| kind.name.clone()).collect();
-            Schema::of(kinds, fleet).check(&constraint, text).map(|()| constraint)
+            let kinds = settings
+                .kinds
+                .iter()
+                .map(|kind| kind.name.clone())
+                .collect();
+            Schema::of(kinds, fleet)
+                .check(&constraint, text)
+                .map(|()| constraint)
         }),
     };
     result.map_err(|mistake| eprintln!("{mistake}")).ok()
@@ -96,19 +116,40 @@
         match self.command {
             Command::Check(Check { text, config }) => {
                 let site = config.as_deref().map(site).transpose()?;
-                let Some(constraint) = checked(&text, site.as_ref()) else { return Ok(ExitCode::FAILURE) };
-                constraint.clauses.iter().for_each(|clause| println!("{clause}"));
+                let Some(constraint) = checked(&text, site.as_ref()) else {
+                    return Ok(ExitCode::FAILURE);
+                };
+                constraint
+                    .clauses
+                    .iter()
+                    .for_each(|clause| println!("{clause}"));
                 Ok(ExitCode::SUCCESS)
             }
-            Command::Explain(Explain { text, config: Some(config), .. }) => {
+            Command::Explain(Explain {
+                text,
+                config: Some(config),
+                ..
+            }) => {
                 let site = site(&config)?;
-                let Some(constraint) = checked(&text, Some(&site)) else { return Ok(ExitCode::FAILURE) };
+                let Some(constraint) = checked(&text, Some(&site)) else {
+                    return Ok(ExitCode::FAILURE);
+                };
                 let compiled = Compiled::new(&constraint, &site.1);
                 let (census, own) = (Census::default(), Own::service("", ""));
                 tell(&compiled.explain(&site.1, &census, &own).to_string());
                 let open = compiled.open(&site.1, &census, &own, 0).machines;
-                let names: Vec<&str> = open.ones().map(|n| site.1.lines()[n].name.as_str()).collect();
-                println!("open: {}", if names.is_empty() { "none".to_owned() } else { names.join(", ") });
+                let names: Vec<&str> = open
+                    .ones()
+                    .map(|n| site.1.lines()[n].name.as_str())
+                    .collect();
+                println!(
+                    "open: {}",
+                    if names.is_empty() {
+                        "none".to_owned()
+                    } else {
+                        names.join(", ")
+                    }
+                );
                 Ok(ExitCode::SUCCESS)
             }
             Command::Explain(Explain { text, contact, .. }) => {
@@ -118,7 +159,11 @@
             }
             Command::Why(Why { place, job }) => {
                 let job = Operator::connect(&place.contact)?.job(&job)?;
-                println!("{}: {}", job.line.job, job.constraint.as_deref().unwrap_or("has no constraint"));
+                println!(
+                    "{}: {}",
+                    job.line.job,
+                    job.constraint.as_deref().unwrap_or("has no constraint")
+                );
                 job.stands.iter().for_each(|line| tell(line));
                 job.reason.iter().for_each(|reason| tell(reason));
                 Ok(ExitCode::SUCCESS)
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -20,7 +20,12 @@
 #[command(name = "reedring", version, about)]
 struct Cli {
     /// What is logged: off, error, warn, info, debug, trace, or a filter such as `reedring_placer=debug`.
-    #[arg(long, global = true, default_value = "warn,reedring_platform=info", value_name = "FILTER")]
+    #[arg(
+        long,
+        global = true,
+        default_value = "warn,reedring_platform=info",
+        value_name = "FILTER"
+    )]
     log: String,
     /// How it is logged, on standard error.
     #[arg(long, global = true, value_enum, default_value_t = log::Format::Text)]
--- a/crates/cli/src/log.rs
+++ b/crates/cli/src/log.rs
@@ -20,12 +20,18 @@
     let filter: EnvFilter = filter.parse()?;
     // Colours are for terminals; a file or a collector gets none.
     let colours = std::io::stderr().is_terminal();
-    let lines =
-        tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).with_ansi(colours);
+    let lines = tracing_subscriber::fmt()
+        .with_env_filter(filter)
+        .with_writer(std::io::stderr)
+        .with_ansi(colours);
     match format {
         Format::Text => lines.init(),
         Format::Json => lines.json().init(),
-        Format::Brief => lines.without_time().with_level(false).with_target(false).init(),
+        Format::Brief => lines
+            .without_time()
+            .with_level(false)
+            .with_target(false)
+            .init(),
     }
     Ok(())
 }
--- a/crates/cli/src/operator.rs
+++ b/crates/cli/src/operator.rs
@@ -66,7 +66,11 @@
         let mut after = None;
         loop {
             let page = operator.jobs(after, PAGE)?;
-            for job in page.jobs.iter().filter(|job| !self.live || !job.state.is_final()) {
+            for job in page
+                .jobs
+                .iter()
+                .filter(|job| !self.live || !job.state.is_final())
+            {
                 println!("{}", line(job));
             }
             after = page.next;
@@ -78,9 +82,20 @@
 }
 
 fn line(job: &JobLine) -> String {
-    let JobLine { job: name, state, outcome, class, node, age_ms, .. } = job;
+    let JobLine {
+        job: name,
+        state,
+        outcome,
+        class,
+        node,
+        age_ms,
+        ..
+    } = job;
     let state = format!("{state:?}");
-    let (outcome, node) = (outcome.as_deref().unwrap_or("-"), node.as_deref().unwrap_or("-"));
+    let (outcome, node) = (
+        outcome.as_deref().unwrap_or("-"),
+        node.as_deref().unwrap_or("-"),
+    );
     let age = *age_ms as f64 / 1e3;
     format!("{name:<44} {state:<14} {outcome:<10} {class:<12} {node:<10} {age:>9.1}")
 }
@@ -93,13 +108,25 @@
         println!("session  {}", job.session);
         println!("state    {:?}", line.state);
         println!("outcome  {}", line.outcome.as_deref().unwrap_or("none yet"));
-        println!("class    {}, tenant {}, service {}", line.class, line.tenant, line.service);
+        println!(
+            "class    {}, tenant {}, service {}",
+            line.class, line.tenant, line.service
+        );
         println!("asks     {} cores, {} memory", job.cores, job.memory);
-        job.constraint.iter().for_each(|text| println!("bound    {text}"));
-        job.stands.iter().for_each(|line| println!("         {line}"));
-        job.reason.iter().for_each(|reason| println!("reason   {reason}"));
+        job.constraint
+            .iter()
+            .for_each(|text| println!("bound    {text}"));
+        job.stands
+            .iter()
+            .for_each(|line| println!("         {line}"));
+        job.reason
+            .iter()
+            .for_each(|reason| println!("reason   {reason}"));
         for (n, attempt) in job.attempts.iter().enumerate() {
-            println!("attempt {n}: {} after {} ms: {}", attempt.node, attempt.sent_ms, attempt.fate);
+            println!(
+                "attempt {n}: {} after {} ms: {}",
+                attempt.node, attempt.sent_ms, attempt.fate
+            );
         }
         Ok(ExitCode::SUCCESS)
     }
@@ -113,16 +140,34 @@
             "node", "kind", "rack", "hall", "state", "waits", "holds", "cores", "memory"
         );
         for node in nodes {
-            let NodeLine { node: name, kind, rack, hall, listed, waiting, held, cores, memory, .. } = &node;
+            let NodeLine {
+                node: name,
+                kind,
+                rack,
+                hall,
+                listed,
+                waiting,
+                held,
+                cores,
+                memory,
+                ..
+            } = &node;
             let hand = if node.drained { ", by hand" } else { "" };
             let link = if node.linked { "" } else { ", no link" };
             let state = format!("{listed}{hand}{link}");
-            let refusals: Vec<String> = node.refusals.iter().map(|(why, n)| format!("{why} {n}")).collect();
+            let refusals: Vec<String> = node
+                .refusals
+                .iter()
+                .map(|(why, n)| format!("{why} {n}"))
+                .collect();
             println!(
                 "{name:<12} {kind:<10} {rack:<8} {hall:<8} {state:<22} {waiting:>5} {held:>5} {cores:>8.1} \
                  {memory:>8.1}  {}{}",
                 refusals.join(", "),
-                node.plan.as_ref().map(|plan| format!("  plan {plan}")).unwrap_or_default()
+                node.plan
+                    .as_ref()
+                    .map(|plan| format!("  plan {plan}"))
+                    .unwrap_or_default()
             );
         }
         Ok(ExitCode::SUCCESS)
@@ -131,7 +176,14 @@
 
 fn drain(place: &Place, node: &str, drain: bool) -> Result<ExitCode, Failure> {
     Operator::connect(&place.contact)?.drain(node, drain)?;
-    println!("{node}: {}", if drain { "drained" } else { "no longer drained" });
+    println!(
+        "{node}: {}",
+        if drain {
+            "drained"
+        } else {
+            "no longer drained"
+        }
+    );
     Ok(ExitCode::SUCCESS)
 }
 
--- a/crates/cli/src/programs.rs
+++ b/crates/cli/src/programs.rs
@@ -80,7 +80,9 @@
 
 /// Waits until the user interrupts or the system asks for the end.
 fn interrupted() -> Result<(), Failure> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     runtime.block_on(async {
         Signals::new()?.next().await;
         Ok(())
@@ -97,7 +99,10 @@
             (none, told) => *none = told.map(State::in_folder),
         }
         let source = FileSource::new(beside(&self.config, &settings.nodes), settings.clone());
-        let trace = settings.trace.as_ref().map(|path| Recorder::create(&beside(&self.config, path)));
+        let trace = settings
+            .trace
+            .as_ref()
+            .map(|path| Recorder::create(&beside(&self.config, path)));
         let recorder = trace.transpose()?.map(Arc::new);
         let options = Options {
             source: Box::new(source),
@@ -113,22 +118,40 @@
         let shut_out = placer.is_shut_out();
         placer.stop();
         recorder.map_or(Ok(()), |recorder| recorder.finish().map(drop))?;
-        Ok(if shut_out { ExitCode::from(SHUT_OUT) } else { ExitCode::SUCCESS })
+        Ok(if shut_out {
+            ExitCode::from(SHUT_OUT)
+        } else {
+            ExitCode::SUCCESS
+        })
     }
 }
 
 impl Standin {
     pub fn run(self) -> Result<ExitCode, Failure> {
         let fleet = Fleet::parse(&read(&self.config)?, &self.config.display().to_string())?;
-        let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
+        let runtime = tokio::runtime::Builder::new_multi_thread()
+            .enable_all()
+            .build()?;
         let (groups, clock): (Arc<Mutex<Groups>>, _) = (Arc::default(), Instant::now());
         // A node that is started again has another life.
         let life = SystemTime::now().duration_since(UNIX_EPOCH)?.as_micros() as u64;
-        let recorder = self.trace.as_deref().map(Recorder::create).transpose()?.map(Arc::new);
+        let recorder = self
+            .trace
+            .as_deref()
+            .map(Recorder::create)
+            .transpose()?
+            .map(Arc::new);
         let mut handles = Vec::new();
         for mut node in fleet.node {
             node.plan_dir = node.plan_dir.map(|dir| beside(&self.config, &dir));
-            let served = serve(node, life, fleet.seed, Arc::clone(&groups), recorder.clone(), clock);
+            let served = serve(
+                node,
+                life,
+                fleet.seed,
+                Arc::clone(&groups),
+                recorder.clone(),
+                clock,
+            );
             let handle = runtime.block_on(served)?;
             println!("{}: {}", handle.name(), handle.address());
             handles.push(handle);
@@ -152,7 +175,12 @@
         if let Some(path) = &self.settings {
             plan.settings = read(path)?;
         }
-        let recorder = self.trace.as_deref().map(Recorder::create).transpose()?.map(Arc::new);
+        let recorder = self
+            .trace
+            .as_deref()
+            .map(Recorder::create)
+            .transpose()?
+            .map(Arc::new);
         plan.recorder = recorder.clone();
         if let Some(folder) = self.state_dir {
             plan.settings += "\n[state]\nfolder = \"state\"\n";
--- a/crates/cli/src/state.rs
+++ b/crates/cli/src/state.rs
@@ -52,7 +52,8 @@
 }
 
 fn time(unix_us: u64) -> String {
-    Timestamp::from_microsecond(unix_us as i64).map_or_else(|_| unix_us.to_string(), |at| at.to_string())
+    Timestamp::from_microsecond(unix_us as i64)
+        .map_or_else(|_| unix_us.to_string(), |at| at.to_string())
 }
 
 const fn word(phase: &Phase) -> &'static str {
@@ -82,17 +83,31 @@
     }
     println!("sessions: {}", ledger.sessions.len());
     let mut phases: BTreeMap<&str, usize> = BTreeMap::new();
-    ledger.jobs.values().for_each(|job| *phases.entry(word(&job.phase)).or_default() += 1);
+    ledger
+        .jobs
+        .values()
+        .for_each(|job| *phases.entry(word(&job.phase)).or_default() += 1);
     println!("jobs: {}", ledger.jobs.len());
-    phases.iter().for_each(|(phase, count)| println!("  {phase}: {count}"));
+    phases
+        .iter()
+        .for_each(|(phase, count)| println!("  {phase}: {count}"));
     let open: usize = ledger.jobs.values().map(|job| job.attempts.len()).sum();
     println!("attempts whose end is not known: {open}");
-    ledger.drained.iter().for_each(|node| println!("drained by an operator: {node}"));
+    ledger
+        .drained
+        .iter()
+        .for_each(|node| println!("drained by an operator: {node}"));
     match &export.learned {
-        Some(learned) => println!("learned of {} nodes, kept {}", learned.nodes.len(), time(learned.at)),
+        Some(learned) => println!(
+            "learned of {} nodes, kept {}",
+            learned.nodes.len(),
+            time(learned.at)
+        ),
         None => println!("learned: nothing"),
     }
-    passed_by.iter().for_each(|error| println!("passed by: {error}"));
+    passed_by
+        .iter()
+        .for_each(|error| println!("passed by: {error}"));
 }
 
 impl State {
@@ -106,7 +121,9 @@
                 let (export, passed_by) = open(&dir)?;
                 let wrong = export.ledger.check();
                 wrong.iter().for_each(|wrong| println!("ledger: {wrong}"));
-                passed_by.iter().for_each(|error| println!("learned: {error}"));
+                passed_by
+                    .iter()
+                    .for_each(|error| println!("learned: {error}"));
                 if !(wrong.is_empty() && passed_by.is_empty()) {
                     return Ok(ExitCode::FAILURE);
                 }
@@ -122,10 +139,15 @@
             }
             What::Import { dir, file } => {
                 let text = read(&file)?;
-                let export: Export =
-                    serde_json::from_str(&text).map_err(|error| format!("{}: {error}", file.display()))?;
+                let export: Export = serde_json::from_str(&text)
+                    .map_err(|error| format!("{}: {error}", file.display()))?;
                 export.write(Disk::lock(&dir)?)?;
-                println!("{}: {} jobs of placer {}", dir.display(), export.ledger.jobs.len(), export.placer);
+                println!(
+                    "{}: {} jobs of placer {}",
+                    dir.display(),
+                    export.ledger.jobs.len(),
+                    export.placer
+                );
             }
         }
         Ok(ExitCode::SUCCESS)
--- a/crates/cli/src/submit.rs
+++ b/crates/cli/src/submit.rs
@@ -52,7 +52,14 @@
         template.set("drmaa_native_specification", &self.native)?;
         template.set("drmaa_job_category", &self.category)?;
         let jobs = match self.count {
-            Some(last) => session.run_bulk_jobs(&template, Range { first: 1, last, step: 1 })?,
+            Some(last) => session.run_bulk_jobs(
+                &template,
+                Range {
+                    first: 1,
+                    last,
+                    step: 1,
+                },
+            )?,
             None => vec![session.run_job(&template)?],
         };
         if let Some(warning) = session.warning() {
@@ -83,7 +90,10 @@
 /// Prints how a job ended; the exit status that stands for it, as shells have it.
 fn tell(info: &JobInfo) -> u8 {
     let node = info.usage("reedring.node").unwrap_or("no node");
-    let reason = info.usage("reedring.reason").map(|reason| format!(": {reason}")).unwrap_or_default();
+    let reason = info
+        .usage("reedring.reason")
+        .map(|reason| format!(": {reason}"))
+        .unwrap_or_default();
     match &info.end {
         End::Exited { status } => {
             println!("{}: exited with status {status} at {node}", info.job);
@@ -95,7 +105,9 @@
         }
         End::Aborted => {
             // The reason of a refusal or failure begins with that word.
-            let outcome = info.usage("reedring.reason").or(info.usage("reedring.outcome"));
+            let outcome = info
+                .usage("reedring.reason")
+                .or(info.usage("reedring.outcome"));
             println!("{}: aborted, {}", info.job, outcome.unwrap_or("failed"));
             125
         }
--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -73,7 +73,12 @@
 fn tell(report: &Report) -> ExitCode {
     println!(
         "jobs: {} taken, {} placed, {} refused, {} failed, {} terminated, {} held by a placer that was killed",
-        report.taken, report.placed, report.refused, report.failed, report.terminated, report.excused
+        report.taken,
+        report.placed,
+        report.refused,
+        report.failed,
+        report.terminated,
+        report.excused
     );
     println!(
         "offers: {}, of them {} to cold nodes; {} frames can't be read",
@@ -81,7 +86,10 @@
     );
     report.plans.iter().for_each(|line| println!("{line}"));
     for breach in &report.breaches {
-        println!("broken rule {}: {}; frames {:?}", breach.rule as u8, breach.text, breach.frames);
+        println!(
+            "broken rule {}: {}; frames {:?}",
+            breach.rule as u8, breach.text, breach.frames
+        );
     }
     if report.breaches.is_empty() {
         println!("audit: clean");
@@ -104,19 +112,33 @@
             "owners: {} submitted, told {:?}, turned away {:?}",
             day.tally.submitted, day.tally.ended, day.tally.denied
         );
-        day.tally.left.iter().for_each(|job| println!("not over: {job}"));
+        day.tally
+            .left
+            .iter()
+            .for_each(|job| println!("not over: {job}"));
         Ok(tell(&day.report))
     }
 }
 
 fn show(frame: &Frame) {
-    let Frame { number, time_us, event, place, peer, link, bytes } = frame;
+    let Frame {
+        number,
+        time_us,
+        event,
+        place,
+        peer,
+        link,
+        bytes,
+    } = frame;
     let what = match reedring_nodeproto::decode(bytes) {
         Ok(message) => format!("{message:?}"),
         Err(_) => String::from_utf8_lossy(bytes).replace("\r\n", " "),
     };
     let what: String = what.chars().take(600).collect();
-    println!("  {number} {:.6} {event:?} {place} {peer} {link}: {what}", *time_us as f64 / 1e6);
+    println!(
+        "  {number} {:.6} {event:?} {place} {peer} {link}: {what}",
+        *time_us as f64 / 1e6
+    );
 }
 
 impl Audit {
@@ -132,7 +154,11 @@
         if self.show {
             for breach in &report.breaches {
                 println!("rule {}: {}", breach.rule as u8, breach.text);
-                breach.frames.iter().filter_map(|number| frames.get(*number)).for_each(show);
+                breach
+                    .frames
+                    .iter()
+                    .filter_map(|number| frames.get(*number))
+                    .for_each(show);
             }
         }
         Ok(tell(&report))
@@ -146,19 +172,36 @@
             return Ok(ExitCode::SUCCESS);
         }
         let program = std::env::current_exe()?;
-        let size =
-            Size { jobs: self.jobs, nodes: self.nodes, seconds: self.seconds, live: self.live, program };
+        let size = Size {
+            jobs: self.jobs,
+            nodes: self.nodes,
+            seconds: self.seconds,
+            live: self.live,
+            program,
+        };
         let clean = load::bench(&size, &mut std::io::stdout())?;
-        Ok(if clean { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+        Ok(if clean {
+            ExitCode::SUCCESS
+        } else {
+            ExitCode::FAILURE
+        })
     }
 }
 
 impl KillsArgs {
     pub fn run(self) -> Result<ExitCode, Failure> {
         let program = std::env::current_exe()?;
-        let kills = Kills { program, count: self.count, life_ms: self.life, seed: self.seed };
+        let kills = Kills {
+            program,
+            count: self.count,
+            life_ms: self.life,
+            seed: self.seed,
+        };
         let found = kills.play()?;
-        println!("{} kills, {} jobs acknowledged, outcomes {:?}", found.kills, found.taken, found.outcomes);
+        println!(
+            "{} kills, {} jobs acknowledged, outcomes {:?}",
+            found.kills, found.taken, found.outcomes
+        );
         let mut starts = found.start_ms.clone();
         starts.sort_by(f64::total_cmp);
         println!(
@@ -167,8 +210,14 @@
             starts[starts.len() - 1]
         );
         println!("ends told again, and passed by: {}", found.told_again);
-        found.untold.iter().for_each(|job| println!("no outcome: {job}"));
-        found.damaged.iter().for_each(|what| println!("damaged: {what}"));
+        found
+            .untold
+            .iter()
+            .for_each(|job| println!("no outcome: {job}"));
+        found
+            .damaged
+            .iter()
+            .for_each(|what| println!("damaged: {what}"));
         found
             .breaches
             .iter()
--- a/crates/cli/tests/churn.rs
+++ b/crates/cli/tests/churn.rs
@@ -23,14 +23,23 @@
 
 impl Placer {
     fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.0.id())).expect("it runs").count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.0.id()))
+            .expect("it runs")
+            .count()
     }
 
     /// Resident memory in KiB.
     fn memory(&self) -> usize {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.0.id())).expect("it runs");
-        let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("it is among them");
-        line.trim().trim_end_matches(" kB").parse().expect("a number")
+        let status =
+            std::fs::read_to_string(format!("/proc/{}/status", self.0.id())).expect("it runs");
+        let line = status
+            .lines()
+            .find_map(|line| line.strip_prefix("VmRSS:"))
+            .expect("it is among them");
+        line.trim()
+            .trim_end_matches(" kB")
+            .parse()
+            .expect("a number")
     }
 }
 
@@ -44,20 +53,34 @@
     let address: SocketAddr = Host::new().await.address;
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("config.json");
-    std::fs::write(&path, config(address, &discovery, first).to_string()).expect("it can be written");
-    let (program, shown) = (Path::new(env!("CARGO_BIN_EXE_reedring")), path.display().to_string());
+    std::fs::write(&path, config(address, &discovery, first).to_string())
+        .expect("it can be written");
+    let (program, shown) = (
+        Path::new(env!("CARGO_BIN_EXE_reedring")),
+        path.display().to_string(),
+    );
     let listen = address.to_string();
-    let arguments = ["platform", "--log", "off", "--config", &shown, "--listen", &listen];
-    let placer = Placer(Program::start(program, "the placer", &arguments, None).expect("it starts"));
+    let arguments = [
+        "platform", "--log", "off", "--config", &shown, "--listen", &listen,
+    ];
+    let placer =
+        Placer(Program::start(program, "the placer", &arguments, None).expect("it starts"));
     // It polls from after it listens.
-    discovery.until_asked(|asks| asks.iter().any(|ask| ask.contains("watch=1&"))).await;
+    discovery
+        .until_asked(|asks| asks.iter().any(|ask| ask.contains("watch=1&")))
+        .await;
     let mut settled = (0, 0);
     for n in 1..=ROUNDS {
         let new = Host::new().await;
-        discovery.tell(false, vec![line(&new, n, "active"), line(&host, n - 1, "left")]);
+        discovery.tell(
+            false,
+            vec![line(&new, n, "active"), line(&host, n - 1, "left")],
+        );
         // It has taken that in once it asks for what comes after.
         let next = format!("watch={}&", n + 1);
-        discovery.until_asked(|asks| asks.iter().any(|ask| ask.contains(&next))).await;
+        discovery
+            .until_asked(|asks| asks.iter().any(|ask| ask.contains(&next)))
+            .await;
         host = new;
         for passer in 0..PASSERS {
             let mut client = Client::connect(address).await;
--- a/crates/cli/tests/descriptors.rs
+++ b/crates/cli/tests/descriptors.rs
@@ -31,7 +31,9 @@
         let mut client = Client::connect(address).await;
         client.send(&message(52, id, &[(194, &[0])])).await;
         client.send(&setup(id, "play", 5_000, "")).await;
-        let (Some(test), Some(answer)) = (client.got().await, client.got().await) else { continue };
+        let (Some(test), Some(answer)) = (client.got().await, client.got().await) else {
+            continue;
+        };
         assert_eq!((test.kind, answer.kind), (53, 9));
         return tries;
     }
@@ -46,14 +48,32 @@
     let (address, discovery) = (free_address().unwrap(), free_address().unwrap());
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("config.json");
-    std::fs::write(&path, config_at(address, discovery, SOCKETS, hosts.clone()).to_string()).unwrap();
-    let (program, shown) = (Path::new(env!("CARGO_BIN_EXE_reedring")), path.display().to_string());
+    std::fs::write(
+        &path,
+        config_at(address, discovery, SOCKETS, hosts.clone()).to_string(),
+    )
+    .unwrap();
+    let (program, shown) = (
+        Path::new(env!("CARGO_BIN_EXE_reedring")),
+        path.display().to_string(),
+    );
     let arguments = ["platform", "--config", &shown];
-    let placer = Program::start_with_descriptors(program, "the placer", &arguments, SOCKETS).unwrap();
-    placer.wait_line(0, "that discovery is down", LONG, |line| line.contains("refused")).unwrap();
-    let idle: Vec<_> = (0..IDLE).map(|_| tokio::spawn(says_nothing(address))).collect();
+    let placer =
+        Program::start_with_descriptors(program, "the placer", &arguments, SOCKETS).unwrap();
+    placer
+        .wait_line(0, "that discovery is down", LONG, |line| {
+            line.contains("refused")
+        })
+        .unwrap();
+    let idle: Vec<_> = (0..IDLE)
+        .map(|_| tokio::spawn(says_nothing(address)))
+        .collect();
     let id = placer.id();
-    let most = || std::fs::read_dir(format!("/proc/{id}/fd")).expect("it runs").count();
+    let most = || {
+        std::fs::read_dir(format!("/proc/{id}/fd"))
+            .expect("it runs")
+            .count()
+    };
     // They fill what there is for clients.
     standins::soon("the crowd", async {
         while most() < SOCKETS / 2 {
@@ -71,10 +91,22 @@
     discovery.tell(true, hosts);
     discovery.until_asked(|asks| asks.len() >= 2).await;
     is_served(address, 11).await;
-    let short = |line: &String| line.contains("could not be accepted") || line.contains("no descriptor");
-    assert!(!placer.said().iter().any(short), "{:?}", placer.said().iter().find(|line| short(line)));
+    let short =
+        |line: &String| line.contains("could not be accepted") || line.contains("no descriptor");
+    assert!(
+        !placer.said().iter().any(short),
+        "{:?}",
+        placer.said().iter().find(|line| short(line))
+    );
     // Asked to end it does, with all places taken and more at the door.
     let ended = tokio::task::spawn_blocking(move || placer.end(Duration::from_secs(10)));
-    assert_eq!(standins::soon("the end", ended).await.unwrap().unwrap().code(), Some(0));
+    assert_eq!(
+        standins::soon("the end", ended)
+            .await
+            .unwrap()
+            .unwrap()
+            .code(),
+        Some(0)
+    );
     idle.iter().for_each(tokio::task::JoinHandle::abort);
 }
--- a/crates/client/src/connection.rs
+++ b/crates/client/src/connection.rs
@@ -61,14 +61,20 @@
             }
             Place::Unix(path) => Stream::Unix(UnixStream::connect(path)?),
         };
-        Ok(Self { stream, reader: Reader::new(MAX_RESPONSE), last_id: 0, life: 0 })
+        Ok(Self {
+            stream,
+            reader: Reader::new(MAX_RESPONSE),
+            last_id: 0,
+            life: 0,
+        })
     }
 
     /// Makes a call. An outer error says that nobody knows whether it was carried out.
     pub fn call(&mut self, call: Call, limit: Option<Duration>) -> io::Result<Result<Answer>> {
         self.last_id += 1;
         let body = serde_json::to_vec(&Request::new(self.last_id, call))?;
-        self.stream.read_timeout(limit.map(|limit| limit.max(Duration::from_millis(1))))?;
+        self.stream
+            .read_timeout(limit.map(|limit| limit.max(Duration::from_millis(1))))?;
         self.stream.write_all(&wrap(&body))?;
         let mut buffer = [0; 16 * 1024];
         loop {
--- a/crates/client/src/contact.rs
+++ b/crates/client/src/contact.rs
@@ -27,7 +27,10 @@
     pub fn parse(text: &str) -> Result<Self> {
         let wrong = || {
             let form = "tcp:ADDRESS:PORT or unix:PATH, with #SESSION to take a session up again";
-            Error::new(ErrorCode::InvalidContactString, format!("`{text}` is no contact; the form is {form}"))
+            Error::new(
+                ErrorCode::InvalidContactString,
+                format!("`{text}` is no contact; the form is {form}"),
+            )
         };
         let (place, session) = match text.trim().split_once('#') {
             Some((place, session)) if !session.is_empty() => (place, Some(session.to_owned())),
@@ -37,7 +40,13 @@
         let place = match place.strip_prefix("unix:") {
             Some("") => return Err(wrong()),
             Some(path) => Place::Unix(PathBuf::from(path)),
-            None => Place::Tcp(place.strip_prefix("tcp:").unwrap_or(place).parse().map_err(|_| wrong())?),
+            None => Place::Tcp(
+                place
+                    .strip_prefix("tcp:")
+                    .unwrap_or(place)
+                    .parse()
+                    .map_err(|_| wrong())?,
+            ),
         };
         Ok(Self { place, session })
     }
@@ -49,7 +58,9 @@
             Place::Tcp(address) => write!(f, "tcp:{address}")?,
             Place::Unix(path) => write!(f, "unix:{}", path.display())?,
         }
-        self.session.iter().try_for_each(|session| write!(f, "#{session}"))
+        self.session
+            .iter()
+            .try_for_each(|session| write!(f, "#{session}"))
     }
 }
 
@@ -59,12 +70,30 @@
 
     #[test]
     fn contacts_read_back() {
-        for text in ["tcp:127.0.0.1:4710", "unix:/run/r.sock#abc", "tcp:[::1]:1#s-1"] {
+        for text in [
+            "tcp:127.0.0.1:4710",
+            "unix:/run/r.sock#abc",
+            "tcp:[::1]:1#s-1",
+        ] {
             assert_eq!(Contact::parse(text).unwrap().to_string(), text);
         }
-        assert_eq!(Contact::parse("127.0.0.1:1").unwrap().to_string(), "tcp:127.0.0.1:1");
-        for text in ["", "localhost", "tcp:", "unix:", "tcp:127.0.0.1", "tcp:127.0.0.1:1#"] {
-            assert_eq!(Contact::parse(text).unwrap_err().code, ErrorCode::InvalidContactString, "{text}");
+        assert_eq!(
+            Contact::parse("127.0.0.1:1").unwrap().to_string(),
+            "tcp:127.0.0.1:1"
+        );
+        for text in [
+            "",
+            "localhost",
+            "tcp:",
+            "unix:",
+            "tcp:127.0.0.1",
+            "tcp:127.0.0.1:1#",
+        ] {
+            assert_eq!(
+                Contact::parse(text).unwrap_err().code,
+                ErrorCode::InvalidContactString,
+                "{text}"
+            );
         }
     }
 }
--- a/crates/client/src/operator.rs
+++ b/crates/client/src/operator.rs
@@ -21,7 +21,10 @@
     ($self:ident, $call:expr, $want:pat => $value:expr) => {
         match $self.call($call)? {
             $want => Ok($value),
-            other => Err(Error::new(ErrorCode::InternalError, format!("unexpected answer: {other:?}"))),
+            other => Err(Error::new(
+                ErrorCode::InternalError,
+                format!("unexpected answer: {other:?}"),
+            )),
         }
     };
 }
@@ -34,11 +37,16 @@
     pub fn connect(contact: &str) -> Result<Self> {
         let contact = Contact::parse(contact)?;
         let connection = Connection::open(&contact).map_err(|error| failure(&contact, &error))?;
-        Ok(Self { contact, connection })
+        Ok(Self {
+            contact,
+            connection,
+        })
     }
 
     fn call(&mut self, call: Call) -> Result<Answer> {
-        self.connection.call(call, Some(ANSWER)).map_err(|error| failure(&self.contact, &error))?
+        self.connection
+            .call(call, Some(ANSWER))
+            .map_err(|error| failure(&self.contact, &error))?
     }
 
     /// A page of all jobs, in the order of their submission.
@@ -91,5 +99,8 @@
 }
 
 fn failure(contact: &Contact, error: &std::io::Error) -> Error {
-    Error::new(ErrorCode::DrmCommunicationFailure, format!("{contact}: {error}"))
+    Error::new(
+        ErrorCode::DrmCommunicationFailure,
+        format!("{contact}: {error}"),
+    )
 }
--- a/crates/client/src/session.rs
+++ b/crates/client/src/session.rs
@@ -74,11 +74,17 @@
 }
 
 fn unexpected(answer: &Answer) -> Error {
-    Error::new(ErrorCode::InternalError, format!("the placer answered something else: {answer:?}"))
+    Error::new(
+        ErrorCode::InternalError,
+        format!("the placer answered something else: {answer:?}"),
+    )
 }
 
 fn unreachable(contact: &Contact, error: &std::io::Error) -> Error {
-    Error::new(ErrorCode::DrmCommunicationFailure, format!("{contact}: {error}"))
+    Error::new(
+        ErrorCode::DrmCommunicationFailure,
+        format!("{contact}: {error}"),
+    )
 }
 
 impl Session {
@@ -99,24 +105,45 @@
         let drawn = || format!("{:016x}", RandomState::new().build_hasher().finish());
         let name = contact.session.take().unwrap_or_else(drawn);
         // A process that takes a session up again must not use numbers of the one before.
-        let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let calls = Calls { next: now.as_micros() as u64, under_way: BTreeSet::new() };
+        let now = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        let calls = Calls {
+            next: now.as_micros() as u64,
+            under_way: BTreeSet::new(),
+        };
         let (idle, calls, told) = (Mutex::default(), Mutex::new(calls), Mutex::default());
         let warning = Mutex::default();
-        let session = Self { contact, name, patience, idle, calls, told, warning };
-        let connection = session.connect().map_err(|error| unreachable(&session.contact, &error))??;
+        let session = Self {
+            contact,
+            name,
+            patience,
+            idle,
+            calls,
+            told,
+            warning,
+        };
+        let connection = session
+            .connect()
+            .map_err(|error| unreachable(&session.contact, &error))??;
         lock(&session.idle).push(connection);
         Ok(session)
     }
 
     /// The contact that takes this session up again.
     pub fn contact(&self) -> String {
-        Contact { session: Some(self.name.clone()), ..self.contact.clone() }.to_string()
+        Contact {
+            session: Some(self.name.clone()),
+            ..self.contact.clone()
+        }
+        .to_string()
     }
 
     fn connect(&self) -> std::io::Result<Result<Connection>> {
         let mut connection = Connection::open(&self.contact)?;
-        let init = Call::Init { session: self.name.clone() };
+        let init = Call::Init {
+            session: self.name.clone(),
+        };
         Ok(match connection.call(init, Some(ANSWER))? {
             Ok(Answer::Session { life }) => {
                 connection.life = life;
@@ -158,12 +185,19 @@
             let idle = lock(&self.idle).pop();
             let connection = match idle {
                 Some(connection) => Ok(connection),
-                None => self.connect().and_then(|opened| opened.map_err(std::io::Error::other)),
+                None => self
+                    .connect()
+                    .and_then(|opened| opened.map_err(std::io::Error::other)),
             };
             let result = connection.and_then(|mut connection| {
                 let sent_to = *sent_to.get_or_insert(connection.life);
                 let settled = lock(&self.calls).under_way.first().copied().unwrap_or(call);
-                let key = CallKey { session: self.name.clone(), call, settled, sent_to };
+                let key = CallKey {
+                    session: self.name.clone(),
+                    call,
+                    settled,
+                    sent_to,
+                };
                 let left = wait.map(|wait| wait.saturating_sub(began.elapsed()));
                 let limit = left.map(|left| left + ANSWER);
                 let result = connection.call(make(key, left), limit)?;
@@ -201,7 +235,10 @@
     /// What is wrong with the template, `DeniedByDrm`, `TryLater`, `DrmCommunicationFailure`.
     pub fn run_job(&self, template: &JobTemplate) -> Result<String> {
         let job = Box::new(template.spec(&Zoned::now())?);
-        match self.call(Some(Duration::ZERO), |key, _| Call::RunJob { key, job: job.clone() })? {
+        match self.call(Some(Duration::ZERO), |key, _| Call::RunJob {
+            key,
+            job: job.clone(),
+        })? {
             Answer::Submitted(mut submitted) if submitted.jobs.len() == 1 => {
                 *lock(&self.warning) = submitted.warning;
                 Ok(submitted.jobs.remove(0))
@@ -226,7 +263,11 @@
     /// As [`Session::run_job`], and `InvalidArgument` for a range that is empty or too large.
     pub fn run_bulk_jobs(&self, template: &JobTemplate, range: Range) -> Result<Vec<String>> {
         let job = Box::new(template.spec(&Zoned::now())?);
-        match self.call(Some(Duration::ZERO), |key, _| Call::RunBulkJobs { key, job: job.clone(), range })? {
+        match self.call(Some(Duration::ZERO), |key, _| Call::RunBulkJobs {
+            key,
+            job: job.clone(),
+            range,
+        })? {
             Answer::Submitted(submitted) => {
                 *lock(&self.warning) = submitted.warning;
                 Ok(submitted.jobs)
@@ -240,7 +281,11 @@
     /// # Errors
     /// `InvalidJob`, and the `…InconsistentState` of the action.
     pub fn control(&self, jobs: Jobs, action: Control) -> Result<()> {
-        let make = |key, _| Call::Control { key, jobs: jobs.clone(), action };
+        let make = |key, _| Call::Control {
+            key,
+            jobs: jobs.clone(),
+            action,
+        };
         self.call(Some(Duration::ZERO), make).map(drop)
     }
 
@@ -252,7 +297,12 @@
     pub fn synchronize(&self, jobs: Jobs, timeout: Option<Duration>, dispose: bool) -> Result<()> {
         let make = |key, left| {
             let timeout_s = seconds(left);
-            Call::Synchronize { key, jobs: jobs.clone(), timeout_s, dispose }
+            Call::Synchronize {
+                key,
+                jobs: jobs.clone(),
+                timeout_s,
+                dispose,
+            }
         };
         self.call(timeout, make).map(drop)
     }
@@ -264,7 +314,11 @@
     pub fn wait(&self, job: Option<&str>, timeout: Option<Duration>) -> Result<JobInfo> {
         let make = |key, left| {
             let (job, timeout_s) = (job.map(str::to_owned), seconds(left));
-            Call::Wait { key, job, timeout_s }
+            Call::Wait {
+                key,
+                job,
+                timeout_s,
+            }
         };
         loop {
             match self.call(timeout, make)? {
@@ -283,7 +337,10 @@
     /// # Errors
     /// `InvalidJob`.
     pub fn job_ps(&self, job: &str) -> Result<JobState> {
-        let make = |_, _| Call::JobPs { session: self.name.clone(), job: job.to_owned() };
+        let make = |_, _| Call::JobPs {
+            session: self.name.clone(),
+            job: job.to_owned(),
+        };
         match self.call(Some(Duration::ZERO), make)? {
             Answer::State(state) => Ok(state),
             other => Err(unexpected(&other)),
@@ -314,7 +371,8 @@
     /// # Errors
     /// As [`Session::exit`].
     pub fn close(&self) -> Result<()> {
-        self.call(Some(Duration::ZERO), |key, _| Call::Exit { key }).map(drop)
+        self.call(Some(Duration::ZERO), |key, _| Call::Exit { key })
+            .map(drop)
     }
 }
 
--- a/crates/constraint/benches/evaluate.rs
+++ b/crates/constraint/benches/evaluate.rs
@@ -9,8 +9,9 @@
 
 fn fleet(machines: usize) -> Fleet {
     let line = |n: usize| {
-        let mut line =
-            Line::named(&format!("n{n}")).hall(&format!("h{}", n % 3)).rack(&format!("r{}", n / 3 % 10));
+        let mut line = Line::named(&format!("n{n}"))
+            .hall(&format!("h{}", n % 3))
+            .rack(&format!("r{}", n / 3 % 10));
         line.kind = ["big", "small"][n % 2].to_owned();
         line.attr("ssd", ["yes", "no"][n / 7 % 2])
     };
@@ -26,7 +27,8 @@
         3 => format!("require name != \"n{n}\""),
         _ => "require not (rack = r3 and hall = h2)".to_owned(),
     };
-    Constraint::parse(&(0..clauses).map(clause).collect::<Vec<_>>().join("; ")).expect("the bench's own text")
+    Constraint::parse(&(0..clauses).map(clause).collect::<Vec<_>>().join("; "))
+        .expect("the bench's own text")
 }
 
 /// Microseconds of one call: the best of five rounds.
@@ -39,11 +41,16 @@
         }
         began.elapsed().as_secs_f64() * 1e6 / f64::from(calls)
     };
-    (0..5).map(|_| round(&mut call)).fold(f64::INFINITY, f64::min)
+    (0..5)
+        .map(|_| round(&mut call))
+        .fold(f64::INFINITY, f64::min)
 }
 
 fn main() {
-    println!("{:>9} {:>8} {:>11} {:>11}", "machines", "clauses", "cached us", "afresh us");
+    println!(
+        "{:>9} {:>8} {:>11} {:>11}",
+        "machines", "clauses", "cached us", "afresh us"
+    );
     for machines in [20, 200, 2_000] {
         let (fleet, own, mut census) = (fleet(machines), Own::service("c", "s"), Census::default());
         (0..10).for_each(|n| census.add(&own.topics(&[]), n * machines / 10));
@@ -51,8 +58,11 @@
             let constraint = constraint(clauses);
             let compiled = Compiled::new(&constraint, &fleet);
             let cached = time(|| drop(black_box(compiled.open(&fleet, &census, &own, 0))));
-            let afresh =
-                time(|| drop(black_box(Compiled::new(&constraint, &fleet).open(&fleet, &census, &own, 0))));
+            let afresh = time(|| {
+                drop(black_box(
+                    Compiled::new(&constraint, &fleet).open(&fleet, &census, &own, 0),
+                ))
+            });
             println!("{machines:>9} {clauses:>8} {cached:>11.2} {afresh:>11.1}");
         }
     }
--- a/crates/constraint/src/check.rs
+++ b/crates/constraint/src/check.rs
@@ -20,15 +20,31 @@
     };
     match (field, op, value) {
         (_, Op::In, Value::Set(_)) | (Field::Attr(_), Op::Has, Value::Text(_)) => Ok(()),
-        (_, Op::In, _) => wrong("`in` needs a set".into(), "no set", "write it as {\"a\", \"b\"}"),
-        (Field::Attr(_), Op::Has, _) => {
-            wrong("a set holds texts".into(), "no text", "write the text in quotes")
-        }
-        (field, Op::Has, _) => {
-            wrong(format!("`{field}` is one text, not a set"), "`has` needs a set", "write `=`")
-        }
-        (_, _, Value::Set(_)) => wrong("a set compares with `in` alone".into(), "a set", "write `in`"),
-        (Field::Kind | Field::Rack | Field::Hall | Field::Name, Op::Eq | Op::Ne, Value::Text(_)) => Ok(()),
+        (_, Op::In, _) => wrong(
+            "`in` needs a set".into(),
+            "no set",
+            "write it as {\"a\", \"b\"}",
+        ),
+        (Field::Attr(_), Op::Has, _) => wrong(
+            "a set holds texts".into(),
+            "no text",
+            "write the text in quotes",
+        ),
+        (field, Op::Has, _) => wrong(
+            format!("`{field}` is one text, not a set"),
+            "`has` needs a set",
+            "write `=`",
+        ),
+        (_, _, Value::Set(_)) => wrong(
+            "a set compares with `in` alone".into(),
+            "a set",
+            "write `in`",
+        ),
+        (
+            Field::Kind | Field::Rack | Field::Hall | Field::Name,
+            Op::Eq | Op::Ne,
+            Value::Text(_),
+        ) => Ok(()),
         (Field::Attr(_), Op::Eq | Op::Ne, _) => Ok(()),
         (Field::Attr(_), _, Value::Number(_) | Value::Version(_)) => Ok(()),
         (Field::Attr(_), op, Value::Text(_)) => wrong(
@@ -36,9 +52,16 @@
             "a text",
             "write a number without quotes, or a version such as v6.1",
         ),
-        (field, Op::Eq | Op::Ne, _) => wrong(format!("`{field}` is a text"), "no text", "write it in quotes"),
+        (field, Op::Eq | Op::Ne, _) => wrong(
+            format!("`{field}` is a text"),
+            "no text",
+            "write it in quotes",
+        ),
         (field, op, _) => wrong(
-            format!("`{field}` is a text, and texts have no order for `{}`", op.word()),
+            format!(
+                "`{field}` is a text, and texts have no order for `{}`",
+                op.word()
+            ),
             "no order",
             "use `=`, `!=` or `in`",
         ),
@@ -85,16 +108,23 @@
 }
 
 fn apart(a: Op, x: f64, b: Op, y: f64) -> bool {
-    let Some((one, other)) = range(a, x).zip(range(b, y)) else { return false };
-    let before =
-        |a: (f64, bool, f64, bool), b: (f64, bool, f64, bool)| a.2 < b.0 || a.2 == b.0 && !(a.3 && b.1);
+    let Some((one, other)) = range(a, x).zip(range(b, y)) else {
+        return false;
+    };
+    let before = |a: (f64, bool, f64, bool), b: (f64, bool, f64, bool)| {
+        a.2 < b.0 || a.2 == b.0 && !(a.3 && b.1)
+    };
     before(one, other) || before(other, one)
 }
 
 /// Finds required comparisons that no machine whatsoever can satisfy together.
 pub(crate) fn contradiction(constraint: &Constraint, text: &str) -> Result<(), Mistake> {
     let mut found: Vec<&Compare> = Vec::new();
-    for clause in constraint.clauses.iter().filter(|clause| clause.strength == Strength::Require) {
+    for clause in constraint
+        .clauses
+        .iter()
+        .filter(|clause| clause.strength == Strength::Require)
+    {
         if let Rule::Where(expr) = &clause.rule {
             musts(expr, &mut found);
         }
@@ -107,7 +137,11 @@
             // Clauses that came by `use` have their places in another text.
             let inside = |span: &Range<usize>| text.get(span.clone()).is_some();
             let mistake = Mistake::new(text, compare.span.clone(), message, "contradicts");
-            return Err(if inside(&other.span) { mistake.also(other.span.clone(), "this") } else { mistake });
+            return Err(if inside(&other.span) {
+                mistake.also(other.span.clone(), "this")
+            } else {
+                mistake
+            });
         }
         others.push(compare);
     }
@@ -127,7 +161,12 @@
     /// The types of a fleet's attributes.
     pub fn of(kinds: Vec<String>, fleet: &Fleet) -> Self {
         let attrs = fleet.lines().iter().flat_map(|line| line.attrs.iter());
-        Self { kinds, attrs: attrs.map(|(name, attr)| (name.clone(), attr.kind())).collect() }
+        Self {
+            kinds,
+            attrs: attrs
+                .map(|(name, attr)| (name.clone(), attr.kind()))
+                .collect(),
+        }
     }
 
     /// Checks a constraint beside the site: unknown kinds and attributes, and types that do not fit.
@@ -145,7 +184,9 @@
 
     fn expr(&self, expr: &Expr, text: &str) -> Result<(), Mistake> {
         match expr {
-            Expr::And(all) | Expr::Or(all) => all.iter().try_for_each(|inner| self.expr(inner, text)),
+            Expr::And(all) | Expr::Or(all) => {
+                all.iter().try_for_each(|inner| self.expr(inner, text))
+            }
             Expr::Not(inner) => self.expr(inner, text),
             Expr::Compare(compare) => self.compare(compare, text),
             Expr::Near(..) | Expr::Apart(..) => Ok(()),
@@ -153,24 +194,40 @@
     }
 
     fn compare(&self, compare: &Compare, text: &str) -> Result<(), Mistake> {
-        let span = if text.get(compare.span.clone()).is_some() { compare.span.clone() } else { 0..0 };
+        let span = if text.get(compare.span.clone()).is_some() {
+            compare.span.clone()
+        } else {
+            0..0
+        };
         let unknown = |what: &str, name: &str, known: Vec<&str>| {
-            let near = nearest(name, known.iter().copied()).map(|near| format!("did you mean `{near}`?"));
+            let near =
+                nearest(name, known.iter().copied()).map(|near| format!("did you mean `{near}`?"));
             let list = if known.is_empty() {
                 "none is known".to_owned()
             } else {
                 format!("known are {}", known.join(", "))
             };
-            let mistake = Mistake::new(text, span.clone(), format!("no {what} `{name}`"), "unknown");
+            let mistake =
+                Mistake::new(text, span.clone(), format!("no {what} `{name}`"), "unknown");
             Err(mistake.help(near.unwrap_or(list)))
         };
         match (&compare.field, &compare.value) {
-            (Field::Kind, Value::Text(name)) if !self.kinds.is_empty() && !self.kinds.contains(name) => {
-                unknown("kind", name, self.kinds.iter().map(String::as_str).collect())
+            (Field::Kind, Value::Text(name))
+                if !self.kinds.is_empty() && !self.kinds.contains(name) =>
+            {
+                unknown(
+                    "kind",
+                    name,
+                    self.kinds.iter().map(String::as_str).collect(),
+                )
             }
             (Field::Attr(name), value) => {
                 let Some(kind) = self.attrs.get(name) else {
-                    return unknown("attribute", name, self.attrs.keys().map(String::as_str).collect());
+                    return unknown(
+                        "attribute",
+                        name,
+                        self.attrs.keys().map(String::as_str).collect(),
+                    );
                 };
                 let fits = match (compare.op, value) {
                     (Op::Has, _) => *kind == "set",
@@ -181,7 +238,12 @@
                     return Ok(());
                 }
                 let message = format!("`attr.{name}` is a {kind} on the node list");
-                Err(Mistake::new(text, span, message, format!("compared as a {}", Attr::kind_of(value))))
+                Err(Mistake::new(
+                    text,
+                    span,
+                    message,
+                    format!("compared as a {}", Attr::kind_of(value)),
+                ))
             }
             _ => Ok(()),
         }
--- a/crates/constraint/src/error.rs
+++ b/crates/constraint/src/error.rs
@@ -44,7 +44,14 @@
         here: impl Into<String>,
     ) -> Self {
         let (message, here, text) = (message.into(), here.into(), text.to_owned());
-        Self(Box::new(Details { message, span, here, also: None, help: None, text }))
+        Self(Box::new(Details {
+            message,
+            span,
+            here,
+            also: None,
+            help: None,
+            text,
+        }))
     }
 
     pub(crate) fn help(mut self, help: impl Into<String>) -> Self {
@@ -66,9 +73,15 @@
         if let Some((span, here)) = &self.also {
             labels.push(Label::secondary((), span.clone()).with_message(here));
         }
-        let notes = self.help.iter().map(|help| format!("help: {help}")).collect();
-        let diagnostic =
-            Diagnostic::error().with_message(&self.message).with_labels(labels).with_notes(notes);
+        let notes = self
+            .help
+            .iter()
+            .map(|help| format!("help: {help}"))
+            .collect();
+        let diagnostic = Diagnostic::error()
+            .with_message(&self.message)
+            .with_labels(labels)
+            .with_notes(notes);
         let mut out = NoColor::new(Vec::new());
         let file = SimpleFile::new("constraint", &self.text);
         match term::emit(&mut out, &Config::default(), &file, &diagnostic) {
