--- a/crates/constraint/src/eval.rs
+++ b/crates/constraint/src/eval.rs
@@ -5,7 +5,9 @@
 use fixedbitset::FixedBitSet;
 
 use crate::fleet::{Attr, Census, Fleet, Line, Topic};
-use crate::tree::{Clause, Compare, Constraint, Expr, Field, Op, Place, Rule, Spread, Strength, Value, Who};
+use crate::tree::{
+    Clause, Compare, Constraint, Expr, Field, Op, Place, Rule, Spread, Strength, Value, Who,
+};
 
 /// Whose constraint it is.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -17,7 +19,10 @@
 impl Own {
     /// A task of this class and service.
     pub fn service(class: &str, service: &str) -> Self {
-        Self { class: class.to_owned(), service: service.to_owned() }
+        Self {
+            class: class.to_owned(),
+            service: service.to_owned(),
+        }
     }
 
     /// What copies of `who` are counted by.
@@ -31,8 +36,16 @@
 
     /// What a task of it with these labels counts as.
     pub fn topics(&self, labels: &[(String, String)]) -> Vec<Topic> {
-        let labels = labels.iter().map(|(key, value)| Topic::Label(key.clone(), value.clone()));
-        [self.topic(&Who::Copies), Topic::Service(self.service.clone())].into_iter().chain(labels).collect()
+        let labels = labels
+            .iter()
+            .map(|(key, value)| Topic::Label(key.clone(), value.clone()));
+        [
+            self.topic(&Who::Copies),
+            Topic::Service(self.service.clone()),
+        ]
+        .into_iter()
+        .chain(labels)
+        .collect()
     }
 }
 
@@ -105,7 +118,10 @@
 fn versions(a: &[u64], b: &[u64]) -> Ordering {
     let part = |parts: &[u64], n: usize| parts.get(n).copied().unwrap_or(0);
     let parts = (0..a.len().max(b.len())).map(|n| part(a, n).cmp(&part(b, n)));
-    parts.into_iter().find(|order| order.is_ne()).unwrap_or(Ordering::Equal)
+    parts
+        .into_iter()
+        .find(|order| order.is_ne())
+        .unwrap_or(Ordering::Equal)
 }
 
 fn ordered(op: Op, order: Option<Ordering>) -> bool {
@@ -139,20 +155,34 @@
         Expr::Compare(compare) => {
             let mut found = FixedBitSet::with_capacity(fleet.lines().len());
             let lines = fleet.lines().iter().enumerate();
-            lines.filter(|(_, line)| compares(compare, line)).for_each(|(at, _)| found.insert(at));
-            Both { may: found.clone(), must: found }
+            lines
+                .filter(|(_, line)| compares(compare, line))
+                .for_each(|(at, _)| found.insert(at));
+            Both {
+                may: found.clone(),
+                must: found,
+            }
         }
         Expr::Near(_, place) | Expr::Apart(_, place) => {
             // It may hold and may not, but for lines whose place is not told: there it never holds.
             let must = FixedBitSet::with_capacity(fleet.lines().len());
-            Both { must, may: fleet.places(*place).told.clone() }
+            Both {
+                must,
+                may: fleet.places(*place).told.clone(),
+            }
         }
         Expr::Not(inner) => {
             let inner = without_copies(inner, fleet);
-            Both { must: inverse(&inner.may), may: inverse(&inner.must) }
+            Both {
+                must: inverse(&inner.may),
+                may: inverse(&inner.must),
+            }
         }
         Expr::And(all) => all.iter().map(|inner| without_copies(inner, fleet)).fold(
-            Both { must: fleet.all(), may: fleet.all() },
+            Both {
+                must: fleet.all(),
+                may: fleet.all(),
+            },
             |mut sum, next| {
                 sum.must.intersect_with(&next.must);
                 sum.may.intersect_with(&next.may);
@@ -161,12 +191,17 @@
         ),
         Expr::Or(all) => {
             let none = FixedBitSet::with_capacity(fleet.lines().len());
-            let start = Both { must: none.clone(), may: none };
-            all.iter().map(|inner| without_copies(inner, fleet)).fold(start, |mut sum, next| {
-                sum.must.union_with(&next.must);
-                sum.may.union_with(&next.may);
-                sum
-            })
+            let start = Both {
+                must: none.clone(),
+                may: none,
+            };
+            all.iter()
+                .map(|inner| without_copies(inner, fleet))
+                .fold(start, |mut sum, next| {
+                    sum.must.union_with(&next.must);
+                    sum.may.union_with(&next.may);
+                    sum
+                })
         }
     }
 }
@@ -215,7 +250,13 @@
 }
 
 /// Own copies in each place.
-pub(crate) fn counts(fleet: &Fleet, census: &Census, own: &Own, by: Place, dark_too: bool) -> Vec<u32> {
+pub(crate) fn counts(
+    fleet: &Fleet,
+    census: &Census,
+    own: &Own,
+    by: Place,
+    dark_too: bool,
+) -> Vec<u32> {
     let places = fleet.places(by);
     let mut counts = vec![0; places.lines.len()];
     for (line, count) in census.of(&own.topic(&Who::Copies)) {
@@ -238,7 +279,11 @@
 ) -> FixedBitSet {
     let (places, counts) = (fleet.places(by), counts(fleet, census, own, by, true));
     let taken = counts.iter().filter(|count| **count > 0).count() as u32;
-    let among = places.lines.iter().zip(&counts).filter(|(lines, _)| !lines.is_disjoint(eligible));
+    let among = places
+        .lines
+        .iter()
+        .zip(&counts)
+        .filter(|(lines, _)| !lines.is_disjoint(eligible));
     let fewest = among.map(|(_, count)| *count).min().unwrap_or(0);
     let keeps = |place: usize| match how {
         Spread::AtMost(most) => counts[place] < most,
@@ -268,30 +313,54 @@
                         Spread::AtLeast(least) => places.lines.len() >= *least as usize,
                         Spread::AtMost(_) | Spread::Within(_) => true,
                     };
-                    if enough { places.told.clone() } else { FixedBitSet::with_capacity(fleet.lines().len()) }
+                    if enough {
+                        places.told.clone()
+                    } else {
+                        FixedBitSet::with_capacity(fleet.lines().len())
+                    }
                 }
             };
-            Worked { clause: clause.clone(), may, about_copies: clause.rule.is_about_copies() }
+            Worked {
+                clause: clause.clone(),
+                may,
+                about_copies: clause.rule.is_about_copies(),
+            }
         };
         let clauses: Vec<Worked> = constraint.clauses.iter().map(work).collect();
-        let required = clauses.iter().filter(|worked| worked.clause.strength == Strength::Require);
+        let required = clauses
+            .iter()
+            .filter(|worked| worked.clause.strength == Strength::Require);
         let may = required.fold(fleet.all(), |mut sum, worked| {
             sum.intersect_with(&worked.may);
             sum
         });
         // Places that only the other clauses leave: a spread over more of them can never be had.
         let enough = clauses.iter().all(|worked| match worked.clause.rule {
-            Rule::Spread { by, how: Spread::AtLeast(least) }
-                if worked.clause.strength == Strength::Require =>
-            {
-                let open = fleet.places(by).lines.iter().filter(|lines| !lines.is_disjoint(&may)).count();
+            Rule::Spread {
+                by,
+                how: Spread::AtLeast(least),
+            } if worked.clause.strength == Strength::Require => {
+                let open = fleet
+                    .places(by)
+                    .lines
+                    .iter()
+                    .filter(|lines| !lines.is_disjoint(&may))
+                    .count();
                 open >= least as usize
             }
             _ => true,
         });
-        let may = if enough { may } else { FixedBitSet::with_capacity(fleet.lines().len()) };
+        let may = if enough {
+            may
+        } else {
+            FixedBitSet::with_capacity(fleet.lines().len())
+        };
         let about_copies = constraint.is_about_copies();
-        Self { clauses, may, about_copies }
+        Self {
+            clauses,
+            may,
+            about_copies,
+        }
     }
 
     /// Whether no line of the list can ever satisfy it.
@@ -310,7 +379,13 @@
     }
 
     /// Lines on which one clause holds for one copy more.
-    pub(crate) fn clause(&self, n: usize, fleet: &Fleet, census: &Census, own: &Own) -> FixedBitSet {
+    pub(crate) fn clause(
+        &self,
+        n: usize,
+        fleet: &Fleet,
+        census: &Census,
+        own: &Own,
+    ) -> FixedBitSet {
         let worked = &self.clauses[n];
         if !worked.about_copies {
             return worked.may.clone();
@@ -332,7 +407,8 @@
         machines.intersect_with(fleet.ready());
         let of = |strength: Strength| {
             let all = self.clauses.iter().enumerate();
-            all.filter(move |(_, worked)| worked.clause.strength == strength).map(|(n, _)| n)
+            all.filter(move |(_, worked)| worked.clause.strength == strength)
+                .map(|(n, _)| n)
         };
         if self.about_copies {
             for n in of(Strength::Require).filter(|n| self.clauses[*n].about_copies) {
@@ -346,7 +422,11 @@
             for n in &wishes[..kept] {
                 let mut wished = machines.clone();
                 wished.intersect_with(&self.clause(*n, fleet, census, own));
-                if wished.is_clear() { lost.push(*n) } else { machines = wished }
+                if wished.is_clear() {
+                    lost.push(*n)
+                } else {
+                    machines = wished
+                }
             }
         }
         lost.sort_unstable();
@@ -355,6 +435,10 @@
             (false, true) => Verdict::NotNow,
             (false, false) => Verdict::Open,
         };
-        Answer { machines, dropped: lost, verdict }
+        Answer {
+            machines,
+            dropped: lost,
+            verdict,
+        }
     }
 }
--- a/crates/constraint/src/explain.rs
+++ b/crates/constraint/src/explain.rs
@@ -45,25 +45,48 @@
         let never = self.is_never();
         let lines = fleet.all().count_ones(..);
         let numbers: Vec<usize> = (0..self.clauses().count())
-            .filter(|n| self.clauses().nth(*n).is_some_and(|c| c.strength == Strength::Require))
+            .filter(|n| {
+                self.clauses()
+                    .nth(*n)
+                    .is_some_and(|c| c.strength == Strength::Require)
+            })
+            .collect();
+        let sets: Vec<FixedBitSet> = numbers
+            .iter()
+            .map(|n| self.clause(*n, fleet, census, own))
             .collect();
-        let sets: Vec<FixedBitSet> = numbers.iter().map(|n| self.clause(*n, fleet, census, own)).collect();
         // What can never be had is explained by the whole list, health aside.
-        let base = if never { fleet.all() } else { fleet.ready().clone() };
+        let base = if never {
+            fleet.all()
+        } else {
+            fleet.ready().clone()
+        };
         let (mut left, mut last, mut clauses) = (base.clone(), None, Vec::new());
         for (at, set) in sets.iter().enumerate() {
             let before = left.count_ones(..);
             left.intersect_with(set);
             let after = left.count_ones(..);
-            let text = self.clauses().nth(numbers[at]).map(ToString::to_string).unwrap_or_default();
+            let text = self
+                .clauses()
+                .nth(numbers[at])
+                .map(ToString::to_string)
+                .unwrap_or_default();
             let alone = base.difference(set).count();
-            clauses.push(ClauseLine { text, alone, in_order: before - after });
+            clauses.push(ClauseLine {
+                text,
+                alone,
+                in_order: before - after,
+            });
             if before > 0 && after == 0 {
                 last = Some(at);
             }
         }
         let open = if never { 0 } else { left.count_ones(..) };
-        let conflict = if left.is_clear() && !base.is_clear() { smallest(&base, &sets) } else { Vec::new() };
+        let conflict = if left.is_clear() && !base.is_clear() {
+            smallest(&base, &sets)
+        } else {
+            Vec::new()
+        };
         Explanation {
             verdict: match (never, open) {
                 (true, _) => Verdict::Never,
@@ -100,25 +123,40 @@
 impl fmt::Display for Explanation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.verdict {
-            Verdict::Never => {
-                write!(f, "no node of the list can ever satisfy its constraint ({} nodes)", self.machines)?
-            }
+            Verdict::Never => write!(
+                f,
+                "no node of the list can ever satisfy its constraint ({} nodes)",
+                self.machines
+            )?,
             Verdict::NotNow => write!(
                 f,
                 "no node satisfies its constraint now ({} nodes, {} not ready)",
                 self.machines, self.not_ready
             )?,
-            Verdict::Open => {
-                write!(f, "{} of {} nodes are open ({} not ready)", self.open, self.machines, self.not_ready)?
-            }
+            Verdict::Open => write!(
+                f,
+                "{} of {} nodes are open ({} not ready)",
+                self.open, self.machines, self.not_ready
+            )?,
         }
         for (n, clause) in self.clauses.iter().enumerate() {
-            let word = if self.last == Some(n) { ", the last of them" } else { "" };
-            write!(f, "; `{}` removes {} of {}{word}", clause.text, clause.in_order, clause.alone)?;
+            let word = if self.last == Some(n) {
+                ", the last of them"
+            } else {
+                ""
+            };
+            write!(
+                f,
+                "; `{}` removes {} of {}{word}",
+                clause.text, clause.in_order, clause.alone
+            )?;
         }
         if self.conflict.len() > 1 {
-            let texts: Vec<String> =
-                self.conflict.iter().map(|n| format!("`{}`", self.clauses[*n].text)).collect();
+            let texts: Vec<String> = self
+                .conflict
+                .iter()
+                .map(|n| format!("`{}`", self.clauses[*n].text))
+                .collect();
             write!(f, "; these conflict only together: {}", texts.join(", "))?;
         }
         Ok(())
--- a/crates/constraint/src/fleet.rs
+++ b/crates/constraint/src/fleet.rs
@@ -41,7 +41,9 @@
 
     /// An attribute from a text: a version where it has that form.
     pub fn text(text: &str) -> Self {
-        let parts = text.strip_prefix('v').map(|rest| rest.split('.').map(str::parse::<u64>).collect());
+        let parts = text
+            .strip_prefix('v')
+            .map(|rest| rest.split('.').map(str::parse::<u64>).collect());
         match parts {
             Some(Ok(parts)) => Self::Version(parts),
             _ => Self::Text(text.to_owned()),
@@ -73,19 +75,30 @@
 impl Line {
     /// A ready line of which nothing else is told.
     pub fn named(name: &str) -> Self {
-        Self { name: name.to_owned(), listed: true, ready: true, ..Self::default() }
+        Self {
+            name: name.to_owned(),
+            listed: true,
+            ready: true,
+            ..Self::default()
+        }
     }
 
     /// With this hall.
     #[must_use]
     pub fn hall(self, hall: &str) -> Self {
-        Self { hall: hall.to_owned(), ..self }
+        Self {
+            hall: hall.to_owned(),
+            ..self
+        }
     }
 
     /// With this rack.
     #[must_use]
     pub fn rack(self, rack: &str) -> Self {
-        Self { rack: rack.to_owned(), ..self }
+        Self {
+            rack: rack.to_owned(),
+            ..self
+        }
     }
 
     /// With this attribute, a text or a version.
@@ -108,7 +121,10 @@
 impl Places {
     fn new(lines: &[Line], name: impl Fn(&Line) -> Option<String>) -> Self {
         let mut numbers: BTreeMap<String, usize> = BTreeMap::new();
-        let mut places = Self { told: FixedBitSet::with_capacity(lines.len()), ..Self::default() };
+        let mut places = Self {
+            told: FixedBitSet::with_capacity(lines.len()),
+            ..Self::default()
+        };
         for (at, line) in lines.iter().enumerate() {
             let number = name(line).map(|name| {
                 let next = numbers.len();
@@ -147,9 +163,22 @@
             Places::new(&lines, |line| told(&line.hall)),
         ];
         let mut ready = FixedBitSet::with_capacity(lines.len());
-        lines.iter().enumerate().filter(|(_, line)| line.ready).for_each(|(at, _)| ready.insert(at));
-        let numbers = lines.iter().enumerate().map(|(at, line)| (line.name.clone(), at)).collect();
-        Self { lines, places, ready, numbers }
+        lines
+            .iter()
+            .enumerate()
+            .filter(|(_, line)| line.ready)
+            .for_each(|(at, _)| ready.insert(at));
+        let numbers = lines
+            .iter()
+            .enumerate()
+            .map(|(at, line)| (line.name.clone(), at))
+            .collect();
+        Self {
+            lines,
+            places,
+            ready,
+            numbers,
+        }
     }
 
     /// The lines.
@@ -173,7 +202,11 @@
     /// Every line.
     pub(crate) fn all(&self) -> FixedBitSet {
         let mut all = FixedBitSet::with_capacity(self.lines.len());
-        let listed = self.lines.iter().enumerate().filter(|(_, line)| line.listed);
+        let listed = self
+            .lines
+            .iter()
+            .enumerate()
+            .filter(|(_, line)| line.listed);
         listed.for_each(|(at, _)| all.insert(at));
         all
     }
@@ -209,14 +242,21 @@
     /// One copy more.
     pub fn add(&mut self, topics: &[Topic], line: usize) {
         for topic in topics {
-            *self.counts.entry(topic.clone()).or_default().entry(line).or_default() += 1;
+            *self
+                .counts
+                .entry(topic.clone())
+                .or_default()
+                .entry(line)
+                .or_default() += 1;
         }
     }
 
     /// One copy less.
     pub fn remove(&mut self, topics: &[Topic], line: usize) {
         for topic in topics {
-            let Some(lines) = self.counts.get_mut(topic) else { continue };
+            let Some(lines) = self.counts.get_mut(topic) else {
+                continue;
+            };
             if let Some(count) = lines.get_mut(&line) {
                 *count = count.saturating_sub(1);
                 if *count == 0 {
@@ -231,6 +271,10 @@
 
     /// Copies by line.
     pub fn of(&self, topic: &Topic) -> impl Iterator<Item = (usize, u32)> + '_ {
-        self.counts.get(topic).into_iter().flatten().map(|(line, count)| (*line, *count))
+        self.counts
+            .get(topic)
+            .into_iter()
+            .flatten()
+            .map(|(line, count)| (*line, *count))
     }
 }
--- a/crates/constraint/src/lib.rs
+++ b/crates/constraint/src/lib.rs
@@ -31,7 +31,9 @@
 pub use explain::{ClauseLine, Explanation};
 pub use fleet::{Attr, Census, Fleet, Line, Topic};
 pub use standing::{Breach, broken};
-pub use tree::{Clause, Compare, Constraint, Expr, Field, Op, Place, Rule, Spread, Strength, Value, Who};
+pub use tree::{
+    Clause, Compare, Constraint, Expr, Field, Op, Place, Rule, Spread, Strength, Value, Who,
+};
 
 /// Characters of a constraint's text at most.
 pub const MAX_TEXT: usize = 10_000;
--- a/crates/constraint/src/parse.rs
+++ b/crates/constraint/src/parse.rs
@@ -9,7 +9,9 @@
 use winnow::token::{any, none_of, one_of, take_while};
 
 use crate::error::{Mistake, nearest};
-use crate::tree::{Clause, Compare, Constraint, Expr, Field, Op, Place, Rule, Spread, Strength, Value, Who};
+use crate::tree::{
+    Clause, Compare, Constraint, Expr, Field, Op, Place, Rule, Spread, Strength, Value, Who,
+};
 use crate::{MAX_CLAUSES, MAX_DEPTH, MAX_TEXT};
 
 #[derive(Clone, Debug, PartialEq)]
@@ -41,28 +43,43 @@
 
 fn quoted(input: &mut Input<'_>) -> ModalResult<Token> {
     let inner = |quote: char, input: &mut Input<'_>| -> ModalResult<String> {
-        let body = repeat(0.., alt((none_of([quote, '\\']), escape))).fold(String::new, |mut text, c| {
-            text.push(c);
-            text
-        });
-        let end =
-            cut_err(quote).context(StrContext::Expected(StrContextValue::Description("a closing quote")));
+        let body =
+            repeat(0.., alt((none_of([quote, '\\']), escape))).fold(String::new, |mut text, c| {
+                text.push(c);
+                text
+            });
+        let end = cut_err(quote).context(StrContext::Expected(StrContextValue::Description(
+            "a closing quote",
+        )));
         delimited(quote, body, end).parse_next(input)
     };
-    alt((|i: &mut Input<'_>| inner('"', i), |i: &mut Input<'_>| inner('\'', i)))
-        .map(Token::Quoted)
-        .parse_next(input)
+    alt((
+        |i: &mut Input<'_>| inner('"', i),
+        |i: &mut Input<'_>| inner('\'', i),
+    ))
+    .map(Token::Quoted)
+    .parse_next(input)
 }
 
 fn number(input: &mut Input<'_>) -> ModalResult<Token> {
-    let start = (winnow::combinator::opt('-'), take_while(1.., |c: char| c.is_ascii_digit()));
+    let start = (
+        winnow::combinator::opt('-'),
+        take_while(1.., |c: char| c.is_ascii_digit()),
+    );
     let fraction = winnow::combinator::opt(('.', take_while(1.., |c: char| c.is_ascii_digit())));
-    (start, fraction).take().try_map(|text: &str| text.parse()).map(Token::Number).parse_next(input)
+    (start, fraction)
+        .take()
+        .try_map(|text: &str| text.parse())
+        .map(Token::Number)
+        .parse_next(input)
 }
 
 fn version(input: &mut Input<'_>) -> ModalResult<Token> {
-    let part = take_while(1..19, |c: char| c.is_ascii_digit()).try_map(|text: &str| text.parse::<u64>());
-    let end = winnow::combinator::not(one_of(|c: char| c.is_alphanumeric() || c == '_' || c == '-'));
+    let part =
+        take_while(1..19, |c: char| c.is_ascii_digit()).try_map(|text: &str| text.parse::<u64>());
+    let end = winnow::combinator::not(one_of(|c: char| {
+        c.is_alphanumeric() || c == '_' || c == '-'
+    }));
     winnow::combinator::terminated(preceded('v', separated(1..=8, part, '.')), end)
         .map(Token::Version)
         .parse_next(input)
@@ -71,13 +88,18 @@
 fn word(input: &mut Input<'_>) -> ModalResult<Token> {
     let first = one_of(|c: char| c.is_alphabetic() || c == '_');
     let rest = take_while(0.., |c: char| c.is_alphanumeric() || "_-.".contains(c));
-    (first, rest).take().map(|text: &str| Token::Word(text.to_owned())).parse_next(input)
+    (first, rest)
+        .take()
+        .map(|text: &str| Token::Word(text.to_owned()))
+        .parse_next(input)
 }
 
 fn sign(input: &mut Input<'_>) -> ModalResult<Token> {
     let long = alt(("!=", "<=", ">="));
     let short = alt(("=", "<", ">", "(", ")", "{", "}", ",", ";"));
-    let all = ["!=", "<=", ">=", "=", "<", ">", "(", ")", "{", "}", ",", ";"];
+    let all = [
+        "!=", "<=", ">=", "=", "<", ">", "(", ")", "{", "}", ",", ";",
+    ];
     alt((long, short))
         .verify_map(move |text| all.into_iter().find(|sign| *sign == text))
         .map(Token::Sign)
@@ -105,7 +127,10 @@
         if input.is_empty() {
             return Ok(found);
         }
-        match alt((quoted, version, number, word, sign)).with_span().parse_next(&mut input) {
+        match alt((quoted, version, number, word, sign))
+            .with_span()
+            .parse_next(&mut input)
+        {
             Ok((token, span)) => {
                 match &token {
                     Token::Sign("(" | "{") => open += 1,
@@ -115,14 +140,22 @@
                 found.push((token, span));
             }
             Err(_) if text[at..].starts_with(['"', '\'']) => {
-                let wrong = Mistake::new(text, at..text.len(), "a quote is not closed", "opened here");
-                return Err(wrong.help("inside quotes, write \\\" for a quote and \\\\ for a backslash"));
+                let wrong =
+                    Mistake::new(text, at..text.len(), "a quote is not closed", "opened here");
+                return Err(
+                    wrong.help("inside quotes, write \\\" for a quote and \\\\ for a backslash")
+                );
             }
             Err(_) => {
                 let length = text[at..].chars().next().map_or(1, char::len_utf8);
                 let odd = &text[at..at + length];
                 let span = at..at + length;
-                return Err(Mistake::new(text, span, format!("`{odd}` means nothing here"), "unexpected"));
+                return Err(Mistake::new(
+                    text,
+                    span,
+                    format!("`{odd}` means nothing here"),
+                    "unexpected",
+                ));
             }
         }
     }
@@ -148,13 +181,21 @@
     ///
     /// # Errors
     /// As [`Constraint::parse`], and an unknown name after `use`.
-    pub fn parse_with<'n>(text: &str, named: impl Fn(&str) -> Option<&'n str>) -> Result<Self, Mistake> {
+    pub fn parse_with<'n>(
+        text: &str,
+        named: impl Fn(&str) -> Option<&'n str>,
+    ) -> Result<Self, Mistake> {
         let length = text.chars().count();
         if length > MAX_TEXT {
             let message = format!("the text has {length} characters, at most {MAX_TEXT} fit");
             return Err(Mistake::new("", 0..0, message, "too long"));
         }
-        let mut parser = Reading { text, tokens: tokens(text)?, at: 0, depth: 0 };
+        let mut parser = Reading {
+            text,
+            tokens: tokens(text)?,
+            at: 0,
+            depth: 0,
+        };
         let mut clauses = Vec::new();
         loop {
             while parser.takes_sign(";") {}
@@ -168,7 +209,9 @@
                 return Err(Mistake::new(text, span, message, "one too many"));
             }
             if parser.at < parser.tokens.len() && !parser.takes_sign(";") {
-                return Err(parser.expected("`;`, `and`, `or` or the end of the clause", &["and", "or"]));
+                return Err(
+                    parser.expected("`;`, `and`, `or` or the end of the clause", &["and", "or"])
+                );
             }
         }
         let constraint = Self { clauses };
@@ -185,17 +228,27 @@
     /// The place of the next token, or the end of the text.
     fn place(&self) -> Range<usize> {
         let end = self.text.len();
-        self.tokens.get(self.at).map_or(end..end, |(_, span)| span.clone())
+        self.tokens
+            .get(self.at)
+            .map_or(end..end, |(_, span)| span.clone())
     }
 
     fn shown(&self) -> String {
         let place = self.place();
-        if place.is_empty() { "the end".to_owned() } else { format!("`{}`", self.text[place].trim_end()) }
+        if place.is_empty() {
+            "the end".to_owned()
+        } else {
+            format!("`{}`", self.text[place].trim_end())
+        }
     }
 
     fn expected(&self, what: &str, words: &[&str]) -> Mistake {
-        let mistake =
-            Mistake::new(self.text, self.place(), format!("expected {what}, found {}", self.shown()), "here");
+        let mistake = Mistake::new(
+            self.text,
+            self.place(),
+            format!("expected {what}, found {}", self.shown()),
+            "here",
+        );
         let near = match self.peek() {
             Some(Token::Word(word)) => nearest(word, words.iter().copied()),
             _ => None,
@@ -219,7 +272,11 @@
     }
 
     fn needs_word(&mut self, word: &str) -> Result<(), Mistake> {
-        if self.takes_word(word) { Ok(()) } else { Err(self.expected(&format!("`{word}`"), &[word])) }
+        if self.takes_word(word) {
+            Ok(())
+        } else {
+            Err(self.expected(&format!("`{word}`"), &[word]))
+        }
     }
 
     fn clause<'n>(
@@ -244,7 +301,10 @@
                     "used here",
                 )
             })?;
-            clauses.extend(inner.clauses.into_iter().map(|clause| Clause { span: place.clone(), ..clause }));
+            clauses.extend(inner.clauses.into_iter().map(|clause| Clause {
+                span: place.clone(),
+                ..clause
+            }));
             return Ok(());
         }
         let strength = if self.takes_word("prefer") {
@@ -257,18 +317,29 @@
         let rule = if self.takes_word("spread") {
             self.needs_word("by")?;
             let by = self.by()?;
-            Rule::Spread { by, how: self.spread()? }
+            Rule::Spread {
+                by,
+                how: self.spread()?,
+            }
         } else {
             Rule::Where(self.or()?)
         };
         let span = from..self.tokens[self.at - 1].1.end;
-        clauses.push(Clause { strength, rule, span });
+        clauses.push(Clause {
+            strength,
+            rule,
+            span,
+        });
         Ok(())
     }
 
     fn by(&mut self) -> Result<Place, Mistake> {
-        let found = Place::ALL.into_iter().find(|place| self.takes_word(place.word()));
-        found.ok_or_else(|| self.expected("`machine`, `rack` or `hall`", &["machine", "rack", "hall"]))
+        let found = Place::ALL
+            .into_iter()
+            .find(|place| self.takes_word(place.word()));
+        found.ok_or_else(|| {
+            self.expected("`machine`, `rack` or `hall`", &["machine", "rack", "hall"])
+        })
     }
 
     fn spread(&mut self) -> Result<Spread, Mistake> {
@@ -289,7 +360,9 @@
 
     fn count(&mut self) -> Result<u32, Mistake> {
         let count = match self.peek() {
-            Some(Token::Number(n)) if n.fract() == 0.0 && (1.0..=1e6).contains(n) => Some(*n as u32),
+            Some(Token::Number(n)) if n.fract() == 0.0 && (1.0..=1e6).contains(n) => {
+                Some(*n as u32)
+            }
             _ => None,
         };
         let count = count.ok_or_else(|| self.expected("a whole number from 1 to 1000000", &[]))?;
@@ -315,10 +388,17 @@
         while self.takes_word(word) {
             all.push(part(self)?);
         }
-        Ok(if all.len() == 1 { all.remove(0) } else { join(all) })
+        Ok(if all.len() == 1 {
+            all.remove(0)
+        } else {
+            join(all)
+        })
     }
 
-    fn deeper<T>(&mut self, part: impl FnOnce(&mut Self) -> Result<T, Mistake>) -> Result<T, Mistake> {
+    fn deeper<T>(
+        &mut self,
+        part: impl FnOnce(&mut Self) -> Result<T, Mistake>,
+    ) -> Result<T, Mistake> {
         self.depth += 1;
         if self.depth > MAX_DEPTH {
             let message = format!("more than {MAX_DEPTH} levels of parentheses and `not`");
@@ -369,8 +449,10 @@
             }
             return Ok(Who::Label(key, self.text_value("the label's value")?));
         }
-        Err(self
-            .expected("`copies`, `service NAME` or `label NAME = VALUE`", &["copies", "service", "label"]))
+        Err(self.expected(
+            "`copies`, `service NAME` or `label NAME = VALUE`",
+            &["copies", "service", "label"],
+        ))
     }
 
     fn text_value(&mut self, what: &str) -> Result<String, Mistake> {
@@ -384,7 +466,17 @@
     }
 
     fn field(&mut self) -> Result<Field, Mistake> {
-        let words = ["kind", "rack", "hall", "name", "attr.NAME", "near", "apart", "not", "spread"];
+        let words = [
+            "kind",
+            "rack",
+            "hall",
+            "name",
+            "attr.NAME",
+            "near",
+            "apart",
+            "not",
+            "spread",
+        ];
         let field = match self.peek() {
             Some(Token::Word(word)) => match word.as_str() {
                 "kind" => Some(Field::Kind),
@@ -409,14 +501,27 @@
         let field = self.field()?;
         let signs = [Op::Ne, Op::Le, Op::Ge, Op::Eq, Op::Lt, Op::Gt];
         let sign = signs.into_iter().find(|op| self.takes_sign(op.word()));
-        let op = sign.or_else(|| [Op::In, Op::Has].into_iter().find(|op| self.takes_word(op.word())));
-        let op = op
-            .ok_or_else(|| self.expected("`=`, `!=`, `<`, `<=`, `>`, `>=`, `in` or `has`", &["in", "has"]))?;
+        let op = sign.or_else(|| {
+            [Op::In, Op::Has]
+                .into_iter()
+                .find(|op| self.takes_word(op.word()))
+        });
+        let op = op.ok_or_else(|| {
+            self.expected(
+                "`=`, `!=`, `<`, `<=`, `>`, `>=`, `in` or `has`",
+                &["in", "has"],
+            )
+        })?;
         let at = self.place();
         let value = self.value()?;
         let span = from..self.tokens[self.at - 1].1.end;
         crate::check::fits(self.text, &field, op, &value, at)?;
-        Ok(Expr::Compare(Compare { field, op, value, span }))
+        Ok(Expr::Compare(Compare {
+            field,
+            op,
+            value,
+            span,
+        }))
     }
 
     fn value(&mut self) -> Result<Value, Mistake> {
@@ -425,12 +530,19 @@
             let mut all = Vec::new();
             while !self.takes_sign("}") {
                 if !all.is_empty() && !self.takes_sign(",") {
-                    return Err(self.expected("`,` or `}`", &[]).also(open, "the set begins here"));
+                    return Err(self
+                        .expected("`,` or `}`", &[])
+                        .also(open, "the set begins here"));
                 }
                 all.push(self.text_value("a text of the set")?);
             }
             if all.is_empty() {
-                return Err(Mistake::new(self.text, open, "an empty set holds nothing", "empty"));
+                return Err(Mistake::new(
+                    self.text,
+                    open,
+                    "an empty set holds nothing",
+                    "empty",
+                ));
             }
             return Ok(Value::Set(all));
         }
@@ -440,8 +552,9 @@
             Some(Token::Version(parts)) => Some(Value::Version(parts.clone())),
             _ => None,
         };
-        let value = value
-            .ok_or_else(|| self.expected("a text, a number, a version such as `v6.1`, or a set", &[]))?;
+        let value = value.ok_or_else(|| {
+            self.expected("a text, a number, a version such as `v6.1`, or a set", &[])
+        })?;
         self.at += 1;
         Ok(value)
     }
--- a/crates/constraint/src/tree.rs
+++ b/crates/constraint/src/tree.rs
@@ -234,7 +234,9 @@
 impl Constraint {
     /// Whether any clause speaks of copies.
     pub fn is_about_copies(&self) -> bool {
-        self.clauses.iter().any(|clause| clause.rule.is_about_copies())
+        self.clauses
+            .iter()
+            .any(|clause| clause.rule.is_about_copies())
     }
 
     /// Whose copies it speaks of.
--- a/crates/constraint/tests/brute.rs
+++ b/crates/constraint/tests/brute.rs
@@ -35,7 +35,9 @@
                 _ => false,
             };
     }
-    let Field::Attr(name) = &compare.field else { return false };
+    let Field::Attr(name) = &compare.field else {
+        return false;
+    };
     match (line.attrs.get(name), &compare.value) {
         (Some(Attr::Number(a)), Value::Number(b)) => match compare.op {
             Op::Eq => a == b,
@@ -67,7 +69,10 @@
     fn beside(&self, who: &Who, by: Place, line: &Line) -> Option<bool> {
         let here = place(line, by)?;
         let topic = self.own.topic(who);
-        let mut all = self.copies.iter().filter(|(topics, _)| topics.contains(&topic));
+        let mut all = self
+            .copies
+            .iter()
+            .filter(|(topics, _)| topics.contains(&topic));
         Some(all.any(|(_, at)| place(&self.lines[*at], by).as_ref() == Some(&here)))
     }
 
@@ -79,8 +84,11 @@
             Expr::Compare(compare) => compares(compare, line),
             Expr::Near(who, by) => {
                 let topic = self.own.topic(who);
-                let first =
-                    *who == Who::Copies && !self.copies.iter().any(|(topics, _)| topics.contains(&topic));
+                let first = *who == Who::Copies
+                    && !self
+                        .copies
+                        .iter()
+                        .any(|(topics, _)| topics.contains(&topic));
                 match self.beside(who, *by, line) {
                     Some(beside) => beside || first,
                     None => false,
@@ -104,8 +112,12 @@
     }
 
     fn counts(&self, by: Place) -> BTreeMap<String, u32> {
-        let mut counts: BTreeMap<String, u32> =
-            self.lines.iter().filter_map(|line| place(line, by)).map(|place| (place, 0)).collect();
+        let mut counts: BTreeMap<String, u32> = self
+            .lines
+            .iter()
+            .filter_map(|line| place(line, by))
+            .map(|place| (place, 0))
+            .collect();
         let topic = self.own.topic(&Who::Copies);
         for (topics, at) in self.copies {
             if let Some(p) = place(&self.lines[*at], by).filter(|_| topics.contains(&topic)) {
@@ -119,7 +131,9 @@
         match &clause.rule {
             Rule::Where(expr) => self.holds(expr, line),
             Rule::Spread { by, how } => {
-                let Some(here) = place(line, *by) else { return false };
+                let Some(here) = place(line, *by) else {
+                    return false;
+                };
                 let counts = self.counts(*by);
                 match how {
                     Spread::AtMost(most) => counts[&here] < *most,
@@ -139,7 +153,12 @@
 
     /// Lines that could be had whatever copies stand where.
     fn ever(&self, constraint: &Constraint) -> Vec<&Line> {
-        let required = || constraint.clauses.iter().filter(|clause| clause.strength == Strength::Require);
+        let required = || {
+            constraint
+                .clauses
+                .iter()
+                .filter(|clause| clause.strength == Strength::Require)
+        };
         let can = |line: &&Line| {
             required().all(|clause| match &clause.rule {
                 Rule::Where(expr) => Self::can_hold(expr, line, true),
@@ -148,8 +167,12 @@
         };
         let lines: Vec<&Line> = self.lines.iter().filter(can).collect();
         let enough = required().all(|clause| match clause.rule {
-            Rule::Spread { by, how: Spread::AtLeast(least) } => {
-                let mut places: Vec<String> = lines.iter().filter_map(|line| place(line, by)).collect();
+            Rule::Spread {
+                by,
+                how: Spread::AtLeast(least),
+            } => {
+                let mut places: Vec<String> =
+                    lines.iter().filter_map(|line| place(line, by)).collect();
                 places.sort();
                 places.dedup();
                 places.len() >= least as usize
@@ -162,16 +185,26 @@
     fn open(&self, constraint: &Constraint) -> Vec<String> {
         let ever = self.ever(constraint);
         let eligible: Vec<&Line> = ever.iter().copied().filter(|line| line.ready).collect();
-        let required: Vec<&Clause> =
-            constraint.clauses.iter().filter(|clause| clause.strength == Strength::Require).collect();
-        let open =
-            eligible.iter().filter(|line| required.iter().all(|clause| self.passes(clause, line, &eligible)));
+        let required: Vec<&Clause> = constraint
+            .clauses
+            .iter()
+            .filter(|clause| clause.strength == Strength::Require)
+            .collect();
+        let open = eligible.iter().filter(|line| {
+            required
+                .iter()
+                .all(|clause| self.passes(clause, line, &eligible))
+        });
         open.map(|line| line.name.clone()).collect()
     }
 }
 
 fn name() -> impl Strategy<Value = String> {
-    prop_oneof!["[abc]", Just("hütte \"3\"".to_owned()), Just("a\\b".to_owned())]
+    prop_oneof![
+        "[abc]",
+        Just("hütte \"3\"".to_owned()),
+        Just("a\\b".to_owned())
+    ]
 }
 
 fn value_for(attr: &str) -> BoxedStrategy<(Op, Value)> {
@@ -186,7 +219,9 @@
                 Just(Op::Gt),
                 Just(Op::Ge)
             ];
-            (ops, 0..6_i32).prop_map(|(op, n)| (op, Value::Number(f64::from(n)))).boxed()
+            (ops, 0..6_i32)
+                .prop_map(|(op, n)| (op, Value::Number(f64::from(n))))
+                .boxed()
         }
         "tags" => name().prop_map(|text| (Op::Has, Value::Text(text))).boxed(),
         _ => prop_oneof![
@@ -213,7 +248,12 @@
             _ => String::new(),
         };
         value_for(&attr).prop_map(move |(op, value)| {
-            Expr::Compare(Compare { field: field.clone(), op, value, span: 0..0 })
+            Expr::Compare(Compare {
+                field: field.clone(),
+                op,
+                value,
+                span: 0..0,
+            })
         })
     })
 }
@@ -252,7 +292,11 @@
     });
     let strength = prop_oneof![4 => Just(Strength::Require), 1 => Just(Strength::Prefer)];
     let rule = prop_oneof![3 => expr().prop_map(Rule::Where), 1 => spread];
-    (strength, rule).prop_map(|(strength, rule)| Clause { strength, rule, span: 0..0 })
+    (strength, rule).prop_map(|(strength, rule)| Clause {
+        strength,
+        rule,
+        span: 0..0,
+    })
 }
 
 fn constraint() -> impl Strategy<Value = Constraint> {
@@ -264,21 +308,35 @@
 }
 
 fn some_lines(count: std::ops::Range<usize>) -> impl Strategy<Value = Vec<Line>> {
-    let line = (0..4_usize, 0..4_usize, 0..3_usize, 0..6_i32, 0..4_usize, any::<bool>());
+    let line = (
+        0..4_usize,
+        0..4_usize,
+        0..3_usize,
+        0..6_i32,
+        0..4_usize,
+        any::<bool>(),
+    );
     prop::collection::vec(line, count).prop_map(|all| {
         let texts = ["", "a", "b", "c"];
-        let line =
-            |(n, (hall, rack, kind, cores, tag, ready)): (usize, (usize, usize, usize, i32, usize, bool))| {
-                let mut line = Line::named(&format!("n{n}")).hall(texts[hall]).rack(texts[rack]);
-                line.kind = texts[kind + 1].to_owned();
-                line.ready = ready;
-                line.attrs.insert("cores".into(), Attr::Number(f64::from(cores)));
-                if tag > 0 {
-                    line.attrs.insert("tags".into(), Attr::Set(vec![texts[tag].to_owned()]));
-                    line.attrs.insert("ssd".into(), Attr::Text(texts[tag].to_owned()));
-                }
-                line
-            };
+        let line = |(n, (hall, rack, kind, cores, tag, ready)): (
+            usize,
+            (usize, usize, usize, i32, usize, bool),
+        )| {
+            let mut line = Line::named(&format!("n{n}"))
+                .hall(texts[hall])
+                .rack(texts[rack]);
+            line.kind = texts[kind + 1].to_owned();
+            line.ready = ready;
+            line.attrs
+                .insert("cores".into(), Attr::Number(f64::from(cores)));
+            if tag > 0 {
+                line.attrs
+                    .insert("tags".into(), Attr::Set(vec![texts[tag].to_owned()]));
+                line.attrs
+                    .insert("ssd".into(), Attr::Text(texts[tag].to_owned()));
+            }
+            line
+        };
         all.into_iter().enumerate().map(line).collect()
     })
 }
@@ -290,7 +348,10 @@
 fn stand(all: Vec<(usize, String, usize)>, lines: usize) -> (Copies, Census) {
     let (mut copies, mut census) = (Vec::new(), Census::default());
     for (which, service, at) in all {
-        let own = Own::service(["play", "other"][which], if which == 0 { "own" } else { &service });
+        let own = Own::service(
+            ["play", "other"][which],
+            if which == 0 { "own" } else { &service },
+        );
         let topics = own.topics(&[("a".into(), service)]);
         census.add(&topics, at % lines);
         copies.push((topics, at % lines));
--- a/crates/constraint/tests/mistakes.rs
+++ b/crates/constraint/tests/mistakes.rs
@@ -16,12 +16,21 @@
         ("require hall < a", "texts have no order"),
         ("require hall has a", "is one text, not a set"),
         ("require hall = 3", "write it in quotes"),
-        ("require attr.cores < \"3\"", "write a number without quotes"),
+        (
+            "require attr.cores < \"3\"",
+            "write a number without quotes",
+        ),
         ("require attr.x in {}", "an empty set"),
         ("require apart copies by hall", "expected `from`"),
         ("require near copes by hall", "did you mean `copies`?"),
-        ("require near copies by room", "expected `machine`, `rack` or `hall`"),
-        ("require near label tier by hall", "`=` and the label's value"),
+        (
+            "require near copies by room",
+            "expected `machine`, `rack` or `hall`",
+        ),
+        (
+            "require near label tier by hall",
+            "`=` and the label's value",
+        ),
         ("spread by hall at mots 2", "did you mean `most`?"),
         ("spread by hall at most 0", "a whole number from 1"),
         ("spread by hall at most 1.5", "a whole number from 1"),
@@ -31,7 +40,10 @@
         ("require hall = a & rack = b", "`&` means nothing here"),
         ("use nothing", "the settings name no constraint `nothing`"),
         ("require hall = a and hall = b", "can't both hold"),
-        ("require hall = a; require hall in {\"b\", \"c\"}", "can't both hold"),
+        (
+            "require hall = a; require hall in {\"b\", \"c\"}",
+            "can't both hold",
+        ),
         ("require attr.n > 5; require attr.n <= 5", "can't both hold"),
         ("require kind = x and kind != x", "can't both hold"),
     ];
@@ -72,7 +84,10 @@
     Constraint::parse(&fits).unwrap();
     let deep = format!("require {}hall = a{}", "(".repeat(5_000), ")".repeat(4_000));
     assert!(mistake(&deep).contains("more than 50 levels"));
-    assert!(mistake(&format!("require {} hall = a", "not ".repeat(2_000))).contains("more than 50 levels"));
+    assert!(
+        mistake(&format!("require {} hall = a", "not ".repeat(2_000)))
+            .contains("more than 50 levels")
+    );
     let many = "require hall = a;".repeat(MAX_CLAUSES + 1);
     assert!(mistake(&many).contains("more than 64 clauses"));
 }
@@ -82,23 +97,49 @@
     let mut line = Line::named("n").hall("a").attr("kernel", "v6.1");
     line.attrs.insert("gpus".into(), Attr::Number(2.0));
     let schema = Schema::of(vec!["big".into()], &Fleet::new(vec![line]));
-    let check = |text: &str| schema.check(&Constraint::parse(text).unwrap(), text).map_err(|m| m.to_string());
-    assert!(check("require kind = bigg").unwrap_err().contains("did you mean `big`?"));
-    assert!(check("require attr.gpu > 1").unwrap_err().contains("did you mean `gpus`?"));
-    assert!(check("require attr.gpus = two").unwrap_err().contains("is a number on the node list"));
-    assert!(check("require attr.kernel > 6").unwrap_err().contains("is a version"));
+    let check = |text: &str| {
+        schema
+            .check(&Constraint::parse(text).unwrap(), text)
+            .map_err(|m| m.to_string())
+    };
+    assert!(
+        check("require kind = bigg")
+            .unwrap_err()
+            .contains("did you mean `big`?")
+    );
+    assert!(
+        check("require attr.gpu > 1")
+            .unwrap_err()
+            .contains("did you mean `gpus`?")
+    );
+    assert!(
+        check("require attr.gpus = two")
+            .unwrap_err()
+            .contains("is a number on the node list")
+    );
+    assert!(
+        check("require attr.kernel > 6")
+            .unwrap_err()
+            .contains("is a version")
+    );
     check("require kind = big and attr.gpus >= 2 and attr.kernel >= v6").unwrap();
 }
 
 /// Lines that a text leaves open where no copy stands.
 fn open(text: &str, fleet: &Fleet) -> Vec<usize> {
     let compiled = Compiled::new(&Constraint::parse(text).unwrap(), fleet);
-    compiled.open(fleet, &Census::default(), &Own::service("c", "s"), 0).machines.ones().collect()
+    compiled
+        .open(fleet, &Census::default(), &Own::service("c", "s"), 0)
+        .machines
+        .ones()
+        .collect()
 }
 
 fn fleet() -> Fleet {
     let line = |n: usize| {
-        let mut line = Line::named(&format!("n{n}")).hall(["a", "b"][n % 2]).rack(["1", "2"][n / 2 % 2]);
+        let mut line = Line::named(&format!("n{n}"))
+            .hall(["a", "b"][n % 2])
+            .rack(["1", "2"][n / 2 % 2]);
         line.kind = ["big", "small"][n / 4 % 2].to_owned();
         line
     };
@@ -109,22 +150,41 @@
 fn an_explanation_names_the_clause_and_the_smallest_conflict() {
     let explain = |text: &str| {
         let constraint = Constraint::parse(text).unwrap();
-        Compiled::new(&constraint, &fleet()).explain(&fleet(), &Census::default(), &Own::service("c", "s"))
+        Compiled::new(&constraint, &fleet()).explain(
+            &fleet(),
+            &Census::default(),
+            &Own::service("c", "s"),
+        )
     };
     let never = explain("require kind = big; require hall = x; require rack = \"1\"");
-    assert_eq!((never.verdict, never.last, never.conflict.clone()), (Verdict::Never, Some(1), vec![1]));
+    assert_eq!(
+        (never.verdict, never.last, never.conflict.clone()),
+        (Verdict::Never, Some(1), vec![1])
+    );
     assert_eq!((never.clauses[0].in_order, never.clauses[1].alone), (4, 8));
     // Each leaves machines, and no two of them conflict but the first and the last.
-    let together = explain("require name in {\"n0\", \"n1\"}; require rack = \"1\"; require kind = small");
-    assert_eq!((together.verdict, together.conflict.clone()), (Verdict::Never, vec![0, 2]));
-    assert!(together.to_string().contains("conflict only together"), "{together}");
+    let together =
+        explain("require name in {\"n0\", \"n1\"}; require rack = \"1\"; require kind = small");
+    assert_eq!(
+        (together.verdict, together.conflict.clone()),
+        (Verdict::Never, vec![0, 2])
+    );
+    assert!(
+        together.to_string().contains("conflict only together"),
+        "{together}"
+    );
     assert_eq!(explain("require hall = a").open, 4);
 }
 
 #[test]
 fn versions_compare_by_their_parts() {
     let line = |name: &str, version: &str| Line::named(name).attr("os", version);
-    let fleet = Fleet::new(vec![line("a", "v6.1"), line("b", "v6.10.2"), line("c", "v5"), line("d", "six")]);
+    let fleet = Fleet::new(vec![
+        line("a", "v6.1"),
+        line("b", "v6.10.2"),
+        line("c", "v5"),
+        line("d", "six"),
+    ]);
     let open = |text: &str| open(text, &fleet);
     assert_eq!(open("require attr.os >= v6.2"), [1]);
     assert_eq!(open("require attr.os = v6.1.0"), [0]);
@@ -153,7 +213,12 @@
         let text = text.replace("\\n", "\n");
         match (want, Constraint::parse(&text)) {
             ("good", Ok(read)) => {
-                assert_eq!(Constraint::parse(&read.to_string()).unwrap(), read, "line {}", n + 1)
+                assert_eq!(
+                    Constraint::parse(&read.to_string()).unwrap(),
+                    read,
+                    "line {}",
+                    n + 1
+                )
             }
             ("bad", Err(mistake)) => assert!(!mistake.to_string().is_empty()),
             (_, got) => panic!("line {}: {text}: {got:?}", n + 1),
--- a/crates/core/benches/constraints.rs
+++ b/crates/core/benches/constraints.rs
@@ -27,40 +27,103 @@
 impl Site {
     fn new(nodes: usize) -> Self {
         let settings = Settings::parse(SETTINGS, "bench").expect("the bench's own settings");
-        let core = Core::new(settings, Start { now: 0, unix_us: 0, life: 1, seed: 1 });
+        let core = Core::new(
+            settings,
+            Start {
+                now: 0,
+                unix_us: 0,
+                life: 1,
+                seed: 1,
+            },
+        );
         let entry = |n: usize| NodeEntry {
             hall: format!("h{}", n % 2),
             ..NodeEntry::at(format!("n{n}"), ([127, 0, 0, 1], 7_000 + n as u16).into())
         };
-        let mut site = Self { core, now: 0, list: (0..nodes).map(entry).collect(), call: 0, placed: 0 };
+        let mut site = Self {
+            core,
+            now: 0,
+            list: (0..nodes).map(entry).collect(),
+            call: 0,
+            placed: 0,
+        };
         site.tell_list();
         for n in 0..nodes {
             let node = format!("n{n}");
             let (called, life, up_ms, can_suspend) = (node.clone(), 1, 0, false);
             site.core.handle(
                 0,
-                Input::LinkUp { node: node.clone(), called, life, up_ms, can_suspend, record: None },
+                Input::LinkUp {
+                    node: node.clone(),
+                    called,
+                    life,
+                    up_ms,
+                    can_suspend,
+                    record: None,
+                },
+            );
+            site.core.handle(
+                0,
+                Input::Message {
+                    node,
+                    message: Message::Holds {
+                        held: Vec::new(),
+                        last: true,
+                    },
+                },
             );
-            site.core
-                .handle(0, Input::Message { node, message: Message::Holds { held: Vec::new(), last: true } });
         }
-        site.core.handle(0, Input::Call { conn: 1, id: 0, call: Call::Init { session: "s".into() } });
+        site.core.handle(
+            0,
+            Input::Call {
+                conn: 1,
+                id: 0,
+                call: Call::Init {
+                    session: "s".into(),
+                },
+            },
+        );
         site.run();
         site
     }
 
     fn tell_list(&mut self) {
         let nodes = self.list.clone();
-        self.core.handle(self.now, Input::Listed(NodeList { revision: 0, nodes }));
+        self.core
+            .handle(self.now, Input::Listed(NodeList { revision: 0, nodes }));
     }
 
     fn submit(&mut self, count: u64, constraint: &str) {
         self.call += 1;
         let native = format!("service=s cores=0.001 memory=0.001 {constraint}");
-        let job = Box::new(JobSpec { command: "x".into(), native, ..JobSpec::default() });
-        let key = CallKey { session: "s".into(), call: self.call, settled: 0, sent_to: 1 };
-        let call = Call::RunBulkJobs { key, job, range: Range { first: 1, last: count, step: 1 } };
-        self.core.handle(self.now, Input::Call { conn: 1, id: self.call, call });
+        let job = Box::new(JobSpec {
+            command: "x".into(),
+            native,
+            ..JobSpec::default()
+        });
+        let key = CallKey {
+            session: "s".into(),
+            call: self.call,
+            settled: 0,
+            sent_to: 1,
+        };
+        let call = Call::RunBulkJobs {
+            key,
+            job,
+            range: Range {
+                first: 1,
+                last: count,
+                step: 1,
+            },
+        };
+        self.core.handle(
+            self.now,
+            Input::Call {
+                conn: 1,
+                id: self.call,
+                call,
+            },
+        );
     }
 
     /// Lets the core run until it has nothing to do; each offer is accepted and over.
@@ -69,19 +132,38 @@
             self.core.flush(self.now);
             let mut came = Vec::new();
             while let Some(output) = self.core.poll() {
-                if let Output::Send { node, message: Message::Offer { attempt, .. } } = output {
+                if let Output::Send {
+                    node,
+                    message: Message::Offer { attempt, .. },
+                } = output
+                {
                     self.placed += 1;
                     let report = Vec::new();
-                    let accepted = Message::Accepted { attempt, report: report.clone() };
-                    came.push(Input::Message { node: node.clone(), message: accepted });
-                    let ended = Message::Ended { attempt, end: End::Exited(0), ran: true, report };
-                    came.push(Input::Message { node, message: ended });
+                    let accepted = Message::Accepted {
+                        attempt,
+                        report: report.clone(),
+                    };
+                    came.push(Input::Message {
+                        node: node.clone(),
+                        message: accepted,
+                    });
+                    let ended = Message::Ended {
+                        attempt,
+                        end: End::Exited(0),
+                        ran: true,
+                        report,
+                    };
+                    came.push(Input::Message {
+                        node,
+                        message: ended,
+                    });
                 }
             }
             if came.is_empty() && self.core.next_wake().is_none_or(|at| at > self.now) {
                 return;
             }
-            came.into_iter().for_each(|input| self.core.handle(self.now, input));
+            came.into_iter()
+                .for_each(|input| self.core.handle(self.now, input));
         }
     }
 }
@@ -90,8 +172,14 @@
     println!("placements in a core, 20 nodes, 20 jobs every 10 ms for 100 rounds");
     let texts = [
         ("no constraint", ""),
-        ("of the list", "constraint='require hall in {\"h0\", \"h1\"} and name != n3'"),
-        ("of copies", "constraint='require spread by machine at most 50'"),
+        (
+            "of the list",
+            "constraint='require hall in {\"h0\", \"h1\"} and name != n3'",
+        ),
+        (
+            "of copies",
+            "constraint='require spread by machine at most 50'",
+        ),
     ];
     for (word, text) in texts {
         let mut site = Site::new(20);
@@ -102,15 +190,24 @@
             site.run();
         }
         let each = began.elapsed().as_secs_f64() * 1e6 / site.placed.max(1) as f64;
-        println!("{word:>14}: {each:.1} us a placement, {} placed", site.placed);
+        println!(
+            "{word:>14}: {each:.1} us a placement, {} placed",
+            site.placed
+        );
     }
     println!("10,000 held jobs whose hall is dark, 20 nodes: one list update");
     for (word, text) in [
         ("of the list", "constraint='require hall = h1'"),
-        ("of copies", "constraint='require hall = h1; require apart from service z by machine'"),
+        (
+            "of copies",
+            "constraint='require hall = h1; require apart from service z by machine'",
+        ),
     ] {
         let mut site = Site::new(20);
-        site.list.iter_mut().filter(|node| node.hall == "h1").for_each(|node| node.health = Health::Draining);
+        site.list
+            .iter_mut()
+            .filter(|node| node.hall == "h1")
+            .for_each(|node| node.health = Health::Draining);
         site.tell_list();
         site.run();
         site.submit(10_000, text);
@@ -121,6 +218,9 @@
         site.list[0].health = Health::Draining;
         site.tell_list();
         site.core.flush(site.now);
-        println!("{word:>14}: {:.2} ms, {held} placed", began.elapsed().as_secs_f64() * 1e3);
+        println!(
+            "{word:>14}: {:.2} ms, {held} placed",
+            began.elapsed().as_secs_f64() * 1e3
+        );
     }
 }
--- a/crates/core/benches/keep.rs
+++ b/crates/core/benches/keep.rs
@@ -23,22 +23,60 @@
 fn core(keeps: bool, image: Image) -> Core {
     let mut settings = Settings::parse(SETTINGS, "bench").expect("the bench's own settings");
     settings.state = keeps.then(|| State::in_folder("state".into()));
-    let start = Start { now: 1_000_000, unix_us: 1_000_000, life: 9, seed: 1 };
-    let restored = Restored { image, ..Restored::default() };
-    if keeps { Core::with_state(settings, start, restored) } else { Core::new(settings, start) }
+    let start = Start {
+        now: 1_000_000,
+        unix_us: 1_000_000,
+        life: 9,
+        seed: 1,
+    };
+    let restored = Restored {
+        image,
+        ..Restored::default()
+    };
+    if keeps {
+        Core::with_state(settings, start, restored)
+    } else {
+        Core::new(settings, start)
+    }
 }
 
 /// Submits held jobs, a thousand at a time; the milliseconds of the longest flush, and the changes to keep.
 fn fill(core: &mut Core) -> (f64, Vec<Change>) {
     let (mut longest, mut changes) = (0.0_f64, Vec::new());
-    core.handle(1_000_000, Input::Call { conn: 1, id: 0, call: Call::Init { session: "s".to_owned() } });
+    core.handle(
+        1_000_000,
+        Input::Call {
+            conn: 1,
+            id: 0,
+            call: Call::Init {
+                session: "s".to_owned(),
+            },
+        },
+    );
     for call in 1..=JOBS / 1_000 {
-        let key = CallKey { session: "s".to_owned(), call, settled: call, sent_to: 9 };
-        let job = Box::new(JobSpec { command: "work".to_owned(), hold: true, ..JobSpec::default() });
-        let range = Range { first: 1, last: 1_000, step: 1 };
+        let key = CallKey {
+            session: "s".to_owned(),
+            call,
+            settled: call,
+            sent_to: 9,
+        };
+        let job = Box::new(JobSpec {
+            command: "work".to_owned(),
+            hold: true,
+            ..JobSpec::default()
+        });
+        let range = Range {
+            first: 1,
+            last: 1_000,
+            step: 1,
+        };
         core.handle(
             1_000_000,
-            Input::Call { conn: 1, id: call, call: Call::RunBulkJobs { key, job, range } },
+            Input::Call {
+                conn: 1,
+                id: call,
+                call: Call::RunBulkJobs { key, job, range },
+            },
         );
         let began = Instant::now();
         core.flush(1_000_000);
@@ -54,21 +92,36 @@
 }
 
 fn main() {
-    println!("{} cores", std::thread::available_parallelism().map_or(1, usize::from));
+    println!(
+        "{} cores",
+        std::thread::available_parallelism().map_or(1, usize::from)
+    );
     for keeps in [false, true] {
         let mut core = core(keeps, Image::default());
         let began = Instant::now();
         let (longest, changes) = fill(&mut core);
         let word = if keeps { "kept" } else { "not kept" };
-        println!("{JOBS} jobs, {word}: {:.0} ms, the longest flush of 1,000 jobs {longest:.2} ms", ms(began));
+        println!(
+            "{JOBS} jobs, {word}: {:.0} ms, the longest flush of 1,000 jobs {longest:.2} ms",
+            ms(began)
+        );
         if !keeps {
             continue;
         }
-        core.handle(1_000_000, Input::StateLost { why: "full".to_owned(), marked: true });
+        core.handle(
+            1_000_000,
+            Input::StateLost {
+                why: "full".to_owned(),
+                marked: true,
+            },
+        );
         core.handle(1_000_000, Input::StateBack);
         let began = Instant::now();
         core.flush(1_000_000);
-        println!("every row anew, after a loss: the loop stands for {:.1} ms", ms(began));
+        println!(
+            "every row anew, after a loss: the loop stands for {:.1} ms",
+            ms(began)
+        );
         let mut image = Image::default();
         for change in changes {
             match change {
@@ -99,6 +152,10 @@
         placer.step(1, &[Event::Listed(Listing::Whole(lines))], &mut Vec::new());
         let began = Instant::now();
         let beliefs = placer.beliefs(2);
-        println!("beliefs of {} machines told: {:.2} ms", beliefs.machines.len(), ms(began));
+        println!(
+            "beliefs of {} machines told: {:.2} ms",
+            beliefs.machines.len(),
+            ms(began)
+        );
     }
 }
--- a/crates/core/benches/plans.rs
+++ b/crates/core/benches/plans.rs
@@ -15,7 +15,9 @@
 fn change(placers: usize, nodes: usize) {
     let began = Instant::now();
     let mut world = World::new(placers, nodes);
-    world.until_all(1, 60_000_000).expect("the first plan comes in force");
+    world
+        .until_all(1, 60_000_000)
+        .expect("the first plan comes in force");
     let quiet = world.now + 2_000_000;
     while world.now < quiet {
         world.until_all(9, 100 * MS);
@@ -48,18 +50,44 @@
     world.start(0, settings(plan, 1), 1);
     // Until the plan is in force, where there is one, and all is quiet.
     world.until_all(9, 2_000_000);
-    let init = Call::Init { session: "s".to_owned() };
-    world.cores[0].handle(world.now, Input::Call { conn: 1, id: 0, call: init });
+    let init = Call::Init {
+        session: "s".to_owned(),
+    };
+    world.cores[0].handle(
+        world.now,
+        Input::Call {
+            conn: 1,
+            id: 0,
+            call: init,
+        },
+    );
     let began = Instant::now();
     let (mut bytes, mut made) = (0, 0);
     for call in 1..=JOBS / 10 {
-        let key = CallKey { session: "s".to_owned(), call, settled: call, sent_to: 1_000 };
+        let key = CallKey {
+            session: "s".to_owned(),
+            call,
+            settled: call,
+            sent_to: 1_000,
+        };
         let native = "class=c life=1ms cores=0.01 memory=0.01".to_owned();
-        let job = Box::new(JobSpec { command: "work".to_owned(), native, ..JobSpec::default() });
-        let range = Range { first: 1, last: 10, step: 1 };
+        let job = Box::new(JobSpec {
+            command: "work".to_owned(),
+            native,
+            ..JobSpec::default()
+        });
+        let range = Range {
+            first: 1,
+            last: 10,
+            step: 1,
+        };
         world.cores[0].handle(
             world.now,
-            Input::Call { conn: 1, id: call, call: Call::RunBulkJobs { key, job, range } },
+            Input::Call {
+                conn: 1,
+                id: call,
+                call: Call::RunBulkJobs { key, job, range },
+            },
         );
         world.turn(0);
         for due in world.queue.values() {
@@ -71,7 +99,10 @@
         }
         world.until_all(9, 4 * MS);
     }
-    assert!(made as u64 >= JOBS * 9 / 10, "{made} offers of {JOBS} jobs, plan {plan}");
+    assert!(
+        made as u64 >= JOBS * 9 / 10,
+        "{made} offers of {JOBS} jobs, plan {plan}"
+    );
     assert!(bytes > 0);
     began.elapsed().as_secs_f64() * 1e6 / JOBS as f64
 }
--- a/crates/core/src/ask.rs
+++ b/crates/core/src/ask.rs
@@ -42,7 +42,10 @@
     let at = at.ok_or_else(|| {
         let near = nearest(name, known).map(|near| format!("did you mean `{near}`?"));
         let fix = near.unwrap_or_else(|| format!("known are {}", known.join(", ")));
-        denied(ErrorCode::InvalidAttributeValue, format!("`{name}` is no {what} of this placer; {fix}"))
+        denied(
+            ErrorCode::InvalidAttributeValue,
+            format!("`{name}` is no {what} of this placer; {fix}"),
+        )
     })?;
     Ok(at as u16)
 }
@@ -51,7 +54,11 @@
     /// What its constraint is about, if it has one.
     pub fn subject(&self) -> Option<Subject> {
         let bound = Arc::clone(self.bound.as_ref()?);
-        Some(Subject { bound, own: self.own.clone(), topics: Arc::clone(&self.topics) })
+        Some(Subject {
+            bound,
+            own: self.own.clone(),
+            topics: Arc::clone(&self.topics),
+        })
     }
 
     /// What a job of a former life asks for, as it was then. An error has what is left of it, and what the
@@ -67,8 +74,14 @@
         };
         match (made, kept) {
             (Ok(mut ask), Some(kept)) => {
-                let class = settings.classes.iter().position(|class| class.name == kept.class);
-                let tenant = settings.tenants.iter().position(|tenant| *tenant == kept.tenant);
+                let class = settings
+                    .classes
+                    .iter()
+                    .position(|class| class.name == kept.class);
+                let tenant = settings
+                    .tenants
+                    .iter()
+                    .position(|tenant| *tenant == kept.tenant);
                 let Some((class, tenant)) = class.zip(tenant) else {
                     let why = format!("class `{}` or tenant `{}`", kept.class, kept.tenant);
                     return Err((Arc::new(ask), why));
@@ -108,41 +121,72 @@
     pub fn new(spec: JobSpec, settings: &Settings, schema: Option<&Schema>) -> Result<Self> {
         spec.check()?;
         if spec.command.is_empty() {
-            return Err(denied(ErrorCode::DeniedByDrm, "drmaa_remote_command is not set".to_owned()));
+            return Err(denied(
+                ErrorCode::DeniedByDrm,
+                "drmaa_remote_command is not set".to_owned(),
+            ));
         }
         let size = serde_json::to_vec(&spec).map_or(usize::MAX, |bytes| bytes.len());
         // Room for the digits of an index in each place that may hold one.
         if size + 256 > MAX_PAYLOAD {
-            let text = format!("the template has {size} bytes, at most {} fit", MAX_PAYLOAD - 256);
+            let text = format!(
+                "the template has {size} bytes, at most {} fit",
+                MAX_PAYLOAD - 256
+            );
             return Err(denied(ErrorCode::InvalidAttributeValue, text));
         }
         let own = Native::parse(&spec.native)?;
         let native = match spec.category.as_str() {
             "" => own,
             name => {
-                let names: Vec<&str> = settings.categories.iter().map(|c| c.name.as_str()).collect();
+                let names: Vec<&str> = settings
+                    .categories
+                    .iter()
+                    .map(|c| c.name.as_str())
+                    .collect();
                 let at = position(name, &names, "job category")?;
                 own.or(&settings.categories[usize::from(at)].native)
             }
         };
-        let classes: Vec<&str> = settings.classes.iter().map(|class| class.name.as_str()).collect();
-        let class = native.class.as_deref().map_or(Ok(0), |name| position(name, &classes, "class"))?;
+        let classes: Vec<&str> = settings
+            .classes
+            .iter()
+            .map(|class| class.name.as_str())
+            .collect();
+        let class = native
+            .class
+            .as_deref()
+            .map_or(Ok(0), |name| position(name, &classes, "class"))?;
         let tenants: Vec<&str> = settings.tenants.iter().map(String::as_str).collect();
-        let tenant = native.tenant.as_deref().map_or(Ok(0), |name| position(name, &tenants, "tenant"))?;
+        let tenant = native
+            .tenant
+            .as_deref()
+            .map_or(Ok(0), |name| position(name, &tenants, "tenant"))?;
         let told = &settings.classes[usize::from(class)];
         // Without a word, the jobs of one program in one class are one service.
-        let service = native.service.unwrap_or_else(|| format!("{}:{}", told.name, spec.command));
+        let service = native
+            .service
+            .unwrap_or_else(|| format!("{}:{}", told.name, spec.command));
         if service.len() > MAX_NAME {
-            let text = format!("the service has {} bytes, at most {MAX_NAME} fit", service.len());
+            let text = format!(
+                "the service has {} bytes, at most {MAX_NAME} fit",
+                service.len()
+            );
             return Err(denied(ErrorCode::InvalidAttributeValue, text));
         }
         let own = Own::service(&told.name, &service);
-        let wrong =
-            |mistake: Mistake| denied(ErrorCode::InvalidAttributeValue, format!("constraint: {mistake}"));
+        let wrong = |mistake: Mistake| {
+            denied(
+                ErrorCode::InvalidAttributeValue,
+                format!("constraint: {mistake}"),
+            )
+        };
         let bound = match native.constraint.as_deref() {
             Some(text) => {
                 let constraint = settings.constraint(text).map_err(wrong)?;
-                schema.map_or(Ok(()), |schema| schema.check(&constraint, text)).map_err(wrong)?;
+                schema
+                    .map_or(Ok(()), |schema| schema.check(&constraint, text))
+                    .map_err(wrong)?;
                 Some(Arc::new(Bound::new(constraint, &own)))
             }
             None => None,
--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -5,7 +5,9 @@
 
 use reedring::Micros;
 use reedring_constraint::{Mistake, Own, Schema};
-use reedring_drmaa::rpc::{Answer, Call, CallKey, Jobs, JobsPage, Range, Response, Stats, Submitted};
+use reedring_drmaa::rpc::{
+    Answer, Call, CallKey, Jobs, JobsPage, Range, Response, Stats, Submitted,
+};
 use reedring_drmaa::template::nearest;
 use reedring_drmaa::{Control, Error, ErrorCode, JobSpec, Result, VERSION};
 use reedring_nodeproto::Message;
@@ -29,7 +31,13 @@
 
 impl Core {
     /// Carries a call out. `None` where its answer comes later.
-    pub(crate) fn call(&mut self, now: Micros, conn: ConnId, id: u64, call: Call) -> Option<Result<Answer>> {
+    pub(crate) fn call(
+        &mut self,
+        now: Micros,
+        conn: ConnId,
+        id: u64,
+        call: Call,
+    ) -> Option<Result<Answer>> {
         let key = match &call {
             Call::Exit { key }
             | Call::RunJob { key, .. }
@@ -53,12 +61,18 @@
         match session.recorded(key.call) {
             Err(error) => return Some(Err(error)),
             Ok(Some(Record::Answer(result))) => return Some(result.clone()),
-            Ok(Some(Record::Submission(range))) => return Some(Ok(submitted(&key, *range, self.not_kept()))),
+            Ok(Some(Record::Submission(range))) => {
+                return Some(Ok(submitted(&key, *range, self.not_kept())));
+            }
             Ok(None) => {}
         }
         let result = match call {
             Call::RunJob { job, .. } => {
-                let one = Range { first: 1, last: 1, step: 1 };
+                let one = Range {
+                    first: 1,
+                    last: 1,
+                    step: 1,
+                };
                 return self.submit(now, number, key, *job, one, false, (conn, id));
             }
             Call::RunBulkJobs { job, range, .. } => {
@@ -66,9 +80,12 @@
             }
             Call::Exit { .. } => self.exit(number),
             Call::Control { jobs, action, .. } => self.control(now, number, &jobs, action),
-            Call::Synchronize { jobs, timeout_s, dispose, .. } => {
-                self.synchronize(now, number, key.call, &jobs, timeout_s, dispose, (conn, id))?
-            }
+            Call::Synchronize {
+                jobs,
+                timeout_s,
+                dispose,
+                ..
+            } => self.synchronize(now, number, key.call, &jobs, timeout_s, dispose, (conn, id))?,
             Call::Wait { job, timeout_s, .. } => {
                 let (result, kept) =
                     self.wait(now, number, key.call, job.as_deref(), timeout_s, (conn, id))?;
@@ -92,11 +109,15 @@
     pub(crate) fn plain_call(&mut self, now: Micros, call: Call) -> Result<Answer> {
         match call {
             Call::Init { session } => {
-                let number = self.sessions.open(&session, now, self.settings.limits.sessions)?;
+                let number = self
+                    .sessions
+                    .open(&session, now, self.settings.limits.sessions)?;
                 if let Some(session) = self.sessions.get_mut(number) {
                     session.touched = now;
                 }
-                Ok(Answer::Session { life: self.start.life })
+                Ok(Answer::Session {
+                    life: self.start.life,
+                })
             }
             Call::JobPs { session, job } => {
                 let number = self.sessions.find(&session)?;
@@ -104,7 +125,10 @@
                 Ok(Answer::State(self.ledger.jobs[&found].state()))
             }
             Call::Version {} => Ok(Answer::Version(VERSION.0, VERSION.1)),
-            Call::DrmSystem {} => Ok(Answer::Text(format!("reedring {}", env!("CARGO_PKG_VERSION")))),
+            Call::DrmSystem {} => Ok(Answer::Text(format!(
+                "reedring {}",
+                env!("CARGO_PKG_VERSION")
+            ))),
             Call::ListJobs { after, limit } => Ok(Answer::Jobs(self.jobs_page(now, after, limit))),
             Call::ShowJob { job } => self.show_job(now, &job),
             Call::ListNodes {} => Ok(Answer::Nodes(self.node_lines())),
@@ -113,31 +137,58 @@
             Call::Stats {} => {
                 let (live, jobs) = (self.ledger.live as u64, self.ledger.jobs.len() as u64);
                 let module_us = self.module_ns / 1_000;
-                let stats = Stats { live, jobs, module_us, ..self.stats.clone() };
+                let stats = Stats {
+                    live,
+                    jobs,
+                    module_us,
+                    ..self.stats.clone()
+                };
                 Ok(Answer::Stats(Box::new(stats)))
             }
-            _ => Err(error(ErrorCode::InternalError, "the call has no answer here")),
+            _ => Err(error(
+                ErrorCode::InternalError,
+                "the call has no answer here",
+            )),
         }
     }
 
     pub(crate) fn no_node(&self, name: &str) -> Error {
-        let known: Vec<&str> = self.nodes.all.values().map(|node| node.name.as_str()).collect();
-        let near = nearest(name, &known).map(|near| format!("; did you mean `{near}`?")).unwrap_or_default();
-        error(ErrorCode::InvalidArgument, format!("the list has no node `{name}`{near}"))
+        let known: Vec<&str> = self
+            .nodes
+            .all
+            .values()
+            .map(|node| node.name.as_str())
+            .collect();
+        let near = nearest(name, &known)
+            .map(|near| format!("; did you mean `{near}`?"))
+            .unwrap_or_default();
+        error(
+            ErrorCode::InvalidArgument,
+            format!("the list has no node `{name}`{near}"),
+        )
     }
 
     /// What a wait gets whose job another wait took.
     pub(crate) fn taken(&self) -> Error {
-        error(ErrorCode::InvalidJob, "the job's end was told to another wait")
+        error(
+            ErrorCode::InvalidJob,
+            "the job's end was told to another wait",
+        )
     }
 
     fn job_of(&self, session: SessionNo, name: &str) -> Result<JobNo> {
         let found = JobName::parse(name).and_then(|parsed| {
-            let session = self.sessions.get(session).filter(|session| session.name == parsed.session)?;
+            let session = self
+                .sessions
+                .get(session)
+                .filter(|session| session.name == parsed.session)?;
             session.jobs.get(&(parsed.call, parsed.index)).copied()
         });
         found.ok_or_else(|| {
-            error(ErrorCode::InvalidJob, format!("`{name}` is no job of this session, or its end was told"))
+            error(
+                ErrorCode::InvalidJob,
+                format!("`{name}` is no job of this session, or its end was told"),
+            )
         })
     }
 
@@ -168,7 +219,10 @@
             Err(error) => return Some(Err(error)),
         };
         // A submission that was first sent to a placer of an earlier life may have been carried out there.
-        let (earlier, covered) = (key.sent_to != self.start.life, self.covered.contains(&key.sent_to));
+        let (earlier, covered) = (
+            key.sent_to != self.start.life,
+            self.covered.contains(&key.sent_to),
+        );
         let class = &self.settings.classes[usize::from(ask.class)];
         if let Some(why) = self.versions.as_ref().and_then(Versions::shut_out) {
             return Some(Err(error(
@@ -178,18 +232,23 @@
         }
         if class.closed {
             let name = &class.name;
-            let text = format!("class `{name}` takes nothing new: it is not in the plan that is acted by");
+            let text =
+                format!("class `{name}` takes nothing new: it is not in the plan that is acted by");
             return Some(Err(error(ErrorCode::TryLater, text)));
         }
         if let Some(why) = self.keep.lost().filter(|_| !self.may_leave(class.effect)) {
             let name = &class.name;
-            let text =
-                format!("class `{name}` must not start twice, and what is promised can't be kept now: {why}");
+            let text = format!(
+                "class `{name}` must not start twice, and what is promised can't be kept now: {why}"
+            );
             return Some(Err(error(ErrorCode::TryLater, text)));
         }
         let mut plan = Vec::new();
         for index in indices {
-            let there = self.sessions.get(session).and_then(|s| s.jobs.get(&(key.call, index)).copied());
+            let there = self
+                .sessions
+                .get(session)
+                .and_then(|s| s.jobs.get(&(key.call, index)).copied());
             let repeat = match there {
                 Some(_) => Repeat::Held,
                 None if self.all_told(now) => Repeat::NotHeld,
@@ -201,9 +260,16 @@
             };
             if step == Resubmission::Wait {
                 let call = if bulk {
-                    Call::RunBulkJobs { key, job: Box::new(spec), range }
+                    Call::RunBulkJobs {
+                        key,
+                        job: Box::new(spec),
+                        range,
+                    }
                 } else {
-                    Call::RunJob { key, job: Box::new(spec) }
+                    Call::RunJob {
+                        key,
+                        job: Box::new(spec),
+                    }
                 };
                 self.timers.set(self.settle_until, Timer::Settle);
                 self.parked.push(Parked { conn, id, call });
@@ -211,7 +277,10 @@
             }
             plan.push((index, step));
         }
-        let starts = plan.iter().filter(|(_, step)| *step == Resubmission::Start).count();
+        let starts = plan
+            .iter()
+            .filter(|(_, step)| *step == Resubmission::Start)
+            .count();
         let (live, limit) = (self.ledger.live, self.settings.limits.jobs);
         if starts > 0 && live + starts > limit {
             let text = format!("{live} jobs are not over and at most {limit} fit; try later");
@@ -223,10 +292,17 @@
             if step == Resubmission::TakeUp {
                 continue;
             }
-            let name = JobName { session: Arc::clone(&name), call: key.call, index };
+            let name = JobName {
+                session: Arc::clone(&name),
+                call: key.call,
+                index,
+            };
             let key = job_key(&class, ask.key.as_deref(), &name, bulk);
             let new = Job::new(name, session, Arc::clone(&ask), key, now);
-            let job = self.add_job(Job { again: earlier, ..new });
+            let job = self.add_job(Job {
+                again: earlier,
+                ..new
+            });
             match step {
                 Resubmission::Start => self.begin(now, job),
                 _ => {
@@ -249,18 +325,24 @@
 
     /// What a submitter is told while nothing is durable.
     pub(crate) fn not_kept(&self) -> Option<String> {
-        self.keep.lost().map(|why| format!("the jobs would not outlive a restart of the placer: {why}"))
+        self.keep
+            .lost()
+            .map(|why| format!("the jobs would not outlive a restart of the placer: {why}"))
     }
 
     /// A new job waits for its user, for its time, or for the module.
     fn begin(&mut self, now: Micros, job: JobNo) {
-        let Some(entry) = self.ledger.job_mut(job) else { return };
+        let Some(entry) = self.ledger.job_mut(job) else {
+            return;
+        };
         let spec = &entry.ask.spec;
         if spec.hold {
             entry.phase = Phase::Held;
             return;
         }
-        let start = spec.start.map(|at| at.saturating_mul(1_000_000).max(0) as u64);
+        let start = spec
+            .start
+            .map(|at| at.saturating_mul(1_000_000).max(0) as u64);
         let start = start.map(|at| self.start.now + at.saturating_sub(self.start.unix_us));
         match start.filter(|at| *at > now) {
             Some(at) => {
@@ -312,14 +394,25 @@
         match jobs {
             Jobs::All => {
                 let session = self.sessions.get(session);
-                Ok(session.map(|s| s.jobs.values().copied().collect()).unwrap_or_default())
+                Ok(session
+                    .map(|s| s.jobs.values().copied().collect())
+                    .unwrap_or_default())
             }
-            Jobs::These(names) => names.iter().map(|name| self.job_of(session, name)).collect(),
+            Jobs::These(names) => names
+                .iter()
+                .map(|name| self.job_of(session, name))
+                .collect(),
         }
     }
 
     /// Acts on each job that it can; with all of a session, jobs that are over are passed by.
-    fn control(&mut self, now: Micros, session: SessionNo, jobs: &Jobs, action: Control) -> Result<Answer> {
+    fn control(
+        &mut self,
+        now: Micros,
+        session: SessionNo,
+        jobs: &Jobs,
+        action: Control,
+    ) -> Result<Answer> {
         let numbers = self.named(session, jobs)?;
         let mut first = None;
         for job in numbers {
@@ -343,13 +436,22 @@
             Control::Terminate => {
                 if !job.is_over() {
                     let end = match job.phase {
-                        Phase::Running(_) | Phase::Suspended(_) => {
-                            reedring_drmaa::End::Signaled { signal: "SIGKILL".to_owned(), core_dump: false }
-                        }
+                        Phase::Running(_) | Phase::Suspended(_) => reedring_drmaa::End::Signaled {
+                            signal: "SIGKILL".to_owned(),
+                            core_dump: false,
+                        },
                         _ => reedring_drmaa::End::Aborted,
                     };
                     let reason = Some("terminated by its user".to_owned());
-                    self.terminate(now, number, Ending { end, reason, stay_away_us: None });
+                    self.terminate(
+                        now,
+                        number,
+                        Ending {
+                            end,
+                            reason,
+                            stay_away_us: None,
+                        },
+                    );
                 }
                 Ok(())
             }
@@ -365,7 +467,8 @@
                     Ok(())
                 }
                 _ => {
-                    let text = format!("job {name} was offered to a node, is held already, or is over");
+                    let text =
+                        format!("job {name} was offered to a node, is held already, or is over");
                     Err(error(ErrorCode::HoldInconsistentState, text))
                 }
             },
@@ -385,15 +488,24 @@
                     }
                     Ok(())
                 }
-                _ => Err(error(ErrorCode::ReleaseInconsistentState, format!("job {name} is not on hold"))),
+                _ => Err(error(
+                    ErrorCode::ReleaseInconsistentState,
+                    format!("job {name} is not on hold"),
+                )),
             },
             Control::Suspend => match job.phase {
                 Phase::Running(id) => self.tell_holder(now, id, true),
-                _ => Err(error(ErrorCode::SuspendInconsistentState, format!("job {name} does not run"))),
+                _ => Err(error(
+                    ErrorCode::SuspendInconsistentState,
+                    format!("job {name} does not run"),
+                )),
             },
             Control::Resume => match job.phase {
                 Phase::Suspended(id) => self.tell_holder(now, id, false),
-                _ => Err(error(ErrorCode::ResumeInconsistentState, format!("job {name} is not suspended"))),
+                _ => Err(error(
+                    ErrorCode::ResumeInconsistentState,
+                    format!("job {name} is not suspended"),
+                )),
             },
         }
     }
@@ -407,14 +519,18 @@
     /// Asks a job's node to suspend it or let it go on; the job's state changes when the node says so.
     fn tell_holder(&mut self, now: Micros, id: reedring::AttemptId, suspend: bool) -> Result<()> {
         let Some(attempt) = self.ledger.attempts.get(&id) else {
-            return Err(error(ErrorCode::InternalError, "the job's copy is not known"));
+            return Err(error(
+                ErrorCode::InternalError,
+                "the job's copy is not known",
+            ));
         };
         let (number, attempt) = (attempt.node, attempt.wire);
         let node = self.nodes.all.get(&number);
         match node.map(|node| (node.can_suspend, node.is_up(), node.name.clone())) {
-            Some((false, ..)) | None => {
-                Err(error(ErrorCode::DeniedByDrm, "the job's node can't suspend tasks"))
-            }
+            Some((false, ..)) | None => Err(error(
+                ErrorCode::DeniedByDrm,
+                "the job's node can't suspend tasks",
+            )),
             Some((_, false, name)) => {
                 let text = format!("node {name} can't be reached; try later");
                 Err(error(ErrorCode::TryLater, text))
@@ -443,9 +559,14 @@
     ) -> Option<(Result<Answer>, Option<u64>)> {
         let (found, waits) = match job {
             Some(name) => match self.job_of(session, name) {
-                Ok(job) => {
-                    (self.ledger.jobs.get(&job).is_some_and(Job::is_over).then_some(job), Waits::Job(job))
-                }
+                Ok(job) => (
+                    self.ledger
+                        .jobs
+                        .get(&job)
+                        .is_some_and(Job::is_over)
+                        .then_some(job),
+                    Waits::Job(job),
+                ),
                 Err(error) => return Some((Err(error), None)),
             },
             None => {
@@ -517,14 +638,30 @@
             }
             return Some(Ok(Answer::Done));
         }
-        let waits = Waits::All { left, jobs, dispose };
+        let waits = Waits::All {
+            left,
+            jobs,
+            dispose,
+        };
         self.wait_for(now, session, call, Waiter { conn, id, waits }, timeout_s)
     }
 
     /// The last job of a synchronization is over.
     pub(crate) fn synchronized(&mut self, session: SessionNo, call: u64) {
-        let waiter = self.sessions.get(session).and_then(|session| session.waiters.get(&call));
-        if let Some(Waiter { waits: Waits::All { jobs, dispose: true, .. }, .. }) = waiter {
+        let waiter = self
+            .sessions
+            .get(session)
+            .and_then(|session| session.waiters.get(&call));
+        if let Some(Waiter {
+            waits:
+                Waits::All {
+                    jobs,
+                    dispose: true,
+                    ..
+                },
+            ..
+        }) = waiter
+        {
             for job in jobs.clone() {
                 self.reap(job);
             }
@@ -545,19 +682,36 @@
         let from = after.map_or(0, |after| after.saturating_add(1));
         let page: Vec<(&JobNo, &Job)> = self.ledger.jobs.range(from..).take(limit + 1).collect();
         let next = (page.len() > limit).then(|| *page[limit - 1].0);
-        JobsPage { jobs: page.iter().take(limit).map(|(_, job)| self.job_line(job, now)).collect(), next }
+        JobsPage {
+            jobs: page
+                .iter()
+                .take(limit)
+                .map(|(_, job)| self.job_line(job, now))
+                .collect(),
+            next,
+        }
     }
 
     fn show_job(&mut self, now: Micros, name: &str) -> Result<Answer> {
-        let found = self.job_named(name).and_then(|job| self.ledger.jobs.get(&job));
+        let found = self
+            .job_named(name)
+            .and_then(|job| self.ledger.jobs.get(&job));
         let job = found.ok_or_else(|| {
-            error(ErrorCode::InvalidJob, format!("`{name}` is no job of this placer, or its end was told"))
+            error(
+                ErrorCode::InvalidJob,
+                format!("`{name}` is no job of this placer, or its end was told"),
+            )
         })?;
         let line = self.job_line(job, now);
-        let (mut detail, subject) = (job.detail(line, |node| self.node_name(node)), job.ask.subject());
+        let (mut detail, subject) = (
+            job.detail(line, |node| self.node_name(node)),
+            job.ask.subject(),
+        );
         let number = self.job_named(name);
         if let Some((subject, number)) = subject.zip(number) {
-            detail.stands.push(self.constrain.explain(&subject).to_string());
+            detail
+                .stands
+                .push(self.constrain.explain(&subject).to_string());
             let broken = self.constrain.broken(number).into_iter();
             detail.stands.extend(broken.map(|(text, since)| {
                 let for_s = now.saturating_sub(since) as f64 / 1e6;
@@ -569,17 +723,30 @@
 
     /// What the site knows of names and types; none before the first node list.
     fn schema(&self) -> Option<Schema> {
-        let kinds = self.settings.kinds.iter().map(|kind| kind.name.clone()).collect();
-        self.constrain.has_list().then(|| Schema::of(kinds, self.constrain.fleet()))
+        let kinds = self
+            .settings
+            .kinds
+            .iter()
+            .map(|kind| kind.name.clone())
+            .collect();
+        self.constrain
+            .has_list()
+            .then(|| Schema::of(kinds, self.constrain.fleet()))
     }
 
     fn explain_text(&mut self, text: &str) -> Result<Answer> {
         let wrong = |mistake: Mistake| error(ErrorCode::InvalidAttributeValue, mistake.to_string());
         let constraint = self.settings.constraint(text).map_err(wrong)?;
-        self.schema().map_or(Ok(()), |schema| schema.check(&constraint, text)).map_err(wrong)?;
+        self.schema()
+            .map_or(Ok(()), |schema| schema.check(&constraint, text))
+            .map_err(wrong)?;
         let own = Own::service("", "");
         let bound = Arc::new(Bound::new(constraint, &own));
-        let subject = Subject { bound, own, topics: Arc::default() };
+        let subject = Subject {
+            bound,
+            own,
+            topics: Arc::default(),
+        };
         Ok(Answer::Text(self.constrain.explain(&subject).to_string()))
     }
 
@@ -587,7 +754,9 @@
         let line = |node: &crate::links::Node| {
             let (mut waiting, mut held, mut cores, mut memory) = (0, 0, 0.0, 0.0);
             for id in &node.attempts {
-                let Some(attempt) = self.ledger.attempts.get(id) else { continue };
+                let Some(attempt) = self.ledger.attempts.get(id) else {
+                    continue;
+                };
                 if !attempt.accepted {
                     waiting += 1;
                 } else if let Some(job) = self.ledger.jobs.get(&attempt.job) {
@@ -599,7 +768,13 @@
             // What a node told that does not answer any more may be otherwise by now.
             let number = self.nodes.number(&node.name).filter(|_| node.is_up());
             let plan = number.and_then(|number| self.plan_line(number));
-            node.node_line(waiting, held, (cores, memory), self.nodes.kind(node.entry.kind), plan)
+            node.node_line(
+                waiting,
+                held,
+                (cores, memory),
+                self.nodes.kind(node.entry.kind),
+                plan,
+            )
         };
         let known = |node: &&crate::links::Node| !node.remembered || !node.attempts.is_empty();
         self.nodes.all.values().filter(known).map(line).collect()
@@ -608,7 +783,17 @@
 
 /// The answer of a submission: the jobs' names follow from the call and the indices.
 fn submitted(key: &CallKey, range: Range, warning: Option<String>) -> Answer {
-    let name = |index| JobName { session: key.session.as_str().into(), call: key.call, index }.to_string();
-    let jobs = range.indices(u64::MAX).map(|indices| indices.map(name).collect()).unwrap_or_default();
+    let name = |index| {
+        JobName {
+            session: key.session.as_str().into(),
+            call: key.call,
+            index,
+        }
+        .to_string()
+    };
+    let jobs = range
+        .indices(u64::MAX)
+        .map(|indices| indices.map(name).collect())
+        .unwrap_or_default();
     Answer::Submitted(Submitted { jobs, warning })
 }
--- a/crates/core/src/constrain.rs
+++ b/crates/core/src/constrain.rs
@@ -12,7 +12,8 @@
 
 use reedring::{MachineId, Micros, RequestId};
 use reedring_constraint::{
-    Answer, Breach, Census, Compiled, Constraint, Explanation, Fleet, Line, Own, Topic, Verdict, broken,
+    Answer, Breach, Census, Compiled, Constraint, Explanation, Fleet, Line, Own, Topic, Verdict,
+    broken,
 };
 use reedring_nodeproto as wire;
 use reedring_settings::Health;
@@ -32,15 +33,27 @@
 
 impl Bound {
     pub fn new(constraint: Constraint, own: &Own) -> Self {
-        let depends = constraint.whose().iter().map(|who| own.topic(who)).collect();
-        Self { text: constraint.to_string(), depends, constraint }
+        let depends = constraint
+            .whose()
+            .iter()
+            .map(|who| own.topic(who))
+            .collect();
+        Self {
+            text: constraint.to_string(),
+            depends,
+            constraint,
+        }
     }
 
     /// Its machines change with every copy placed: they are told one task at a time.
     fn takes_turns(&self) -> bool {
         use reedring_constraint::Strength;
         self.constraint.is_about_copies()
-            || self.constraint.clauses.iter().any(|clause| clause.strength == Strength::Prefer)
+            || self
+                .constraint
+                .clauses
+                .iter()
+                .any(|clause| clause.strength == Strength::Prefer)
     }
 }
 
@@ -106,7 +119,9 @@
 
     fn remove(&mut self, topics: &[Topic], who: T) {
         for topic in topics {
-            let Some(all) = self.0.get_mut(topic) else { continue };
+            let Some(all) = self.0.get_mut(topic) else {
+                continue;
+            };
             all.remove(&who);
             if all.is_empty() {
                 self.0.remove(topic);
@@ -115,7 +130,11 @@
     }
 
     fn of<'a>(&'a self, topics: &'a [Topic]) -> impl Iterator<Item = T> + 'a {
-        topics.iter().filter_map(|topic| self.0.get(topic)).flatten().copied()
+        topics
+            .iter()
+            .filter_map(|topic| self.0.get(topic))
+            .flatten()
+            .copied()
     }
 }
 
@@ -168,7 +187,10 @@
             line.dark = health == Health::Gone;
             if line.listed {
                 (line.rack, line.hall) = (node.entry.rack.clone(), node.entry.hall.clone());
-                (line.kind, line.attrs) = (nodes.kind(node.entry.kind).to_owned(), node.entry.attrs.clone());
+                (line.kind, line.attrs) = (
+                    nodes.kind(node.entry.kind).to_owned(),
+                    node.entry.attrs.clone(),
+                );
             }
             line
         };
@@ -179,10 +201,14 @@
                 == (&b.name, &b.kind, &b.rack, &b.hall, &b.attrs, b.listed)
         };
         let alike = lines.len() == self.fleet.lines().len()
-            && lines.iter().zip(self.fleet.lines()).all(|(a, b)| same(a, b));
+            && lines
+                .iter()
+                .zip(self.fleet.lines())
+                .all(|(a, b)| same(a, b));
         if alike {
-            let changed: Vec<usize> =
-                (0..lines.len()).filter(|n| lines[*n] != self.fleet.lines()[*n]).collect();
+            let changed: Vec<usize> = (0..lines.len())
+                .filter(|n| lines[*n] != self.fleet.lines()[*n])
+                .collect();
             if changed.is_empty() {
                 return;
             }
@@ -190,7 +216,10 @@
                 self.fleet.set_health(*n, lines[*n].ready, lines[*n].dark);
             }
             // Health matters only to those that take turns: to all others the module sees to it itself.
-            let turns = self.waiting.iter().filter(|(_, waiting)| waiting.subject.bound.takes_turns());
+            let turns = self
+                .waiting
+                .iter()
+                .filter(|(_, waiting)| waiting.subject.bound.takes_turns());
             self.dirty.extend(turns.map(|(request, _)| *request));
         } else {
             self.fleet = Fleet::new(lines);
@@ -230,13 +259,17 @@
             self.compiled.clear();
         }
         let compiled = Arc::new(Compiled::new(&bound.constraint, &self.fleet));
-        self.compiled.insert(bound.text.clone(), Arc::clone(&compiled));
+        self.compiled
+            .insert(bound.text.clone(), Arc::clone(&compiled));
         compiled
     }
 
     fn ids(&self, answer: &Answer) -> Vec<MachineId> {
-        let mut ids: Vec<MachineId> =
-            answer.machines.ones().filter_map(|n| self.machines.get(n).copied()).collect();
+        let mut ids: Vec<MachineId> = answer
+            .machines
+            .ones()
+            .filter_map(|n| self.machines.get(n).copied())
+            .collect();
         ids.retain(|machine| !self.held.contains(machine));
         ids.sort_unstable();
         ids
@@ -246,23 +279,35 @@
     pub fn never(&mut self, subject: &Subject) -> Option<Explanation> {
         let compiled = self.compiled(&subject.bound);
         let known = self.fleet.lines().iter().any(|line| line.listed);
-        (known && compiled.is_never()).then(|| compiled.explain(&self.fleet, &self.census, &subject.own))
+        (known && compiled.is_never())
+            .then(|| compiled.explain(&self.fleet, &self.census, &subject.own))
     }
 
     /// How a job's constraint stands now.
     pub fn explain(&mut self, subject: &Subject) -> Explanation {
-        self.compiled(&subject.bound).explain(&self.fleet, &self.census, &subject.own)
+        self.compiled(&subject.bound)
+            .explain(&self.fleet, &self.census, &subject.own)
     }
 
     /// A request waits. What the module must be told at once is returned.
     pub fn asked(&mut self, request: RequestId, subject: Subject) -> Opened {
         let turns = subject.bound.takes_turns();
         self.by_topic.add(&subject.bound.depends, request);
-        let told = if turns { Vec::new() } else { self.whole(&subject) };
+        let told = if turns {
+            Vec::new()
+        } else {
+            self.whole(&subject)
+        };
         if turns {
             self.dirty.insert(request);
         }
-        let waiting = Waiting { subject, told: Some(told.clone()), dropped: 0, tried: false, out: false };
+        let waiting = Waiting {
+            subject,
+            told: Some(told.clone()),
+            dropped: 0,
+            tried: false,
+            out: false,
+        };
         self.waiting.insert(request, waiting);
         (request, told)
     }
@@ -270,7 +315,10 @@
     /// The machines of a constraint that speaks neither of copies nor of wishes, whatever their health.
     fn whole(&mut self, subject: &Subject) -> Vec<MachineId> {
         let compiled = self.compiled(&subject.bound);
-        let mut ids: Vec<MachineId> = compiled.ever().filter_map(|n| self.machines.get(n).copied()).collect();
+        let mut ids: Vec<MachineId> = compiled
+            .ever()
+            .filter_map(|n| self.machines.get(n).copied())
+            .collect();
         ids.retain(|machine| !self.held.contains(machine));
         ids.sort_unstable();
         ids
@@ -300,8 +348,11 @@
 
     /// A request is answered, or taken back.
     pub fn answered(&mut self, request: RequestId) {
-        let Some(waiting) = self.waiting.remove(&request) else { return };
-        self.by_topic.remove(&waiting.subject.bound.depends, request);
+        let Some(waiting) = self.waiting.remove(&request) else {
+            return;
+        };
+        self.by_topic
+            .remove(&waiting.subject.bound.depends, request);
         self.dirty.remove(&request);
         if self.turn == Some(request) {
             self.turn = None;
@@ -321,7 +372,12 @@
     }
 
     /// A copy may stand still: it counts until its node tells.
-    pub fn copy_unknown(&mut self, attempt: wire::AttemptId, topics: Arc<Vec<Topic>>, node: NodeNo) {
+    pub fn copy_unknown(
+        &mut self,
+        attempt: wire::AttemptId,
+        topics: Arc<Vec<Topic>>,
+        node: NodeNo,
+    ) {
         self.ghosts.insert(attempt, (node, topics));
     }
 
@@ -339,17 +395,30 @@
 
     /// A node told all that it holds: what is not among it does not stand.
     pub fn ghosts_told(&mut self, node: NodeNo, held: &BTreeSet<wire::AttemptId>) {
-        let gone = |(attempt, (at, _)): &(&wire::AttemptId, &Ghost)| *at == node && !held.contains(attempt);
-        let gone: Vec<wire::AttemptId> =
-            self.ghosts.iter().filter(gone).map(|(attempt, _)| *attempt).collect();
-        gone.into_iter().for_each(|attempt| _ = self.ghost_gone(attempt));
+        let gone = |(attempt, (at, _)): &(&wire::AttemptId, &Ghost)| {
+            *at == node && !held.contains(attempt)
+        };
+        let gone: Vec<wire::AttemptId> = self
+            .ghosts
+            .iter()
+            .filter(gone)
+            .map(|(attempt, _)| *attempt)
+            .collect();
+        gone.into_iter()
+            .for_each(|attempt| _ = self.ghost_gone(attempt));
     }
 
     /// A node started anew: no copy of before stands there.
     pub fn ghosts_gone(&mut self, node: NodeNo) {
-        let there: Vec<wire::AttemptId> =
-            self.ghosts.iter().filter(|(_, (at, _))| *at == node).map(|(attempt, _)| *attempt).collect();
-        there.into_iter().for_each(|attempt| _ = self.ghost_gone(attempt));
+        let there: Vec<wire::AttemptId> = self
+            .ghosts
+            .iter()
+            .filter(|(_, (at, _))| *at == node)
+            .map(|(attempt, _)| *attempt)
+            .collect();
+        there
+            .into_iter()
+            .for_each(|attempt| _ = self.ghost_gone(attempt));
     }
 
     fn copies_changed(&mut self, topics: &[Topic]) {
@@ -362,10 +431,13 @@
         let waits = |(_, waiting): &(&RequestId, &Waiting)| waiting.tried && !waiting.out;
         let from = self.last.map_or(Edge::Unbounded, Edge::Excluded);
         let after = self.waiting.range((from, Edge::Unbounded)).find(waits);
-        let next = after.or_else(|| self.waiting.iter().find(waits)).map(|(request, _)| *request);
+        let next = after
+            .or_else(|| self.waiting.iter().find(waits))
+            .map(|(request, _)| *request);
         if let Some(waiting) = next.and_then(|request| self.waiting.get_mut(&request)) {
             // A wish that keeps a task waiting is given up: the last first.
-            waiting.dropped = (waiting.dropped + 1).min(waiting.subject.bound.constraint.clauses.len());
+            waiting.dropped =
+                (waiting.dropped + 1).min(waiting.subject.bound.constraint.clauses.len());
         }
         self.dirty.extend(next);
     }
@@ -376,14 +448,20 @@
     pub fn next(&mut self) -> Vec<Opened> {
         let mut tell: Vec<Opened> = self.close().into_iter().collect();
         while let Some(request) = self.dirty.pop_first() {
-            let Some(waiting) = self.waiting.get(&request).filter(|waiting| !waiting.out) else { continue };
+            let Some(waiting) = self.waiting.get(&request).filter(|waiting| !waiting.out) else {
+                continue;
+            };
             let (subject, dropped) = (waiting.subject.clone(), waiting.dropped);
             if !subject.bound.takes_turns() {
                 let machines = self.whole(&subject);
                 self.tell(request, machines, &mut tell);
             } else if self.settled {
-                let answer =
-                    self.compiled(&subject.bound).open(&self.fleet, &self.census, &subject.own, dropped);
+                let answer = self.compiled(&subject.bound).open(
+                    &self.fleet,
+                    &self.census,
+                    &subject.own,
+                    dropped,
+                );
                 let machines = self.ids(&answer);
                 if !machines.is_empty() {
                     self.turn = Some(request);
@@ -406,7 +484,11 @@
     }
 
     fn tell(&mut self, request: RequestId, machines: Vec<MachineId>, tell: &mut Vec<Opened>) {
-        if let Some(waiting) = self.waiting.get_mut(&request).filter(|w| w.told.as_ref() != Some(&machines)) {
+        if let Some(waiting) = self
+            .waiting
+            .get_mut(&request)
+            .filter(|w| w.told.as_ref() != Some(&machines))
+        {
             waiting.told = Some(machines.clone());
             tell.push((request, machines));
         }
@@ -429,30 +511,46 @@
     /// A job was placed.
     pub fn stands(&mut self, job: JobNo, subject: Subject, node: NodeNo) {
         self.standing_by_topic.add(&subject.bound.depends, job);
-        let standing = Standing { subject, node, reached: BTreeMap::new(), broken: BTreeMap::new() };
+        let standing = Standing {
+            subject,
+            node,
+            reached: BTreeMap::new(),
+            broken: BTreeMap::new(),
+        };
         self.standing.insert(job, standing);
         self.doubted.insert(job);
     }
 
     /// A job stands no more.
     pub fn stands_no_more(&mut self, job: JobNo) {
-        let Some(standing) = self.standing.remove(&job) else { return };
-        self.standing_by_topic.remove(&standing.subject.bound.depends, job);
+        let Some(standing) = self.standing.remove(&job) else {
+            return;
+        };
+        self.standing_by_topic
+            .remove(&standing.subject.bound.depends, job);
         self.doubted.remove(&job);
     }
 
     /// Clauses that are broken for a job now, with since when.
     pub fn broken(&self, job: JobNo) -> Vec<(String, Micros)> {
-        let Some(standing) = self.standing.get(&job) else { return Vec::new() };
+        let Some(standing) = self.standing.get(&job) else {
+            return Vec::new();
+        };
         let clauses = &standing.subject.bound.constraint.clauses;
-        standing.broken.iter().map(|(n, since)| (clauses[*n].to_string(), *since)).collect()
+        standing
+            .broken
+            .iter()
+            .map(|(n, since)| (clauses[*n].to_string(), *since))
+            .collect()
     }
 
     /// Looks at the jobs that something relevant happened to. Each break and each mending is told once.
     pub fn judge(&mut self, now: Micros) -> Vec<News> {
         let mut news = Vec::new();
         for job in std::mem::take(&mut self.doubted) {
-            let Some(mut standing) = self.standing.remove(&job) else { continue };
+            let Some(mut standing) = self.standing.remove(&job) else {
+                continue;
+            };
             let subject = &standing.subject;
             let compiled = self.compiled(&subject.bound);
             let found = broken(
@@ -465,21 +563,40 @@
                 standing.node as usize,
                 &mut standing.reached,
             );
-            let dark = self.fleet.lines().get(standing.node as usize).is_none_or(|line| line.dark);
+            let dark = self
+                .fleet
+                .lines()
+                .get(standing.node as usize)
+                .is_none_or(|line| line.dark);
             let now_broken: BTreeSet<usize> = found.iter().map(|breach| breach.clause).collect();
             if !dark {
                 // A copy on a dark node is neither broken nor mended: nobody knows whether it stands.
-                let mended = standing.broken.iter().filter(|(n, _)| !now_broken.contains(n));
+                let mended = standing
+                    .broken
+                    .iter()
+                    .filter(|(n, _)| !now_broken.contains(n));
                 for (n, since) in mended {
                     let text = subject.bound.constraint.clauses[*n].to_string();
-                    let breach = Breach { clause: *n, text, mends: String::new() };
-                    news.push(News { job, breach, mended: Some(*since) });
+                    let breach = Breach {
+                        clause: *n,
+                        text,
+                        mends: String::new(),
+                    };
+                    news.push(News {
+                        job,
+                        breach,
+                        mended: Some(*since),
+                    });
                 }
                 standing.broken.retain(|n, _| now_broken.contains(n));
             }
             for breach in found {
                 if standing.broken.insert(breach.clause, now).is_none() {
-                    news.push(News { job, breach, mended: None });
+                    news.push(News {
+                        job,
+                        breach,
+                        mended: None,
+                    });
                 }
             }
             self.standing.insert(job, standing);
@@ -492,7 +609,10 @@
         let subject = self.waiting.get(&request)?.subject.clone();
         let explained = self.explain(&subject);
         Some(match explained.verdict {
-            Verdict::Open => format!("its constraint leaves {} nodes, and none took it", explained.open),
+            Verdict::Open => format!(
+                "its constraint leaves {} nodes, and none took it",
+                explained.open
+            ),
             _ => explained.to_string(),
         })
     }
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -91,8 +91,17 @@
 impl Core {
     /// A core that knows its settings and nothing else.
     pub fn new(settings: Settings, start: Start) -> Self {
-        let mut nodes = Nodes::new(settings.kinds.iter().map(|kind| kind.name.clone()).collect());
-        let hall = settings.hall.as_deref().map(|hall| nodes.halls.number(hall));
+        let mut nodes = Nodes::new(
+            settings
+                .kinds
+                .iter()
+                .map(|kind| kind.name.clone())
+                .collect(),
+        );
+        let hall = settings
+            .hall
+            .as_deref()
+            .map(|hall| nodes.halls.number(hall));
         let placer = Placer::new(settings.module(hall), start.seed);
         let mut timers = Timers::default();
         timers.set(start.now + settings.limits.settle_us, Timer::Settle);
@@ -147,7 +156,11 @@
     /// When [`Core::flush`] must be called at the latest, if no input comes before.
     pub fn next_wake(&self) -> Option<Micros> {
         let idle = self.reads.is_empty() && self.constrain.is_idle();
-        if idle { self.timers.next() } else { Some(self.start.now) }
+        if idle {
+            self.timers.next()
+        } else {
+            Some(self.start.now)
+        }
     }
 
     /// The next thing to do.
@@ -171,7 +184,14 @@
             }
             Input::Listed(list) => self.listed(now, list),
             Input::SettingsChanged(settings) => self.settings_changed(&settings),
-            Input::LinkUp { node, called, life, up_ms, can_suspend, record } => {
+            Input::LinkUp {
+                node,
+                called,
+                life,
+                up_ms,
+                can_suspend,
+                record,
+            } => {
                 self.link_up(now, &node, &called, life, up_ms, can_suspend, record);
             }
             Input::Message { node, message } => self.message(now, &node, message),
@@ -232,7 +252,10 @@
     }
 
     pub(crate) fn log(&mut self, level: Level, line: impl Into<String>) {
-        self.outputs.push_back(Output::Log { level, line: line.into() });
+        self.outputs.push_back(Output::Log {
+            level,
+            line: line.into(),
+        });
     }
 
     pub(crate) fn reply(&mut self, conn: ConnId, response: Response) {
@@ -240,20 +263,31 @@
     }
 
     pub(crate) fn send_answer(&mut self, answered: Option<Answered>) {
-        answered.into_iter().for_each(|answered| self.reply(answered.conn, answered.response));
+        answered
+            .into_iter()
+            .for_each(|answered| self.reply(answered.conn, answered.response));
     }
 
     pub(crate) fn unix_us(&self, at: Micros) -> u64 {
-        self.start.unix_us.saturating_add(at).saturating_sub(self.start.now)
+        self.start
+            .unix_us
+            .saturating_add(at)
+            .saturating_sub(self.start.now)
     }
 
     /// The core's time of a moment, also of one long before its start where its clock began late enough.
     pub(crate) fn at_unix(&self, unix_us: u64) -> Micros {
-        self.start.now.saturating_add(unix_us).saturating_sub(self.start.unix_us)
+        self.start
+            .now
+            .saturating_add(unix_us)
+            .saturating_sub(self.start.unix_us)
     }
 
     pub(crate) fn born(&self) -> Born {
-        Born { at: self.start.now, budgets_known: self.budgets_known }
+        Born {
+            at: self.start.now,
+            budgets_known: self.budgets_known,
+        }
     }
 
     pub(crate) fn unix(&self, at: Micros) -> f64 {
@@ -262,25 +296,41 @@
     }
 
     pub(crate) fn node_name(&self, node: NodeNo) -> String {
-        self.nodes.all.get(&node).map(|node| node.name.clone()).unwrap_or_default()
+        self.nodes
+            .all
+            .get(&node)
+            .map(|node| node.name.clone())
+            .unwrap_or_default()
     }
 
     // ---- What the module wants ----
 
     fn act(&mut self, now: Micros, action: Action) {
         match action {
-            Action::Offer { request, machine, within_us } => self.offer(now, request, machine, within_us),
+            Action::Offer {
+                request,
+                machine,
+                within_us,
+            } => self.offer(now, request, machine, within_us),
             Action::Stop(id) => self.stop(now, id),
-            Action::Refuse { request, stay_away_us } => {
-                self.answer(now, request, Outcome::Refused, stay_away_us)
-            }
+            Action::Refuse {
+                request,
+                stay_away_us,
+            } => self.answer(now, request, Outcome::Refused, stay_away_us),
             Action::Fail(request) => self.answer(now, request, Outcome::Failed, None),
             Action::Move(request) => {
-                let placed = self.ledger.attempts.keys().find(|id| id.request == request).copied();
+                let placed = self
+                    .ledger
+                    .attempts
+                    .keys()
+                    .find(|id| id.request == request)
+                    .copied();
                 placed.into_iter().for_each(|id| self.stop(now, id));
             }
             Action::Probe(machine) => self.probe(now, machine),
-            Action::Timer { token, after_us } => self.timers.set(now + after_us, Timer::Module(token)),
+            Action::Timer { token, after_us } => {
+                self.timers.set(now + after_us, Timer::Module(token))
+            }
             Action::Log(line) => self.log(Level::Info, line),
             // Links stay open, nobody listens, and the list comes without being asked for.
             Action::CloseIdle(_) | Action::Tell { .. } | Action::Watch(_) | Action::Fetch => {}
@@ -294,33 +344,65 @@
         machine: reedring::MachineId,
         within_us: Option<Micros>,
     ) {
-        let Some((job, number)) = self.ledger.requests.get_mut(&request) else { return };
-        let (job, id) = (*job, AttemptId { request, number: *number });
+        let Some((job, number)) = self.ledger.requests.get_mut(&request) else {
+            return;
+        };
+        let (job, id) = (
+            *job,
+            AttemptId {
+                request,
+                number: *number,
+            },
+        );
         *number += 1;
-        let Some(node) = self.nodes.of_machine(machine) else { return };
+        let Some(node) = self.nodes.of_machine(machine) else {
+            return;
+        };
         let held = self.holds.has(machine);
-        let wire = wire::AttemptId { life: self.start.life, request: request.0, number: id.number };
+        let wire = wire::AttemptId {
+            life: self.start.life,
+            request: request.0,
+            number: id.number,
+        };
         let task = self.wire_task(job);
-        let Some(entry) = self.ledger.job_mut(job) else { return };
+        let Some(entry) = self.ledger.job_mut(job) else {
+            return;
+        };
         entry.tried(id, node, now);
         let topics = Arc::clone(&entry.ask.topics);
         self.constrain.copy_comes(&topics, node);
         let known = Known::Out;
         let node_life = self.nodes.all.get(&node).and_then(|node| node.life);
         let (accepted, told) = (false, true);
-        let attempt =
-            Attempt { job, node, machine, wire, sent: now, known, accepted, told, node_life, topics };
+        let attempt = Attempt {
+            job,
+            node,
+            machine,
+            wire,
+            sent: now,
+            known,
+            accepted,
+            told,
+            node_life,
+            topics,
+        };
         let closed = self.constrain.offered(request);
         self.events.extend(closed.map(opened_event));
         self.ledger.open(self.start.life, id, attempt);
-        let Some(entry) = self.nodes.all.get_mut(&node) else { return };
+        let Some(entry) = self.nodes.all.get_mut(&node) else {
+            return;
+        };
         entry.attempts.insert(id);
         let up = entry.is_up();
         if held {
             // It was held back after the module had drawn.
             return self.unplaced(now, id, Fate::Unsent, None, Vec::new(), "held back");
         }
-        let effect = self.ledger.jobs.get(&job).map_or(reedring::Effect::Unsafe, |job| self.effect(job));
+        let effect = self
+            .ledger
+            .jobs
+            .get(&job)
+            .map_or(reedring::Effect::Unsafe, |job| self.effect(job));
         if !self.may_leave(effect) {
             return self.cannot_leave(now, id);
         }
@@ -339,7 +421,12 @@
                 self.stage_send(
                     now,
                     node,
-                    Message::Offer { attempt: wire, task: Box::new(task), within_ms, stamp },
+                    Message::Offer {
+                        attempt: wire,
+                        task: Box::new(task),
+                        within_ms,
+                        stamp,
+                    },
                 );
             }
             _ => self.unplaced(now, id, Fate::Unconnected, None, Vec::new(), "no link"),
@@ -376,21 +463,32 @@
 
     /// Gives an attempt up: its node is asked to stop it, and its word awaited for a while.
     pub(crate) fn stop(&mut self, now: Micros, id: AttemptId) {
-        let Some(attempt) = self.ledger.attempt_mut(id) else { return };
+        let Some(attempt) = self.ledger.attempt_mut(id) else {
+            return;
+        };
         let (node, wire, was) = (attempt.node, attempt.wire, attempt.known);
         attempt.known = Known::Stopping;
         if was == Known::Out && self.unsend(id) {
             return self.unplaced(now, id, Fate::Unsent, None, Vec::new(), "never sent");
         }
         if was != Known::Stopping {
-            self.timers.set(now + self.settings.links.stop_wait_us, Timer::StopWait(id));
+            self.timers
+                .set(now + self.settings.links.stop_wait_us, Timer::StopWait(id));
             self.stage_send(now, node, Message::Stop { attempt: wire });
         }
     }
 
     /// The module's final answer to a request.
-    fn answer(&mut self, now: Micros, request: RequestId, outcome: Outcome, stay_away_us: Option<Micros>) {
-        let Some((job, _)) = self.ledger.requests.remove(&request) else { return };
+    fn answer(
+        &mut self,
+        now: Micros,
+        request: RequestId,
+        outcome: Outcome,
+        stay_away_us: Option<Micros>,
+    ) {
+        let Some((job, _)) = self.ledger.requests.remove(&request) else {
+            return;
+        };
         let mut reason = self.why_not(job, request);
         let held = self.holds.words();
         if !held.is_empty() {
@@ -406,14 +504,28 @@
             Outcome::Refused => format!("refused: {reason}"),
             _ => format!("failed: {reason}; it may have run"),
         };
-        self.end_job(now, job, Ending { end: End::Aborted, reason: Some(reason), stay_away_us });
+        self.end_job(
+            now,
+            job,
+            Ending {
+                end: End::Aborted,
+                reason: Some(reason),
+                stay_away_us,
+            },
+        );
     }
 
     /// What became of a request's attempts, in words.
     fn why_not(&self, job: JobNo, request: RequestId) -> String {
-        let Some(job) = self.ledger.jobs.get(&job) else { return String::new() };
+        let Some(job) = self.ledger.jobs.get(&job) else {
+            return String::new();
+        };
         let mut fates: BTreeMap<&str, (u32, BTreeSet<NodeNo>)> = BTreeMap::new();
-        for trial in job.history.iter().filter(|trial| trial.attempt.request == request) {
+        for trial in job
+            .history
+            .iter()
+            .filter(|trial| trial.attempt.request == request)
+        {
             let (count, nodes) = fates.entry(trial.fate).or_default();
             *count += 1;
             nodes.insert(trial.node);
@@ -429,12 +541,15 @@
     }
 
     fn probe(&mut self, now: Micros, machine: reedring::MachineId) {
-        let Some(number) = self.nodes.of_machine(machine) else { return };
+        let Some(number) = self.nodes.of_machine(machine) else {
+            return;
+        };
         self.last_probe += 1;
         let nonce = self.last_probe;
         self.probes.insert(nonce, (number, now));
         if self.nodes.all.get(&number).is_some_and(|node| node.is_up()) {
-            self.timers.set(now + self.settings.links.probe_us, Timer::Probe(nonce));
+            self.timers
+                .set(now + self.settings.links.probe_us, Timer::Probe(nonce));
             self.stage_send(now, number, Message::Probe { nonce });
         } else {
             self.probed(now, nonce, None);
@@ -442,10 +557,19 @@
     }
 
     pub(crate) fn probed(&mut self, now: Micros, nonce: u64, report: Option<Vec<f64>>) {
-        let Some((node, sent)) = self.probes.remove(&nonce) else { return };
-        let Some(machine) = self.nodes.all.get(&node).map(|node| node.machine) else { return };
+        let Some((node, sent)) = self.probes.remove(&nonce) else {
+            return;
+        };
+        let Some(machine) = self.nodes.all.get(&node).map(|node| node.machine) else {
+            return;
+        };
         let (answered, took_us) = (report.is_some(), now.saturating_sub(sent));
-        self.events.push(Event::Probed { machine, answered, took_us, report: report.unwrap_or_default() });
+        self.events.push(Event::Probed {
+            machine,
+            answered,
+            took_us,
+            report: report.unwrap_or_default(),
+        });
     }
 
     // ---- Time ----
@@ -457,29 +581,59 @@
                 self.events.push(Event::Woken(token));
             }
             Timer::Attempt(id) => {
-                let out = self.ledger.attempts.get(&id).is_some_and(|attempt| attempt.known == Known::Out);
+                let out = self
+                    .ledger
+                    .attempts
+                    .get(&id)
+                    .is_some_and(|attempt| attempt.known == Known::Out);
                 if out {
-                    self.unplaced(now, id, Fate::TimedOut, None, Vec::new(), "no answer in time");
+                    self.unplaced(
+                        now,
+                        id,
+                        Fate::TimedOut,
+                        None,
+                        Vec::new(),
+                        "no answer in time",
+                    );
                 }
             }
             Timer::StopWait(id) => {
-                let waits = self.ledger.attempts.get(&id).filter(|attempt| attempt.known == Known::Stopping);
+                let waits = self
+                    .ledger
+                    .attempts
+                    .get(&id)
+                    .filter(|attempt| attempt.known == Known::Stopping);
                 match waits.map(|attempt| attempt.accepted) {
                     Some(false) => {
                         self.unplaced(now, id, Fate::Stopped, None, Vec::new(), "stopped, no word")
                     }
-                    Some(true) => self.lost(now, id, Loss::Unknown, Fate::Stopped, None, "stopped, no word"),
+                    Some(true) => self.lost(
+                        now,
+                        id,
+                        Loss::Unknown,
+                        Fate::Stopped,
+                        None,
+                        "stopped, no word",
+                    ),
                     None => {}
                 }
             }
             Timer::Reattach { node, link } => {
-                let down = self.nodes.all.get(&node).is_some_and(|n| n.links == link && !n.is_up());
+                let down = self
+                    .nodes
+                    .all
+                    .get(&node)
+                    .is_some_and(|n| n.links == link && !n.is_up());
                 if down {
                     self.unanswered(now, node);
                 }
             }
             Timer::LinkLost { node, link } => {
-                let down = self.nodes.all.get(&node).is_some_and(|n| n.links == link && !n.is_up());
+                let down = self
+                    .nodes
+                    .all
+                    .get(&node)
+                    .is_some_and(|n| n.links == link && !n.is_up());
                 if down {
                     self.let_go(now, node, "node unreachable");
                 }
@@ -489,7 +643,11 @@
             Timer::Cold(node) => self.tend_cold(now, node),
             Timer::Probe(nonce) => self.probed(now, nonce, None),
             Timer::Ask(job) => {
-                let waits = self.ledger.jobs.get(&job).is_some_and(|job| matches!(job.phase, Phase::Delayed));
+                let waits = self
+                    .ledger
+                    .jobs
+                    .get(&job)
+                    .is_some_and(|job| matches!(job.phase, Phase::Delayed));
                 if waits {
                     self.ask(now, job);
                 }
@@ -497,10 +655,23 @@
             Timer::GiveUp { job, request } => self.overdue(now, job, RequestId(request)),
             Timer::WallLimit(job) => {
                 let runs = self.ledger.jobs.get(&job);
-                if runs.is_some_and(|job| matches!(job.phase, Phase::Running(_) | Phase::Suspended(_))) {
-                    let end = End::Signaled { signal: "SIGXCPU".to_owned(), core_dump: false };
+                if runs
+                    .is_some_and(|job| matches!(job.phase, Phase::Running(_) | Phase::Suspended(_)))
+                {
+                    let end = End::Signaled {
+                        signal: "SIGXCPU".to_owned(),
+                        core_dump: false,
+                    };
                     let reason = Some("it ran for as long as its template allows".to_owned());
-                    self.terminate(now, job, Ending { end, reason, stay_away_us: None });
+                    self.terminate(
+                        now,
+                        job,
+                        Ending {
+                            end,
+                            reason,
+                            stay_away_us: None,
+                        },
+                    );
                 }
             }
             Timer::Wait { session, call } => self.waited(session, call),
@@ -515,10 +686,27 @@
     fn overdue(&mut self, now: Micros, job: JobNo, request: RequestId) {
         if !self.events.is_empty() {
             // After a standstill the module may not have seen yet what came with this timer.
-            return self.timers.set(now + 1_000, Timer::GiveUp { job, request: request.0 });
+            return self.timers.set(
+                now + 1_000,
+                Timer::GiveUp {
+                    job,
+                    request: request.0,
+                },
+            );
         }
-        if self.ledger.requests.get(&request).is_some_and(|(of, _)| *of == job) {
-            self.log(Level::Warn, format!("request {} had no answer in time; its job is failed", request.0));
+        if self
+            .ledger
+            .requests
+            .get(&request)
+            .is_some_and(|(of, _)| *of == job)
+        {
+            self.log(
+                Level::Warn,
+                format!(
+                    "request {} had no answer in time; its job is failed",
+                    request.0
+                ),
+            );
             self.withdraw(job);
             self.ledger.requests.insert(request, (job, 0));
             self.answer(now, request, Outcome::Failed, None);
@@ -529,7 +717,11 @@
         let keep = self.settings.limits.keep_ended_us;
         let before = now.saturating_sub(keep);
         let old = |(_, job): &(u32, JobNo)| {
-            self.ledger.jobs.get(job).and_then(|job| job.ended).is_some_and(|ended| ended < before)
+            self.ledger
+                .jobs
+                .get(job)
+                .and_then(|job| job.ended)
+                .is_some_and(|ended| ended < before)
         };
         let jobs: Vec<(u32, JobNo)> = self.sessions.over().filter(old).collect();
         for (_, job) in jobs {
@@ -537,7 +729,8 @@
         }
         self.sessions.sweep(before);
         if self.sessions.over().next().is_some() {
-            self.timers.set(now + (keep / SWEEPS).max(1_000_000), Timer::Sweep);
+            self.timers
+                .set(now + (keep / SWEEPS).max(1_000_000), Timer::Sweep);
         }
     }
 
@@ -552,7 +745,11 @@
         self.recheck_waiting(now);
         self.constrain.listed(&self.nodes);
         self.tell_line(now, number);
-        let word = if drain { "drained" } else { "no longer drained" };
+        let word = if drain {
+            "drained"
+        } else {
+            "no longer drained"
+        };
         self.log(Level::Info, format!("node {name}: {word} by an operator"));
         Ok(Answer::Done)
     }
@@ -563,7 +760,12 @@
 }
 
 /// The number of the key that a job's repeats share.
-pub(crate) fn job_key(class: &str, key: Option<&str>, name: &JobName, bulk: bool) -> reedring::TaskKey {
+pub(crate) fn job_key(
+    class: &str,
+    key: Option<&str>,
+    name: &JobName,
+    bulk: bool,
+) -> reedring::TaskKey {
     match key {
         Some(key) if bulk => task_key(class, &format!("{key}\n{}", name.index)),
         Some(key) => task_key(class, key),
--- a/crates/core/src/decide.rs
+++ b/crates/core/src/decide.rs
@@ -55,7 +55,10 @@
 /// what it has not read from the older one, and keeps each end until it is acknowledged.
 pub fn reconcile(known: Known, held: Option<&HeldState>, same_life: bool) -> Verdict {
     match (known, held) {
-        (_, Some(HeldState::Ended { end, ran })) => Verdict::Over { end: end.clone(), ran: *ran },
+        (_, Some(HeldState::Ended { end, ran })) => Verdict::Over {
+            end: end.clone(),
+            ran: *ran,
+        },
         (Known::Stopping, Some(_)) => Verdict::StopAgain,
         (Known::Out, Some(HeldState::Waiting)) | (Known::Accepted, Some(_)) => Verdict::Keep,
         (Known::Out, Some(_)) => Verdict::Place,
@@ -242,7 +245,9 @@
 /// How long before its owner gives up a request must be answered by the module: the answer has the loop and the
 /// disk before it, so twice what these were behind lately, and no more than a quarter of the owner's patience.
 pub fn answer_margin(grace_us: u64, lag_us: u64) -> u64 {
-    ANSWER_MARGIN_US.max(lag_us.saturating_mul(2)).min(grace_us / 4)
+    ANSWER_MARGIN_US
+        .max(lag_us.saturating_mul(2))
+        .min(grace_us / 4)
 }
 
 /// How far behind something was lately: the worst, which counts for half as much after each [`HALF_US`].
@@ -266,7 +271,9 @@
     /// What counts now.
     pub fn at(&self, now: u64) -> u64 {
         let halves = now.saturating_sub(self.at_us) / HALF_US;
-        self.worst_us.checked_shr(u32::try_from(halves).unwrap_or(u32::MAX)).unwrap_or(0)
+        self.worst_us
+            .checked_shr(u32::try_from(halves).unwrap_or(u32::MAX))
+            .unwrap_or(0)
     }
 }
 
@@ -283,7 +290,13 @@
 /// | yes | older than the jitter | any | yes |
 /// | yes | younger, or none | less than a window ago | yes |
 /// | yes | younger, or none | longer ago, or never | no |
-pub fn cold_and_late(now: u64, cold: bool, oldest: Option<u64>, late_until: u64, jitter: u64) -> bool {
+pub fn cold_and_late(
+    now: u64,
+    cold: bool,
+    oldest: Option<u64>,
+    late_until: u64,
+    jitter: u64,
+) -> bool {
     cold && (late_until > now || oldest.is_some_and(|sent| now >= sent.saturating_add(jitter)))
 }
 
@@ -292,7 +305,11 @@
 /// It may have reached its node as late as the former life's link stood, so until its successor greets: within
 /// [`FORMER_US`] of a window it counts as sent just now.
 pub fn former_offer(ago: u64, window: u64) -> u64 {
-    if ago < window.saturating_add(FORMER_US) { 0 } else { ago }
+    if ago < window.saturating_add(FORMER_US) {
+        0
+    } else {
+        ago
+    }
 }
 
 /// Microseconds for which a link of a former life may hold an offer back.
@@ -321,8 +338,14 @@
     fn an_end_that_was_told_is_an_end_whatever_the_ledger_held() {
         for known in KNOWN {
             for same_life in [false, true] {
-                let held = HeldState::Ended { end: End::Evicted, ran: true };
-                let over = Verdict::Over { end: End::Evicted, ran: true };
+                let held = HeldState::Ended {
+                    end: End::Evicted,
+                    ran: true,
+                };
+                let over = Verdict::Over {
+                    end: End::Evicted,
+                    ran: true,
+                };
                 assert_eq!(reconcile(known, Some(&held), same_life), over);
             }
         }
@@ -336,7 +359,11 @@
                 for same_life in [false, true] {
                     let verdict = reconcile(known, held.as_ref(), same_life);
                     let proven = held.is_none() && same_life && known != Known::Accepted;
-                    assert_eq!(verdict == Verdict::NeverRan, proven, "{known:?} {held:?} {same_life}");
+                    assert_eq!(
+                        verdict == Verdict::NeverRan,
+                        proven,
+                        "{known:?} {held:?} {same_life}"
+                    );
                 }
             }
         }
@@ -372,7 +399,8 @@
     #[test]
     fn only_a_class_that_allows_it_comes_again_after_it_ran() {
         use ComesAgain::{Always, Ended, Never};
-        let again = |rule| [Loss::NeverRan, Loss::Ended, Loss::Unknown].map(|loss| comes_again(rule, loss));
+        let again =
+            |rule| [Loss::NeverRan, Loss::Ended, Loss::Unknown].map(|loss| comes_again(rule, loss));
         assert_eq!(again(Always), [true, true, true]);
         assert_eq!(again(Ended), [true, true, false]);
         assert_eq!(again(Never), [true, false, false]);
@@ -385,7 +413,10 @@
         assert!(!may_tell(149, 100, Some(50), Some(1_000), false));
         assert!(may_tell(150, 100, Some(50), Some(1_000), false));
         assert!(may_tell(100, 100, None, Some(1_000), false));
-        assert!(may_tell(100, 100, Some(50), Some(1_000), true), "every offer of the former life is known");
+        assert!(
+            may_tell(100, 100, Some(50), Some(1_000), true),
+            "every offer of the former life is known"
+        );
     }
 
     /// Every case, against the rules and not against the table.
@@ -404,7 +435,11 @@
                         assert!(!(goes_on && (twice || open)), "{case}");
                         // Rule 1: at the last call nothing waits, and no promise is withheld for nothing.
                         assert!(!(last && got == Recovered::Wait), "{case}");
-                        assert_eq!(got == Recovered::Fail, twice && !open && (told || last), "{case}");
+                        assert_eq!(
+                            got == Recovered::Fail,
+                            twice && !open && (told || last),
+                            "{case}"
+                        );
                         assert!(!(got == Recovered::Ask && over), "{case}");
                         // A safe task's offer may be out unwritten until all have told.
                         let hasty = effect == Effect::Safe && !told && !last;
@@ -442,7 +477,15 @@
         let mut lag = Lag::default();
         lag.note(0, 400);
         lag.note(1, 300);
-        assert_eq!((lag.at(2), lag.at(HALF_US), lag.at(3 * HALF_US), lag.at(u64::MAX)), (400, 200, 50, 0));
+        assert_eq!(
+            (
+                lag.at(2),
+                lag.at(HALF_US),
+                lag.at(3 * HALF_US),
+                lag.at(u64::MAX)
+            ),
+            (400, 200, 50, 0)
+        );
         lag.note(HALF_US, 300);
         assert_eq!(lag.at(HALF_US), 300);
     }
@@ -459,12 +502,19 @@
         let repeats = [Repeat::Held, Repeat::Untold, Repeat::NotHeld];
         for effect in [Effect::Safe, Effect::Keyed, Effect::Unsafe] {
             for repeat in repeats {
-                for (may_wait, covered) in [(false, false), (false, true), (true, false), (true, true)] {
+                for (may_wait, covered) in
+                    [(false, false), (false, true), (true, false), (true, true)]
+                {
                     let got = resubmission(effect, repeat, may_wait, covered);
                     let starts = got == Resubmission::Start;
-                    assert!(!starts || (effect == Effect::Safe || covered) && repeat != Repeat::Held);
+                    assert!(
+                        !starts || (effect == Effect::Safe || covered) && repeat != Repeat::Held
+                    );
                     assert_eq!(got == Resubmission::TakeUp, repeat == Repeat::Held);
-                    assert_eq!(got == Resubmission::Wait, repeat == Repeat::Untold && may_wait && !covered);
+                    assert_eq!(
+                        got == Resubmission::Wait,
+                        repeat == Repeat::Untold && may_wait && !covered
+                    );
                 }
             }
         }
--- a/crates/core/src/fates.rs
+++ b/crates/core/src/fates.rs
@@ -15,10 +15,16 @@
 
 impl Core {
     /// An attempt's end is known, or it is `unknown` whether its copy stands still.
-    pub(crate) fn close(&mut self, id: AttemptId, fate: &'static str, unknown: bool) -> Option<Attempt> {
+    pub(crate) fn close(
+        &mut self,
+        id: AttemptId,
+        fate: &'static str,
+        unknown: bool,
+    ) -> Option<Attempt> {
         let attempt = self.ledger.close(id, fate)?;
         if unknown {
-            self.constrain.copy_unknown(attempt.wire, Arc::clone(&attempt.topics), attempt.node);
+            self.constrain
+                .copy_unknown(attempt.wire, Arc::clone(&attempt.topics), attempt.node);
         } else {
             self.constrain.copy_goes(&attempt.topics, attempt.node);
         }
@@ -51,7 +57,14 @@
             self.constrain.free_again(id.request);
         }
         let machine = attempt.machine;
-        self.events.push(Event::Ended(Ended { attempt: id, machine, outcome, reason, closed, report }));
+        self.events.push(Event::Ended(Ended {
+            attempt: id,
+            machine,
+            outcome,
+            reason,
+            closed,
+            report,
+        }));
     }
 
     /// An attempt ended before its node accepted it, or nobody knows whether it did.
@@ -65,10 +78,15 @@
         word: &'static str,
     ) {
         let unanswered = matches!(fate, Fate::Reset | Fate::Stopped | Fate::TimedOut);
-        let (fate, word) =
-            if unanswered && self.unsend(id) { (Fate::Unsent, "never sent") } else { (fate, word) };
+        let (fate, word) = if unanswered && self.unsend(id) {
+            (Fate::Unsent, "never sent")
+        } else {
+            (fate, word)
+        };
         let unknown = unanswered && fate != Fate::Unsent;
-        let Some(attempt) = self.close(id, word, unknown) else { return };
+        let Some(attempt) = self.close(id, word, unknown) else {
+            return;
+        };
         if fate != Fate::Unsent {
             self.answered_at(now, attempt.node, attempt.sent);
         }
@@ -79,7 +97,13 @@
         }
         // Where it may be accepted still, its node should not start it for nothing.
         if unknown {
-            self.stage_send(now, attempt.node, Message::Stop { attempt: attempt.wire });
+            self.stage_send(
+                now,
+                attempt.node,
+                Message::Stop {
+                    attempt: attempt.wire,
+                },
+            );
         }
         self.tell_end(id, &attempt, fate, reason, report);
         self.ends_if_ending(now, attempt.job);
@@ -99,13 +123,22 @@
     }
 
     /// An accepted copy ran to its end.
-    pub(crate) fn finished(&mut self, now: Micros, id: AttemptId, ending: Ending, report: Vec<f64>) {
-        let Some(attempt) = self.close(id, "ended", false) else { return };
+    pub(crate) fn finished(
+        &mut self,
+        now: Micros,
+        id: AttemptId,
+        ending: Ending,
+        report: Vec<f64>,
+    ) {
+        let Some(attempt) = self.close(id, "ended", false) else {
+            return;
+        };
         self.tell_end(id, &attempt, Fate::Finished, None, report);
         let phase = self.ledger.jobs.get(&attempt.job).map(|job| &job.phase);
         match phase {
             // It ended by itself before the stop came through: that is how it ended.
-            Some(Phase::Ending(_)) | Some(Phase::Placed(_) | Phase::Running(_) | Phase::Suspended(_)) => {
+            Some(Phase::Ending(_))
+            | Some(Phase::Placed(_) | Phase::Running(_) | Phase::Suspended(_)) => {
                 self.end_job(now, attempt.job, ending);
             }
             _ => {}
@@ -122,18 +155,28 @@
         reason: Option<Reason>,
         word: &'static str,
     ) {
-        let Some(attempt) = self.close(id, word, loss == Loss::Unknown) else { return };
+        let Some(attempt) = self.close(id, word, loss == Loss::Unknown) else {
+            return;
+        };
         self.constrain.stands_no_more(attempt.job);
         self.tell_end(id, &attempt, fate, reason, Vec::new());
-        let Some(job) = self.ledger.jobs.get(&attempt.job) else { return };
+        let Some(job) = self.ledger.jobs.get(&attempt.job) else {
+            return;
+        };
         if job.holder() != Some(id) {
             return self.ends_if_ending(now, attempt.job);
         }
         let class = &self.settings.classes[usize::from(job.ask.class)];
-        let (again, wait) = (decide::comes_again(class.comes_again, loss), class.again_after_us);
+        let (again, wait) = (
+            decide::comes_again(class.comes_again, loss),
+            class.again_after_us,
+        );
         let node = self.node_name(attempt.node);
         if again {
-            self.log(Level::Info, format!("job {}: {word} at {node}; it is placed again", job.name));
+            self.log(
+                Level::Info,
+                format!("job {}: {word} at {node}; it is placed again", job.name),
+            );
             if let Some(job) = self.ledger.job_mut(attempt.job) {
                 (job.phase, job.again, job.until) = (Phase::Delayed, true, now + wait);
             }
@@ -143,13 +186,19 @@
                 Loss::Unknown => "it may run still, and its class forbids a second copy",
                 Loss::Ended | Loss::NeverRan => "its class forbids a second start",
             };
-            self.end_job(now, attempt.job, Ending::aborted(format!("{word} at {node}; {why}")));
+            self.end_job(
+                now,
+                attempt.job,
+                Ending::aborted(format!("{word} at {node}; {why}")),
+            );
         }
     }
 
     /// A job that is being ended is over once no copy is left.
     pub(crate) fn ends_if_ending(&mut self, now: Micros, job: JobNo) {
-        let Some(entry) = self.ledger.jobs.get(&job) else { return };
+        let Some(entry) = self.ledger.jobs.get(&job) else {
+            return;
+        };
         if let (Phase::Ending(ending), true) = (&entry.phase, entry.copies.is_empty()) {
             let ending = ending.clone();
             self.end_job(now, job, ending);
@@ -208,28 +257,49 @@
     /// The same, where the owner gives up earlier than its class says.
     pub(crate) fn ask_until(&mut self, now: Micros, job: JobNo, until: Option<Micros>) {
         let request = self.ledger.new_request();
-        let Some(task) = self.module_task(job, request) else { return };
-        let Some(entry) = self.ledger.job_mut(job) else { return };
+        let Some(task) = self.module_task(job, request) else {
+            return;
+        };
+        let Some(entry) = self.ledger.job_mut(job) else {
+            return;
+        };
         let give_up = self.settings.classes[usize::from(entry.ask.class)].give_up_us;
         let give_up = until.map_or(give_up, |until| give_up.min(until.saturating_sub(now)));
         let unix = (self.start.unix_us + now.saturating_sub(self.start.now)) as i64;
-        let left = entry.ask.spec.deadline.map(|at| at.saturating_mul(1_000_000).saturating_sub(unix).max(0));
+        let left = entry
+            .ask
+            .spec
+            .deadline
+            .map(|at| at.saturating_mul(1_000_000).saturating_sub(unix).max(0));
         let grace_us = left.map_or(give_up, |left| give_up.min(left as u64));
         if grace_us == 0 {
             self.told(job, Outcome::Refused);
             return self.end_job(now, job, Ending::aborted("its drmaa_deadline_time is over"));
         }
         let subject = entry.ask.subject();
-        if let Some(never) = subject.as_ref().and_then(|subject| self.constrain.never(subject)) {
+        if let Some(never) = subject
+            .as_ref()
+            .and_then(|subject| self.constrain.never(subject))
+        {
             self.told(job, Outcome::Refused);
             return self.end_job(now, job, Ending::aborted(format!("refused: {never}")));
         }
-        (entry.phase, entry.until, entry.may_have_run) = (Phase::Asked(request), now + grace_us, false);
+        (entry.phase, entry.until, entry.may_have_run) =
+            (Phase::Asked(request), now + grace_us, false);
         self.ledger.requests.insert(request, (job, 0));
         // The answer must be with the owner before it gives up, so the module gets a little less time.
         let margin = decide::answer_margin(grace_us, self.lag.at(now));
-        self.timers.set(now + grace_us - margin / 2, Timer::GiveUp { job, request: request.0 });
-        self.events.push(Event::Arrived { task, grace_us: grace_us - margin });
+        self.timers.set(
+            now + grace_us - margin / 2,
+            Timer::GiveUp {
+                job,
+                request: request.0,
+            },
+        );
+        self.events.push(Event::Arrived {
+            task,
+            grace_us: grace_us - margin,
+        });
         match subject {
             Some(subject) => {
                 let opened = self.constrain.asked(request, subject);
@@ -241,7 +311,8 @@
 
     /// The module is told that nobody wants this job placed any more; it stops what is out.
     pub(crate) fn withdraw(&mut self, job: JobNo) {
-        if let Some(Phase::Asked(request)) = self.ledger.jobs.get(&job).map(|job| job.phase.clone()) {
+        if let Some(Phase::Asked(request)) = self.ledger.jobs.get(&job).map(|job| job.phase.clone())
+        {
             self.take_back(request);
         }
     }
@@ -255,7 +326,11 @@
 
     /// A job's owner has its answer: the first one stands, and is counted.
     pub(crate) fn told(&mut self, job: JobNo, outcome: Outcome) {
-        let Some(entry) = self.ledger.job_mut(job).filter(|entry| entry.outcome.is_none()) else {
+        let Some(entry) = self
+            .ledger
+            .job_mut(job)
+            .filter(|entry| entry.outcome.is_none())
+        else {
             return;
         };
         entry.outcome = Some(outcome);
@@ -270,7 +345,9 @@
     /// Ends a job at its user's word or by its limit: its copies are stopped first.
     pub(crate) fn terminate(&mut self, now: Micros, job: JobNo, ending: Ending) {
         self.withdraw(job);
-        let Some(entry) = self.ledger.job_mut(job) else { return };
+        let Some(entry) = self.ledger.job_mut(job) else {
+            return;
+        };
         if matches!(entry.phase, Phase::Ending(_) | Phase::Ended(_)) {
             return;
         }
@@ -284,20 +361,32 @@
     }
 
     pub(crate) fn end_job(&mut self, now: Micros, job: JobNo, ending: Ending) {
-        let Some(entry) = self.ledger.job_mut(job).filter(|entry| !entry.is_over()) else { return };
-        let broken: Vec<String> = self.constrain.broken(job).into_iter().map(|(text, _)| text).collect();
+        let Some(entry) = self.ledger.job_mut(job).filter(|entry| !entry.is_over()) else {
+            return;
+        };
+        let broken: Vec<String> = self
+            .constrain
+            .broken(job)
+            .into_iter()
+            .map(|(text, _)| text)
+            .collect();
         entry.broken = (!broken.is_empty()).then(|| broken.join("; "));
         self.constrain.stands_no_more(job);
         entry.phase = Phase::Ended(ending);
         entry.ended = Some(now);
         let (number, at) = (entry.session, (entry.name.call, entry.name.index));
         self.ledger.live = self.ledger.live.saturating_sub(1);
-        let Some(session) = self.sessions.get_mut(number) else { return };
+        let Some(session) = self.sessions.get_mut(number) else {
+            return;
+        };
         if session.over.is_empty() {
             let keep = self.settings.limits.keep_ended_us;
-            self.timers.set(now + (keep / SWEEPS).max(1_000_000), Timer::Sweep);
+            self.timers
+                .set(now + (keep / SWEEPS).max(1_000_000), Timer::Sweep);
         }
-        let Some(session) = self.sessions.get_mut(number) else { return };
+        let Some(session) = self.sessions.get_mut(number) else {
+            return;
+        };
         session.over.insert(job);
         let woken = session.ends_waits(job);
         if let Some(call) = woken.takes {
@@ -325,7 +414,12 @@
     /// Forgets a job whose end its owner was told.
     pub(crate) fn reap(&mut self, job: JobNo) {
         if let Some(entry) = self.ledger.forget(job) {
-            session_reap(&mut self.sessions, entry.session, (entry.name.call, entry.name.index), job);
+            session_reap(
+                &mut self.sessions,
+                entry.session,
+                (entry.name.call, entry.name.index),
+                job,
+            );
         }
     }
 }
--- a/crates/core/src/holds.rs
+++ b/crates/core/src/holds.rs
@@ -50,7 +50,11 @@
     /// Whether a node is held back for this reason, from now on.
     fn set(&mut self, node: NodeNo, machine: MachineId, reason: Reason, held: bool) {
         let reasons = self.by.entry(node).or_default();
-        let changed = if held { reasons.insert(reason) } else { reasons.remove(&reason) };
+        let changed = if held {
+            reasons.insert(reason)
+        } else {
+            reasons.remove(&reason)
+        };
         if reasons.is_empty() {
             self.by.remove(&node);
             self.changed |= self.machines.remove(&machine);
@@ -61,14 +65,19 @@
 
     /// The reason by the plan, in place of any other of that kind.
     fn set_plan(&mut self, node: NodeNo, machine: MachineId, hold: Option<reedring_plan::Hold>) {
-        let before = self
-            .by
-            .get(&node)
-            .and_then(|reasons| reasons.iter().copied().find(|reason| matches!(reason, Reason::Plan(_))));
+        let before = self.by.get(&node).and_then(|reasons| {
+            reasons
+                .iter()
+                .copied()
+                .find(|reason| matches!(reason, Reason::Plan(_)))
+        });
         let now = hold.map(Reason::Plan);
         if before != now {
-            now.into_iter().for_each(|reason| self.set(node, machine, reason, true));
-            before.into_iter().for_each(|reason| self.set(node, machine, reason, false));
+            now.into_iter()
+                .for_each(|reason| self.set(node, machine, reason, true));
+            before
+                .into_iter()
+                .for_each(|reason| self.set(node, machine, reason, false));
         }
     }
 
@@ -136,12 +145,22 @@
         let held = self.holds.machines.clone();
         self.constrain.hold(&held);
         let plain: Vec<RequestId> = if held.is_empty() {
-            std::mem::take(&mut self.holds.narrowed).into_iter().collect()
+            std::mem::take(&mut self.holds.narrowed)
+                .into_iter()
+                .collect()
         } else {
-            self.ledger.requests.keys().copied().filter(|request| !self.constrain.has(*request)).collect()
+            self.ledger
+                .requests
+                .keys()
+                .copied()
+                .filter(|request| !self.constrain.has(*request))
+                .collect()
         };
         let open = self.not_held();
-        let opened = plain.iter().map(|request| Event::Opened { request: *request, machines: open.clone() });
+        let opened = plain.iter().map(|request| Event::Opened {
+            request: *request,
+            machines: open.clone(),
+        });
         self.events.extend(opened);
         if !held.is_empty() {
             self.holds.narrowed.extend(plain);
@@ -172,22 +191,39 @@
     /// An offer leaves for a node.
     pub(crate) fn offered_to(&mut self, now: Micros, number: NodeNo) {
         if self.nodes.is_cold(number, now, &self.settings.site) {
-            self.timers.set(now + self.settings.jitter_us(), Timer::Cold(number));
+            self.timers
+                .set(now + self.settings.jitter_us(), Timer::Cold(number));
         }
     }
 
     /// Looks whether a cold node is late.
     pub(crate) fn tend_cold(&mut self, now: Micros, number: NodeNo) {
         let cold = self.nodes.is_cold(number, now, &self.settings.site);
-        let Some(node) = self.nodes.all.get(&number) else { return };
+        let Some(node) = self.nodes.all.get(&number) else {
+            return;
+        };
         let out = |id: &AttemptId| {
             let attempt = self.ledger.attempts.get(id)?;
             (!attempt.accepted).then_some(attempt.sent)
         };
-        let oldest = if cold { node.attempts.iter().filter_map(out).min() } else { None };
+        let oldest = if cold {
+            node.attempts.iter().filter_map(out).min()
+        } else {
+            None
+        };
         // What was given up without a word may still be on its way.
-        let oldest = if cold && self.constrain.has_ghosts(number) { Some(0) } else { oldest };
-        let held = decide::cold_and_late(now, cold, oldest, node.late_until, self.settings.jitter_us());
+        let oldest = if cold && self.constrain.has_ghosts(number) {
+            Some(0)
+        } else {
+            oldest
+        };
+        let held = decide::cold_and_late(
+            now,
+            cold,
+            oldest,
+            node.late_until,
+            self.settings.jitter_us(),
+        );
         self.hold(number, Reason::ColdAndLate, held);
     }
 }
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -38,7 +38,11 @@
         let mut parts = text.split('.');
         let (session, call, index) = (parts.next()?, parts.next()?, parts.next()?);
         let number = |text: &str| text.parse().ok().filter(|n: &u64| n.to_string() == text);
-        let name = Self { session: session.into(), call: number(call)?, index: number(index)? };
+        let name = Self {
+            session: session.into(),
+            call: number(call)?,
+            index: number(index)?,
+        };
         parts.next().is_none().then_some(name)
     }
 }
@@ -112,7 +116,13 @@
 
 impl Job {
     /// A job that nothing has happened to.
-    pub fn new(name: JobName, session: SessionNo, ask: Arc<Ask>, key: TaskKey, now: Micros) -> Self {
+    pub fn new(
+        name: JobName,
+        session: SessionNo,
+        ask: Arc<Ask>,
+        key: TaskKey,
+        now: Micros,
+    ) -> Self {
         Self {
             name,
             session,
@@ -145,7 +155,10 @@
             Phase::Suspended(_) => JobState::UserSuspended,
             // Its user asked for its end; whether it still runs is not known before its node tells.
             Phase::Ending(_) => JobState::Undetermined,
-            Phase::Ended(Ending { end: End::Exited { .. }, .. }) => JobState::Done,
+            Phase::Ended(Ending {
+                end: End::Exited { .. },
+                ..
+            }) => JobState::Done,
             Phase::Ended(_) => JobState::Failed,
         }
     }
@@ -157,7 +170,9 @@
     /// The attempt that holds its accepted copy.
     pub fn holder(&self) -> Option<AttemptId> {
         match self.phase {
-            Phase::Placed(attempt) | Phase::Running(attempt) | Phase::Suspended(attempt) => Some(attempt),
+            Phase::Placed(attempt) | Phase::Running(attempt) | Phase::Suspended(attempt) => {
+                Some(attempt)
+            }
             _ => None,
         }
     }
@@ -167,11 +182,21 @@
             self.history.remove(0);
         }
         self.tries += 1;
-        self.history.push(Trial { attempt, node, sent, fate: "out" });
+        self.history.push(Trial {
+            attempt,
+            node,
+            sent,
+            fate: "out",
+        });
     }
 
     pub fn fate(&mut self, attempt: AttemptId, fate: &'static str) {
-        if let Some(trial) = self.history.iter_mut().rev().find(|trial| trial.attempt == attempt) {
+        if let Some(trial) = self
+            .history
+            .iter_mut()
+            .rev()
+            .find(|trial| trial.attempt == attempt)
+        {
             trial.fate = fate;
         }
     }
@@ -185,21 +210,43 @@
         let mut tell = |name: &str, value: String| usage.push((name.to_owned(), value));
         let seconds = |at: Micros| format!("{:.6}", unix(at));
         tell("submission_time", seconds(self.submitted));
-        self.placed.into_iter().for_each(|at| tell("reedring.placed_time", seconds(at)));
-        self.started.into_iter().for_each(|at| tell("start_time", seconds(at)));
-        self.ended.into_iter().for_each(|at| tell("end_time", seconds(at)));
+        self.placed
+            .into_iter()
+            .for_each(|at| tell("reedring.placed_time", seconds(at)));
+        self.started
+            .into_iter()
+            .for_each(|at| tell("start_time", seconds(at)));
+        self.ended
+            .into_iter()
+            .for_each(|at| tell("end_time", seconds(at)));
         if let Some((from, to)) = self.started.zip(self.ended) {
-            tell("wallclock", format!("{:.6}", to.saturating_sub(from) as f64 / 1e6));
+            tell(
+                "wallclock",
+                format!("{:.6}", to.saturating_sub(from) as f64 / 1e6),
+            );
         }
-        tell("reedring.outcome", self.outcome.unwrap_or(Outcome::Failed).word().to_owned());
+        tell(
+            "reedring.outcome",
+            self.outcome.unwrap_or(Outcome::Failed).word().to_owned(),
+        );
         tell("reedring.attempts", self.tries.to_string());
-        node.into_iter().for_each(|node| tell("reedring.node", node.to_owned()));
-        ending.reason.iter().for_each(|reason| tell("reedring.reason", reason.clone()));
-        self.broken.iter().for_each(|broken| tell("reedring.broken", broken.clone()));
+        node.into_iter()
+            .for_each(|node| tell("reedring.node", node.to_owned()));
+        ending
+            .reason
+            .iter()
+            .for_each(|reason| tell("reedring.reason", reason.clone()));
+        self.broken
+            .iter()
+            .for_each(|broken| tell("reedring.broken", broken.clone()));
         if let Some(us) = ending.stay_away_us {
             tell("reedring.stay_away_ms", (us / 1_000).to_string());
         }
-        Some(JobInfo { job: self.name.to_string(), end: ending.end.clone(), usage })
+        Some(JobInfo {
+            job: self.name.to_string(),
+            end: ending.end.clone(),
+            usage,
+        })
     }
 
     pub fn line(&self, settings: &Settings, node: Option<&str>, now: Micros) -> JobLine {
@@ -320,13 +367,24 @@
 
     /// The attempt that the wire calls so. `life` is this life.
     pub fn find(&self, life: u64, id: wire::AttemptId) -> Option<AttemptId> {
-        let own = AttemptId { request: RequestId(id.request), number: id.number };
+        let own = AttemptId {
+            request: RequestId(id.request),
+            number: id.number,
+        };
         let own = (id.life == life).then_some(own);
-        self.adopted.get(&id).copied().or(own).filter(|id| self.attempts.contains_key(id))
+        self.adopted
+            .get(&id)
+            .copied()
+            .or(own)
+            .filter(|id| self.attempts.contains_key(id))
     }
 
     pub fn open(&mut self, life: u64, id: AttemptId, attempt: Attempt) {
-        let own = wire::AttemptId { life, request: id.request.0, number: id.number };
+        let own = wire::AttemptId {
+            life,
+            request: id.request.0,
+            number: id.number,
+        };
         if attempt.wire != own {
             self.adopted.insert(attempt.wire, id);
         }
@@ -354,9 +412,22 @@
 
     #[test]
     fn job_names_read_back_and_nothing_else_does() {
-        let name = JobName { session: "s-1".into(), call: 4, index: 7 };
+        let name = JobName {
+            session: "s-1".into(),
+            call: 4,
+            index: 7,
+        };
         assert_eq!(JobName::parse(&name.to_string()), Some(name));
-        for odd in ["", "s", "s.1", "s.1.2.3", "s.01.2", "s.1.x", "s.+1.2", "s.1.99999999999999999999"] {
+        for odd in [
+            "",
+            "s",
+            "s.1",
+            "s.1.2.3",
+            "s.01.2",
+            "s.1.x",
+            "s.+1.2",
+            "s.1.99999999999999999999",
+        ] {
             assert_eq!(JobName::parse(odd), None, "{odd}");
         }
     }
--- a/crates/core/src/keep.rs
+++ b/crates/core/src/keep.rs
@@ -109,8 +109,9 @@
     /// A link ended or began: what waits for it is void.
     pub fn link_changed(&mut self, node: NodeNo) {
         self.gate.drop_all(&Dest::Node(node));
-        self.staged
-            .retain(|staged| staged.to != Dest::Node(node) || !matches!(staged.output, Output::Send { .. }));
+        self.staged.retain(|staged| {
+            staged.to != Dest::Node(node) || !matches!(staged.output, Output::Send { .. })
+        });
     }
 
     pub fn client_gone(&mut self, conn: ConnId) {
@@ -120,10 +121,17 @@
     /// Turns an offer back that has not left.
     fn unsend(&mut self, node: NodeNo, attempt: wire::AttemptId) -> bool {
         let wanted = |output: &Output| offered(output) == Some(attempt);
-        if self.gate.take(&Dest::Node(node), |(_, output)| wanted(output)).is_some() {
+        if self
+            .gate
+            .take(&Dest::Node(node), |(_, output)| wanted(output))
+            .is_some()
+        {
             return true;
         }
-        let at = self.staged.iter().rposition(|staged| wanted(&staged.output));
+        let at = self
+            .staged
+            .iter()
+            .rposition(|staged| wanted(&staged.output));
         at.map(|at| self.staged.remove(at)).is_some()
     }
 }
@@ -131,7 +139,10 @@
 /// The attempt that an output offers.
 fn offered(output: &Output) -> Option<wire::AttemptId> {
     match output {
-        Output::Send { message: Message::Offer { attempt, .. }, .. } => Some(*attempt),
+        Output::Send {
+            message: Message::Offer { attempt, .. },
+            ..
+        } => Some(*attempt),
         _ => None,
     }
 }
@@ -141,32 +152,47 @@
     pub(crate) fn start_keeping(&mut self, lost: Option<String>) {
         self.keep.mode = match lost {
             Some(why) => {
-                self.log(Level::Warn, format!("state: {why}; this placer keeps nothing over a restart"));
+                self.log(
+                    Level::Warn,
+                    format!("state: {why}; this placer keeps nothing over a restart"),
+                );
                 Mode::Lost { why, marked: false }
             }
             None => Mode::On,
         };
         self.keep.change(Change::Life(self.start.life));
         let every = self.settings.state.as_ref().map(|state| state.learn_us);
-        every.into_iter().for_each(|every| self.timers.set(self.start.now + every, Timer::Learn));
+        every
+            .into_iter()
+            .for_each(|every| self.timers.set(self.start.now + every, Timer::Learn));
     }
 
     // ---- Outputs ----
 
     pub(crate) fn stage_reply(&mut self, conn: ConnId, output: Output) {
-        self.keep.staged.push(Staged { to: Dest::Conn(conn), waits: Waits::Now, output });
+        self.keep.staged.push(Staged {
+            to: Dest::Conn(conn),
+            waits: Waits::Now,
+            output,
+        });
     }
 
     /// Tells an end that batch `seq` has. That it was told need not be durable: a successor that does not know
     /// tells the same end again. A client that waits for one job after the other would otherwise get no more
     /// of them than the disk has syncs, and many too late.
     pub(crate) fn stage_end(&mut self, conn: ConnId, output: Output, seq: u64) {
-        self.keep.staged.push(Staged { to: Dest::Conn(conn), waits: Waits::For(seq), output });
+        self.keep.staged.push(Staged {
+            to: Dest::Conn(conn),
+            waits: Waits::For(seq),
+            output,
+        });
     }
 
     /// Sends on a node's link, in order.
     pub(crate) fn stage_send(&mut self, now: Micros, number: NodeNo, message: Message) {
-        let Some(node) = self.nodes.all.get(&number).filter(|node| node.is_up()) else { return };
+        let Some(node) = self.nodes.all.get(&number).filter(|node| node.is_up()) else {
+            return;
+        };
         let name = node.name.clone();
         let waits = match &message {
             Message::Offer { task, .. } => {
@@ -174,7 +200,9 @@
                 if cold {
                     self.keep.change(Change::Cold(name.clone()));
                 }
-                let row = self.job_named(&task.job).and_then(|job| self.ledger.jobs.get(&job)?.kept);
+                let row = self
+                    .job_named(&task.job)
+                    .and_then(|job| self.ledger.jobs.get(&job)?.kept);
                 match row {
                     Some(seq) if !cold && task.repeat == wire::Repeat::Safe => Waits::For(seq),
                     _ => Waits::Now,
@@ -189,8 +217,15 @@
             }
             _ => Waits::No,
         };
-        let output = Output::Send { node: name, message };
-        self.keep.staged.push(Staged { to: Dest::Node(number), waits, output });
+        let output = Output::Send {
+            node: name,
+            message,
+        };
+        self.keep.staged.push(Staged {
+            to: Dest::Node(number),
+            waits,
+            output,
+        });
     }
 
     /// A node forgets what is acknowledged. While nothing is durable that would make the ledger lie: it holds
@@ -200,7 +235,9 @@
             return true;
         }
         let found = self.ledger.find(self.start.life, attempt);
-        let job = found.and_then(|id| self.ledger.attempts.get(&id)).map(|attempt| attempt.job);
+        let job = found
+            .and_then(|id| self.ledger.attempts.get(&id))
+            .map(|attempt| attempt.job);
         let job = job.and_then(|job| self.ledger.jobs.get(&job));
         job.is_some_and(|job| job.kept.is_none() && self.effect(job) == Effect::Safe)
     }
@@ -211,7 +248,11 @@
 
     /// Whether a task of this class may leave though its offer can't be made durable.
     pub(crate) fn may_leave(&self, effect: Effect) -> bool {
-        let warn = self.settings.state.as_ref().is_none_or(|state| state.when_lost == WhenLost::Warn);
+        let warn = self
+            .settings
+            .state
+            .as_ref()
+            .is_none_or(|state| state.when_lost == WhenLost::Warn);
         match &self.keep.mode {
             Mode::Off | Mode::On => true,
             // A successor that does not know that promises are missing would start them again.
@@ -221,7 +262,11 @@
 
     /// An attempt's offer, if it has not left, never will.
     pub(crate) fn unsend(&mut self, id: AttemptId) -> bool {
-        let attempt = self.ledger.attempts.get(&id).map(|attempt| (attempt.node, attempt.wire));
+        let attempt = self
+            .ledger
+            .attempts
+            .get(&id)
+            .map(|attempt| (attempt.node, attempt.wire));
         self.keep.is_on() && attempt.is_some_and(|(node, wire)| self.keep.unsend(node, wire))
     }
 
@@ -229,9 +274,12 @@
     pub(crate) fn recheck_waiting(&mut self, now: Micros) {
         let nodes = &self.nodes;
         let closed = |output: &Output| match output {
-            Output::Send { node, message: Message::Offer { .. } } => {
-                nodes.health_of(node).is_none_or(|health| health != Health::Ready)
-            }
+            Output::Send {
+                node,
+                message: Message::Offer { .. },
+            } => nodes
+                .health_of(node)
+                .is_none_or(|health| health != Health::Ready),
             _ => false,
         };
         for (_, (_, output)) in self.keep.gate.take_all(|(_, output)| closed(output)) {
@@ -325,7 +373,9 @@
         changes.splice(0..0, covered);
         changes.append(&mut self.sessions.rows());
         let numbers: Vec<JobNo> = self.ledger.jobs.keys().copied().collect();
-        numbers.into_iter().for_each(|number| self.job_rows(number, &mut changes));
+        numbers
+            .into_iter()
+            .for_each(|number| self.job_rows(number, &mut changes));
         let drained = self.nodes.all.values().filter(|node| node.drained);
         changes.extend(drained.map(|node| Change::Drained(node.name.clone(), true)));
         self.keep_batch(now, changes, true);
@@ -335,7 +385,11 @@
         if !changes.is_empty() {
             self.keep.seq += 1;
             self.keep.cuts.push_back((self.keep.seq, now));
-            let batch = Batch { seq: self.keep.seq, at: self.unix_us(now), changes };
+            let batch = Batch {
+                seq: self.keep.seq,
+                at: self.unix_us(now),
+                changes,
+            };
             self.outputs.push_back(Output::Keep { batch, whole });
         }
     }
@@ -397,9 +451,15 @@
             key: job.key.0,
             phase: match &job.phase {
                 Phase::Held => state::Phase::Held,
-                Phase::Delayed if job.recovering => state::Phase::Asked { until: unix(job.until) },
-                Phase::Delayed => state::Phase::Delayed { until: unix(job.until) },
-                Phase::Asked(_) => state::Phase::Asked { until: unix(job.until) },
+                Phase::Delayed if job.recovering => state::Phase::Asked {
+                    until: unix(job.until),
+                },
+                Phase::Delayed => state::Phase::Delayed {
+                    until: unix(job.until),
+                },
+                Phase::Asked(_) => state::Phase::Asked {
+                    until: unix(job.until),
+                },
                 Phase::Placed(_) => state::Phase::Placed,
                 Phase::Running(_) => state::Phase::Running,
                 Phase::Suspended(_) => state::Phase::Suspended,
@@ -423,13 +483,22 @@
     // ---- What the disk says ----
 
     pub(crate) fn durable(&mut self, now: Micros, seq: u64) {
-        let done = self.keep.cuts.iter().take_while(|(cut, _)| *cut <= seq).count();
+        let done = self
+            .keep
+            .cuts
+            .iter()
+            .take_while(|(cut, _)| *cut <= seq)
+            .count();
         for (_, cut) in self.keep.cuts.drain(..done) {
             self.lag.note(now, now.saturating_sub(cut));
         }
         for (to, (since, output)) in self.keep.gate.durable(seq) {
             if let (Dest::Node(number), Some(wire)) = (to, offered(&output)) {
-                let ready = self.nodes.all.get(&number).is_some_and(|node| node.health() == Health::Ready);
+                let ready = self
+                    .nodes
+                    .all
+                    .get(&number)
+                    .is_some_and(|node| node.health() == Health::Ready);
                 let late = now.saturating_sub(since) > DISK_WAIT_US
                     && self.nodes.is_cold(number, now, &self.settings.site);
                 if !ready || late || self.ledger.find(self.start.life, wire).is_none() {
@@ -449,7 +518,10 @@
 
     /// The folder can't be written: nothing that waits can wait for it.
     pub(crate) fn state_lost(&mut self, now: Micros, why: String, marked: bool) {
-        let new = Mode::Lost { why: why.clone(), marked };
+        let new = Mode::Lost {
+            why: why.clone(),
+            marked,
+        };
         if self.keep.mode == new || self.keep.mode == Mode::Off {
             return;
         }
@@ -457,7 +529,10 @@
         self.keep.cuts.clear();
         self.keep.changes.clear();
         if self.keep.mode == Mode::On {
-            self.log(Level::Warn, format!("state: {why}; nothing is kept over a restart until it is mended"));
+            self.log(
+                Level::Warn,
+                format!("state: {why}; nothing is kept over a restart until it is mended"),
+            );
         }
         self.keep.mode = new;
         for (to, (_, mut output)) in self.keep.gate.take_all(|_| true) {
@@ -467,9 +542,10 @@
                 submitted.warning = self.not_kept();
             }
             let unsafe_offer = match &output {
-                Output::Send { message: Message::Offer { task, .. }, .. } => {
-                    task.repeat != wire::Repeat::Safe
-                }
+                Output::Send {
+                    message: Message::Offer { task, .. },
+                    ..
+                } => task.repeat != wire::Repeat::Safe,
                 _ => false,
             };
             if unsafe_offer && !self.may_leave(Effect::Unsafe) {
@@ -478,9 +554,13 @@
                 continue;
             }
             match (to, &output) {
-                (Dest::Node(node), Output::Send { message: Message::Ack { attempt }, .. })
-                    if !self.may_acknowledge(*attempt) =>
-                {
+                (
+                    Dest::Node(node),
+                    Output::Send {
+                        message: Message::Ack { attempt },
+                        ..
+                    },
+                ) if !self.may_acknowledge(*attempt) => {
                     self.keep.owed.insert((node, *attempt));
                 }
                 _ => self.outputs.push_back(output),
@@ -492,23 +572,38 @@
     pub(crate) fn state_back(&mut self) {
         if self.keep.lost().is_some() {
             (self.keep.mode, self.keep.whole) = (Mode::On, true);
-            self.log(Level::Info, "state: the folder can be written again; everything is kept anew");
+            self.log(
+                Level::Info,
+                "state: the folder can be written again; everything is kept anew",
+            );
         }
     }
 
     /// A task that must not start twice can't leave: its owner has its answer.
     pub(crate) fn cannot_leave(&mut self, now: Micros, id: AttemptId) {
-        let Some(job) = self.ledger.attempts.get(&id).map(|attempt| attempt.job) else { return };
-        if let Some(Phase::Asked(request)) = self.ledger.jobs.get(&job).map(|job| job.phase.clone()) {
+        let Some(job) = self.ledger.attempts.get(&id).map(|attempt| attempt.job) else {
+            return;
+        };
+        if let Some(Phase::Asked(request)) = self.ledger.jobs.get(&job).map(|job| job.phase.clone())
+        {
             self.take_back(request);
         }
         self.unplaced(now, id, Fate::Unsent, None, Vec::new(), "not sent");
         let why = self.keep.lost().unwrap_or_default().to_owned();
-        let ran = self.ledger.jobs.get(&job).is_some_and(|job| job.may_have_run);
-        let (outcome, word) = if ran { (Outcome::Failed, "failed") } else { (Outcome::Refused, "refused") };
+        let ran = self
+            .ledger
+            .jobs
+            .get(&job)
+            .is_some_and(|job| job.may_have_run);
+        let (outcome, word) = if ran {
+            (Outcome::Failed, "failed")
+        } else {
+            (Outcome::Refused, "refused")
+        };
         self.told(job, outcome);
-        let reason =
-            format!("{word}: its start can't be kept over a restart ({why}), and it must not start twice");
+        let reason = format!(
+            "{word}: its start can't be kept over a restart ({why}), and it must not start twice"
+        );
         self.end_job(now, job, Ending::aborted(reason));
     }
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -71,5 +71,10 @@
 /// where the file has no `[plan]`.
 pub fn first_stamp(settings: &reedring_settings::Settings) -> Option<reedring_nodeproto::Stamp> {
     let version = settings.plan().ok().flatten()?.version();
-    Some(reedring_nodeproto::Stamp { version, joint: false, list: 0, build: build() })
+    Some(reedring_nodeproto::Stamp {
+        version,
+        joint: false,
+        list: 0,
+        build: build(),
+    })
 }
--- a/crates/core/src/links.rs
+++ b/crates/core/src/links.rs
@@ -127,7 +127,11 @@
         plan: Option<String>,
     ) -> NodeLine {
         let refusal = |(reason, count): (&Reason, &u64)| (reason.word().to_owned(), *count);
-        let listed = if self.listed { self.entry.health } else { Health::Gone };
+        let listed = if self.listed {
+            self.entry.health
+        } else {
+            Health::Gone
+        };
         NodeLine {
             node: self.name.clone(),
             address: self.address.to_string(),
@@ -180,7 +184,10 @@
 
 impl Nodes {
     pub fn new(kinds: Vec<String>) -> Self {
-        Self { kinds, ..Self::default() }
+        Self {
+            kinds,
+            ..Self::default()
+        }
     }
 
     /// The names of kinds, where the settings have others now.
@@ -212,7 +219,10 @@
         }
         let number = self.all.len() as NodeNo;
         let entry = NodeEntry::at(name, SocketAddr::from(([127, 0, 0, 1], 0)));
-        let node = Node { remembered: true, ..Node::new(entry) };
+        let node = Node {
+            remembered: true,
+            ..Node::new(entry)
+        };
         self.numbers.insert(name.to_owned(), number);
         self.machines.insert(node.machine, number);
         self.all.insert(number, node);
@@ -226,7 +236,9 @@
     /// It has started lately, and bears little.
     pub fn is_cold(&self, number: NodeNo, now: Micros, site: &Site) -> bool {
         let started = self.all.get(&number).and_then(|node| node.started);
-        started.zip(site.warm_after_us).is_some_and(|(at, warm)| now < at.saturating_add(warm))
+        started
+            .zip(site.warm_after_us)
+            .is_some_and(|(at, warm)| now < at.saturating_add(warm))
     }
 
     /// Takes a whole list in; answers what it means for links, and names that can't be told apart.
@@ -285,15 +297,29 @@
     }
 
     /// The line of one node, where the module does not know it yet.
-    pub fn line(&mut self, now: Micros, born: Born, number: NodeNo, site: &Site) -> Option<module::Machine> {
+    pub fn line(
+        &mut self,
+        now: Micros,
+        born: Born,
+        number: NodeNo,
+        site: &Site,
+    ) -> Option<module::Machine> {
         let node = self.all.get_mut(&number)?;
         let not_met = matches!(node.link, Link::Fresh | Link::Greeted(_));
         if (not_met || node.entry.control) && node.line.is_none() {
             return None;
         }
-        let cold_until = node.started.zip(site.warm_after_us).map(|(at, warm)| at.saturating_add(warm));
-        if !decide::may_tell(now, born.at, site.cold_window_us, cold_until, born.budgets_known)
-            && node.line.is_none()
+        let cold_until = node
+            .started
+            .zip(site.warm_after_us)
+            .map(|(at, warm)| at.saturating_add(warm));
+        if !decide::may_tell(
+            now,
+            born.at,
+            site.cold_window_us,
+            cold_until,
+            born.budgets_known,
+        ) && node.line.is_none()
         {
             return None;
         }
@@ -308,7 +334,9 @@
             id: node.machine,
             zone: self.halls.number(&node.entry.hall),
             kind: node.entry.kind,
-            cell: self.racks.number(&format!("{}\n{}", node.entry.hall, node.entry.rack)),
+            cell: self
+                .racks
+                .number(&format!("{}\n{}", node.entry.hall, node.entry.rack)),
             health,
             // Only a young node's start matters, and only where the site tells what young means.
             ready_at: node.started.filter(|_| site.warm_after_us.is_some()),
@@ -323,6 +351,9 @@
 
     /// Every node that could hold a task has told since this placer started.
     pub fn all_told(&self) -> bool {
-        self.all.values().filter(|node| node.listed).all(|node| node.told)
+        self.all
+            .values()
+            .filter(|node| node.listed)
+            .all(|node| node.told)
     }
 }
--- a/crates/core/src/reconnect.rs
+++ b/crates/core/src/reconnect.rs
@@ -113,12 +113,16 @@
 
 impl Bucket {
     const fn a_second(rate: u64) -> Self {
-        Self { each: SECOND / rate, full_at: 0 }
+        Self {
+            each: SECOND / rate,
+            full_at: 0,
+        }
     }
 
     /// When a bucket of this size has a token.
     fn ready_at(&self, size: u64) -> Micros {
-        self.full_at.saturating_sub(size.saturating_sub(1) * self.each)
+        self.full_at
+            .saturating_sub(size.saturating_sub(1) * self.each)
     }
 
     fn take(&mut self, now: Micros) {
@@ -216,7 +220,12 @@
 
     /// The node that waits for longest for a token.
     fn first_due(&self) -> Option<(Micros, LinkId)> {
-        self.fresh.first().into_iter().chain(self.stale.first()).min().copied()
+        self.fresh
+            .first()
+            .into_iter()
+            .chain(self.stale.first())
+            .min()
+            .copied()
     }
 
     /// The node to which the next token goes, if one is due.
@@ -263,16 +272,30 @@
     pub fn wanted(&mut self, zone: &str) -> LinkId {
         self.last_id += 1;
         let id = LinkId(self.last_id);
-        let zone: Arc<str> =
-            self.zones.get_key_value(zone).map_or_else(|| zone.into(), |(key, _)| key.clone());
-        self.zones.entry(zone.clone()).or_insert_with(Zone::new).nodes += 1;
-        self.nodes.insert(id, Node { zone, state: State::Trying { swept: false }, failed: 0 });
+        let zone: Arc<str> = self
+            .zones
+            .get_key_value(zone)
+            .map_or_else(|| zone.into(), |(key, _)| key.clone());
+        self.zones
+            .entry(zone.clone())
+            .or_insert_with(Zone::new)
+            .nodes += 1;
+        self.nodes.insert(
+            id,
+            Node {
+                zone,
+                state: State::Trying { swept: false },
+                failed: 0,
+            },
+        );
         id
     }
 
     /// The link is wanted no more.
     pub fn left(&mut self, id: LinkId) {
-        let Some(node) = self.take_out(id) else { return };
+        let Some(node) = self.take_out(id) else {
+            return;
+        };
         self.resume(&node.zone);
     }
 
@@ -281,10 +304,15 @@
         if self.nodes.get(&id).is_none_or(|node| &*node.zone == zone) {
             return;
         }
-        let Some(mut node) = self.take_out(id) else { return };
+        let Some(mut node) = self.take_out(id) else {
+            return;
+        };
         self.resume(&node.zone);
         node.zone = zone.into();
-        let entry = self.zones.entry(node.zone.clone()).or_insert_with(Zone::new);
+        let entry = self
+            .zones
+            .entry(node.zone.clone())
+            .or_insert_with(Zone::new);
         entry.nodes += 1;
         entry.standing += usize::from(node.state == State::Stands);
         entry.silent += usize::from(node.is_silent());
@@ -297,8 +325,12 @@
     /// A try failed.
     pub fn failed(&mut self, now: Micros, id: LinkId, failure: Failure) {
         let tried = |node: &&mut Node| matches!(node.state, State::Trying { .. });
-        let Some(node) = self.nodes.get_mut(&id).filter(tried) else { return };
-        let Some(zone) = self.zones.get_mut(&node.zone) else { return };
+        let Some(node) = self.nodes.get_mut(&id).filter(tried) else {
+            return;
+        };
+        let Some(zone) = self.zones.get_mut(&node.zone) else {
+            return;
+        };
         zone.silent += usize::from(node.failed == 0);
         node.failed = node.failed.saturating_add(1);
         let queue = match failure {
@@ -315,8 +347,12 @@
     /// The node greeted: its link stands, and its zone answers.
     pub fn stood(&mut self, now: Micros, id: LinkId) {
         let tried = |node: &&mut Node| matches!(node.state, State::Trying { .. });
-        let Some(node) = self.nodes.get_mut(&id).filter(tried) else { return };
-        let Some(zone) = self.zones.get_mut(&node.zone) else { return };
+        let Some(node) = self.nodes.get_mut(&id).filter(tried) else {
+            return;
+        };
+        let Some(zone) = self.zones.get_mut(&node.zone) else {
+            return;
+        };
         if node.state == (State::Trying { swept: true }) {
             zone.waste.give_back();
         }
@@ -334,13 +370,20 @@
     /// A link that stood has ended.
     pub fn ended(&mut self, now: Micros, id: LinkId) {
         let stands = |node: &&mut Node| node.state == State::Stands;
-        let Some(node) = self.nodes.get_mut(&id).filter(stands) else { return };
-        let Some(zone) = self.zones.get_mut(&node.zone) else { return };
+        let Some(node) = self.nodes.get_mut(&id).filter(stands) else {
+            return;
+        };
+        let Some(zone) = self.zones.get_mut(&node.zone) else {
+            return;
+        };
         let due = now + backoff(self.seed, id, 0);
         zone.standing -= 1;
         zone.silent += 1;
         node.failed = 1;
-        node.state = State::Waits { due, queue: Queue::Fresh };
+        node.state = State::Waits {
+            due,
+            queue: Queue::Fresh,
+        };
         zone.fresh.insert((due, id));
     }
 
@@ -361,8 +404,14 @@
     pub fn next_wake(&self) -> Option<Micros> {
         let of_zone = |zone: &Zone| {
             let unpaced = zone.unpaced.first().map(|(at, _)| *at);
-            let swept = zone.sweep.front().map(|_| zone.sweep_at.max(self.sweeps.ready_at(SWEEP_BURST)));
-            let token = zone.blind.ready_at(ZONE_BURST).max(self.blind.ready_at(PLACER_BURST));
+            let swept = zone
+                .sweep
+                .front()
+                .map(|_| zone.sweep_at.max(self.sweeps.ready_at(SWEEP_BURST)));
+            let token = zone
+                .blind
+                .ready_at(ZONE_BURST)
+                .max(self.blind.ready_at(PLACER_BURST));
             let blind = zone.first_due().map(|(at, _)| at.max(token));
             [unpaced, swept, blind].into_iter().flatten().min()
         };
@@ -393,14 +442,20 @@
             return None;
         }
         loop {
-            let swept = self.zones.values_mut().filter(|zone| !zone.sweep.is_empty() && zone.sweep_at <= now);
+            let swept = self
+                .zones
+                .values_mut()
+                .filter(|zone| !zone.sweep.is_empty() && zone.sweep_at <= now);
             let zone = swept.min_by_key(|zone| zone.sweep_at)?;
             if !zone.may_sweep(now) {
                 zone.sweep.clear();
                 continue;
             }
             let id = zone.sweep.pop_front()?;
-            let waits = self.nodes.get(&id).is_some_and(|node| matches!(node.state, State::Waits { .. }));
+            let waits = self
+                .nodes
+                .get(&id)
+                .is_some_and(|node| matches!(node.state, State::Waits { .. }));
             if waits {
                 zone.sweep_at += zone.sweep_gap;
                 zone.waste.take(now);
@@ -415,12 +470,21 @@
         let mut held_up = Vec::new();
         let mut chosen: Option<(u64, Arc<str>, LinkId)> = None;
         for (name, zone) in &mut self.zones {
-            let Some(id) = zone.next_due(now) else { continue };
+            let Some(id) = zone.next_due(now) else {
+                continue;
+            };
             if zone.blind.ready_at(ZONE_BURST) > now {
                 if zone.silent > FEW && !std::mem::replace(&mut zone.slow, true) {
-                    held_up.push(News::Slowed { zone: name.clone(), silent: zone.silent, of: zone.nodes });
+                    held_up.push(News::Slowed {
+                        zone: name.clone(),
+                        silent: zone.silent,
+                        of: zone.nodes,
+                    });
                 }
-            } else if chosen.as_ref().is_none_or(|(served, ..)| zone.served < *served) {
+            } else if chosen
+                .as_ref()
+                .is_none_or(|(served, ..)| zone.served < *served)
+            {
                 chosen = Some((zone.served, name.clone(), id));
             }
         }
@@ -436,8 +500,12 @@
     }
 
     fn begin(&mut self, now: Micros, id: LinkId, swept: bool, due: &mut Vec<LinkId>) {
-        let Some(node) = self.nodes.get_mut(&id) else { return };
-        if let (State::Waits { due, queue }, Some(zone)) = (node.state, self.zones.get_mut(&node.zone)) {
+        let Some(node) = self.nodes.get_mut(&id) else {
+            return;
+        };
+        if let (State::Waits { due, queue }, Some(zone)) =
+            (node.state, self.zones.get_mut(&node.zone))
+        {
             debug_assert!(swept || due <= now);
             zone.queue(queue).remove(&(due, id));
         }
@@ -447,7 +515,9 @@
 
     /// All silent nodes of a zone are tried once, in an order of this placer's own.
     fn sweep(&mut self, now: Micros, name: &Arc<str>) {
-        let Some(zone) = self.zones.get_mut(name) else { return };
+        let Some(zone) = self.zones.get_mut(name) else {
+            return;
+        };
         if !zone.sweep.is_empty() || !zone.may_sweep(now) {
             return;
         }
@@ -461,10 +531,15 @@
 
     /// Tells the staff where a zone has few silent nodes again.
     fn resume(&mut self, name: &Arc<str>) {
-        let Some(zone) = self.zones.get_mut(name) else { return };
+        let Some(zone) = self.zones.get_mut(name) else {
+            return;
+        };
         if zone.slow && zone.silent <= FEW / 2 {
             zone.slow = false;
-            self.news.push_back(News::Resumed { zone: name.clone(), silent: zone.silent });
+            self.news.push_back(News::Resumed {
+                zone: name.clone(),
+                silent: zone.silent,
+            });
         }
     }
 
