--- a/crates/core/src/recover.rs
+++ b/crates/core/src/recover.rs
@@ -29,10 +29,16 @@
             core.events.push(Event::Recalled(beliefs));
         }
         for known in nodes {
-            let spent = core.recall.entry(known.node.clone()).or_insert_with(|| state::Known {
-                belief: Belief { machine: known.belief.machine, ..Belief::default() },
-                ..known.clone()
-            });
+            let spent = core
+                .recall
+                .entry(known.node.clone())
+                .or_insert_with(|| state::Known {
+                    belief: Belief {
+                        machine: known.belief.machine,
+                        ..Belief::default()
+                    },
+                    ..known.clone()
+                });
             // The ledger's count of offers to cold nodes is exact; the file's may be older.
             let cold_offers = std::mem::take(&mut spent.belief.cold_offers);
             spent.life = known.life;
@@ -45,26 +51,47 @@
     }
 
     fn restore(&mut self, now: Micros, image: Image) {
-        self.covered = image.lives.iter().map(|link| link.life).filter(|life| image.covers(*life)).collect();
+        self.covered = image
+            .lives
+            .iter()
+            .map(|link| link.life)
+            .filter(|life| image.covers(*life))
+            .collect();
         // Every offer to a cold node was durable before it left, if nothing is missing.
         self.budgets_known = !image.lives.is_empty() && !image.holes;
         for (number, session) in &image.sessions {
-            self.sessions.restore(*number, session, image.calls.get(number), now);
+            self.sessions
+                .restore(*number, session, image.calls.get(number), now);
         }
         for node in &image.drained {
             let number = self.nodes.remember(node);
             if let Some(node) = self.nodes.all.get_mut(&number) {
                 node.drained = true;
             }
-            self.log(Level::Info, format!("node {node}: still drained by an operator"));
+            self.log(
+                Level::Info,
+                format!("node {node}: still drained by an operator"),
+            );
         }
         for (node, times) in &image.cold {
             let machine = reedring::names::machine_id(node);
             let window = self.settings.site.cold_window_us.unwrap_or(0);
-            let ago = |at: &u64| decide::former_offer(now.saturating_sub(self.at_unix(*at)), window);
+            let ago =
+                |at: &u64| decide::former_offer(now.saturating_sub(self.at_unix(*at)), window);
             let cold_offers = times.iter().map(ago).collect();
-            let belief = Belief { machine, cold_offers, ..Belief::default() };
-            self.recall.insert(node.clone(), state::Known { node: node.clone(), life: None, belief });
+            let belief = Belief {
+                machine,
+                cold_offers,
+                ..Belief::default()
+            };
+            self.recall.insert(
+                node.clone(),
+                state::Known {
+                    node: node.clone(),
+                    life: None,
+                    belief,
+                },
+            );
         }
         let mut asks = std::collections::BTreeMap::new();
         let (mut live, mut open) = (0_usize, 0_usize);
@@ -100,13 +127,25 @@
         ask: &Result<Arc<Ask>, (Arc<Ask>, String)>,
         holes: bool,
     ) {
-        let Some(session) = self.sessions.get(row.session) else { return };
-        let name = JobName { session: Arc::clone(&session.name), call: row.call, index: row.index };
+        let Some(session) = self.sessions.get(row.session) else {
+            return;
+        };
+        let name = JobName {
+            session: Arc::clone(&session.name),
+            call: row.call,
+            index: row.index,
+        };
         let (ask, unusable) = match ask {
             Ok(ask) => (Arc::clone(ask), None),
             Err((ask, why)) => (Arc::clone(ask), Some(why)),
         };
-        let mut job = Job::new(name, row.session, ask, TaskKey(row.key), self.at_unix(row.submitted));
+        let mut job = Job::new(
+            name,
+            row.session,
+            ask,
+            TaskKey(row.key),
+            self.at_unix(row.submitted),
+        );
         let at = |unix: Option<u64>| unix.map(|unix| self.at_unix(unix));
         (job.placed, job.started, job.ended) = (at(row.placed), at(row.started), at(row.ended));
         (job.outcome, job.again, job.tries) = (row.outcome, row.again, row.tries);
@@ -124,18 +163,27 @@
         if let Some(node) = &row.node {
             let node = self.nodes.remember(node);
             if let Some(job) = self.ledger.jobs.get_mut(&number) {
-                let id = AttemptId { request: reedring::RequestId(0), number: 0 };
+                let id = AttemptId {
+                    request: reedring::RequestId(0),
+                    number: 0,
+                };
                 job.tried(id, node, now);
                 job.fate(id, "before a restart");
                 job.tries = row.tries;
             }
         }
         let copies: Vec<(AttemptId, Known)> = if unusable.is_none() {
-            row.attempts.iter().map(|attempt| self.restore_attempt(now, number, attempt)).collect()
+            row.attempts
+                .iter()
+                .map(|attempt| self.restore_attempt(now, number, attempt))
+                .collect()
         } else {
             Vec::new()
         };
-        let holder = copies.iter().find(|(_, known)| *known == Known::Accepted).map(|(id, _)| *id);
+        let holder = copies
+            .iter()
+            .find(|(_, known)| *known == Known::Accepted)
+            .map(|(id, _)| *id);
         let (mut phase, mut recovers) = (Phase::Delayed, None);
         match (&row.phase, holder) {
             (state::Phase::Held, _) => phase = Phase::Held,
@@ -170,7 +218,8 @@
             job.recovering = recovers.is_some();
         }
         if let Some(why) = unusable.filter(|_| !over) {
-            let reason = format!("failed: the placer's settings no longer know what it asks for: {why}");
+            let reason =
+                format!("failed: the placer's settings no longer know what it asks for: {why}");
             self.told(number, Outcome::Failed);
             return self.end_job(now, number, Ending::aborted(reason));
         }
@@ -178,14 +227,31 @@
             self.set_until(number, until);
             // The truth is waited for as long as the owner waits; an owner that gave up waits a little longer.
             let decide_at = until.saturating_sub(ANSWER_MARGIN_US);
-            let decide_at = if decide_at > now { decide_at } else { self.settle_until };
-            self.timers.set(decide_at, Timer::Recover { job: number, last: true });
-            self.timers.set(now, Timer::Recover { job: number, last: false });
+            let decide_at = if decide_at > now {
+                decide_at
+            } else {
+                self.settle_until
+            };
+            self.timers.set(
+                decide_at,
+                Timer::Recover {
+                    job: number,
+                    last: true,
+                },
+            );
+            self.timers.set(
+                now,
+                Timer::Recover {
+                    job: number,
+                    last: false,
+                },
+            );
         }
         if let Some(id) = holder {
             self.restored_copies.push((number, id));
-            if let Some((task, machine)) =
-                self.module_task(number, id.request).zip(self.ledger.attempts.get(&id).map(|a| a.machine))
+            if let Some((task, machine)) = self
+                .module_task(number, id.request)
+                .zip(self.ledger.attempts.get(&id).map(|a| a.machine))
             {
                 self.events.push(Event::Adopted { task, machine });
             }
@@ -205,21 +271,38 @@
         }
     }
 
-    fn restore_attempt(&mut self, now: Micros, job: JobNo, row: &state::Attempt) -> (AttemptId, Known) {
+    fn restore_attempt(
+        &mut self,
+        now: Micros,
+        job: JobNo,
+        row: &state::Attempt,
+    ) -> (AttemptId, Known) {
         let node: NodeNo = self.nodes.remember(&row.node);
-        let id = AttemptId { request: self.ledger.new_request(), number: 0 };
+        let id = AttemptId {
+            request: self.ledger.new_request(),
+            number: 0,
+        };
         let known = match row.known {
             state::Trial::Out => Known::Out,
             state::Trial::Accepted => Known::Accepted,
             state::Trial::Stopping => Known::Stopping,
         };
-        let topics = self.ledger.jobs.get(&job).map(|job| Arc::clone(&job.ask.topics)).unwrap_or_default();
+        let topics = self
+            .ledger
+            .jobs
+            .get(&job)
+            .map(|job| Arc::clone(&job.ask.topics))
+            .unwrap_or_default();
         self.constrain.copy_comes(&topics, node);
         let attempt = Attempt {
             job,
             node,
             machine: reedring::names::machine_id(&row.node),
-            wire: wire::AttemptId { life: row.life, request: row.request, number: row.number },
+            wire: wire::AttemptId {
+                life: row.life,
+                request: row.request,
+                number: row.number,
+            },
             sent: self.at_unix(row.sent),
             known,
             accepted: row.accepted,
@@ -236,11 +319,13 @@
         match known {
             Known::Accepted => {
                 let lost = self.settings.links.lost_after_us;
-                self.timers.set(now + lost, Timer::LinkLost { node, link: 0 });
+                self.timers
+                    .set(now + lost, Timer::LinkLost { node, link: 0 });
             }
             Known::Stopping => {
                 let wait = self.settings.links.stop_wait_us;
-                self.timers.set(self.settle_until.max(now + wait), Timer::StopWait(id));
+                self.timers
+                    .set(self.settle_until.max(now + wait), Timer::StopWait(id));
             }
             Known::Out => {}
         }
@@ -254,7 +339,9 @@
 
     /// Looks at a job that was being placed when the former life ended.
     pub(crate) fn recover(&mut self, now: Micros, number: JobNo, last: bool) {
-        let Some(job) = self.ledger.jobs.get(&number).filter(|job| job.recovering) else { return };
+        let Some(job) = self.ledger.jobs.get(&number).filter(|job| job.recovering) else {
+            return;
+        };
         let (effect, ran, until) = (self.effect(job), job.may_have_run, job.until);
         let overdue = until <= now.saturating_add(ANSWER_MARGIN_US);
         let told = self.all_told(now);
@@ -263,7 +350,14 @@
             Recovered::Wait => {}
             Recovered::LetGo => {
                 for id in job.copies.clone() {
-                    self.unplaced(now, id, Fate::Reset, None, Vec::new(), "no word after a restart");
+                    self.unplaced(
+                        now,
+                        id,
+                        Fate::Reset,
+                        None,
+                        Vec::new(),
+                        "no word after a restart",
+                    );
                 }
                 // The end of the last copy may have decided it.
                 self.recover(now, number, true);
@@ -275,13 +369,15 @@
             Recovered::Refuse => {
                 self.recovered(number);
                 self.told(number, Outcome::Refused);
-                let reason = "refused: its time was over when the placer was back, and it never ran";
+                let reason =
+                    "refused: its time was over when the placer was back, and it never ran";
                 self.end_job(now, number, Ending::aborted(reason));
             }
             Recovered::Fail => {
                 self.recovered(number);
                 self.told(number, Outcome::Failed);
-                let reason = "failed: the placer was started anew while it was placed, and it may have run";
+                let reason =
+                    "failed: the placer was started anew while it was placed, and it may have run";
                 self.end_job(now, number, Ending::aborted(reason));
             }
         }
@@ -296,11 +392,22 @@
 
     /// Nodes have told: what waited for that goes on.
     pub(crate) fn recover_all(&mut self, now: Micros) {
-        let waiting: Vec<JobNo> =
-            self.ledger.jobs.iter().filter(|(_, job)| job.recovering).map(|(number, _)| *number).collect();
-        waiting.into_iter().for_each(|number| self.recover(now, number, false));
+        let waiting: Vec<JobNo> = self
+            .ledger
+            .jobs
+            .iter()
+            .filter(|(_, job)| job.recovering)
+            .map(|(number, _)| *number)
+            .collect();
+        waiting
+            .into_iter()
+            .for_each(|number| self.recover(now, number, false));
         for (number, id) in std::mem::take(&mut self.restored_copies) {
-            let stands = self.ledger.jobs.get(&number).filter(|job| job.holder() == Some(id));
+            let stands = self
+                .ledger
+                .jobs
+                .get(&number)
+                .filter(|job| job.holder() == Some(id));
             let subject = stands.and_then(|job| job.ask.subject());
             let node = self.ledger.attempts.get(&id).map(|attempt| attempt.node);
             if let Some((subject, node)) = subject.zip(node) {
@@ -311,18 +418,31 @@
 
     /// What a former life learned of a node, once its own life is known and the module knows the node.
     pub(crate) fn recall(&mut self, number: NodeNo) {
-        let Some(node) = self.nodes.all.get(&number).filter(|node| node.is_told() && node.life.is_some())
+        let Some(node) = self
+            .nodes
+            .all
+            .get(&number)
+            .filter(|node| node.is_told() && node.life.is_some())
         else {
             return;
         };
-        let Some(known) = self.recall.remove(&node.name) else { return };
+        let Some(known) = self.recall.remove(&node.name) else {
+            return;
+        };
         // What was learned of another life of the node is void, but for the spent budget: it was another start
         // of the node that spent it, and to count it again does no harm.
         let belief = if known.life.is_none() || known.life == node.life {
             known.belief
         } else {
-            Belief { machine: node.machine, cold_offers: known.belief.cold_offers, ..Belief::default() }
+            Belief {
+                machine: node.machine,
+                cold_offers: known.belief.cold_offers,
+                ..Belief::default()
+            }
         };
-        self.events.push(Event::Recalled(Beliefs { machines: vec![belief], ..Beliefs::default() }));
+        self.events.push(Event::Recalled(Beliefs {
+            machines: vec![belief],
+            ..Beliefs::default()
+        }));
     }
 }
--- a/crates/core/src/sessions.rs
+++ b/crates/core/src/sessions.rs
@@ -30,17 +30,21 @@
                 let response = Response::new(0, result.clone());
                 state::Answer::Told(serde_json::to_string(&response).unwrap_or_default())
             }
-            Self::Submission(Range { first, last, step }) => {
-                state::Answer::Submission { first: *first, last: *last, step: *step }
-            }
+            Self::Submission(Range { first, last, step }) => state::Answer::Submission {
+                first: *first,
+                last: *last,
+                step: *step,
+            },
         }
     }
 
     fn restore(kept: &state::Answer) -> Option<Self> {
         match kept {
-            state::Answer::Submission { first, last, step } => {
-                Some(Self::Submission(Range { first: *first, last: *last, step: *step }))
-            }
+            state::Answer::Submission { first, last, step } => Some(Self::Submission(Range {
+                first: *first,
+                last: *last,
+                step: *step,
+            })),
             state::Answer::Told(text) => {
                 let response: Response = serde_json::from_str(text).ok()?;
                 let result = match (response.result, response.error) {
@@ -59,7 +63,11 @@
 pub(crate) enum Waits {
     Any,
     Job(JobNo),
-    All { left: BTreeSet<JobNo>, jobs: Vec<JobNo>, dispose: bool },
+    All {
+        left: BTreeSet<JobNo>,
+        jobs: Vec<JobNo>,
+        dispose: bool,
+    },
 }
 
 #[derive(Debug)]
@@ -108,7 +116,10 @@
     }
 
     fn row(&self) -> Change {
-        let row = state::Session { name: self.name.to_string(), settled: self.settled };
+        let row = state::Session {
+            name: self.name.to_string(),
+            settled: self.settled,
+        };
         Change::Session(self.number, Some(row))
     }
 
@@ -117,7 +128,8 @@
         if settled > self.settled {
             self.settled = settled;
             // A successor must know of the calls that it finds no answer of.
-            self.changes.extend([Change::Settled(self.number, settled), self.row()]);
+            self.changes
+                .extend([Change::Settled(self.number, settled), self.row()]);
             self.records = self.records.split_off(&settled);
         }
     }
@@ -128,7 +140,10 @@
     /// `InvalidArgument` for a call that its client had said was settled.
     pub fn recorded(&self, call: u64) -> Result<Option<&Record>> {
         if call < self.settled {
-            let text = format!("call {call} is below {}, which was said to be settled", self.settled);
+            let text = format!(
+                "call {call} is below {}, which was said to be settled",
+                self.settled
+            );
             return Err(Error::new(ErrorCode::InvalidArgument, text));
         }
         Ok(self.records.get(&call))
@@ -140,7 +155,8 @@
     }
 
     pub fn record(&mut self, call: u64, record: Record) {
-        self.changes.push(Change::Call(self.number, call, record.kept()));
+        self.changes
+            .push(Change::Call(self.number, call, record.kept()));
         if self.records.len() >= MAX_RECORDS {
             self.records.pop_first();
         }
@@ -151,7 +167,10 @@
     pub fn answer(&mut self, call: u64, result: Result<Answer>) -> Option<Answered> {
         let waiter = self.waiters.remove(&call)?;
         self.record(call, Record::Answer(result.clone()));
-        Some(Answered { conn: waiter.conn, response: Response::new(waiter.id, result) })
+        Some(Answered {
+            conn: waiter.conn,
+            response: Response::new(waiter.id, result),
+        })
     }
 
     /// Forgets a job that was waited for.
@@ -231,7 +250,8 @@
         }
         let legal = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
         if name.is_empty() || name.len() > MAX_SESSION || !name.chars().all(legal) {
-            let text = format!("a session's name has 1 to {MAX_SESSION} letters, digits, `-` and `_`");
+            let text =
+                format!("a session's name has 1 to {MAX_SESSION} letters, digits, `-` and `_`");
             return Err(Error::new(ErrorCode::InvalidArgument, text));
         }
         if self.all.len() >= most {
@@ -248,7 +268,8 @@
 
     fn add(&mut self, session: Session) {
         self.last = self.last.max(session.number);
-        self.numbers.insert(Arc::clone(&session.name), session.number);
+        self.numbers
+            .insert(Arc::clone(&session.name), session.number);
         self.all.insert(session.number, session);
     }
 
@@ -263,7 +284,9 @@
         let mut session = Session::new(&kept.name, number, now);
         session.settled = kept.settled;
         let records = calls.into_iter().flatten();
-        session.records = records.filter_map(|(call, kept)| Some((*call, Record::restore(kept)?))).collect();
+        session.records = records
+            .filter_map(|(call, kept)| Some((*call, Record::restore(kept)?)))
+            .collect();
         self.add(session);
     }
 
@@ -286,7 +309,9 @@
         self.changes();
         let rows = self.all.values().flat_map(|session| {
             let calls = session.records.iter();
-            let call = |(call, record): (&u64, &Record)| Change::Call(session.number, *call, record.kept());
+            let call = |(call, record): (&u64, &Record)| {
+                Change::Call(session.number, *call, record.kept())
+            };
             std::iter::once(session.row()).chain(calls.map(call))
         });
         rows.collect()
@@ -314,7 +339,12 @@
         }
     }
 
-    pub fn answer(&mut self, number: SessionNo, call: u64, result: Result<Answer>) -> Option<Answered> {
+    pub fn answer(
+        &mut self,
+        number: SessionNo,
+        call: u64,
+        result: Result<Answer>,
+    ) -> Option<Answered> {
         let answered = self.get_mut(number)?.answer(call, result)?;
         self.by_conn.remove(&(answered.conn, number, call));
         Some(answered)
@@ -322,8 +352,11 @@
 
     /// A connection ended: nobody waits on it any more.
     pub fn client_gone(&mut self, conn: ConnId) {
-        let waits: Vec<_> =
-            self.by_conn.range((conn, 0, 0)..=(conn, SessionNo::MAX, u64::MAX)).copied().collect();
+        let waits: Vec<_> = self
+            .by_conn
+            .range((conn, 0, 0)..=(conn, SessionNo::MAX, u64::MAX))
+            .copied()
+            .collect();
         for (conn, number, call) in waits {
             self.by_conn.remove(&(conn, number, call));
             if let Some(session) = self.all.get_mut(&number) {
@@ -350,11 +383,14 @@
 
     /// Sessions' numbers and their jobs that were over before.
     pub fn over(&self) -> impl Iterator<Item = (SessionNo, JobNo)> + '_ {
-        self.all.iter().flat_map(|(number, session)| session.over.iter().map(|job| (*number, *job)))
+        self.all
+            .iter()
+            .flat_map(|(number, session)| session.over.iter().map(|job| (*number, *job)))
     }
 }
 
 /// The answer of a wait.
 pub(crate) fn ended(info: Option<JobInfo>) -> Result<Answer> {
-    info.map(Answer::Ended).ok_or_else(|| Error::new(ErrorCode::InternalError, "the job is not over"))
+    info.map(Answer::Ended)
+        .ok_or_else(|| Error::new(ErrorCode::InternalError, "the job is not over"))
 }
--- a/crates/core/src/versions.rs
+++ b/crates/core/src/versions.rs
@@ -6,8 +6,8 @@
 use reedring::{Event, Micros};
 use reedring_nodeproto::{Message, Order, Record, Stamp, Version};
 use reedring_plan::{
-    Acts, Compactor, Delta, Fleet, Heard, Hold, Kept, Kin, Maker, Membership, Own, Pace, Standing, Step,
-    Texts, Use, delta, hold, joint, must_raise, standing,
+    Acts, Compactor, Delta, Fleet, Heard, Hold, Kept, Kin, Maker, Membership, Own, Pace, Standing,
+    Step, Texts, Use, delta, hold, joint, must_raise, standing,
 };
 use reedring_settings::{Health, Settings};
 use reedring_state::{self as state, Change};
@@ -140,11 +140,18 @@
         let plan = settings.plan().map_err(|problems| problems.to_string())?;
         let plan = plan.ok_or("plan: the table is gone; it is taken out by a restart")?;
         // Its own tables are those of the start.
-        let settings =
-            self.file.with_plan(plan.text(), "the settings file").map_err(|all| all.to_string())?;
+        let settings = self
+            .file
+            .with_plan(plan.text(), "the settings file")
+            .map_err(|all| all.to_string())?;
         let number = plan.version().number;
-        self.queued.retain(|queued| queued.plan.version().number < number);
-        let last = self.queued.back().map_or(&self.own, |queued| &queued.plan).version();
+        self.queued
+            .retain(|queued| queued.plan.version().number < number);
+        let last = self
+            .queued
+            .back()
+            .map_or(&self.own, |queued| &queued.plan)
+            .version();
         if plan.version() == last {
             return Ok(());
         }
@@ -187,23 +194,39 @@
             Standing::Acts(acts) => acts.stamp(),
             _ => (self.own.version(), false),
         };
-        Stamp { version, joint, list, build: self.build }
+        Stamp {
+            version,
+            joint,
+            list,
+            build: self.build,
+        }
     }
 
     /// When the lease is over unless more voters are heard: a majority of them was heard until then.
     fn lease_lapses(&self, fleet: &Fleet) -> Option<Micros> {
-        let mut heard: Vec<Micros> =
-            fleet.voters().filter_map(|(number, _)| self.heard.get(&number).copied()).collect();
-        let last_of_majority = fleet.majority().checked_sub(1).filter(|last| *last < heard.len())?;
-        let (_, since, _) = heard.select_nth_unstable_by(last_of_majority, |one, other| other.cmp(one));
+        let mut heard: Vec<Micros> = fleet
+            .voters()
+            .filter_map(|(number, _)| self.heard.get(&number).copied())
+            .collect();
+        let last_of_majority = fleet
+            .majority()
+            .checked_sub(1)
+            .filter(|last| *last < heard.len())?;
+        let (_, since, _) =
+            heard.select_nth_unstable_by(last_of_majority, |one, other| other.cmp(one));
         Some(since.saturating_add(self.lease_us))
     }
 
     /// Reads a plan's text as settings, once.
     fn read(&mut self, version: Version) {
-        if let Some(text) = self.texts.get(version).filter(|_| !self.plans.contains_key(&version)) {
+        if let Some(text) = self
+            .texts
+            .get(version)
+            .filter(|_| !self.plans.contains_key(&version))
+        {
             let read = self.file.with_plan(text, &format!("plan {version}"));
-            self.plans.insert(version, read.map_err(|problems| problems.to_string()));
+            self.plans
+                .insert(version, read.map_err(|problems| problems.to_string()));
         }
     }
 
@@ -246,13 +269,23 @@
         if let Some(old) = acts.next.and_then(|_| read(acts.force)) {
             bounds = joint(&old.bounds(), &bounds).ok()?;
         }
-        if let Some(stricter) = acts.ahead.and_then(read).and_then(|own| joint(&bounds, &own.bounds()).ok()) {
+        if let Some(stricter) = acts
+            .ahead
+            .and_then(read)
+            .and_then(|own| joint(&bounds, &own.bounds()).ok())
+        {
             // Classes that only the own file has are not open yet, and none is closed for its sake.
-            let open: BTreeMap<String, bool> =
-                bounds.classes.iter().map(|(name, class)| (name.clone(), class.open)).collect();
+            let open: BTreeMap<String, bool> = bounds
+                .classes
+                .iter()
+                .map(|(name, class)| (name.clone(), class.open))
+                .collect();
             bounds = stricter;
             bounds.classes.retain(|name, _| open.contains_key(name));
-            bounds.classes.iter_mut().for_each(|(name, class)| class.open = open[name]);
+            bounds
+                .classes
+                .iter_mut()
+                .for_each(|(name, class)| class.open = open[name]);
         }
         // A plan that names fewer placers than nodes hear is no leave to act for fewer.
         bounds.placers = bounds.placers.max(linked);
@@ -274,7 +307,9 @@
         if force.number > 0 && own.number != force.number + 1 {
             let next = force.number + 1;
             let wait = format!("it waits for plan {next}, or is to be numbered so");
-            return Err(format!("plan.number: plan {own} of the file does not follow plan {force}: {wait}"));
+            return Err(format!(
+                "plan.number: plan {own} of the file does not follow plan {force}: {wait}"
+            ));
         }
         let placers = self.file.site.placers;
         if placers < linked {
@@ -288,9 +323,10 @@
         };
         match joint_form {
             Ok(()) => Ok(Some(&self.own)),
-            Err(wrong) => {
-                Err(format!("plan {own} of the file can't follow plan {force}: {}", wrong.join("; ")))
-            }
+            Err(wrong) => Err(format!(
+                "plan {own} of the file can't follow plan {force}: {}",
+                wrong.join("; ")
+            )),
         }
     }
 }
@@ -298,7 +334,9 @@
 impl Core {
     /// What a node keeps of plans, from its greeting; none where it speaks version 1.
     pub(crate) fn node_greets(&mut self, now: Micros, number: NodeNo, record: Option<Record>) {
-        let Some(versions) = &mut self.versions else { return };
+        let Some(versions) = &mut self.versions else {
+            return;
+        };
         versions.pace.forget(number);
         match record {
             Some(record) => self.node_records(now, number, record),
@@ -312,11 +350,18 @@
 
     /// What a node keeps of plans has changed, or was asked for.
     pub(crate) fn node_records(&mut self, now: Micros, number: NodeNo, record: Record) {
-        let Some(versions) = &mut self.versions else { return };
+        let Some(versions) = &mut self.versions else {
+            return;
+        };
         let before = versions.kin.insert(number, Kin::Told(record));
         versions.heard.insert(number, now);
         // What only says that the node is there need not be thought over at once.
-        let same = |old: &Record| Record { floor_ms: record.floor_ms, ..*old } == record;
+        let same = |old: &Record| {
+            Record {
+                floor_ms: record.floor_ms,
+                ..*old
+            } == record
+        };
         versions.dirty |= !before.as_ref().and_then(Kin::record).is_some_and(same);
         // It may make up a majority again, which is looked at soon, and once for all that are heard until then.
         let soon = now + BUSY_US;
@@ -328,7 +373,9 @@
 
     /// A node tells the text of a plan.
     pub(crate) fn plan_text(&mut self, number: NodeNo, version: Version, text: &str) {
-        let Some(versions) = &mut self.versions else { return };
+        let Some(versions) = &mut self.versions else {
+            return;
+        };
         if text.is_empty() {
             return;
         }
@@ -366,17 +413,24 @@
         };
         if let Err(why) = versions.file_changed(settings) {
             let why = why.replace('\n', "; ");
-            self.log(Level::Warn, format!("settings: the file can't be taken up, the old one holds: {why}"));
+            self.log(
+                Level::Warn,
+                format!("settings: the file can't be taken up, the old one holds: {why}"),
+            );
         }
     }
 
     /// A node tells what changed to a plan that was asked for.
     pub(crate) fn plan_delta(&mut self, number: NodeNo, delta: &Delta) {
-        let Some(versions) = &mut self.versions else { return };
+        let Some(versions) = &mut self.versions else {
+            return;
+        };
         if versions.texts.get(delta.target).is_some() {
             return;
         }
-        let Some(base) = versions.texts.kept(delta.base) else { return };
+        let Some(base) = versions.texts.kept(delta.base) else {
+            return;
+        };
         versions.dirty = true;
         match delta::apply(&base, delta) {
             Ok(kept) => versions.texts.add(&kept),
@@ -390,7 +444,10 @@
 
     /// By what an offer to this node is decided, where the node can read it.
     pub(crate) fn stamp_for(&self, number: NodeNo) -> Option<Stamp> {
-        let versions = self.versions.as_ref().filter(|versions| versions.standing != Standing::Unkept)?;
+        let versions = self
+            .versions
+            .as_ref()
+            .filter(|versions| versions.standing != Standing::Unkept)?;
         let old = versions.kin.get(&number).is_none_or(|kin| *kin == Kin::Old);
         (!old).then(|| versions.stamp(self.list_revision))
     }
@@ -401,7 +458,9 @@
         let there = listed().filter(|(_, node)| node.health() != Health::Gone);
         let kin = |number: &NodeNo| versions.kin.get(number).copied().unwrap_or_default();
         // Control machines that are gone leave fewer voters, and never every node as one.
-        let control = listed().filter(|(_, node)| node.entry.control).map(|(number, _)| *number);
+        let control = listed()
+            .filter(|(_, node)| node.entry.control)
+            .map(|(number, _)| *number);
         Fleet {
             list: self.list_revision,
             membership: Membership::of(control.collect()),
@@ -411,23 +470,34 @@
 
     /// What plans are looked at by has changed.
     pub(crate) fn plans_changed(&mut self) {
-        self.versions.iter_mut().for_each(|versions| versions.dirty = true);
+        self.versions
+            .iter_mut()
+            .for_each(|versions| versions.dirty = true);
     }
 
     /// Looks at plans, where the time for that has come or something was told.
     pub(crate) fn plans_due(&mut self, now: Micros) {
-        if self.versions.as_ref().is_some_and(|versions| versions.dirty || versions.due <= now) {
+        if self
+            .versions
+            .as_ref()
+            .is_some_and(|versions| versions.dirty || versions.due <= now)
+        {
             self.tend_plans(now);
         }
     }
 
     /// Looks at all that is known of plans, and does what follows.
     fn tend_plans(&mut self, now: Micros) {
-        let Some(mut versions) = self.versions.take() else { return };
+        let Some(mut versions) = self.versions.take() else {
+            return;
+        };
         versions.dirty = false;
         let fleet = self.fleet(&versions);
         let lately = |number: NodeNo| {
-            versions.heard.get(&number).is_some_and(|at| now < at.saturating_add(versions.lease_us))
+            versions
+                .heard
+                .get(&number)
+                .is_some_and(|at| now < at.saturating_add(versions.lease_us))
         };
         let heard = match fleet.quorum(lately) {
             true => Heard::Lately,
@@ -441,13 +511,18 @@
         versions.read(force);
         let decided = fleet.decided(force);
         decided.into_iter().for_each(|next| versions.read(next));
-        let own = Own { version: versions.own.version(), pinned: versions.pinned };
+        let own = Own {
+            version: versions.own.version(),
+            pinned: versions.pinned,
+        };
         let before = versions.stamp(self.list_revision);
         let can = |version| versions.can(version, force);
         versions.standing = standing(own, &fleet, force, heard, can);
         if let Standing::Acts(acts) = versions.standing {
             let settings = versions.settings(&acts, fleet.linked(), &self.settings);
-            settings.into_iter().for_each(|settings| self.retell(settings));
+            settings
+                .into_iter()
+                .for_each(|settings| self.retell(settings));
         }
         let proposes = versions.proposes(&fleet, force).map(|own| own.cloned());
         self.tell_standing(&mut versions, proposes.as_ref().err());
@@ -455,7 +530,9 @@
         let may_outbid = versions.pace.may_outbid(now, self.start.life, &fleet);
         let carries_on = versions.pace.may_carry_on(now, self.start.life, &fleet);
         let (step, mut orders) = if heard == Heard::Lately {
-            versions.maker.next(may_outbid, &fleet, force, own.as_ref(), &versions.texts)
+            versions
+                .maker
+                .next(may_outbid, &fleet, force, own.as_ref(), &versions.texts)
         } else {
             (Step::Quiet, Vec::new())
         };
@@ -465,8 +542,13 @@
         let stamp = versions.stamp(self.list_revision);
         // Control machines are few: without a majority of them they are asked until one is heard.
         let few = fleet.membership != Membership::All;
-        let every = if heard != Heard::Lately && few { QUORUM_RETRY_US } else { versions.lease_us / ASKS };
-        let changed = (stamp.version, stamp.joint) != (before.version, before.joint) || versions.asked == 0;
+        let every = if heard != Heard::Lately && few {
+            QUORUM_RETRY_US
+        } else {
+            versions.lease_us / ASKS
+        };
+        let changed =
+            (stamp.version, stamp.joint) != (before.version, before.joint) || versions.asked == 0;
         if changed || now >= versions.asked + every {
             // Voters hear by what this placer acts now, and it hears that they are there.
             versions.asked = now;
@@ -483,10 +565,19 @@
             }));
         }
         let held = self.hold_by_plans(now, &versions);
-        orders.extend(held.to_raise.iter().map(|node| (*node, Order::Raise { stamp })));
+        orders.extend(
+            held.to_raise
+                .iter()
+                .map(|node| (*node, Order::Raise { stamp })),
+        );
         let orders = versions.compact(orders);
         let mut orders = versions.pace.due(now, orders);
-        orders.retain(|(node, _)| versions.kin.get(node).is_some_and(|kin| kin.record().is_some()));
+        orders.retain(|(node, _)| {
+            versions
+                .kin
+                .get(node)
+                .is_some_and(|kin| kin.record().is_some())
+        });
         // Without a majority nothing changes before some node is heard.
         let waits = matches!(versions.standing, Standing::Waits(_)) && heard == Heard::Lately;
         let busy = step != Step::Quiet || held.ends_by_time || waits;
@@ -496,9 +587,9 @@
         versions.due = lapse.map_or(versions.due, |at| versions.due.min(at));
         let base = versions.base.as_ref().map_or(force, Kept::version);
         versions.texts.forget_before(force.number.min(base.number));
-        versions
-            .plans
-            .retain(|version, _| version.number >= force.number || *version == versions.own.version());
+        versions.plans.retain(|version, _| {
+            version.number >= force.number || *version == versions.own.version()
+        });
         self.timers.set(versions.due, Timer::Plans);
         self.versions = Some(versions);
         for (node, order) in orders {
@@ -514,7 +605,10 @@
         for number in numbers {
             let mut kin = versions.kin.get(&number).copied().unwrap_or_default();
             if let Kin::Told(record) = &mut kin {
-                let since = versions.heard.get(&number).map_or(0, |at| now.saturating_sub(*at));
+                let since = versions
+                    .heard
+                    .get(&number)
+                    .map_or(0, |at| now.saturating_sub(*at));
                 record.floor_ms = record.floor_ms.saturating_add(since / 1_000);
             }
             let cold = self.nodes.is_cold(number, now, &self.settings.site);
@@ -533,11 +627,23 @@
         if settings == self.settings {
             return;
         }
-        self.nodes.name_kinds(settings.kinds.iter().map(|kind| kind.name.clone()).collect());
+        self.nodes.name_kinds(
+            settings
+                .kinds
+                .iter()
+                .map(|kind| kind.name.clone())
+                .collect(),
+        );
         self.settings = settings;
-        let hall = self.settings.hall.clone().map(|hall| self.nodes.halls.number(&hall));
-        self.events.push(Event::Told(Box::new(self.settings.module(hall))));
-        self.outputs.push_back(Output::Settings(Box::new(self.settings.clone())));
+        let hall = self
+            .settings
+            .hall
+            .clone()
+            .map(|hall| self.nodes.halls.number(&hall));
+        self.events
+            .push(Event::Told(Box::new(self.settings.module(hall))));
+        self.outputs
+            .push_back(Output::Settings(Box::new(self.settings.clone())));
     }
 
     /// One line for the staff each time that something else is so.
@@ -548,7 +654,10 @@
             _ => String::new(),
         };
         let (level, mut line) = match &versions.standing {
-            Standing::Unkept => (Level::Warn, "plans: most nodes keep none; acts by its file".to_owned()),
+            Standing::Unkept => (
+                Level::Warn,
+                "plans: most nodes keep none; acts by its file".to_owned(),
+            ),
             Standing::Waits(reason) if reason.is_shut_out() => {
                 let line = format!(
                     "plans: shut out: {}; plan {force} is in force, its file has {own}",
@@ -556,19 +665,37 @@
                 );
                 (Level::Warn, format!("{line}{}", why(&force)))
             }
-            Standing::Waits(reason) => (Level::Warn, format!("plans: sends nothing: {}", reason.word())),
-            Standing::Acts(Acts { force: Version { number: 0, .. }, next: Some(next), .. }) => {
-                (Level::Info, format!("plans: plan {next} is the first one"))
-            }
-            Standing::Acts(Acts { force, next: Some(next), .. }) => {
-                (Level::Info, format!("plans: plan {next} follows {force}; acts by the stricter of both"))
+            Standing::Waits(reason) => (
+                Level::Warn,
+                format!("plans: sends nothing: {}", reason.word()),
+            ),
+            Standing::Acts(Acts {
+                force: Version { number: 0, .. },
+                next: Some(next),
+                ..
+            }) => (Level::Info, format!("plans: plan {next} is the first one")),
+            Standing::Acts(Acts {
+                force,
+                next: Some(next),
+                ..
+            }) => (
+                Level::Info,
+                format!("plans: plan {next} follows {force}; acts by the stricter of both"),
+            ),
+            Standing::Acts(Acts { force, .. }) => {
+                (Level::Info, format!("plans: acts by plan {force}"))
             }
-            Standing::Acts(Acts { force, .. }) => (Level::Info, format!("plans: acts by plan {force}")),
         };
-        if force.number > 0 && own != force && own.number <= force.number && versions.shut_out().is_none() {
+        if force.number > 0
+            && own != force
+            && own.number <= force.number
+            && versions.shut_out().is_none()
+        {
             line = format!("{line}; plan {own} of its file is not the one in force");
         }
-        refused.into_iter().for_each(|why| line = format!("{line}; {why}"));
+        refused
+            .into_iter()
+            .for_each(|why| line = format!("{line}; {why}"));
         if line != versions.line {
             versions.line.clone_from(&line);
             let shut_out = versions.shut_out().is_some();
@@ -585,10 +712,20 @@
             Kin::Old => return Some("keeps none".to_owned()),
             Kin::Told(record) => record,
         };
-        let votes = self.nodes.all.get(&number).is_some_and(|node| node.entry.control);
+        let votes = self
+            .nodes
+            .all
+            .get(&number)
+            .is_some_and(|node| node.entry.control);
         if record.learns {
-            let floor = record.next.map_or("no plan yet".to_owned(), |next| format!("plan {}", next.version));
-            let wrong = if votes { ", listed as control and votes for nothing" } else { "" };
+            let floor = record.next.map_or("no plan yet".to_owned(), |next| {
+                format!("plan {}", next.version)
+            });
+            let wrong = if votes {
+                ", listed as control and votes for nothing"
+            } else {
+                ""
+            };
             return Some(format!("learner, from {floor} on{wrong}"));
         }
         let mut line = record.force.to_string();
@@ -603,7 +740,10 @@
             line.push_str(", can't keep more");
         }
         if record.behind > 0 {
-            line = format!("{line}, {} of {} placers behind", record.behind, record.linked);
+            line = format!(
+                "{line}, {} of {} placers behind",
+                record.behind, record.linked
+            );
         }
         Some(line)
     }
--- a/crates/core/src/words.rs
+++ b/crates/core/src/words.rs
@@ -23,8 +23,9 @@
     pub(crate) fn listed(&mut self, now: Micros, list: NodeList) {
         if list.revision < self.list_revision {
             let (told, known) = (list.revision, self.list_revision);
-            let line =
-                format!("the node list goes back from revision {known} to {told}; the newer one holds");
+            let line = format!(
+                "the node list goes back from revision {known} to {told}; the newer one holds"
+            );
             return self.log(Level::Warn, line);
         }
         self.list_revision = list.revision;
@@ -54,13 +55,26 @@
 
     /// Constraints that broke or were mended, told once each.
     pub(crate) fn judge_standing(&mut self, now: Micros) {
-        for News { job, breach, mended } in self.constrain.judge(now) {
-            let Some(job) = self.ledger.jobs.get(&job) else { continue };
+        for News {
+            job,
+            breach,
+            mended,
+        } in self.constrain.judge(now)
+        {
+            let Some(job) = self.ledger.jobs.get(&job) else {
+                continue;
+            };
             let line = match mended {
-                None => format!("job {}: `{}` no longer holds; {}", job.name, breach.text, breach.mends),
+                None => format!(
+                    "job {}: `{}` no longer holds; {}",
+                    job.name, breach.text, breach.mends
+                ),
                 Some(since) => {
                     let after = now.saturating_sub(since) as f64 / 1e6;
-                    format!("job {}: `{}` holds again after {after:.1} s", job.name, breach.text)
+                    format!(
+                        "job {}: `{}` holds again after {after:.1} s",
+                        job.name, breach.text
+                    )
                 }
             };
             self.log(Level::Warn, line);
@@ -70,7 +84,10 @@
     pub(crate) fn tell_lines(&mut self, now: Micros) {
         let news = self.nodes.news(now, self.born(), &self.settings.site);
         if !news.is_empty() {
-            let told: Vec<_> = news.iter().filter_map(|line| self.nodes.of_machine(line.id)).collect();
+            let told: Vec<_> = news
+                .iter()
+                .filter_map(|line| self.nodes.of_machine(line.id))
+                .collect();
             self.events.push(Event::Listed(Listing::Changes(news)));
             told.into_iter().for_each(|number| self.recall(number));
         }
@@ -81,7 +98,11 @@
         let down = |node: &&crate::links::Node| matches!(node.link, Link::Fresh | Link::Down);
         if let Some(node) = self.nodes.all.get(&number).filter(down) {
             let (zone, address) = (node.entry.hall.clone(), node.address);
-            self.outputs.push_back(Output::Connect { node: node.name.clone(), address, zone });
+            self.outputs.push_back(Output::Connect {
+                node: node.name.clone(),
+                address,
+                zone,
+            });
         }
     }
 
@@ -95,7 +116,9 @@
 
     /// A node left the list: what it holds is awaited on its link, and given up where there is none.
     pub(crate) fn left(&mut self, now: Micros, number: NodeNo) {
-        let Some(node) = self.nodes.all.get(&number) else { return };
+        let Some(node) = self.nodes.all.get(&number) else {
+            return;
+        };
         let (idle, up) = (node.attempts.is_empty(), node.is_up());
         if idle {
             self.disconnect(number);
@@ -108,13 +131,19 @@
     pub(crate) fn disconnect(&mut self, number: NodeNo) {
         if let Some(node) = self.nodes.all.get_mut(&number) {
             node.link = Link::Down;
-            self.outputs.push_back(Output::Disconnect { node: node.name.clone() });
+            self.outputs.push_back(Output::Disconnect {
+                node: node.name.clone(),
+            });
         }
     }
 
     pub(crate) fn tell_line(&mut self, now: Micros, number: NodeNo) {
-        if let Some(line) = self.nodes.line(now, self.born(), number, &self.settings.site) {
-            self.events.push(Event::Listed(Listing::Changes(vec![line])));
+        if let Some(line) = self
+            .nodes
+            .line(now, self.born(), number, &self.settings.site)
+        {
+            self.events
+                .push(Event::Listed(Listing::Changes(vec![line])));
         }
         self.recall(number);
     }
@@ -130,10 +159,14 @@
         can_suspend: bool,
         record: Option<Record>,
     ) {
-        let Some((number, node)) = self.nodes.named(name) else { return };
+        let Some((number, node)) = self.nodes.named(name) else {
+            return;
+        };
         if called != name {
-            let line =
-                format!("node {name}: {} answers as `{called}`; mend the list or the node", node.address);
+            let line = format!(
+                "node {name}: {} answers as `{called}`; mend the list or the node",
+                node.address
+            );
             self.log(Level::Warn, line);
             self.disconnect(number);
             return self.tell_line(now, number);
@@ -160,16 +193,23 @@
     }
 
     pub(crate) fn link_down(&mut self, now: Micros, name: &str, why: &str) {
-        let (wait, lost) = (self.settings.links.reattach_us, self.settings.links.lost_after_us);
-        let Some((number, node)) = self.nodes.named(name) else { return };
+        let (wait, lost) = (
+            self.settings.links.reattach_us,
+            self.settings.links.lost_after_us,
+        );
+        let Some((number, node)) = self.nodes.named(name) else {
+            return;
+        };
         let was_up = !matches!(node.link, Link::Fresh | Link::Down);
         self.keep.link_changed(number);
         let quiet = node.health() != Health::Ready || matches!(node.link, Link::Down);
         node.link = Link::Down;
         if was_up {
             let link = node.links;
-            self.timers.set(now + wait, Timer::Reattach { node: number, link });
-            self.timers.set(now + lost, Timer::LinkLost { node: number, link });
+            self.timers
+                .set(now + wait, Timer::Reattach { node: number, link });
+            self.timers
+                .set(now + lost, Timer::LinkLost { node: number, link });
         }
         if !quiet {
             self.log(Level::Warn, format!("node {name}: {why}"));
@@ -180,16 +220,22 @@
     /// A link was down for too long: what was unanswered on it may have run, and on a node that is gone
     /// from the list, what was accepted too.
     pub(crate) fn unanswered(&mut self, now: Micros, number: NodeNo) {
-        let Some(node) = self.nodes.all.get(&number) else { return };
+        let Some(node) = self.nodes.all.get(&number) else {
+            return;
+        };
         let gone = node.health() == Health::Gone;
         if gone {
             self.let_go(now, number, "node gone");
         }
-        let Some(node) = self.nodes.all.get(&number) else { return };
+        let Some(node) = self.nodes.all.get(&number) else {
+            return;
+        };
         let attempts: Vec<AttemptId> = node.attempts.iter().copied().collect();
         for id in attempts {
             match self.ledger.attempts.get(&id).map(|attempt| attempt.known) {
-                Some(Known::Out) => self.unplaced(now, id, Fate::Reset, None, Vec::new(), "link lost"),
+                Some(Known::Out) => {
+                    self.unplaced(now, id, Fate::Reset, None, Vec::new(), "link lost")
+                }
                 Some(Known::Stopping) => {
                     self.unplaced(now, id, Fate::Stopped, None, Vec::new(), "stopped, no word")
                 }
@@ -200,9 +246,14 @@
 
     /// A node can't be asked what became of the tasks that it accepted: they count as lost, and may run still.
     pub(crate) fn let_go(&mut self, now: Micros, number: NodeNo, word: &'static str) {
-        let Some(node) = self.nodes.all.get(&number) else { return };
+        let Some(node) = self.nodes.all.get(&number) else {
+            return;
+        };
         let accepted = |id: &AttemptId| {
-            self.ledger.attempts.get(id).is_some_and(|attempt| attempt.known == Known::Accepted)
+            self.ledger
+                .attempts
+                .get(id)
+                .is_some_and(|attempt| attempt.known == Known::Accepted)
         };
         let lost: Vec<AttemptId> = node.attempts.iter().copied().filter(accepted).collect();
         for id in lost {
@@ -211,8 +262,12 @@
     }
 
     pub(crate) fn holds(&mut self, now: Micros, number: NodeNo, page: Vec<Held>, last: bool) {
-        let Some(node) = self.nodes.all.get_mut(&number) else { return };
-        let Link::Greeted(held) = &mut node.link else { return };
+        let Some(node) = self.nodes.all.get_mut(&number) else {
+            return;
+        };
+        let Link::Greeted(held) = &mut node.link else {
+            return;
+        };
         held.extend(page);
         if !last {
             return;
@@ -225,7 +280,9 @@
         let by_wire: BTreeMap<wire::AttemptId, &Held> =
             held.iter().map(|held| (held.attempt, held)).collect();
         for id in mine {
-            let Some(attempt) = self.ledger.attempts.get(&id) else { continue };
+            let Some(attempt) = self.ledger.attempts.get(&id) else {
+                continue;
+            };
             let state = by_wire.get(&attempt.wire).map(|held| &held.state);
             let verdict = decide::reconcile(attempt.known, state, true);
             self.judge(now, id, verdict);
@@ -250,10 +307,17 @@
             Verdict::Keep => {}
             Verdict::Place => self.accepted(now, id, Vec::new()),
             Verdict::Over { end, ran } => self.over(now, id, end, ran, Vec::new()),
-            Verdict::NeverRan => {
-                self.unplaced(now, id, Fate::Unsent, None, Vec::new(), "never reached the node")
+            Verdict::NeverRan => self.unplaced(
+                now,
+                id,
+                Fate::Unsent,
+                None,
+                Vec::new(),
+                "never reached the node",
+            ),
+            Verdict::PerhapsRan => {
+                self.unplaced(now, id, Fate::Reset, None, Vec::new(), "node restarted")
             }
-            Verdict::PerhapsRan => self.unplaced(now, id, Fate::Reset, None, Vec::new(), "node restarted"),
             Verdict::Gone => self.lost(now, id, Loss::Ended, Fate::Reset, None, "node lost it"),
             Verdict::StopAgain => {
                 if let Some(attempt) = self.ledger.attempts.get(&id) {
@@ -275,7 +339,11 @@
 
     /// A node tells of a copy that the ledger does not hold.
     pub(crate) fn turned_up(&mut self, now: Micros, number: NodeNo, held: Held) {
-        let Held { attempt, task, state } = held;
+        let Held {
+            attempt,
+            task,
+            state,
+        } = held;
         if let HeldState::Ended { end, ran } = state {
             return self.ended_unheld(now, number, attempt, &task, end, ran);
         }
@@ -286,7 +354,9 @@
                 Phase::Placed(_) | Phase::Running(_) | Phase::Suspended(_) => Standing::Elsewhere,
                 Phase::Held | Phase::Ending(_) | Phase::Ended(_) => Standing::Over,
             },
-            None if attempt.life == self.start.life || self.retired.contains(&attempt) => Standing::Forgotten,
+            None if attempt.life == self.start.life || self.retired.contains(&attempt) => {
+                Standing::Forgotten
+            }
             None if self.was_told(attempt, &task.job) => Standing::Forgotten,
             None => Standing::Unknown,
         };
@@ -320,8 +390,10 @@
         let foreign = attempt.life != self.start.life && !self.retired.contains(&attempt);
         // A job of the ledger whose offer left unwritten ran all the same.
         let job = self.job_named(&task.job);
-        let recovering = job.filter(|job| self.ledger.jobs.get(job).is_some_and(|job| job.recovering));
-        let fresh = foreign && (recovering.is_some() || job.is_none() && !self.was_told(attempt, &task.job));
+        let recovering =
+            job.filter(|job| self.ledger.jobs.get(job).is_some_and(|job| job.recovering));
+        let fresh = foreign
+            && (recovering.is_some() || job.is_none() && !self.was_told(attempt, &task.job));
         if fresh
             && ran
             && self.adopt(now, number, attempt, task, recovering, &HeldState::Running)
@@ -346,7 +418,12 @@
                 // What is still tried for it would only make a second copy.
                 self.withdraw(job);
                 self.recovered(job);
-                let copies = self.ledger.jobs.get(&job).map(|job| job.copies.clone()).unwrap_or_default();
+                let copies = self
+                    .ledger
+                    .jobs
+                    .get(&job)
+                    .map(|job| job.copies.clone())
+                    .unwrap_or_default();
                 copies.into_iter().for_each(|id| self.stop(now, id));
                 job
             }
@@ -356,26 +433,48 @@
                     let name = self.node_name(number);
                     self.log(
                         Level::Warn,
-                        format!("node {name} holds job {}, which can't be taken up: {why}", task.job),
+                        format!(
+                            "node {name} holds job {}, which can't be taken up: {why}",
+                            task.job
+                        ),
                     );
                     return false;
                 }
             },
         };
-        let Some(machine) = self.nodes.all.get(&number).map(|node| node.machine) else { return false };
+        let Some(machine) = self.nodes.all.get(&number).map(|node| node.machine) else {
+            return false;
+        };
         let request = self.ledger.new_request();
         let id = AttemptId { request, number: 0 };
-        let Some(task) = self.module_task(job, request) else { return false };
+        let Some(task) = self.module_task(job, request) else {
+            return false;
+        };
         self.events.push(Event::Adopted { task, machine });
         let known = Known::Accepted;
-        let Some(topics) = self.ledger.jobs.get(&job).map(|job| Arc::clone(&job.ask.topics)) else {
+        let Some(topics) = self
+            .ledger
+            .jobs
+            .get(&job)
+            .map(|job| Arc::clone(&job.ask.topics))
+        else {
             return false;
         };
         self.constrain.copy_comes(&topics, number);
         let node_life = self.nodes.all.get(&number).and_then(|node| node.life);
         let (accepted, told, wire, sent) = (true, true, attempt, now);
-        let copy =
-            Attempt { job, node: number, machine, wire, sent, known, accepted, told, node_life, topics };
+        let copy = Attempt {
+            job,
+            node: number,
+            machine,
+            wire,
+            sent,
+            known,
+            accepted,
+            told,
+            node_life,
+            topics,
+        };
         self.ledger.open(self.start.life, id, copy);
         if let Some(node) = self.nodes.all.get_mut(&number) {
             node.attempts.insert(id);
@@ -397,14 +496,25 @@
         task: &wire::Task,
     ) -> std::result::Result<JobNo, String> {
         let name = JobName::parse(&task.job).ok_or("its name is no job's")?;
-        let spec = serde_json::from_slice(&task.payload).map_err(|error| format!("its template: {error}"))?;
-        let mut ask = crate::ask::Ask::new(spec, &self.settings, None).map_err(|error| error.message)?;
+        let spec = serde_json::from_slice(&task.payload)
+            .map_err(|error| format!("its template: {error}"))?;
+        let mut ask =
+            crate::ask::Ask::new(spec, &self.settings, None).map_err(|error| error.message)?;
         // What it was placed with holds, also where the settings say otherwise by now.
         (ask.cores, ask.memory, ask.service) = (task.cores, task.memory, task.service.clone());
         ask.life_us = (task.life_ms > 0).then(|| task.life_ms.saturating_mul(1_000));
         let limit = self.settings.limits.sessions;
-        let session = self.sessions.open(&name.session, now, limit).map_err(|error| error.message)?;
-        let new = Job::new(name, session, Arc::new(ask), reedring::TaskKey(task.key), now);
+        let session = self
+            .sessions
+            .open(&name.session, now, limit)
+            .map_err(|error| error.message)?;
+        let new = Job::new(
+            name,
+            session,
+            Arc::new(ask),
+            reedring::TaskKey(task.key),
+            now,
+        );
         let job = Job { again: true, ..new };
         Ok(self.add_job(job))
     }
@@ -412,11 +522,18 @@
     // ---- What nodes say ----
 
     pub(crate) fn message(&mut self, now: Micros, name: &str, message: Message) {
-        let Some(number) = self.nodes.number(name) else { return };
+        let Some(number) = self.nodes.number(name) else {
+            return;
+        };
         let find = |core: &Self, id| {
             // An attempt is its own node's to speak of.
             let found = core.ledger.find(core.start.life, id);
-            found.filter(|id| core.ledger.attempts.get(id).is_some_and(|attempt| attempt.node == number))
+            found.filter(|id| {
+                core.ledger
+                    .attempts
+                    .get(id)
+                    .is_some_and(|attempt| attempt.node == number)
+            })
         };
         match message {
             Message::Holds { held, last } => self.holds(now, number, held, last),
@@ -425,7 +542,12 @@
                 // Its job went on without it: what it is now comes with the answer to this stop.
                 None => self.stage_send(now, number, Message::Stop { attempt }),
             },
-            Message::Refused { attempt, reason, report, .. } => {
+            Message::Refused {
+                attempt,
+                reason,
+                report,
+                ..
+            } => {
                 self.ghost_gone(now, attempt);
                 if let Some(node) = self.nodes.all.get_mut(&number) {
                     *node.refusals.entry(reason).or_default() += 1;
@@ -434,12 +556,21 @@
                     self.refused(now, id, reason, report);
                 }
             }
-            Message::Note { attempt, topic, amount } => {
+            Message::Note {
+                attempt,
+                topic,
+                amount,
+            } => {
                 if let Some(id) = find(self, attempt) {
                     self.noted(now, id, topic, amount);
                 }
             }
-            Message::Ended { attempt, end, ran, report } => {
+            Message::Ended {
+                attempt,
+                end,
+                ran,
+                report,
+            } => {
                 self.stage_send(now, number, Message::Ack { attempt });
                 self.ghost_gone(now, attempt);
                 if let Some(id) = find(self, attempt) {
@@ -456,7 +587,9 @@
     }
 
     pub(crate) fn accepted(&mut self, now: Micros, id: AttemptId, report: Vec<f64>) {
-        let Some(attempt) = self.ledger.attempt_mut(id) else { return };
+        let Some(attempt) = self.ledger.attempt_mut(id) else {
+            return;
+        };
         attempt.accepted = true;
         if attempt.known != Known::Out {
             // It crossed the stop on the wire; the answer to the stop says what became of it.
@@ -464,21 +597,34 @@
         }
         attempt.known = Known::Accepted;
         let told = std::mem::replace(&mut attempt.told, true);
-        let (job, machine, took_us) = (attempt.job, attempt.machine, now.saturating_sub(attempt.sent));
+        let (job, machine, took_us) = (
+            attempt.job,
+            attempt.machine,
+            now.saturating_sub(attempt.sent),
+        );
         let (node, sent) = (attempt.node, attempt.sent);
         self.answered_at(now, node, sent);
         self.ledger.requests.remove(&id.request);
         self.constrain.answered(id.request);
         self.holds.answered(id.request);
         if told {
-            self.events.push(Event::Placed { attempt: id, machine, took_us });
+            self.events.push(Event::Placed {
+                attempt: id,
+                machine,
+                took_us,
+            });
         } else if let Some(task) = self.module_task(job, id.request) {
             // A former life offered it.
             self.events.push(Event::Adopted { task, machine });
         }
         self.recovered(job);
         if !report.is_empty() {
-            self.events.push(Event::Probed { machine, answered: true, took_us, report });
+            self.events.push(Event::Probed {
+                machine,
+                answered: true,
+                took_us,
+                report,
+            });
         }
         self.placed(now, job, id);
     }
@@ -491,7 +637,9 @@
         if let Some((node, subject)) = node.zip(subject) {
             self.constrain.stands(job, subject, node);
         }
-        let Some(entry) = self.ledger.job_mut(job) else { return };
+        let Some(entry) = self.ledger.job_mut(job) else {
+            return;
+        };
         entry.fate(id, "accepted");
         entry.phase = Phase::Placed(id);
         if entry.outcome.is_none() {
@@ -504,7 +652,9 @@
     }
 
     pub(crate) fn runs(&mut self, now: Micros, job: JobNo, id: AttemptId) {
-        let Some(entry) = self.ledger.job_mut(job) else { return };
+        let Some(entry) = self.ledger.job_mut(job) else {
+            return;
+        };
         entry.phase = Phase::Running(id);
         entry.started = Some(now);
         self.limit_run(job);
@@ -512,17 +662,30 @@
 
     /// A job runs for as long as its template allows.
     pub(crate) fn limit_run(&mut self, job: JobNo) {
-        let Some((entry, started)) = self.ledger.jobs.get(&job).and_then(|job| Some((job, job.started?)))
+        let Some((entry, started)) = self
+            .ledger
+            .jobs
+            .get(&job)
+            .and_then(|job| Some((job, job.started?)))
         else {
             return;
         };
         let spec = &entry.ask.spec;
         if let Some(limit) = spec.wall_hard.into_iter().chain(spec.run_hard).min() {
-            self.timers.set(started.saturating_add(limit.saturating_mul(1_000_000)), Timer::WallLimit(job));
+            self.timers.set(
+                started.saturating_add(limit.saturating_mul(1_000_000)),
+                Timer::WallLimit(job),
+            );
         }
     }
 
-    pub(crate) fn refused(&mut self, now: Micros, id: AttemptId, reason: wire::Reason, report: Vec<f64>) {
+    pub(crate) fn refused(
+        &mut self,
+        now: Micros,
+        id: AttemptId,
+        reason: wire::Reason,
+        report: Vec<f64>,
+    ) {
         let told = match reason {
             wire::Reason::Untold => None,
             wire::Reason::NoCores => Some(Reason::NoCores),
@@ -537,13 +700,20 @@
                 return self.unplaced(now, id, Fate::Unsent, None, report, reason.word());
             }
         };
-        if self.ledger.attempts.get(&id).is_some_and(|attempt| attempt.known != Known::Accepted) {
+        if self
+            .ledger
+            .attempts
+            .get(&id)
+            .is_some_and(|attempt| attempt.known != Known::Accepted)
+        {
             self.unplaced(now, id, Fate::Refused, told, report, reason.word());
         }
     }
 
     pub(crate) fn noted(&mut self, now: Micros, id: AttemptId, topic: Topic, amount: f64) {
-        let Some(attempt) = self.ledger.attempts.get(&id) else { return };
+        let Some(attempt) = self.ledger.attempts.get(&id) else {
+            return;
+        };
         let (job, machine) = (attempt.job, attempt.machine);
         let phase = self.ledger.jobs.get(&job).map(|job| job.phase.clone());
         let note = match topic {
@@ -554,11 +724,17 @@
                 Note::Runs
             }
             Topic::Suspended | Topic::Resumed => {
-                if let (Some(Phase::Placed(_) | Phase::Running(_) | Phase::Suspended(_)), Some(entry)) =
-                    (phase, self.ledger.job_mut(job))
+                if let (
+                    Some(Phase::Placed(_) | Phase::Running(_) | Phase::Suspended(_)),
+                    Some(entry),
+                ) = (phase, self.ledger.job_mut(job))
                 {
                     let suspended = topic == Topic::Suspended;
-                    entry.phase = if suspended { Phase::Suspended(id) } else { Phase::Running(id) };
+                    entry.phase = if suspended {
+                        Phase::Suspended(id)
+                    } else {
+                        Phase::Running(id)
+                    };
                 }
                 return;
             }
@@ -567,12 +743,25 @@
             Topic::Served => Note::Served(amount),
             Topic::Pressure => Note::Pressure(amount),
         };
-        self.events.push(Event::Noted { attempt: id, machine, note });
+        self.events.push(Event::Noted {
+            attempt: id,
+            machine,
+            note,
+        });
     }
 
     /// A node says that an attempt is over.
-    pub(crate) fn over(&mut self, now: Micros, id: AttemptId, end: wire::End, ran: bool, report: Vec<f64>) {
-        let Some(attempt) = self.ledger.attempts.get(&id) else { return };
+    pub(crate) fn over(
+        &mut self,
+        now: Micros,
+        id: AttemptId,
+        end: wire::End,
+        ran: bool,
+        report: Vec<f64>,
+    ) {
+        let Some(attempt) = self.ledger.attempts.get(&id) else {
+            return;
+        };
         let (known, accepted) = (attempt.known, attempt.accepted);
         if known == Known::Out && ran {
             // Its acceptance was lost on the way.
@@ -589,16 +778,43 @@
             }
             wire::End::Signaled(signal) => {
                 let signal = signal_name(i32::from(signal)).to_owned();
-                self.finished(now, id, Ending::ran(End::Signaled { signal, core_dump: false }), report);
+                self.finished(
+                    now,
+                    id,
+                    Ending::ran(End::Signaled {
+                        signal,
+                        core_dump: false,
+                    }),
+                    report,
+                );
             }
             wire::End::Error(text) if ran => {
-                self.finished(now, id, Ending::aborted(format!("its node could not run it: {text}")), report);
+                self.finished(
+                    now,
+                    id,
+                    Ending::aborted(format!("its node could not run it: {text}")),
+                    report,
+                );
             }
-            wire::End::Evicted => self.lost(now, id, loss, Fate::Reset, Some(Reason::Evicted), "evicted"),
-            wire::End::PushedOut => {
-                self.lost(now, id, loss, Fate::Reset, Some(Reason::PushedOut), "pushed out")
+            wire::End::Evicted => {
+                self.lost(now, id, loss, Fate::Reset, Some(Reason::Evicted), "evicted")
             }
-            wire::End::SentAway => self.lost(now, id, loss, Fate::Reset, Some(Reason::SentAway), "sent away"),
+            wire::End::PushedOut => self.lost(
+                now,
+                id,
+                loss,
+                Fate::Reset,
+                Some(Reason::PushedOut),
+                "pushed out",
+            ),
+            wire::End::SentAway => self.lost(
+                now,
+                id,
+                loss,
+                Fate::Reset,
+                Some(Reason::SentAway),
+                "sent away",
+            ),
             wire::End::Stopped => self.lost(now, id, loss, Fate::Stopped, None, "stopped"),
             wire::End::Error(_) => self.lost(now, id, loss, Fate::Error, None, "node error"),
             wire::End::Unknown => self.lost(now, id, loss, Fate::Reset, None, "node lost it"),
--- a/crates/core/tests/agree.rs
+++ b/crates/core/tests/agree.rs
@@ -19,10 +19,19 @@
         let from = world.now;
         world.start(0, settings(2, 4), 3);
         let done = world.until_all(2, 10 * SECOND).expect("in force");
-        let seen = world.acts.iter().map(|(number, _)| *number).collect::<Vec<_>>();
+        let seen = world
+            .acts
+            .iter()
+            .map(|(number, _)| *number)
+            .collect::<Vec<_>>();
         assert_eq!(seen, [2, 2, 2], "{ahead}");
         assert!(done < from + 120 * SECOND);
-        assert!(world.lines.iter().all(|(_, line)| !line.contains("no majority") || line.contains("plans")));
+        assert!(
+            world
+                .lines
+                .iter()
+                .all(|(_, line)| !line.contains("no majority") || line.contains("plans"))
+        );
     }
 }
 
@@ -43,10 +52,23 @@
             world.until_all(9, seed * 7 * MS);
         }
         world.until_all(9, 5 * SECOND);
-        let force: Vec<_> = world.nodes.iter().map(|node| node.record(world.now).force).collect();
-        assert!(force.iter().all(|version| *version == force[0] && version.number == 1), "{force:?}");
+        let force: Vec<_> = world
+            .nodes
+            .iter()
+            .map(|node| node.record(world.now).force)
+            .collect();
+        assert!(
+            force
+                .iter()
+                .all(|version| *version == force[0] && version.number == 1),
+            "{force:?}"
+        );
         let told = (0..4).filter(|placer| {
-            let last = world.lines.iter().rev().find(|(of, line)| of == placer && line.starts_with("plans:"));
+            let last = world
+                .lines
+                .iter()
+                .rev()
+                .find(|(of, line)| of == placer && line.starts_with("plans:"));
             last.is_some_and(|(_, line)| line.contains("is not the one in force"))
         });
         assert_eq!(told.count(), 2, "{:#?}", world.lines);
--- a/crates/core/tests/behind.rs
+++ b/crates/core/tests/behind.rs
@@ -25,7 +25,11 @@
         let mut world = World::cold(1, seed as u64, COLD);
         world.stall(0, stall * MS);
         press(&mut world, (stall + 8_000) * MS);
-        assert!(world.arrivals.len() > 8, "stall of {stall} ms: {} arrived", world.arrivals.len());
+        assert!(
+            world.arrivals.len() > 8,
+            "stall of {stall} ms: {} arrived",
+            world.arrivals.len()
+        );
         let most = world.most_within(0, WINDOW);
         assert!(most <= 8, "stall of {stall} ms: {most} in one window");
         world.run_for(5 * SECOND);
@@ -45,7 +49,11 @@
     press(&mut world, 1_900 * MS);
     assert_eq!(world.arrivals.len(), 8, "{:?}", world.arrivals);
     press(&mut world, 4 * SECOND);
-    let next = world.arrivals.get(8).expect("it goes on after the window").0;
+    let next = world
+        .arrivals
+        .get(8)
+        .expect("it goes on after the window")
+        .0;
     assert!(next >= from + WINDOW, "{} us after the start", next - from);
 }
 
@@ -65,7 +73,17 @@
     }
     world.wait_for(500);
     assert_eq!(world.taken.len() - before, 9);
-    let late: Vec<u64> = world.told_at.values().filter(|at| **at > from + 3 * SECOND).copied().collect();
-    assert_eq!(late, Vec::<u64>::new(), "told after their owners gave up at {}", from + 3 * SECOND);
+    let late: Vec<u64> = world
+        .told_at
+        .values()
+        .filter(|at| **at > from + 3 * SECOND)
+        .copied()
+        .collect();
+    assert_eq!(
+        late,
+        Vec::<u64>::new(),
+        "told after their owners gave up at {}",
+        from + 3 * SECOND
+    );
     assert_eq!(world.told_at.len(), 10, "each has its end");
 }
--- a/crates/core/tests/changes.rs
+++ b/crates/core/tests/changes.rs
@@ -15,8 +15,13 @@
 const NODES: usize = 3;
 
 fn teams(change: usize) -> Vec<String> {
-    let name =
-        |n: usize| if n == 300 { format!("team-300-{change}") } else { format!("team-{n:03}-of-the-site") };
+    let name = |n: usize| {
+        if n == 300 {
+            format!("team-300-{change}")
+        } else {
+            format!("team-{n:03}-of-the-site")
+        }
+    };
     (0..TEAMS).map(name).collect()
 }
 
@@ -25,7 +30,8 @@
     let mut world = World::new(0, NODES);
     world.acts = vec![(0, 0); PLACERS];
     world.lives_for(PLACERS);
-    (0..PLACERS).for_each(|placer| world.start(placer, settings_of_teams(1, PLACERS, &teams(0)), 1));
+    (0..PLACERS)
+        .for_each(|placer| world.start(placer, settings_of_teams(1, PLACERS, &teams(0)), 1));
     world.until_all(1, 5 * SECOND).expect("the first plan");
     // Nodes that heard of it when it was in force already vote once they have settled; heartbeats are every 10 s, and
     // none falls into what follows.
@@ -50,33 +56,57 @@
     world.until_all(2, 10 * SECOND).expect("in force");
     world.until_all(9, 50 * MS);
     let bytes = |of: &dyn Fn(usize, usize) -> bool, to_node: bool| -> usize {
-        let all = world.sent.iter().filter(|sent| sent.to_node == to_node && of(sent.placer, sent.node));
-        all.filter(|sent| is_plan(&sent.message)).map(|sent| encode(&sent.message).len()).sum()
+        let all = world
+            .sent
+            .iter()
+            .filter(|sent| sent.to_node == to_node && of(sent.placer, sent.node));
+        all.filter(|sent| is_plan(&sent.message))
+            .map(|sent| encode(&sent.message).len())
+            .sum()
     };
     for follower in 1..PLACERS {
         let of = |placer: usize, _: usize| placer == follower;
         let (read, written) = (bytes(&of, false), bytes(&of, true));
-        println!("placer {follower}: {read} bytes read, {written} written, beside a text of {text}");
+        println!(
+            "placer {follower}: {read} bytes read, {written} written, beside a text of {text}"
+        );
         assert!(read + written < 2_048, "{read} read, {written} written");
     }
     for node in 0..NODES {
-        let (read, written) = (bytes(&|_, n| n == node, true), bytes(&|_, n| n == node, false));
+        let (read, written) = (
+            bytes(&|_, n| n == node, true),
+            bytes(&|_, n| n == node, false),
+        );
         println!("node {node}: {read} bytes read, {written} written");
-        assert!(read < text, "{read} bytes read at a node, a text has {text}");
+        assert!(
+            read < text,
+            "{read} bytes read at a node, a text has {text}"
+        );
     }
 }
 
 /// Numbers of the plans that a placer told that it acts by, in order.
 fn acted_by(world: &World, placer: usize) -> Vec<u64> {
     let lines = world.lines.iter().filter(|(of, _)| *of == placer);
-    let number = |line: &String| line.strip_prefix("plans: acts by plan ")?.split('/').next()?.parse().ok();
+    let number = |line: &String| {
+        line.strip_prefix("plans: acts by plan ")?
+            .split('/')
+            .next()?
+            .parse()
+            .ok()
+    };
     let mut numbers: Vec<u64> = lines.filter_map(|(_, line)| number(line)).collect();
     numbers.dedup();
     numbers
 }
 
 fn last_line(world: &World, placer: usize) -> &str {
-    world.lines.iter().rev().find(|(of, _)| *of == placer).map_or("", |(_, line)| line.as_str())
+    world
+        .lines
+        .iter()
+        .rev()
+        .find(|(of, _)| *of == placer)
+        .map_or("", |(_, line)| line.as_str())
 }
 
 /// One file after another, at placers in turn: every plan is in force everywhere, once and in order, without a restart.
@@ -85,12 +115,19 @@
     let mut world = fleet();
     for change in 2..=21 {
         let (from, placer) = (world.now, change as usize % PLACERS);
-        world.change_file(placer, settings_of_teams(change, PLACERS, &teams(change as usize)));
+        world.change_file(
+            placer,
+            settings_of_teams(change, PLACERS, &teams(change as usize)),
+        );
         let done = world.until_all(change, 5 * SECOND).expect("in force");
         assert!(done - from < SECOND, "{} ms", (done - from) / MS);
     }
     for placer in 0..PLACERS {
-        assert_eq!(acted_by(&world, placer), (1..=21).collect::<Vec<_>>(), "{placer}");
+        assert_eq!(
+            acted_by(&world, placer),
+            (1..=21).collect::<Vec<_>>(),
+            "{placer}"
+        );
     }
 }
 
@@ -99,14 +136,26 @@
 fn plans_of_a_file_that_changes_again_too_soon_wait_for_their_turn() {
     let mut world = fleet();
     for change in 2..=6 {
-        world.change_file(0, settings_of_teams(change, PLACERS, &teams(change as usize)));
+        world.change_file(
+            0,
+            settings_of_teams(change, PLACERS, &teams(change as usize)),
+        );
         world.until_all(9, 2 * MS);
     }
     world.until_all(6, 10 * SECOND).expect("in force");
     world.until_all(9, SECOND);
     assert_eq!(acted_by(&world, 0), [1, 2, 3, 4, 5, 6]);
-    let want = settings_of_teams(6, PLACERS, &teams(6)).plan().unwrap().unwrap().version();
-    assert!(world.nodes.iter().all(|node| node.record(world.now).force == want));
+    let want = settings_of_teams(6, PLACERS, &teams(6))
+        .plan()
+        .unwrap()
+        .unwrap()
+        .version();
+    assert!(
+        world
+            .nodes
+            .iter()
+            .all(|node| node.record(world.now).force == want)
+    );
     // One that is taken back before its turn is not brought in.
     let rival = settings_of_teams(7, PLACERS, &teams(70));
     world.change_file(0, settings_of_teams(7, PLACERS, &teams(7)));
@@ -115,9 +164,14 @@
     world.until_all(7, 10 * SECOND).expect("in force");
     world.until_all(8, SECOND);
     assert_eq!(acted_by(&world, 0).last(), Some(&7));
-    let seven =
-        [settings_of_teams(7, PLACERS, &teams(7)), rival].map(|file| file.plan().unwrap().unwrap().version());
-    assert!(world.nodes.iter().all(|node| seven.contains(&node.record(world.now).force)));
+    let seven = [settings_of_teams(7, PLACERS, &teams(7)), rival]
+        .map(|file| file.plan().unwrap().unwrap().version());
+    assert!(
+        world
+            .nodes
+            .iter()
+            .all(|node| seven.contains(&node.record(world.now).force))
+    );
 }
 
 /// What waits follows the file: a text that is replaced before its turn is not brought in, nor is one that was taken back.
@@ -132,7 +186,12 @@
     world.until_all(3, 10 * SECOND).expect("in force");
     world.until_all(9, SECOND);
     assert_eq!(acted_by(&world, 0), [1, 2, 3]);
-    assert!(world.nodes.iter().all(|node| node.record(world.now).force == version(&file(3, 33))));
+    assert!(
+        world
+            .nodes
+            .iter()
+            .all(|node| node.record(world.now).force == version(&file(3, 33)))
+    );
     world.change_file(0, file(4, 4));
     world.change_file(0, file(5, 5));
     world.change_file(0, file(9, 9));
@@ -147,18 +206,35 @@
 fn after_a_wrong_delta_the_text_is_fetched_whole() {
     let mut world = fleet();
     let version = |number| {
-        settings_of_teams(number, PLACERS, &teams(number as usize)).plan().unwrap().unwrap().version()
+        settings_of_teams(number, PLACERS, &teams(number as usize))
+            .plan()
+            .unwrap()
+            .unwrap()
+            .version()
     };
     let wrong = Delta {
-        base: settings_of_teams(1, PLACERS, &teams(0)).plan().unwrap().unwrap().version(),
+        base: settings_of_teams(1, PLACERS, &teams(0))
+            .plan()
+            .unwrap()
+            .unwrap()
+            .version(),
         target: version(2),
         edits: Vec::new(),
     };
     let now = world.clock(1);
-    world.cores[1]
-        .handle(now, Input::Message { node: "node-0".to_owned(), message: Message::PlanDelta(wrong) });
+    world.cores[1].handle(
+        now,
+        Input::Message {
+            node: "node-0".to_owned(),
+            message: Message::PlanDelta(wrong),
+        },
+    );
     world.turn(1);
-    assert!(last_line(&world, 1).contains("what comes of the delta"), "{}", last_line(&world, 1));
+    assert!(
+        last_line(&world, 1).contains("what comes of the delta"),
+        "{}",
+        last_line(&world, 1)
+    );
     world.records = true;
     world.change_file(0, settings_of_teams(2, PLACERS, &teams(2)));
     world.until_all(2, 10 * SECOND).expect("in force");
@@ -187,14 +263,28 @@
     ] {
         world.change_file(0, settings_of_teams(number, PLACERS, &teams(teams_of)));
         world.until_all(99, 2 * SECOND);
-        assert!(last_line(&world, 0).contains(wanted), "{number}: {}", last_line(&world, 0));
-        assert!(world.acts.iter().all(|(plan, _)| *plan == 2), "{number}: {:?}", world.acts);
+        assert!(
+            last_line(&world, 0).contains(wanted),
+            "{number}: {}",
+            last_line(&world, 0)
+        );
+        assert!(
+            world.acts.iter().all(|(plan, _)| *plan == 2),
+            "{number}: {:?}",
+            world.acts
+        );
     }
     world.change_file(0, settings_of_teams(3, PLACERS - 1, &teams(3)));
     world.until_all(99, 2 * SECOND);
-    assert!(last_line(&world, 0).contains("site.placers"), "{}", last_line(&world, 0));
+    assert!(
+        last_line(&world, 0).contains("site.placers"),
+        "{}",
+        last_line(&world, 0)
+    );
     world.change_file(0, settings_of_teams(3, PLACERS, &teams(3)));
-    world.until_all(3, 5 * SECOND).expect("the right one is taken up");
+    world
+        .until_all(3, 5 * SECOND)
+        .expect("the right one is taken up");
 }
 
 /// A placer's own tables hold until it is started again; one line says so, and the plan beside them comes in.
@@ -202,8 +292,10 @@
 fn own_tables_are_not_taken_up_while_a_placer_runs() {
     let mut world = fleet();
     let with = |number: u64, own: &str| {
-        let text =
-            SETTINGS.replace("[site]", &format!("{own}\n[site]\nplacers = {PLACERS}\nmax_attempts = 3"));
+        let text = SETTINGS.replace(
+            "[site]",
+            &format!("{own}\n[site]\nplacers = {PLACERS}\nmax_attempts = 3"),
+        );
         Settings::parse(&format!("{text}[plan]\nnumber = {number}\n"), "file").unwrap()
     };
     let own = "limits = { sessions = 7 }\nlinks = { connect = \"3s\" }";
@@ -216,7 +308,10 @@
         .filter(|(_, line)| line.contains("needs a restart"))
         .map(|(_, line)| line.as_str())
         .collect();
-    assert_eq!(told, ["settings: [limits], [links] changed, which needs a restart; the old holds"]);
+    assert_eq!(
+        told,
+        ["settings: [limits], [links] changed, which needs a restart; the old holds"]
+    );
     // One that tells no plan takes up none.
     let mut world = World::new(0, NODES);
     world.lives_for(1);
@@ -224,6 +319,18 @@
     world.start(0, settings(0, 1), 1);
     world.change_file(0, settings(1, 1));
     world.until_all(9, SECOND);
-    assert!(world.lines.iter().any(|(_, line)| line.contains("takes up nothing")), "{:?}", world.lines);
-    assert!(world.nodes.iter().all(|node| node.record(world.now).force.number == 0));
+    assert!(
+        world
+            .lines
+            .iter()
+            .any(|(_, line)| line.contains("takes up nothing")),
+        "{:?}",
+        world.lines
+    );
+    assert!(
+        world
+            .nodes
+            .iter()
+            .all(|node| node.record(world.now).force.number == 0)
+    );
 }
--- a/crates/core/tests/control.rs
+++ b/crates/core/tests/control.rs
@@ -19,7 +19,11 @@
 fn first_plan(world: &mut World) {
     world.until_all(9, 2 * SECOND);
     for placer in 0..world.cores.len() {
-        assert!(last_plan_line(world, placer).contains("acts by plan 1"), "{:#?}", world.lines);
+        assert!(
+            last_plan_line(world, placer).contains("acts by plan 1"),
+            "{:#?}",
+            world.lines
+        );
     }
 }
 
@@ -38,12 +42,20 @@
 #[test]
 fn the_messages_of_a_change_do_not_grow_with_the_learners() {
     let (few, many) = (change(CONTROL, 50), change(CONTROL, 400));
-    eprintln!("messages of plans for a change at 10 placers, 5 voters: {few} at 50 learners, {many} at 400");
-    assert!(few > 0 && many <= few + few / 10, "{few} at 50 learners, {many} at 400");
+    eprintln!(
+        "messages of plans for a change at 10 placers, 5 voters: {few} at 50 learners, {many} at 400"
+    );
+    assert!(
+        few > 0 && many <= few + few / 10,
+        "{few} at 50 learners, {many} at 400"
+    );
     // Beside a fleet where every node votes.
     let all = change(0, 55);
     eprintln!("where all of 55 nodes vote: {all}");
-    assert!(all > 5 * few, "{all} where all of 55 nodes vote, {few} with five voters");
+    assert!(
+        all > 5 * few,
+        "{all} where all of 55 nodes vote, {few} with five voters"
+    );
 }
 
 /// Nothing is sent to learners for the lease either.
@@ -65,7 +77,11 @@
 }
 
 fn last_plan_line(world: &World, placer: usize) -> &str {
-    let mut lines = world.lines.iter().rev().filter(|(of, line)| *of == placer && line.starts_with("plans:"));
+    let mut lines = world
+        .lines
+        .iter()
+        .rev()
+        .filter(|(of, line)| *of == placer && line.starts_with("plans:"));
     lines.next().map_or("", |(_, line)| line)
 }
 
@@ -77,18 +93,32 @@
     world.cut_off.extend([0, 1]);
     world.until_all(9, 60 * SECOND);
     (0..2).for_each(|placer| {
-        assert!(last_plan_line(&world, placer).contains("acts by plan 1"), "two of five: {:#?}", world.lines)
+        assert!(
+            last_plan_line(&world, placer).contains("acts by plan 1"),
+            "two of five: {:#?}",
+            world.lines
+        )
     });
     world.cut_off.insert(2);
     world.until_all(9, 15 * SECOND);
     (0..2).for_each(|placer| {
-        assert!(last_plan_line(&world, placer).contains("acts by plan 1"), "its lease runs")
+        assert!(
+            last_plan_line(&world, placer).contains("acts by plan 1"),
+            "its lease runs"
+        )
     });
     world.until_all(9, 25 * SECOND);
-    (0..2).for_each(|placer| assert!(last_plan_line(&world, placer).contains("sends nothing: no majority")));
+    (0..2).for_each(|placer| {
+        assert!(last_plan_line(&world, placer).contains("sends nothing: no majority"))
+    });
     world.cut_off.clear();
     world.until_all(9, 2 * SECOND);
-    (0..2).for_each(|placer| assert!(last_plan_line(&world, placer).contains("acts by plan 1"), "one round"));
+    (0..2).for_each(|placer| {
+        assert!(
+            last_plan_line(&world, placer).contains("acts by plan 1"),
+            "one round"
+        )
+    });
 }
 
 /// Learners that nobody reaches for an hour hold up no change, and go by it with the first offer after.
@@ -109,7 +139,8 @@
 fn cold_settings(plan: u64, placers: usize) -> Settings {
     let site = plans::SETTINGS.replace("[site]", &format!("[site]\nplacers = {placers}"));
     let text = site.replace("mean_cores", COLD);
-    Settings::parse(&format!("{text}[plan]\nnumber = {plan}\n"), "test").expect("the test's own settings")
+    Settings::parse(&format!("{text}[plan]\nnumber = {plan}\n"), "test")
+        .expect("the test's own settings")
 }
 
 /// A learner that starts again is told by each placer by what it acts, and nobody else is.
@@ -146,16 +177,45 @@
 
 fn submit_bulk(world: &mut World, number: u64, jobs: u64, native: &str) {
     if number == 1 {
-        let init = Call::Init { session: "s".to_owned() };
-        world.cores[0].handle(world.now, Input::Call { conn: 1, id: 0, call: init });
+        let init = Call::Init {
+            session: "s".to_owned(),
+        };
+        world.cores[0].handle(
+            world.now,
+            Input::Call {
+                conn: 1,
+                id: 0,
+                call: init,
+            },
+        );
     }
-    let key = CallKey { session: "s".to_owned(), call: number, settled: number, sent_to: 1_000 };
+    let key = CallKey {
+        session: "s".to_owned(),
+        call: number,
+        settled: number,
+        sent_to: 1_000,
+    };
     let native = format!("class=c cores=0.01 memory=0.01 {native}");
-    let job = Box::new(JobSpec { command: "work".to_owned(), native, ..JobSpec::default() });
-    let range = Range { first: 1, last: jobs, step: 1 };
+    let job = Box::new(JobSpec {
+        command: "work".to_owned(),
+        native,
+        ..JobSpec::default()
+    });
+    let range = Range {
+        first: 1,
+        last: jobs,
+        step: 1,
+    };
     let call = Call::RunBulkJobs { key, job, range };
     let now = world.now;
-    world.cores[0].handle(now, Input::Call { conn: 1, id: number, call });
+    world.cores[0].handle(
+        now,
+        Input::Call {
+            conn: 1,
+            id: number,
+            call,
+        },
+    );
     world.turn(0);
 }
 
@@ -165,10 +225,18 @@
     let mut world = World::with_control(1, 3, 3);
     first_plan(&mut world);
     for call in 1..=4 {
-        submit(&mut world, call, ["", "\nrequire node != node-9"][usize::from(call % 2 == 0)]);
+        submit(
+            &mut world,
+            call,
+            ["", "\nrequire node != node-9"][usize::from(call % 2 == 0)],
+        );
         world.until_all(9, SECOND);
     }
-    assert!(world.offers.keys().all(|node| *node >= 3), "{:?}", world.offers);
+    assert!(
+        world.offers.keys().all(|node| *node >= 3),
+        "{:?}",
+        world.offers
+    );
     assert_eq!(world.offers.len(), 3, "{:?}", world.offers);
     // One that becomes a control machine gets nothing new.
     world.mark_control(&[0, 1, 2, 4, 5]);
@@ -191,7 +259,12 @@
     let (now, list) = (world.now, world.list.clone());
     world.cores[0].handle(now, Input::Listed(list));
     first_plan(&mut world);
-    submit_bulk(&mut world, 1, 6, "life=60s service=v constraint='require spread by hall within 1'");
+    submit_bulk(
+        &mut world,
+        1,
+        6,
+        "life=60s service=v constraint='require spread by hall within 1'",
+    );
     world.until_all(9, 3 * SECOND);
     assert_eq!(world.offers, [(3, 3), (4, 3)].into());
 }
@@ -205,15 +278,23 @@
     world.until_all(9, SECOND);
     let from = world.now;
     world.start(0, settings(2, 3), 2);
-    let done = world.until_all(2, 60 * SECOND).unwrap_or_else(|| panic!("{:#?}", world.lines));
+    let done = world
+        .until_all(2, 60 * SECOND)
+        .unwrap_or_else(|| panic!("{:#?}", world.lines));
     assert!(done - from < SECOND, "{} ms", (done - from) / MS);
     world.until_all(9, SECOND);
-    let force: Vec<u64> = world.nodes.iter().map(|node| node.record(world.now).force.number).collect();
+    let force: Vec<u64> = world
+        .nodes
+        .iter()
+        .map(|node| node.record(world.now).force.number)
+        .collect();
     assert_eq!(force, [2; 9]);
     // Those that do not vote are no majority either.
     world.cut_off.extend([0, 1]);
     world.until_all(9, 40 * SECOND);
-    assert!((0..3).all(|placer| last_plan_line(&world, placer).contains("sends nothing: no majority")));
+    assert!(
+        (0..3).all(|placer| last_plan_line(&world, placer).contains("sends nothing: no majority"))
+    );
 }
 
 /// The unsafe order: machines that never kept a plan are marked. They are taught the one in force, and vote for nothing
@@ -230,7 +311,11 @@
     world.until_all(9, 5 * SECOND);
     for n in 0..3 {
         let record = world.nodes[n].record(world.now);
-        assert_eq!((record.force.number, record.next, record.stuck), (1, None, true), "taught, and no vote");
+        assert_eq!(
+            (record.force.number, record.next, record.stuck),
+            (1, None, true),
+            "taught, and no vote"
+        );
     }
     let done = world.until_all(2, 60 * SECOND).expect("in force");
     assert!(done - from >= 29 * SECOND, "{} ms", (done - from) / MS);
@@ -243,7 +328,9 @@
     first_plan(&mut world);
     world.until_all(9, SETTLED);
     world.start(0, settings(2, 1), 2);
-    world.until_all(2, 30 * SECOND).unwrap_or_else(|| panic!("{:#?}", world.lines));
+    world
+        .until_all(2, 30 * SECOND)
+        .unwrap_or_else(|| panic!("{:#?}", world.lines));
     world.until_all(9, SECOND);
     submit(&mut world, 1, "");
     world.until_all(9, SECOND);
@@ -252,7 +339,10 @@
     world.start(0, settings(1, 1), 3);
     world.until_all(9, 60 * SECOND);
     let line = last_plan_line(&world, 0);
-    assert!(line.contains("plan.number: learners know of plan 2/"), "{line}");
+    assert!(
+        line.contains("plan.number: learners know of plan 2/"),
+        "{line}"
+    );
     assert!((0..3).all(|n| world.nodes[n].record(world.now).force.number == 0));
     // The plan that they know of may begin.
     world.start(0, settings(2, 1), 4);
--- a/crates/core/tests/model.rs
+++ b/crates/core/tests/model.rs
@@ -97,7 +97,11 @@
     link_voids: bool,
 }
 
-const ALL: Rules = Rules { row_before_offer: true, row_before_ack: true, link_voids: true };
+const ALL: Rules = Rules {
+    row_before_offer: true,
+    row_before_ack: true,
+    link_voids: true,
+};
 
 impl Rules {
     fn send(&self, world: &mut World, node: usize, message: ToNode) {
@@ -127,10 +131,18 @@
             (Verdict::Over { .. } | Verdict::Gone, _) => At::Over,
             (Verdict::NeverRan, _) => At::Waits,
             (Verdict::PerhapsRan, _) => {
-                let row = Row { at: At::Waits, may_have_run: true, ..row };
+                let row = Row {
+                    at: At::Waits,
+                    may_have_run: true,
+                    ..row
+                };
                 self.change(world, row);
                 // The module, too, fails an unsafe task that may have run.
-                return if world.recovering { self.recover(world, false) } else { self.over(world) };
+                return if world.recovering {
+                    self.recover(world, false)
+                } else {
+                    self.over(world)
+                };
             }
             _ => return,
         };
@@ -145,18 +157,33 @@
     fn over(&self, world: &mut World) {
         if let Some(row) = world.memory {
             world.recovering = false;
-            self.change(world, Row { at: At::Over, ..row });
+            self.change(
+                world,
+                Row {
+                    at: At::Over,
+                    ..row
+                },
+            );
         }
     }
 
     fn recover(&self, world: &mut World, last: bool) {
-        let Some(row) = world.memory.filter(|_| world.recovering) else { return };
+        let Some(row) = world.memory.filter(|_| world.recovering) else {
+            return;
+        };
         let open = matches!(row.at, At::Out(..));
         let told = world.told.iter().all(|told| *told);
         match decide::recovered(Effect::Unsafe, open, row.may_have_run, told, false, last) {
             Recovered::Wait => {}
             Recovered::LetGo => {
-                self.change(world, Row { at: At::Waits, may_have_run: true, ..row });
+                self.change(
+                    world,
+                    Row {
+                        at: At::Waits,
+                        may_have_run: true,
+                        ..row
+                    },
+                );
                 self.recover(world, true);
             }
             Recovered::Ask => world.recovering = false,
@@ -174,12 +201,21 @@
         (node.linked, node.to_placer) = (true, Vec::new());
         world.told[n] = true;
         let node = world.nodes[n].clone();
-        if let Some(Row { at: At::Out(at, life, number) | At::Accepted(at, life, number), .. }) = world.memory
+        if let Some(Row {
+            at: At::Out(at, life, number) | At::Accepted(at, life, number),
+            ..
+        }) = world.memory
             && usize::from(at) == n
         {
-            let known =
-                if matches!(world.memory.unwrap().at, At::Out(..)) { Known::Out } else { Known::Accepted };
-            let ended = HeldState::Ended { end: End::Exited(0), ran: true };
+            let known = if matches!(world.memory.unwrap().at, At::Out(..)) {
+                Known::Out
+            } else {
+                Known::Accepted
+            };
+            let ended = HeldState::Ended {
+                end: End::Exited(0),
+                ran: true,
+            };
             let held = match () {
                 () if node.ended == Some(number) => Some(&ended),
                 () if node.running == Some(number) => Some(&HeldState::Running),
@@ -207,7 +243,11 @@
             running: None,
             ended: None,
         };
-        let row = Row { at: At::Waits, may_have_run: false, tries: 0 };
+        let row = Row {
+            at: At::Waits,
+            may_have_run: false,
+            tries: 0,
+        };
         vec![World {
             memory: Some(row),
             unwritten: false,
@@ -255,7 +295,14 @@
             Step::Offer(n) => {
                 let row = world.memory?;
                 let (number, life) = (row.tries, world.nodes[n].life);
-                self.change(&mut world, Row { at: At::Out(n as u8, life, number), tries: number + 1, ..row });
+                self.change(
+                    &mut world,
+                    Row {
+                        at: At::Out(n as u8, life, number),
+                        tries: number + 1,
+                        ..row
+                    },
+                );
                 self.send(&mut world, n, ToNode::Offer(number));
             }
             Step::Write => {
@@ -296,7 +343,13 @@
                         let mine = matches!(at, At::Out(at, _, number) | At::Accepted(at, _, number)
                             if (usize::from(at), number) == (n, said));
                         if mine {
-                            self.judge(&mut world, Verdict::Over { end: End::Exited(0), ran: true });
+                            self.judge(
+                                &mut world,
+                                Verdict::Over {
+                                    end: End::Exited(0),
+                                    ran: true,
+                                },
+                            );
                         }
                         self.send(&mut world, n, ToNode::Ack(said));
                     }
@@ -333,7 +386,14 @@
                 world.deaths += 1;
                 let life = world.nodes[n].life + 1;
                 let (to_node, to_placer) = (Vec::new(), Vec::new());
-                world.nodes[n] = Node { life, linked: false, to_node, to_placer, running: None, ended: None };
+                world.nodes[n] = Node {
+                    life,
+                    linked: false,
+                    to_node,
+                    to_placer,
+                    running: None,
+                    ended: None,
+                };
             }
             Step::LastCall => self.recover(&mut world, true),
         }
@@ -342,9 +402,13 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("it starts once at most", |_, world: &World| world.starts <= 1),
+            Property::always("it starts once at most", |_, world: &World| {
+                world.starts <= 1
+            }),
             Property::sometimes("it is placed after a kill", |_, world: &World| {
-                let placed = world.memory.is_some_and(|row| matches!(row.at, At::Accepted(..)));
+                let placed = world
+                    .memory
+                    .is_some_and(|row| matches!(row.at, At::Accepted(..)));
                 placed && world.kills > 0
             }),
             Property::sometimes("it starts after a kill", |_, world: &World| {
@@ -367,16 +431,28 @@
 fn an_unsafe_job_starts_once_at_most_in_every_interleaving() {
     let (states, harm) = explore(ALL);
     assert!(!harm);
-    assert!(states > 10_000, "{states} states are too few to mean anything");
+    assert!(
+        states > 10_000,
+        "{states} states are too few to mean anything"
+    );
     eprintln!("{states} states");
 }
 
 #[test]
 fn without_any_one_of_its_rules_the_model_finds_a_second_start() {
     for rules in [
-        Rules { row_before_offer: false, ..ALL },
-        Rules { row_before_ack: false, ..ALL },
-        Rules { link_voids: false, ..ALL },
+        Rules {
+            row_before_offer: false,
+            ..ALL
+        },
+        Rules {
+            row_before_ack: false,
+            ..ALL
+        },
+        Rules {
+            link_voids: false,
+            ..ALL
+        },
     ] {
         assert!(explore(rules).1, "{rules:?} did no harm");
     }
--- a/crates/core/tests/plans/mod.rs
+++ b/crates/core/tests/plans/mod.rs
@@ -21,17 +21,27 @@
 "#;
 
 pub fn settings(plan: u64, placers: usize) -> Settings {
-    let plan = if plan > 0 { format!("[plan]\nnumber = {plan}\n") } else { String::new() };
+    let plan = if plan > 0 {
+        format!("[plan]\nnumber = {plan}\n")
+    } else {
+        String::new()
+    };
     let text = SETTINGS.replace("[site]", &format!("[site]\nplacers = {placers}"));
     Settings::parse(&format!("{text}{plan}"), "bench").expect("the bench's own settings")
 }
 
 /// Settings whose plan has these tenants.
 pub fn settings_of_teams(plan: u64, placers: usize, teams: &[String]) -> Settings {
-    let tenants: String = teams.iter().map(|team| format!("[[tenant]]\nname = {team:?}\n")).collect();
+    let tenants: String = teams
+        .iter()
+        .map(|team| format!("[[tenant]]\nname = {team:?}\n"))
+        .collect();
     let site = SETTINGS.replace("[site]", &format!("[site]\nplacers = {placers}"));
-    Settings::parse(&format!("{site}[plan]\nnumber = {plan}\n{tenants}"), "teams")
-        .expect("the teams' settings")
+    Settings::parse(
+        &format!("{site}[plan]\nnumber = {plan}\n{tenants}"),
+        "teams",
+    )
+    .expect("the teams' settings")
 }
 
 /// A disk that takes everything.
@@ -115,7 +125,10 @@
         let nodes = control + others;
         let entry = |n: usize| NodeEntry {
             control: n < control,
-            ..NodeEntry::at(format!("node-{n}"), ([127, 0, 0, 1], 1_000 + n as u16).into())
+            ..NodeEntry::at(
+                format!("node-{n}"),
+                ([127, 0, 0, 1], 1_000 + n as u16).into(),
+            )
         };
         let node = |n: usize| node(n, control == 0 || n < control, 1, 0);
         let mut world = Self {
@@ -138,7 +151,10 @@
             cut_off: BTreeSet::new(),
             raises: BTreeMap::new(),
             offers: BTreeMap::new(),
-            list: NodeList { revision: 1, nodes: (0..nodes).map(entry).collect() },
+            list: NodeList {
+                revision: 1,
+                nodes: (0..nodes).map(entry).collect(),
+            },
         };
         (0..placers).for_each(|p| world.start(p, settings(1, placers), 1));
         world
@@ -157,7 +173,9 @@
     /// When a placer wants to be woken, by the world's clock.
     fn wakes(&self, placer: usize) -> Option<u64> {
         let ahead = self.ahead.get(&placer).copied().unwrap_or(0);
-        self.cores[placer].next_wake().map(|at| at.saturating_sub(ahead))
+        self.cores[placer]
+            .next_wake()
+            .map(|at| at.saturating_sub(ahead))
     }
 
     /// A placer's new life.
@@ -167,7 +185,15 @@
         let acts = first_stamp(&settings).map(|stamp| (stamp, "bench".to_owned()));
         let life = life * 1_000 + placer as u64;
         let now = self.clock(placer);
-        let core = Core::new(settings, Start { now, unix_us: now, life, seed: life });
+        let core = Core::new(
+            settings,
+            Start {
+                now,
+                unix_us: now,
+                life,
+                seed: life,
+            },
+        );
         if placer < self.cores.len() {
             self.cores[placer] = core;
         } else {
@@ -177,8 +203,12 @@
             Due::AtNode(of, ..) | Due::AtPlacer(of, ..) => *of != placer,
         });
         for n in 0..self.nodes.len() {
-            let hello =
-                Message::Hello { placer: format!("placer-{placer}"), life, link: 1, acts: acts.clone() };
+            let hello = Message::Hello {
+                placer: format!("placer-{placer}"),
+                life,
+                link: 1,
+                acts: acts.clone(),
+            };
             self.send(Due::AtNode(placer, n, hello));
         }
         let list = self.list.clone();
@@ -200,10 +230,22 @@
         self.nodes[n] = node(n, votes, life, self.now);
         for placer in 0..self.cores.len() {
             let (name, now) = (self.list.nodes[n].name.clone(), self.clock(placer));
-            self.cores[placer].handle(now, Input::LinkDown { node: name, why: "replaced".to_owned() });
+            self.cores[placer].handle(
+                now,
+                Input::LinkDown {
+                    node: name,
+                    why: "replaced".to_owned(),
+                },
+            );
             let (life, link) = (self.lives[placer] * 1_000 + placer as u64, life);
-            let acts = first_stamp(self.cores[placer].settings()).map(|stamp| (stamp, "bench".to_owned()));
-            let hello = Message::Hello { placer: format!("placer-{placer}"), life, link, acts };
+            let acts =
+                first_stamp(self.cores[placer].settings()).map(|stamp| (stamp, "bench".to_owned()));
+            let hello = Message::Hello {
+                placer: format!("placer-{placer}"),
+                life,
+                link,
+                acts,
+            };
             self.send(Due::AtNode(placer, n, hello));
             self.turn(placer);
         }
@@ -212,7 +254,11 @@
     /// The next list marks other control machines.
     pub fn mark_control(&mut self, control: &[usize]) {
         self.list.revision += 1;
-        self.list.nodes.iter_mut().enumerate().for_each(|(n, node)| node.control = control.contains(&n));
+        self.list
+            .nodes
+            .iter_mut()
+            .enumerate()
+            .for_each(|(n, node)| node.control = control.contains(&n));
         for placer in 0..self.cores.len() {
             let (now, list) = (self.clock(placer), self.list.clone());
             self.cores[placer].handle(now, Input::Listed(list));
@@ -232,7 +278,13 @@
                 Due::AtNode(placer, node, message) => (*placer, *node, true, message.clone()),
                 Due::AtPlacer(placer, node, message) => (*placer, *node, false, message.clone()),
             };
-            self.sent.push(Sent { at: self.now, placer, node, to_node, message });
+            self.sent.push(Sent {
+                at: self.now,
+                placer,
+                node,
+                to_node,
+                message,
+            });
         }
         match message {
             Message::Plan(Order::Raise { .. }) => *self.raises.entry(*n).or_default() += 1,
@@ -241,7 +293,10 @@
         }
         let of_plans = matches!(
             message,
-            Message::Plan(_) | Message::Record(_) | Message::PlanText { .. } | Message::PlanDelta(_)
+            Message::Plan(_)
+                | Message::Record(_)
+                | Message::PlanText { .. }
+                | Message::PlanDelta(_)
         );
         self.plan_messages += u64::from(of_plans);
         let way = match &due {
@@ -261,11 +316,16 @@
         while let Some(output) = self.cores[placer].poll() {
             match output {
                 Output::Send { node, message } => {
-                    let n = node.trim_start_matches("node-").parse().expect("its number");
+                    let n = node
+                        .trim_start_matches("node-")
+                        .parse()
+                        .expect("its number");
                     self.send(Due::AtNode(placer, n, message));
                 }
                 Output::Log { line, .. } => self.lines.push((placer, line)),
-                Output::Acts(stamp) if !stamp.joint && self.acts[placer].0 != stamp.version.number => {
+                Output::Acts(stamp)
+                    if !stamp.joint && self.acts[placer].0 != stamp.version.number =>
+                {
                     self.acts[placer] = (stamp.version.number, self.now);
                 }
                 _ => {}
@@ -285,11 +345,23 @@
     pub fn until_all(&mut self, plan: u64, most: u64) -> Option<u64> {
         let end = self.now + most;
         while self.now < end {
-            let wakes = (0..self.cores.len()).filter_map(|placer| self.wakes(placer)).min();
+            let wakes = (0..self.cores.len())
+                .filter_map(|placer| self.wakes(placer))
+                .min();
             let next = self.queue.first_key_value().map(|((at, _), _)| *at);
-            self.now = next.into_iter().chain(wakes).min().unwrap_or(end).min(end).max(self.now + MS);
+            self.now = next
+                .into_iter()
+                .chain(wakes)
+                .min()
+                .unwrap_or(end)
+                .min(end)
+                .max(self.now + MS);
             let mut turns: BTreeSet<usize> = BTreeSet::new();
-            while let Some(due) = self.queue.first_entry().filter(|due| due.key().0 <= self.now) {
+            while let Some(due) = self
+                .queue
+                .first_entry()
+                .filter(|due| due.key().0 <= self.now)
+            {
                 match due.remove() {
                     Due::AtNode(placer, n, message) => {
                         let link = placer as u64 * 10 + self.lives[placer];
@@ -300,9 +372,20 @@
                     Due::AtPlacer(placer, n, message) => {
                         let node = self.list.nodes[n].name.clone();
                         let input = match message {
-                            Message::Welcome { node: called, life, up_ms, can_suspend, record } => {
-                                Input::LinkUp { node, called, life, up_ms, can_suspend, record }
-                            }
+                            Message::Welcome {
+                                node: called,
+                                life,
+                                up_ms,
+                                can_suspend,
+                                record,
+                            } => Input::LinkUp {
+                                node,
+                                called,
+                                life,
+                                up_ms,
+                                can_suspend,
+                                record,
+                            },
                             message => Input::Message { node, message },
                         };
                         let now = self.clock(placer);
--- a/crates/core/tests/quiet.rs
+++ b/crates/core/tests/quiet.rs
@@ -13,14 +13,23 @@
 fn after_heartbeat(nodes: usize) -> World {
     let mut world = World::new(1, nodes);
     world.until_all(9, 31 * SECOND);
-    assert_eq!(world.acts[0].0, 1, "it acts by the first plan: {:?}", world.lines);
+    assert_eq!(
+        world.acts[0].0, 1,
+        "it acts by the first plan: {:?}",
+        world.lines
+    );
     let before = world.messages;
     for _ in 0..12 {
         if world.messages == before {
             world.until_all(9, SECOND);
         }
     }
-    assert!(world.messages > before, "a heartbeat; {:?} {:?}", world.cores[0].next_wake(), world.lines);
+    assert!(
+        world.messages > before,
+        "a heartbeat; {:?} {:?}",
+        world.cores[0].next_wake(),
+        world.lines
+    );
     world.until_all(9, SECOND);
     world
 }
@@ -48,7 +57,10 @@
     let (_, many) = of_one_rack(300);
     assert_eq!(few.len(), many.len(), "{few:?} {many:?}");
     let concerns = |output: &&Output| {
-        !matches!(output, Output::Send { .. } | Output::Connect { .. } | Output::Disconnect { .. })
+        !matches!(
+            output,
+            Output::Send { .. } | Output::Connect { .. } | Output::Disconnect { .. }
+        )
     };
     assert_eq!(many.iter().filter(concerns).count(), many.len(), "{many:?}");
 }
@@ -59,16 +71,25 @@
     let mut told: Vec<u64> = Vec::new();
     let end = world.now + 11 * SECOND;
     while world.now < end && told.is_empty() {
-        world.now = world.cores[0].next_wake().expect("a heartbeat").max(world.now + MS);
+        world.now = world.cores[0]
+            .next_wake()
+            .expect("a heartbeat")
+            .max(world.now + MS);
         told = outputs(&mut world)
             .into_iter()
             .filter_map(|output| match output {
-                Output::Send { message: Message::Plan(Order::Ask { stamp }), .. } => Some(stamp.list),
+                Output::Send {
+                    message: Message::Plan(Order::Ask { stamp }),
+                    ..
+                } => Some(stamp.list),
                 _ => None,
             })
             .collect();
     }
-    assert!(told.len() > 4 && told.iter().all(|list| *list == 2), "{told:?}");
+    assert!(
+        told.len() > 4 && told.iter().all(|list| *list == 2),
+        "{told:?}"
+    );
 }
 
 #[test]
@@ -79,8 +100,13 @@
     world.cores[0].handle(now, Input::Listed(list.clone()));
     let told = outputs(&mut world);
     let moves = |output: &Output| matches!(output, Output::MoveZone { node, zone } if node == "node-1" && zone == "north");
-    assert_eq!(told.iter().filter(|output| moves(output)).count(), 1, "{told:?}");
-    let relinks = |output: &&Output| matches!(output, Output::Connect { .. } | Output::Disconnect { .. });
+    assert_eq!(
+        told.iter().filter(|output| moves(output)).count(),
+        1,
+        "{told:?}"
+    );
+    let relinks =
+        |output: &&Output| matches!(output, Output::Connect { .. } | Output::Disconnect { .. });
     assert_eq!(told.iter().filter(relinks).count(), 0, "{told:?}");
     // Told once: the same list again moves nothing.
     world.cores[0].handle(now, Input::Listed(list));
@@ -90,7 +116,11 @@
 /// How often a placer that hears nobody wakes within ten seconds.
 fn wakes(world: &mut World) -> usize {
     let (end, mut wakes) = (world.now + 10 * SECOND, 0);
-    while let Some(at) = world.cores[0].next_wake().map(|at| at.max(world.now + MS)).filter(|at| *at < end) {
+    while let Some(at) = world.cores[0]
+        .next_wake()
+        .map(|at| at.max(world.now + MS))
+        .filter(|at| *at < end)
+    {
         world.now = at;
         outputs(world);
         wakes += 1;
@@ -102,8 +132,10 @@
 /// Every node tells the placer what it keeps.
 fn hear_all(world: &mut World) {
     for (n, node) in world.nodes.iter().enumerate() {
-        let input =
-            Input::Message { node: format!("node-{n}"), message: Message::Record(node.record(world.now)) };
+        let input = Input::Message {
+            node: format!("node-{n}"),
+            message: Message::Record(node.record(world.now)),
+        };
         world.cores[0].handle(world.now, input);
     }
 }
@@ -116,7 +148,10 @@
         wakes(&mut world);
     }
     let count = wakes(&mut world);
-    assert!(count <= 4, "{count} looks in ten seconds, with nothing told");
+    assert!(
+        count <= 4,
+        "{count} looks in ten seconds, with nothing told"
+    );
     // Nodes that tell what they had told before are heard within two looks.
     hear_all(&mut world);
     let end = world.now + 200 * MS;
@@ -149,9 +184,11 @@
     hear_all(&mut world);
     let (heard, mut stopped) = (world.now, None);
     while world.now < heard + 2 * LEASE && stopped.is_none() {
-        world.now = world.cores[0].next_wake().expect("a look").max(world.now + MS);
-        let stops =
-            |output: &Output| matches!(output, Output::Log { line, .. } if line.contains("no majority"));
+        world.now = world.cores[0]
+            .next_wake()
+            .expect("a look")
+            .max(world.now + MS);
+        let stops = |output: &Output| matches!(output, Output::Log { line, .. } if line.contains("no majority"));
         stopped = outputs(&mut world).iter().any(stops).then_some(world.now);
     }
     assert_eq!(stopped, Some(heard + LEASE));
--- a/crates/core/tests/reconnect.rs
+++ b/crates/core/tests/reconnect.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use reedring_core::reconnect::{
-    FIRST_WAIT, Failure, LAST_WAIT, LinkId, News, PLACER_BURST, PLACER_RATE, ReconnectPacing, SWEEP_BURST,
-    SWEEP_RATE, SWEEP_WASTE_RATE, ZONE_BURST, ZONE_RATE,
+    FIRST_WAIT, Failure, LAST_WAIT, LinkId, News, PLACER_BURST, PLACER_RATE, ReconnectPacing,
+    SWEEP_BURST, SWEEP_RATE, SWEEP_WASTE_RATE, ZONE_BURST, ZONE_RATE,
 };
 
 const MS: u64 = 1_000;
@@ -42,11 +42,25 @@
         let up: BTreeSet<LinkId> = zone_of.keys().copied().collect();
         let (standing, ends) = (up.clone(), BTreeSet::new());
         let (tries, news) = (Vec::new(), Vec::new());
-        Self { now: SECOND, pacing, zone_of, up, standing, silence: MS, ends, tries, news }
+        Self {
+            now: SECOND,
+            pacing,
+            zone_of,
+            up,
+            standing,
+            silence: MS,
+            ends,
+            tries,
+            news,
+        }
     }
 
     fn ids(&self, zone: usize) -> Vec<LinkId> {
-        self.zone_of.iter().filter(|(_, of)| **of == zone).map(|(id, _)| *id).collect()
+        self.zone_of
+            .iter()
+            .filter(|(_, of)| **of == zone)
+            .map(|(id, _)| *id)
+            .collect()
     }
 
     /// These nodes end, or are cut off.
@@ -68,7 +82,13 @@
     }
 
     fn step(&mut self, end: u64) {
-        let next = self.ends.first().map(|(at, _)| *at).into_iter().chain(self.pacing.next_wake()).min();
+        let next = self
+            .ends
+            .first()
+            .map(|(at, _)| *at)
+            .into_iter()
+            .chain(self.pacing.next_wake())
+            .min();
         self.now = next.unwrap_or(end).clamp(self.now, end);
         while let Some((_, id)) = self.ends.first().copied().filter(|(at, _)| *at <= self.now) {
             self.ends.pop_first();
@@ -81,15 +101,25 @@
         }
         for id in self.pacing.due(self.now) {
             assert!(!self.standing.contains(&id), "a link that stands is tried");
-            assert!(!self.ends.iter().any(|(_, of)| *of == id), "tried twice at once");
+            assert!(
+                !self.ends.iter().any(|(_, of)| *of == id),
+                "tried twice at once"
+            );
             self.tries.push((self.now, id));
-            let takes = if self.up.contains(&id) { MS } else { self.silence };
+            let takes = if self.up.contains(&id) {
+                MS
+            } else {
+                self.silence
+            };
             self.ends.insert((self.now + takes, id));
         }
         while let Some(news) = self.pacing.news() {
             self.news.push((self.now, news));
         }
-        assert!(self.pacing.next_wake().is_none_or(|at| at > self.now), "it wakes at once, for nothing");
+        assert!(
+            self.pacing.next_wake().is_none_or(|at| at > self.now),
+            "it wakes at once, for nothing"
+        );
     }
 
     fn run(&mut self, us: u64) {
@@ -112,15 +142,27 @@
     }
 
     fn tries_of(&self, id: LinkId) -> Vec<u64> {
-        self.tries.iter().filter(|(_, of)| *of == id).map(|(at, _)| *at).collect()
+        self.tries
+            .iter()
+            .filter(|(_, of)| *of == id)
+            .map(|(at, _)| *at)
+            .collect()
     }
 
     /// The most tries of these nodes within any second from this moment on.
     fn most_a_second(&self, from: u64, of: impl Fn(LinkId) -> bool) -> usize {
-        let times: Vec<u64> =
-            self.tries.iter().filter(|(at, id)| *at >= from && of(*id)).map(|(at, _)| *at).collect();
+        let times: Vec<u64> = self
+            .tries
+            .iter()
+            .filter(|(at, id)| *at >= from && of(*id))
+            .map(|(at, _)| *at)
+            .collect();
         let upto = |at: u64| times.partition_point(|other| *other < at);
-        times.iter().map(|at| upto(*at + SECOND) - upto(*at)).max().unwrap_or(0)
+        times
+            .iter()
+            .map(|at| upto(*at + SECOND) - upto(*at))
+            .max()
+            .unwrap_or(0)
     }
 }
 
@@ -156,7 +198,10 @@
     let from = fleet.now;
     fleet.down(&[id]);
     fleet.run(60 * MS);
-    assert!(within_a_quarter(fleet.tries_of(id).last().unwrap() - from, FIRST_WAIT));
+    assert!(within_a_quarter(
+        fleet.tries_of(id).last().unwrap() - from,
+        FIRST_WAIT
+    ));
 }
 
 #[test]
@@ -179,7 +224,14 @@
     fleet.run(3 * SECOND);
     for id in &ids {
         let within: u64 = 7 * MS + FIRST_WAIT * ((1 << 5) - 1);
-        assert!(fleet.tries_of(*id).iter().filter(|at| **at <= from + within).count() >= 5);
+        assert!(
+            fleet
+                .tries_of(*id)
+                .iter()
+                .filter(|at| **at <= from + within)
+                .count()
+                >= 5
+        );
     }
 }
 
@@ -195,7 +247,10 @@
         fleet.run(100 * SECOND);
         let more = fleet.tries.len() as u64 - first;
         assert!(more <= ZONE_BURST + 100 * ZONE_RATE + 1, "{more}");
-        assert!(more >= 99 * ZONE_RATE / 2, "{more}: it is tried all the same");
+        assert!(
+            more >= 99 * ZONE_RATE / 2,
+            "{more}: it is tried all the same"
+        );
         assert!(fleet.tries.iter().all(|(_, id)| fleet.zone_of[id] == 0));
     }
 }
@@ -212,13 +267,26 @@
     let told: Vec<News> = fleet.news.iter().map(|(_, news)| news.clone()).collect();
     assert_eq!(
         told,
-        [News::Slowed { zone: zone.clone(), silent: 168, of: 168 }, News::Resumed { zone, silent: 6 }]
+        [
+            News::Slowed {
+                zone: zone.clone(),
+                silent: 168,
+                of: 168
+            },
+            News::Resumed { zone, silent: 6 }
+        ]
     );
 }
 
 #[test]
 fn no_silent_node_is_left_out_for_longer_than_the_table_says() {
-    for (zones, size, seconds) in [(1, 6, 2), (1, 12, 4), (33, 168, 56), (8, 650, 217), (1, 1_024, 342)] {
+    for (zones, size, seconds) in [
+        (1, 6, 2),
+        (1, 12, 4),
+        (33, 168, 56),
+        (8, 650, 217),
+        (1, 1_024, 342),
+    ] {
         let mut fleet = Fleet::standing(&vec![size; zones], 3);
         (0..zones).for_each(|zone| fleet.down_zone(zone));
         // Of the short waits there are more in the beginning.
@@ -229,10 +297,16 @@
         let mut last: BTreeMap<LinkId, u64> = fleet.zone_of.keys().map(|id| (*id, from)).collect();
         for (at, id) in fleet.tries.iter().filter(|(at, _)| *at >= from) {
             let gap = at - last.insert(*id, *at).unwrap();
-            assert!(gap <= seconds * SECOND + spare, "{zones} x {size}: {gap} us");
+            assert!(
+                gap <= seconds * SECOND + spare,
+                "{zones} x {size}: {gap} us"
+            );
         }
         let waits = last.values().map(|at| fleet.now - at).max().unwrap();
-        assert!(waits <= seconds * SECOND + spare, "{zones} x {size}: {waits} us");
+        assert!(
+            waits <= seconds * SECOND + spare,
+            "{zones} x {size}: {waits} us"
+        );
     }
 }
 
@@ -253,12 +327,19 @@
         }
     }
     let tries = (fleet.tries.len() - before) as u64;
-    assert!(tries <= 168 + 300 * (ZONE_RATE + SWEEP_WASTE_RATE) + ZONE_BURST, "{tries}");
+    assert!(
+        tries <= 168 + 300 * (ZONE_RATE + SWEEP_WASTE_RATE) + ZONE_BURST,
+        "{tries}"
+    );
     for id in fleet.ids(0) {
         let mut times = fleet.tries_of(id);
         times.retain(|at| *at >= from);
         times.push(fleet.now);
-        let longest = times.windows(2).map(|pair| pair[1] - pair[0]).max().unwrap_or(u64::MAX);
+        let longest = times
+            .windows(2)
+            .map(|pair| pair[1] - pair[0])
+            .max()
+            .unwrap_or(u64::MAX);
         assert!(longest <= 60 * SECOND, "{id:?}: {longest}");
     }
 }
@@ -271,16 +352,32 @@
     fleet.run(120 * SECOND);
     let one = fleet.ids(0)[100];
     fleet.up.insert(one);
-    fleet.until_heard(60 * SECOND).expect("it is met in its turn");
+    fleet
+        .until_heard(60 * SECOND)
+        .expect("it is met in its turn");
     let heard = fleet.now;
     fleet.run(1_100 * MS);
-    let since: Vec<(u64, LinkId)> = fleet.tries.iter().copied().filter(|(at, _)| *at >= heard).collect();
+    let since: Vec<(u64, LinkId)> = fleet
+        .tries
+        .iter()
+        .copied()
+        .filter(|(at, _)| *at >= heard)
+        .collect();
     let tried: BTreeSet<LinkId> = since.iter().map(|(_, id)| *id).collect();
-    assert!(fleet.ids(0).iter().all(|id| *id == one || tried.contains(id)), "a sweep from {heard}");
+    assert!(
+        fleet
+            .ids(0)
+            .iter()
+            .all(|id| *id == one || tried.contains(id)),
+        "a sweep from {heard}"
+    );
     let others = tried.iter().filter(|id| fleet.zone_of[id] == 1).count() as u64;
     assert!(others <= 2 * ZONE_RATE, "{others}");
     // They are spread over its time, and not all at once.
-    let most = since.iter().filter(|(at, _)| *at < heard + 100 * MS).count();
+    let most = since
+        .iter()
+        .filter(|(at, _)| *at < heard + 100 * MS)
+        .count();
     assert!(most < 40, "{most} in the first tenth of a second");
 }
 
@@ -294,7 +391,10 @@
                 fleet.run(out);
                 fleet.up_zone(0);
                 let took = fleet.until_heard(60 * SECOND).expect("heard again");
-                assert!(took <= grace, "{size} nodes, out for {out} us, seed {seed}: {took} us");
+                assert!(
+                    took <= grace,
+                    "{size} nodes, out for {out} us, seed {seed}: {took} us"
+                );
             }
         }
     }
@@ -332,7 +432,8 @@
     let mut pacing = ReconnectPacing::new(1);
     let ids: Vec<LinkId> = (0..168).map(|_| pacing.wanted("zone")).collect();
     let (mut now, mut tries) = (SECOND, 0);
-    ids.iter().for_each(|id| pacing.failed(now, *id, Failure::Closed));
+    ids.iter()
+        .for_each(|id| pacing.failed(now, *id, Failure::Closed));
     while now < 2 * SECOND {
         for id in pacing.due(now) {
             tries += 1;
@@ -349,7 +450,11 @@
 fn what_is_told_twice_or_late_or_of_nodes_that_left_changes_nothing() {
     let told = |twice: bool| {
         let mut pacing = ReconnectPacing::new(1);
-        let (one, other, gone) = (pacing.wanted("zone"), pacing.wanted("zone"), pacing.wanted("zone"));
+        let (one, other, gone) = (
+            pacing.wanted("zone"),
+            pacing.wanted("zone"),
+            pacing.wanted("zone"),
+        );
         pacing.left(gone);
         let mut tries = Vec::new();
         for round in 0..400_u64 {
@@ -426,14 +531,18 @@
         fleet.tries
     };
     assert_eq!(order(1), order(1));
-    let (one, other): (BTreeSet<u64>, BTreeSet<u64>) =
-        (order(1).iter().map(|(at, _)| *at).collect(), order(2).iter().map(|(at, _)| *at).collect());
+    let (one, other): (BTreeSet<u64>, BTreeSet<u64>) = (
+        order(1).iter().map(|(at, _)| *at).collect(),
+        order(2).iter().map(|(at, _)| *at).collect(),
+    );
     assert!(one.intersection(&other).count() < one.len() / 2);
 }
 
 fn target() -> Vec<usize> {
     // 5,200 nodes in 31 zones.
-    (0..31).map(|zone| if zone < 23 { 168 } else { 167 }).collect()
+    (0..31)
+        .map(|zone| if zone < 23 { 168 } else { 167 })
+        .collect()
 }
 
 #[test]
@@ -444,7 +553,10 @@
         (0..31).for_each(|zone| fleet.down_zone(zone));
         fleet.run(10 * SECOND);
         let first = fleet.most_a_second(0, |_| true) as u64;
-        assert!(first <= PLACER_BURST + PLACER_RATE + 1, "{first} in the first seconds");
+        assert!(
+            first <= PLACER_BURST + PLACER_RATE + 1,
+            "{first} in the first seconds"
+        );
         let from = fleet.now;
         fleet.run(600 * SECOND);
         let most = fleet.most_a_second(from, |_| true) as u64;
@@ -461,7 +573,10 @@
         let took = fleet.until_heard(60 * SECOND).expect("all are heard again");
         assert!(took <= 8 * SECOND, "{took} us");
         let most = fleet.most_a_second(from, |_| true) as u64;
-        assert!(most <= SWEEP_RATE + SWEEP_BURST + PLACER_RATE + PLACER_BURST, "{most} a second");
+        assert!(
+            most <= SWEEP_RATE + SWEEP_BURST + PLACER_RATE + PLACER_BURST,
+            "{most} a second"
+        );
         assert_eq!(fleet.news.len(), 62);
     }
 }
@@ -488,8 +603,15 @@
         }
     }
     let tries = &fleet.tries[before..];
-    let failed = tries.iter().filter(|(_, id)| !fleet.up.contains(id)).count() as u64 / 100;
-    assert!(failed <= PLACER_RATE + 31 * SWEEP_WASTE_RATE, "{failed} a second");
+    let failed = tries
+        .iter()
+        .filter(|(_, id)| !fleet.up.contains(id))
+        .count() as u64
+        / 100;
+    assert!(
+        failed <= PLACER_RATE + 31 * SWEEP_WASTE_RATE,
+        "{failed} a second"
+    );
     // At about 25 us each, that and what they succeed at is 1% of a core.
     assert!(tries.len() <= 100 * 400, "{} in 100 s", tries.len());
 }
--- a/crates/core/tests/restart.rs
+++ b/crates/core/tests/restart.rs
@@ -16,7 +16,11 @@
 fn judge(world: &World) {
     assert_eq!(world.errors, Vec::<String>::new());
     assert_eq!(world.late_offers, Vec::<String>::new());
-    let untold: Vec<&String> = world.taken.iter().filter(|job| !world.told.contains_key(*job)).collect();
+    let untold: Vec<&String> = world
+        .taken
+        .iter()
+        .filter(|job| !world.told.contains_key(*job))
+        .collect();
     assert!(untold.is_empty(), "no outcome for {untold:?}");
     for (job, infos) in &world.told {
         assert_eq!(infos.len(), 1, "{job}: {infos:?}");
@@ -30,7 +34,10 @@
     for (job, copies) in &world.copies {
         if copies.repeat == Some(Repeat::Unsafe) {
             assert!(copies.ran.len() <= 1, "{job} ran as {:?}", copies.ran);
-            let told = world.told.get(job).is_some_and(|infos| outcome(&infos[0]) == "refused");
+            let told = world
+                .told
+                .get(job)
+                .is_some_and(|infos| outcome(&infos[0]) == "refused");
             assert!(!told || copies.ran.is_empty(), "{job} was refused and ran");
         }
     }
@@ -44,7 +51,13 @@
 fn only(world: &World) -> (String, String) {
     let infos: Vec<&JobInfo> = world.told.values().flatten().collect();
     assert_eq!(infos.len(), 1, "{infos:?}");
-    (outcome(infos[0]).to_owned(), infos[0].usage("reedring.reason").unwrap_or_default().to_owned())
+    (
+        outcome(infos[0]).to_owned(),
+        infos[0]
+            .usage("reedring.reason")
+            .unwrap_or_default()
+            .to_owned(),
+    )
 }
 
 /// Jobs of three classes while nodes, links, disk and placer fail.
@@ -127,7 +140,10 @@
     world.wait_for(1_000);
     judge(&world);
     assert_eq!(world.told.len(), 120);
-    let outcomes = world.told.values().filter(|infos| outcome(&infos[0]) == "placed");
+    let outcomes = world
+        .told
+        .values()
+        .filter(|infos| outcome(&infos[0]) == "placed");
     assert_eq!(outcomes.count(), 120);
 }
 
@@ -140,7 +156,10 @@
     world.submit("unsafe", 2, 100);
     world.submit("safe", 2, 100);
     world.run_for(200 * MS);
-    assert_eq!((world.offers_to_others("").len(), world.taken.len()), (0, 0));
+    assert_eq!(
+        (world.offers_to_others("").len(), world.taken.len()),
+        (0, 0)
+    );
     // Rule 3: what waits for the disk does not leave for a node that drains meanwhile.
     world.list(0, Health::Draining);
     world.run_for(200 * MS);
@@ -154,7 +173,11 @@
 /// The ledger says offered, the node never heard of it, and was itself started anew meanwhile.
 #[test]
 fn an_offer_that_no_node_can_vouch_for_is_failed_where_it_must_not_start_twice() {
-    for (class, want) in [("unsafe", "failed"), ("keyed", "failed"), ("safe", "placed")] {
+    for (class, want) in [
+        ("unsafe", "failed"),
+        ("keyed", "failed"),
+        ("safe", "placed"),
+    ] {
         let mut world = World::keeping(1, 1);
         world.run_for(50 * MS);
         world.submit(class, 1, 100);
@@ -200,7 +223,10 @@
         world.wait_for(200);
         judge(&world);
         let (outcome, reason) = only(&world);
-        assert!(outcome == "refused" && reason.contains("its time was over"), "{class}: {outcome} {reason}");
+        assert!(
+            outcome == "refused" && reason.contains("its time was over"),
+            "{class}: {outcome} {reason}"
+        );
     }
 }
 
@@ -215,7 +241,11 @@
     world.part(0, true);
     // Longer than an unreachable node's tasks are waited for.
     world.wait_for(500);
-    assert!(only(&world).1.contains("it may run still"), "{:?}", only(&world));
+    assert!(
+        only(&world).1.contains("it may run still"),
+        "{:?}",
+        only(&world)
+    );
     world.restart_placer();
     world.part(0, false);
     world.wait_for(200);
@@ -236,14 +266,21 @@
     }
     world.wait_for(500);
     judge(&world);
-    assert!(world.told.len() == world.taken.len() && world.told.len() >= 10, "{}", world.told.len());
+    assert!(
+        world.told.len() == world.taken.len() && world.told.len() >= 10,
+        "{}",
+        world.told.len()
+    );
 }
 
 #[test]
 fn a_drain_by_hand_outlives_a_restart() {
     let mut world = World::keeping(2, 1);
     world.run_for(50 * MS);
-    world.call(|_| Call::Drain { node: "node-0".to_owned(), drain: true });
+    world.call(|_| Call::Drain {
+        node: "node-0".to_owned(),
+        drain: true,
+    });
     world.run_for(50 * MS);
     world.restart_placer();
     world.submit("safe", 8, 50);
@@ -265,11 +302,18 @@
         world.disk().full(true);
         let call = world.submit("unsafe", 1, 50);
         world.run_for(20 * MS);
-        assert_eq!(world.logged("nothing is kept over a restart until it is mended"), 1);
+        assert_eq!(
+            world.logged("nothing is kept over a restart until it is mended"),
+            1
+        );
         let job = format!("s.{call}.1");
         assert_eq!(world.taken.contains(&job), taken);
         assert_eq!(world.warned.contains(&job), taken);
-        let denied = world.errors.iter().filter(|error| error.contains("must not start twice")).count();
+        let denied = world
+            .errors
+            .iter()
+            .filter(|error| error.contains("must not start twice"))
+            .count();
         assert_eq!(denied, usize::from(!taken), "{:?}", world.errors);
         world.errors.clear();
         world.disk().full(false);
@@ -300,7 +344,11 @@
     world.disk().full(false);
     world.wait_for(200);
     one_start(&world);
-    let job = world.told.iter().find(|(job, _)| world.copies[*job].repeat == Some(Repeat::Unsafe)).unwrap();
+    let job = world
+        .told
+        .iter()
+        .find(|(job, _)| world.copies[*job].repeat == Some(Repeat::Unsafe))
+        .unwrap();
     assert_eq!(outcome(&job.1[0]), "placed");
 }
 
@@ -386,22 +434,45 @@
     use reedring_nodeproto::Message;
     use reedring_standin::{Config, Effect, Groups, Node};
     let (mut node, mut groups) = (Node::new(Config::named("n"), 1, 1, 0), Groups::default());
-    let hello = |life, link| Message::Hello { placer: "p".to_owned(), life, link, acts: None };
+    let hello = |life, link| Message::Hello {
+        placer: "p".to_owned(),
+        life,
+        link,
+        acts: None,
+    };
     node.message(1, 10, hello(6, 1), &mut groups);
     node.message(2, 11, hello(5, 99), &mut groups);
     let closed: Vec<u64> = node
         .effects()
         .into_iter()
-        .filter_map(|effect| if let Effect::Close(id) = effect { Some(id) } else { None })
+        .filter_map(|effect| {
+            if let Effect::Close(id) = effect {
+                Some(id)
+            } else {
+                None
+            }
+        })
         .collect();
     assert_eq!(closed, [11]);
     // The older one was linked first: the newer one ends that link.
     let mut node = Node::new(Config::named("n"), 1, 1, 0);
     node.message(1, 10, hello(5, 1), &mut groups);
     node.message(2, 11, hello(6, 1), &mut groups);
-    let attempt = reedring_nodeproto::AttemptId { life: 5, request: 1, number: 0 };
+    let attempt = reedring_nodeproto::AttemptId {
+        life: 5,
+        request: 1,
+        number: 0,
+    };
     node.message(3, 10, Message::Stop { attempt }, &mut groups);
     let effects = node.effects();
-    assert!(effects.iter().any(|effect| matches!(effect, Effect::Close(10))));
-    assert!(!effects.iter().any(|effect| matches!(effect, Effect::Send(10, Message::Ended { .. }))));
+    assert!(
+        effects
+            .iter()
+            .any(|effect| matches!(effect, Effect::Close(10)))
+    );
+    assert!(
+        !effects
+            .iter()
+            .any(|effect| matches!(effect, Effect::Send(10, Message::Ended { .. })))
+    );
 }
--- a/crates/core/tests/simulation.rs
+++ b/crates/core/tests/simulation.rs
@@ -74,15 +74,28 @@
         assert_eq!(infos.len(), 1, "{job}: {infos:?}");
     }
     if !restarts {
-        let untold: Vec<&String> = world.taken.iter().filter(|job| !world.told.contains_key(*job)).collect();
+        let untold: Vec<&String> = world
+            .taken
+            .iter()
+            .filter(|job| !world.told.contains_key(*job))
+            .collect();
         assert!(untold.is_empty(), "no outcome for {untold:?}");
     }
     for infos in world.told.values() {
         let outcome = infos[0].usage("reedring.outcome").unwrap();
-        let ran = world.copies.get(&infos[0].job).map_or(0, |copies| copies.ran.len());
+        let ran = world
+            .copies
+            .get(&infos[0].job)
+            .map_or(0, |copies| copies.ran.len());
         // A refusal promises that asking again is harmless.
-        let unsafe_job = world.copies.get(&infos[0].job).is_some_and(|c| c.repeat == Some(Repeat::Unsafe));
-        assert!(!(outcome == "refused" && unsafe_job && ran > 0), "{infos:?}");
+        let unsafe_job = world
+            .copies
+            .get(&infos[0].job)
+            .is_some_and(|c| c.repeat == Some(Repeat::Unsafe));
+        assert!(
+            !(outcome == "refused" && unsafe_job && ran > 0),
+            "{infos:?}"
+        );
     }
 }
 
@@ -96,7 +109,10 @@
     world.wait_for(500);
     judge(&world, false);
     assert_eq!(world.told.len(), 60);
-    let placed = world.told.values().filter(|infos| infos[0].usage("reedring.outcome") == Some("placed"));
+    let placed = world
+        .told
+        .values()
+        .filter(|infos| infos[0].usage("reedring.outcome") == Some("placed"));
     assert_eq!(placed.count(), 60);
     assert!(world.copies.values().all(|copies| copies.ran.len() == 1));
 }
@@ -151,7 +167,10 @@
     (0..2).for_each(|n| world.cut(n));
     world.wait_for(400);
     judge(&world, false);
-    assert_eq!(world.told.values().next().unwrap()[0].usage("reedring.outcome"), Some("placed"));
+    assert_eq!(
+        world.told.values().next().unwrap()[0].usage("reedring.outcome"),
+        Some("placed")
+    );
 }
 
 /// A keyed task's node goes silent, a further try is sent in its group, and the first copy comes back.
@@ -228,8 +247,16 @@
         world.kill_node(at);
         world.wait_for(600);
         let info = &world.told[&job][0];
-        assert_eq!(info.usage("reedring.attempts"), Some(if again { "2" } else { "1" }), "{info:?}");
-        assert_eq!(matches!(info.end, reedring_drmaa::End::Exited { .. }), again, "{info:?}");
+        assert_eq!(
+            info.usage("reedring.attempts"),
+            Some(if again { "2" } else { "1" }),
+            "{info:?}"
+        );
+        assert_eq!(
+            matches!(info.end, reedring_drmaa::End::Exited { .. }),
+            again,
+            "{info:?}"
+        );
     }
 }
 
@@ -281,8 +308,10 @@
         world.run_for(50 * MS);
         for _ in 0..60 {
             let more = constraints[world.draw.next_u32() as usize % constraints.len()];
-            let (count, life) =
-                (1 + u64::from(world.draw.next_u32() % 5), 20 + u64::from(world.draw.next_u32() % 600));
+            let (count, life) = (
+                1 + u64::from(world.draw.next_u32() % 5),
+                20 + u64::from(world.draw.next_u32() % 600),
+            );
             world.submit_with("safe", count, life, more);
             let after = u64::from(world.draw.next_u32() % 60) * MS;
             world.run_for(after);
@@ -306,7 +335,10 @@
     world.wait_for(600);
     assert_eq!(world.astray, Vec::<String>::new());
     judge(&world, false);
-    let placed = world.told.values().filter(|infos| infos[0].usage("reedring.outcome") == Some("placed"));
+    let placed = world
+        .told
+        .values()
+        .filter(|infos| infos[0].usage("reedring.outcome") == Some("placed"));
     assert_eq!(placed.count(), 8);
 }
 
@@ -324,7 +356,13 @@
     world.submit_as("safe", "s", 4, 2_000, alone);
     world.run_for(300 * MS);
     // Each node that was tried may hold the first job's copy still.
-    assert!(world.offers_to_others("s.1.1").iter().all(|n| !tried.contains(n)), "{tried:?}");
+    assert!(
+        world
+            .offers_to_others("s.1.1")
+            .iter()
+            .all(|n| !tried.contains(n)),
+        "{tried:?}"
+    );
 }
 
 /// A keyed task whose group and spread leave nothing is answered as it must be, not sent elsewhere.
@@ -334,10 +372,20 @@
     world.run_for(50 * MS);
     (0..2).for_each(|n| world.hang(n, true));
     // One node a hall: the group's only node may hold the first copy.
-    world.submit_as("keyed", "s", 1, 300, "constraint='require apart from copies by hall'");
+    world.submit_as(
+        "keyed",
+        "s",
+        1,
+        300,
+        "constraint='require apart from copies by hall'",
+    );
     world.wait_for(500);
     let infos = world.told.values().next().unwrap();
-    assert_eq!(infos[0].usage("reedring.outcome"), Some("failed"), "{infos:?}");
+    assert_eq!(
+        infos[0].usage("reedring.outcome"),
+        Some("failed"),
+        "{infos:?}"
+    );
     assert_eq!(infos[0].usage("reedring.attempts"), Some("1"));
 }
 
@@ -346,7 +394,13 @@
 fn a_node_that_moves_while_it_holds_copies() {
     let mut world = World::new(2, 24);
     world.run_for(50 * MS);
-    world.submit_as("safe", "s", 2, 60_000, "constraint='require spread by hall at most 1'");
+    world.submit_as(
+        "safe",
+        "s",
+        2,
+        60_000,
+        "constraint='require spread by hall at most 1'",
+    );
     world.run_for(300 * MS);
     assert_eq!(world.standing().len(), 2);
     let hall = world.list[1].hall.clone();
@@ -357,7 +411,10 @@
     assert_eq!(world.logged("no longer holds"), 2);
     world.list[1].hall = hall;
     world.list(1, Health::Ready);
-    assert_eq!((world.logged("no longer holds"), world.logged("holds again")), (2, 2));
+    assert_eq!(
+        (world.logged("no longer holds"), world.logged("holds again")),
+        (2, 2)
+    );
 }
 
 /// A hall goes dark and comes back: told within one list update, once, and mended likewise.
@@ -365,13 +422,22 @@
 fn a_dark_hall_breaks_a_spread_once_and_mends_it_once() {
     let mut world = World::new(2, 25);
     world.run_for(50 * MS);
-    world.submit_as("safe", "s", 2, 60_000, "constraint='require spread by hall at least 2'");
+    world.submit_as(
+        "safe",
+        "s",
+        2,
+        60_000,
+        "constraint='require spread by hall at least 2'",
+    );
     world.run_for(300 * MS);
     world.list(1, Health::Gone);
     assert_eq!(world.logged("no longer holds"), 1);
     world.run_for(100 * MS);
     world.list(1, Health::Ready);
-    assert_eq!((world.logged("no longer holds"), world.logged("holds again")), (1, 1));
+    assert_eq!(
+        (world.logged("no longer holds"), world.logged("holds again")),
+        (1, 1)
+    );
 }
 
 /// A wish is given up where it keeps a task from every place, and the requirement never.
@@ -380,14 +446,29 @@
     let mut world = World::new(2, 26);
     world.run_for(50 * MS);
     // 16 cores a node, half a core a task.
-    world.submit_as("safe", "s", 40, 500, "constraint='prefer name = \"node-0\"'");
+    world.submit_as(
+        "safe",
+        "s",
+        40,
+        500,
+        "constraint='prefer name = \"node-0\"'",
+    );
     world.run_for(1_000 * MS);
     world.wait_for(500);
     judge(&world, false);
     let at = |node: &str| {
-        world.told.values().filter(|infos| infos[0].usage("reedring.node") == Some(node)).count()
+        world
+            .told
+            .values()
+            .filter(|infos| infos[0].usage("reedring.node") == Some(node))
+            .count()
     };
-    assert!(at("node-0") >= 30 && at("node-0") + at("node-1") == 40, "{} {}", at("node-0"), at("node-1"));
+    assert!(
+        at("node-0") >= 30 && at("node-0") + at("node-1") == 40,
+        "{} {}",
+        at("node-0"),
+        at("node-1")
+    );
 }
 
 /// A node leaves the list with a live task and comes back: its link stands all the while, and a new one
--- a/crates/core/tests/unwritten.rs
+++ b/crates/core/tests/unwritten.rs
@@ -35,7 +35,11 @@
     tell(&mut world);
     world.wait_for(1_000);
     let infos = world.told.values().next().unwrap();
-    assert_eq!(infos[0].usage("reedring.outcome"), Some("refused"), "{infos:?}");
+    assert_eq!(
+        infos[0].usage("reedring.outcome"),
+        Some("refused"),
+        "{infos:?}"
+    );
 }
 
 /// Rule 5: an offer that was given up without a word counts as a copy until it is known that none stands. Counted in a
@@ -46,8 +50,18 @@
     world.run_for(1_500 * MS);
     tell(&mut world);
     let before = world.offers_to_others("s.1.1").len();
-    world.submit_as("safe", "s", 3, 60_000, "constraint='require spread by hall within 1'");
+    world.submit_as(
+        "safe",
+        "s",
+        3,
+        60_000,
+        "constraint='require spread by hall within 1'",
+    );
     world.run_for(SECOND);
     let offers: Vec<usize> = world.offers_to_others("s.1.1").split_off(before);
-    assert_eq!(offers.iter().filter(|node| **node == 1).count(), 1, "{offers:?}");
+    assert_eq!(
+        offers.iter().filter(|node| **node == 1).count(),
+        1,
+        "{offers:?}"
+    );
 }
--- a/crates/core/tests/world/mod.rs
+++ b/crates/core/tests/world/mod.rs
@@ -173,14 +173,26 @@
             (config.cores, config.memory) = (16.0, 64.0);
             (config.look_ms, config.start_ms) = (1.0, 5.0);
             config.hall = ["a", "b"][n % 2].to_owned();
-            Place { config, node: None, lives: 0 }
+            Place {
+                config,
+                node: None,
+                lives: 0,
+            }
         };
         let entry = |n: usize| NodeEntry {
             rack: "r".to_owned(),
             hall: ["a", "b"][n % 2].to_owned(),
-            ..NodeEntry::at(format!("node-{n}"), ([127, 0, 0, 1], 7_000 + n as u16).into())
+            ..NodeEntry::at(
+                format!("node-{n}"),
+                ([127, 0, 0, 1], 7_000 + n as u16).into(),
+            )
+        };
+        let start = Start {
+            now: SECOND,
+            unix_us: SECOND,
+            life: 1,
+            seed,
         };
-        let start = Start { now: SECOND, unix_us: SECOND, life: 1, seed };
         let mut world = Self {
             now: SECOND,
             core: Core::new(settings.clone(), start),
@@ -229,8 +241,11 @@
     /// A world whose nodes are cold for a minute, with more settings of its site.
     pub fn cold(nodes: usize, seed: u64, site: &str) -> Self {
         let mut world = Self::new(nodes, seed);
-        world.settings =
-            Settings::parse(&SETTINGS.replace("[site]", &format!("[site]\n{site}")), "world").unwrap();
+        world.settings = Settings::parse(
+            &SETTINGS.replace("[site]", &format!("[site]\n{site}")),
+            "world",
+        )
+        .unwrap();
         world.restart_placer();
         // The placer's former life is over and so is the window in which its offers count.
         world.run_for(5 * SECOND);
@@ -254,8 +269,10 @@
     /// The same, with nodes that are cold for a minute.
     pub fn keeping_cold(nodes: usize, seed: u64, site: &str) -> Self {
         let mut world = Self::new(nodes, seed);
-        let text =
-            format!("{}\n[state]\nfolder = \"s\"", SETTINGS.replace("[site]", &format!("[site]\n{site}")));
+        let text = format!(
+            "{}\n[state]\nfolder = \"s\"",
+            SETTINGS.replace("[site]", &format!("[site]\n{site}"))
+        );
         world.settings = Settings::parse(&text, "world").unwrap();
         world.keep();
         world.run_for(5 * SECOND);
@@ -282,8 +299,18 @@
 
     /// The most offers that arrived at a node within any window of this length.
     pub fn most_within(&self, n: usize, window: u64) -> usize {
-        let times: Vec<u64> = self.arrivals.iter().filter(|(_, at)| *at == n).map(|(at, _)| *at).collect();
-        let within = |from: &u64| times.iter().filter(|at| **at >= *from && **at < from + window).count();
+        let times: Vec<u64> = self
+            .arrivals
+            .iter()
+            .filter(|(_, at)| *at == n)
+            .map(|(at, _)| *at)
+            .collect();
+        let within = |from: &u64| {
+            times
+                .iter()
+                .filter(|at| **at >= *from && **at < from + window)
+                .count()
+        };
         times.iter().map(within).max().unwrap_or(0)
     }
 
@@ -296,14 +323,28 @@
     fn open_state(&mut self) -> Option<Restored> {
         let kept = self.kept.as_mut()?;
         let restored = match Keeper::open(kept.folder.clone(), "p") {
-            Ok(Opened { keeper, image, learned, .. }) => {
+            Ok(Opened {
+                keeper,
+                image,
+                learned,
+                ..
+            }) => {
                 assert_eq!(image.check(), Vec::<String>::new());
                 kept.keeper = Some(keeper);
                 let half = HalfLives::told(&self.settings);
-                let learned = learned.map(|learned| learned.aged(self.now, &half)).unwrap_or_default();
-                Restored { image, learned, lost: None }
+                let learned = learned
+                    .map(|learned| learned.aged(self.now, &half))
+                    .unwrap_or_default();
+                Restored {
+                    image,
+                    learned,
+                    lost: None,
+                }
             }
-            Err(error) => Restored { lost: Some(error.to_string()), ..Restored::default() },
+            Err(error) => Restored {
+                lost: Some(error.to_string()),
+                ..Restored::default()
+            },
         };
         Some(restored)
     }
@@ -343,7 +384,12 @@
     pub fn restart_placer_after(&mut self, us: u64) {
         let core = Core::new(
             self.settings.clone(),
-            Start { now: self.now, unix_us: self.now, life: self.life, seed: 0 },
+            Start {
+                now: self.now,
+                unix_us: self.now,
+                life: self.life,
+                seed: 0,
+            },
         );
         self.core = core;
         self.life += 1;
@@ -352,8 +398,13 @@
     }
 
     fn written(&mut self) {
-        let Some(kept) = self.kept.as_mut().filter(|kept| !kept.frozen) else { return };
-        let (queue, keeper) = (std::mem::take(&mut kept.queue), kept.keeper.as_mut().unwrap());
+        let Some(kept) = self.kept.as_mut().filter(|kept| !kept.frozen) else {
+            return;
+        };
+        let (queue, keeper) = (
+            std::mem::take(&mut kept.queue),
+            kept.keeper.as_mut().unwrap(),
+        );
         kept.busy = false;
         let mut said = Ok(keeper.durable());
         let mut plain = Vec::new();
@@ -374,7 +425,10 @@
             _ if kept.dark => {}
             Ok(seq) => self.input(Input::Durable(seq)),
             Err(lost) => {
-                self.input(Input::StateLost { why: lost.why, marked: lost.marked });
+                self.input(Input::StateLost {
+                    why: lost.why,
+                    marked: lost.marked,
+                });
                 self.later(50 * MS, Due::Retry(self.life));
             }
         }
@@ -396,8 +450,15 @@
     /// A message goes over a link, after those before it.
     fn over(&mut self, id: LinkId, direction: usize, due: Due) {
         let at = self.now + self.latency();
-        let Some(link) = self.links.get_mut(&id) else { return };
-        let held = self.stalled.get(&link.node).filter(|_| direction == 0).copied().unwrap_or(0);
+        let Some(link) = self.links.get_mut(&id) else {
+            return;
+        };
+        let held = self
+            .stalled
+            .get(&link.node)
+            .filter(|_| direction == 0)
+            .copied()
+            .unwrap_or(0);
         link.last[direction] = link.last[direction].max(at).max(held);
         let after = link.last[direction] - self.now;
         self.later(after, due);
@@ -430,8 +491,12 @@
 
     /// Cuts the links of a node: bytes on their way are lost, and the placer hears of it a little later.
     pub fn cut(&mut self, n: usize) {
-        let ids: Vec<LinkId> =
-            self.links.iter().filter(|(_, link)| link.node == n && link.alive).map(|(id, _)| *id).collect();
+        let ids: Vec<LinkId> = self
+            .links
+            .iter()
+            .filter(|(_, link)| link.node == n && link.alive)
+            .map(|(id, _)| *id)
+            .collect();
         for id in ids {
             if let Some(link) = self.links.get_mut(&id) {
                 link.alive = false;
@@ -478,8 +543,15 @@
                 self.closed.entry(n).or_insert(self.now);
             }
         }
-        let listed = self.list.iter().enumerate().filter(|(n, _)| !self.unlisted.contains(n));
-        let list = NodeList { revision: 0, nodes: listed.map(|(_, entry)| entry.clone()).collect() };
+        let listed = self
+            .list
+            .iter()
+            .enumerate()
+            .filter(|(n, _)| !self.unlisted.contains(n));
+        let list = NodeList {
+            revision: 0,
+            nodes: listed.map(|(_, entry)| entry.clone()).collect(),
+        };
         self.input(Input::Listed(list));
     }
 
@@ -498,14 +570,21 @@
         self.life += 1;
         let ids: Vec<LinkId> = self.links.keys().copied().collect();
         for id in ids {
-            let Some(link) = self.links.remove(&id) else { continue };
+            let Some(link) = self.links.remove(&id) else {
+                continue;
+            };
             if let Some(node) = self.places[link.node].node.as_mut() {
                 node.link_gone(id);
             }
         }
         self.due.retain(|_, due| matches!(due, Due::AtNode(..)));
         self.wanted.clear();
-        let start = Start { now: self.now, unix_us: self.now, life: self.life, seed: self.life };
+        let start = Start {
+            now: self.now,
+            unix_us: self.now,
+            life: self.life,
+            seed: self.life,
+        };
         if let Some(kept) = self.kept.as_mut() {
             // Killed: what it had not handed to the system is lost, and nothing is closed in order.
             (kept.busy, kept.queue) = (false, Vec::new());
@@ -521,15 +600,29 @@
         };
         self.tell_list();
         self.init();
-        let again: Vec<(u64, Call)> = self.open.iter().map(|(n, call)| (*n, call.clone())).collect();
+        let again: Vec<(u64, Call)> = self
+            .open
+            .iter()
+            .map(|(n, call)| (*n, call.clone()))
+            .collect();
         for (number, call) in again {
-            self.input(Input::Call { conn: 1, id: number, call });
+            self.input(Input::Call {
+                conn: 1,
+                id: number,
+                call,
+            });
         }
     }
 
     fn init(&mut self) {
-        let call = Call::Init { session: self.session.clone() };
-        self.input(Input::Call { conn: 1, id: 0, call });
+        let call = Call::Init {
+            session: self.session.clone(),
+        };
+        self.input(Input::Call {
+            conn: 1,
+            id: 0,
+            call,
+        });
     }
 
     pub fn call(&mut self, make: impl FnOnce(CallKey) -> Call) -> u64 {
@@ -538,10 +631,19 @@
         self.sent_to.insert(number, self.life);
         // As the client library has it: what is answered can be forgotten.
         let settled = self.open.keys().next().copied().unwrap_or(number);
-        let key = CallKey { session: self.session.clone(), call: number, settled, sent_to: self.life };
+        let key = CallKey {
+            session: self.session.clone(),
+            call: number,
+            settled,
+            sent_to: self.life,
+        };
         let call = make(key);
         self.open.insert(number, call.clone());
-        self.input(Input::Call { conn: 1, id: number, call });
+        self.input(Input::Call {
+            conn: 1,
+            id: number,
+            call,
+        });
         number
     }
 
@@ -553,18 +655,40 @@
         self.submit_as(class, &format!("{class}-svc"), count, life_ms, more)
     }
 
-    pub fn submit_as(&mut self, class: &str, service: &str, count: u64, life_ms: u64, more: &str) -> u64 {
-        let native = format!("class={class} service={service} life={life_ms}ms cores=0.5 memory=1 {more}");
-        let job = JobSpec { command: "work".to_owned(), native, ..JobSpec::default() };
-        let range = Range { first: 1, last: count, step: 1 };
-        self.call(|key| Call::RunBulkJobs { key, job: Box::new(job), range })
+    pub fn submit_as(
+        &mut self,
+        class: &str,
+        service: &str,
+        count: u64,
+        life_ms: u64,
+        more: &str,
+    ) -> u64 {
+        let native =
+            format!("class={class} service={service} life={life_ms}ms cores=0.5 memory=1 {more}");
+        let job = JobSpec {
+            command: "work".to_owned(),
+            native,
+            ..JobSpec::default()
+        };
+        let range = Range {
+            first: 1,
+            last: count,
+            step: 1,
+        };
+        self.call(|key| Call::RunBulkJobs {
+            key,
+            job: Box::new(job),
+            range,
+        })
     }
 
     /// A few jobs of one class, drawn, and a wait for any.
     pub fn submit_drawn(&mut self) {
         let class = ["safe", "keyed", "unsafe"][self.draw.next_u32() as usize % 3];
-        let (count, life) =
-            (1 + u64::from(self.draw.next_u32() % 6), 20 + u64::from(self.draw.next_u32() % 400));
+        let (count, life) = (
+            1 + u64::from(self.draw.next_u32() % 6),
+            20 + u64::from(self.draw.next_u32() % 400),
+        );
         self.submit(class, count, life);
         self.wait_any();
     }
@@ -582,8 +706,16 @@
 
     /// Keeps one call open that waits for any job.
     pub fn wait_any(&mut self) {
-        if !self.open.values().any(|call| matches!(call, Call::Wait { .. })) {
-            self.call(|key| Call::Wait { key, job: None, timeout_s: -1 });
+        if !self
+            .open
+            .values()
+            .any(|call| matches!(call, Call::Wait { .. }))
+        {
+            self.call(|key| Call::Wait {
+                key,
+                job: None,
+                timeout_s: -1,
+            });
         }
     }
 
@@ -611,12 +743,16 @@
 
     fn fold(&mut self, text: &str) {
         for byte in text.bytes().chain(self.now.to_be_bytes()) {
-            self.fingerprint = (self.fingerprint ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
+            self.fingerprint =
+                (self.fingerprint ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
         }
     }
 
     fn number(&self, name: &str) -> usize {
-        self.list.iter().position(|entry| entry.name == name).unwrap()
+        self.list
+            .iter()
+            .position(|entry| entry.name == name)
+            .unwrap()
     }
 
     fn carry_out(&mut self, output: Output) {
@@ -635,7 +771,8 @@
             }
             Output::Send { node, message } => {
                 let n = self.number(&node);
-                if let (Message::Offer { attempt, .. }, Some(since)) = (&message, self.closed.get(&n))
+                if let (Message::Offer { attempt, .. }, Some(since)) =
+                    (&message, self.closed.get(&n))
                     && self.now > since + 100 * MS
                 {
                     self.late_offers.push(format!("{attempt:?} to {node}"));
@@ -643,7 +780,10 @@
                 if let Message::Offer { attempt, task, .. } = &message {
                     self.judge_offer(*attempt, task, n);
                 }
-                let id = self.links.iter().find(|(_, link)| link.node == n && link.alive && link.known);
+                let id = self
+                    .links
+                    .iter()
+                    .find(|(_, link)| link.node == n && link.alive && link.known);
                 match (id.map(|(id, _)| *id), message) {
                     (Some(id), message) => self.over(id, 0, Due::AtNode(id, message)),
                     (None, Message::Offer { attempt, .. }) => self.unwritten.push(attempt),
@@ -664,26 +804,43 @@
             }
             Output::Learn(_) if self.is_dark() => {}
             Output::Learn(learned) => {
-                let _ = self.kept.as_ref().and_then(|kept| kept.keeper.as_ref()?.learn(&learned).ok());
+                let _ = self
+                    .kept
+                    .as_ref()
+                    .and_then(|kept| kept.keeper.as_ref()?.learn(&learned).ok());
             }
-            Output::MoveZone { .. } | Output::Acts(_) | Output::Settings(_) | Output::ShutOut(_) => {}
+            Output::MoveZone { .. }
+            | Output::Acts(_)
+            | Output::Settings(_)
+            | Output::ShutOut(_) => {}
             Output::Log { line, .. } => self.lines.push(line),
         }
     }
 
     /// Lines for the staff that say so.
     pub fn logged(&self, words: &str) -> usize {
-        self.lines.iter().filter(|line| line.contains(words)).count()
+        self.lines
+            .iter()
+            .filter(|line| line.contains(words))
+            .count()
     }
 
     /// Nodes to which a job was offered.
     pub fn offered(&self, job: &str) -> Vec<usize> {
-        self.sent.iter().filter(|(of, _)| of == job).map(|(_, n)| *n).collect()
+        self.sent
+            .iter()
+            .filter(|(of, _)| of == job)
+            .map(|(_, n)| *n)
+            .collect()
     }
 
     /// Nodes to which any other job was offered.
     pub fn offers_to_others(&self, job: &str) -> Vec<usize> {
-        self.sent.iter().filter(|(of, _)| of != job).map(|(_, n)| *n).collect()
+        self.sent
+            .iter()
+            .filter(|(of, _)| of != job)
+            .map(|(_, n)| *n)
+            .collect()
     }
 
     /// Works the offer's constraint out anew, with the copies that the placer knows.
@@ -707,8 +864,10 @@
             let constraint = Constraint::parse(&text).unwrap();
             let open = Compiled::new(&constraint, &fleet).open(&fleet, &census, &own, usize::MAX);
             if !open.machines.contains(n) {
-                self.astray
-                    .push(format!("{} at {}: {} to {n}, {:?}", task.job, self.now, task.service, self.known));
+                self.astray.push(format!(
+                    "{} at {}: {} to {n}, {:?}",
+                    task.job, self.now, task.service, self.known
+                ));
             }
         }
         self.known.insert(attempt, (task.service.clone(), n));
@@ -716,7 +875,9 @@
     }
 
     fn effects(&mut self, n: usize) {
-        let Some(node) = self.places[n].node.as_mut() else { return };
+        let Some(node) = self.places[n].node.as_mut() else {
+            return;
+        };
         for effect in node.effects() {
             match effect {
                 Effect::Send(id, message) => {
@@ -745,7 +906,13 @@
 
     fn saw(&mut self, message: &Message) {
         // Handed back before it started: it never ran.
-        if let Message::Ended { attempt, end: End::Stopped, ran: false, .. } = message {
+        if let Message::Ended {
+            attempt,
+            end: End::Stopped,
+            ran: false,
+            ..
+        } = message
+        {
             for copies in self.copies.values_mut() {
                 copies.ran.remove(attempt);
             }
@@ -755,7 +922,12 @@
     fn happen(&mut self, due: Due) {
         match due {
             Due::AtNode(id, message) => {
-                let Some(n) = self.links.get(&id).filter(|link| link.alive).map(|link| link.node) else {
+                let Some(n) = self
+                    .links
+                    .get(&id)
+                    .filter(|link| link.alive)
+                    .map(|link| link.node)
+                else {
                     return;
                 };
                 if matches!(message, Message::Offer { .. }) {
@@ -768,18 +940,37 @@
                 self.effects(n);
             }
             Due::AtPlacer(id, message) => {
-                let Some(link) = self.links.get_mut(&id).filter(|link| link.known && link.alive) else {
+                let Some(link) = self
+                    .links
+                    .get_mut(&id)
+                    .filter(|link| link.known && link.alive)
+                else {
                     return;
                 };
                 let node = self.list[link.node].name.clone();
                 let first = !link.greeted;
                 link.greeted = true;
                 match message {
-                    Message::Welcome { node: called, life, up_ms, can_suspend, record } if first => {
-                        self.input(Input::LinkUp { node, called, life, up_ms, can_suspend, record });
+                    Message::Welcome {
+                        node: called,
+                        life,
+                        up_ms,
+                        can_suspend,
+                        record,
+                    } if first => {
+                        self.input(Input::LinkUp {
+                            node,
+                            called,
+                            life,
+                            up_ms,
+                            can_suspend,
+                            record,
+                        });
                     }
                     message => {
-                        if let Message::Refused { attempt, .. } | Message::Ended { attempt, .. } = &message {
+                        if let Message::Refused { attempt, .. } | Message::Ended { attempt, .. } =
+                            &message
+                        {
                             self.known.remove(attempt);
                         }
                         self.input(Input::Message { node, message });
@@ -787,36 +978,59 @@
                 }
             }
             Due::Connect(n) => {
-                if !self.wanted.contains(&n) || self.links.values().any(|link| link.node == n && link.known) {
+                if !self.wanted.contains(&n)
+                    || self.links.values().any(|link| link.node == n && link.known)
+                {
                     return;
                 }
                 if self.places[n].node.is_none() || self.apart.contains(&n) {
                     let node = self.list[n].name.clone();
-                    self.input(Input::LinkDown { node, why: "refused".to_owned() });
+                    self.input(Input::LinkDown {
+                        node,
+                        why: "refused".to_owned(),
+                    });
                     return self.later(100 * MS, Due::Connect(n));
                 }
                 self.made += 1;
                 let id = self.made;
-                self.links
-                    .insert(id, Link { node: n, known: true, alive: true, greeted: false, last: [0; 2] });
+                self.links.insert(
+                    id,
+                    Link {
+                        node: n,
+                        known: true,
+                        alive: true,
+                        greeted: false,
+                        last: [0; 2],
+                    },
+                );
                 let hello = Message::Hello {
                     placer: "p".to_owned(),
                     life: self.life,
                     link: id,
-                    acts: reedring_core::first_stamp(&self.settings).map(|stamp| (stamp, "test".to_owned())),
+                    acts: reedring_core::first_stamp(&self.settings)
+                        .map(|stamp| (stamp, "test".to_owned())),
                 };
                 self.over(id, 0, Due::AtNode(id, hello));
             }
             Due::Down(id) => {
-                let Some(link) = self.links.remove(&id) else { return };
+                let Some(link) = self.links.remove(&id) else {
+                    return;
+                };
                 let node = self.list[link.node].name.clone();
-                self.input(Input::LinkDown { node, why: "cut".to_owned() });
+                self.input(Input::LinkDown {
+                    node,
+                    why: "cut".to_owned(),
+                });
                 self.later(50 * MS, Due::Connect(link.node));
             }
             Due::Written(life) | Due::Retry(life) if life != self.life => {}
             Due::Written(_) => self.written(),
             Due::Retry(_) => {
-                let keeper = self.kept.as_mut().and_then(|kept| kept.keeper.as_mut()).unwrap();
+                let keeper = self
+                    .kept
+                    .as_mut()
+                    .and_then(|kept| kept.keeper.as_mut())
+                    .unwrap();
                 match keeper.begin_anew() {
                     Ok(()) => self.input(Input::StateBack),
                     Err(_) => self.later(50 * MS, Due::Retry(self.life)),
@@ -831,7 +1045,9 @@
     }
 
     fn answered(&mut self, response: Response) {
-        let Some(id) = response.id.filter(|id| *id != 0) else { return };
+        let Some(id) = response.id.filter(|id| *id != 0) else {
+            return;
+        };
         let Some(call) = self.open.remove(&id) else {
             return self.errors.push(format!("call {id} was answered twice"));
         };
@@ -865,19 +1081,28 @@
         while self.now < until {
             let message = self.due.first_key_value().map(|((at, _), _)| *at);
             let timer = self.core.next_wake();
-            let nodes = self.places.iter().filter_map(|place| place.node.as_ref()?.next_us());
+            let nodes = self
+                .places
+                .iter()
+                .filter_map(|place| place.node.as_ref()?.next_us());
             let next = nodes.chain(message).chain(timer).min().unwrap_or(until);
             self.now = next.clamp(self.now, until);
             for n in 0..self.places.len() {
                 let (now, groups) = (self.now, &mut self.groups);
-                if let Some(node) =
-                    self.places[n].node.as_mut().filter(|node| node.next_us().is_some_and(|at| at <= now))
+                if let Some(node) = self.places[n]
+                    .node
+                    .as_mut()
+                    .filter(|node| node.next_us().is_some_and(|at| at <= now))
                 {
                     node.tick(now, groups);
                     self.effects(n);
                 }
             }
-            while let Some(entry) = self.due.first_entry().filter(|entry| entry.key().0 <= self.now) {
+            while let Some(entry) = self
+                .due
+                .first_entry()
+                .filter(|entry| entry.key().0 <= self.now)
+            {
                 let due = entry.remove();
                 self.happen(due);
             }
@@ -892,7 +1117,10 @@
     }
 
     pub fn holds(&self, n: usize) -> bool {
-        self.places[n].node.as_ref().is_some_and(|node| node.held().next().is_some())
+        self.places[n]
+            .node
+            .as_ref()
+            .is_some_and(|node| node.held().next().is_some())
     }
 
     /// Live copies by job, over all nodes.
--- a/crates/drmaa/src/error.rs
+++ b/crates/drmaa/src/error.rs
@@ -144,7 +144,10 @@
 impl Error {
     /// An error with its text.
     pub fn new(code: ErrorCode, message: impl Into<String>) -> Self {
-        Self { code, message: message.into() }
+        Self {
+            code,
+            message: message.into(),
+        }
     }
 }
 
@@ -157,7 +160,12 @@
 
     #[test]
     fn numbers_are_those_of_the_c_binding() {
-        assert!(ErrorCode::ALL.iter().zip(1..).all(|(code, number)| code.number() == number));
+        assert!(
+            ErrorCode::ALL
+                .iter()
+                .zip(1..)
+                .all(|(code, number)| code.number() == number)
+        );
         assert_eq!(ErrorCode::from_number(16), Some(ErrorCode::TryLater));
         assert_eq!(ErrorCode::from_number(0), None);
     }
--- a/crates/drmaa/src/framing.rs
+++ b/crates/drmaa/src/framing.rs
@@ -39,7 +39,10 @@
 fn length(input: &mut Input<'_>) -> ModalResult<Option<u64>> {
     let name = literal(winnow::ascii::Caseless("content-length:"));
     let digits = digit1.try_map(|digits: &[u8]| {
-        std::str::from_utf8(digits).ok().and_then(|text| text.parse::<u64>().ok()).ok_or(FrameError::Header)
+        std::str::from_utf8(digits)
+            .ok()
+            .and_then(|text| text.parse::<u64>().ok())
+            .ok_or(FrameError::Header)
     });
     terminated((name, space0, digits).map(|(_, _, n)| Some(n)), "\r\n").parse_next(input)
 }
@@ -69,7 +72,10 @@
     let mut input = Partial::new(bytes);
     match header.parse_next(&mut input) {
         Ok(body) if body > max_body as u64 => Err(FrameError::LongBody(body, max_body)),
-        Ok(body) => Ok(Some(Frame { header: bytes.len() - input.len(), body: body as usize })),
+        Ok(body) => Ok(Some(Frame {
+            header: bytes.len() - input.len(),
+            body: body as usize,
+        })),
         Err(ErrMode::Incomplete(_)) if bytes.len() < MAX_HEADER => Ok(None),
         Err(ErrMode::Incomplete(_)) => Err(FrameError::LongHeader),
         Err(_) => Err(FrameError::Header),
@@ -93,7 +99,10 @@
 impl Reader {
     /// A reader that takes bodies of up to `max_body` bytes.
     pub fn new(max_body: usize) -> Self {
-        Self { buffer: Vec::new(), max_body }
+        Self {
+            buffer: Vec::new(),
+            max_body,
+        }
     }
 
     /// Takes bytes in.
@@ -130,15 +139,30 @@
         for cut in 0..bytes.len() - 2 {
             assert_eq!(frame(&bytes[..cut], 10), Ok(None), "{cut}");
         }
-        assert_eq!(frame(&bytes, 10), Ok(Some(Frame { header: 21, body: 2 })));
+        assert_eq!(
+            frame(&bytes, 10),
+            Ok(Some(Frame {
+                header: 21,
+                body: 2
+            }))
+        );
         let other = b"Content-Type: application/json\r\ncontent-length: 2\r\n\r\n{}";
-        assert_eq!(frame(other, 10), Ok(Some(Frame { header: 53, body: 2 })));
+        assert_eq!(
+            frame(other, 10),
+            Ok(Some(Frame {
+                header: 53,
+                body: 2
+            }))
+        );
     }
 
     #[test]
     fn odd_headers_are_refused() {
         assert_eq!(frame(b"GET / HTTP/1.1\r\n", 10), Err(FrameError::Header));
-        assert_eq!(frame(b"Content-Length: 11\r\n\r\n", 10), Err(FrameError::LongBody(11, 10)));
+        assert_eq!(
+            frame(b"Content-Length: 11\r\n\r\n", 10),
+            Err(FrameError::LongBody(11, 10))
+        );
         let twice = b"Content-Length: 1\r\nContent-Length: 2\r\n\r\n{}";
         assert_eq!(frame(twice, 10), Err(FrameError::Header));
         let endless = vec![b'a'; MAX_HEADER];
--- a/crates/drmaa/src/info.rs
+++ b/crates/drmaa/src/info.rs
@@ -38,7 +38,10 @@
 impl JobInfo {
     /// One value of the usage.
     pub fn usage(&self, name: &str) -> Option<&str> {
-        self.usage.iter().find(|(key, _)| key == name).map(|(_, value)| value.as_str())
+        self.usage
+            .iter()
+            .find(|(key, _)| key == name)
+            .map(|(_, value)| value.as_str())
     }
 }
 
@@ -66,7 +69,10 @@
 
 /// The signal's name; a number without a name counts as `SIGKILL`, which ends a job as surely.
 pub fn signal_name(number: i32) -> &'static str {
-    SIGNALS.iter().find(|(n, _)| *n == number).map_or("SIGKILL", |(_, name)| name)
+    SIGNALS
+        .iter()
+        .find(|(n, _)| *n == number)
+        .map_or("SIGKILL", |(_, name)| name)
 }
 
 impl End {
@@ -75,7 +81,10 @@
         match self {
             Self::Exited { status } => EXITED | i32::from(*status),
             Self::Signaled { signal, core_dump } => {
-                let number = SIGNALS.iter().find(|(_, name)| name == signal).map_or(9, |(n, _)| *n);
+                let number = SIGNALS
+                    .iter()
+                    .find(|(_, name)| name == signal)
+                    .map_or(9, |(n, _)| *n);
                 SIGNALED | number | if *core_dump { CORE_DUMP } else { 0 }
             }
             Self::Aborted => ABORTED,
@@ -85,10 +94,15 @@
     /// The end that a `stat` of [`End::to_stat`] stands for.
     pub fn from_stat(stat: i32) -> Self {
         if stat & EXITED != 0 {
-            Self::Exited { status: (stat & 0xff) as u8 }
+            Self::Exited {
+                status: (stat & 0xff) as u8,
+            }
         } else if stat & SIGNALED != 0 {
             let signal = signal_name(stat & 0xff).to_owned();
-            Self::Signaled { signal, core_dump: stat & CORE_DUMP != 0 }
+            Self::Signaled {
+                signal,
+                core_dump: stat & CORE_DUMP != 0,
+            }
         } else {
             Self::Aborted
         }
@@ -102,7 +116,10 @@
     #[test]
     fn every_end_survives_the_stat_of_the_c_binding() {
         let signals = SIGNALS.iter().flat_map(|(_, name)| {
-            let signal = |core_dump| End::Signaled { signal: (*name).to_owned(), core_dump };
+            let signal = |core_dump| End::Signaled {
+                signal: (*name).to_owned(),
+                core_dump,
+            };
             [signal(false), signal(true)]
         });
         let exits = (0..=255).map(|status| End::Exited { status });
--- a/crates/drmaa/src/native.rs
+++ b/crates/drmaa/src/native.rs
@@ -20,15 +20,33 @@
 
 /// The names that a specification may hold, each with what it means.
 pub const NAMES: [(&str, &str); 9] = [
-    ("class", "the class of the task, by its name in the settings"),
+    (
+        "class",
+        "the class of the task, by its name in the settings",
+    ),
     ("tenant", "whose task it is, by its name in the settings"),
-    ("service", "the service that the task belongs to: one class, one program"),
+    (
+        "service",
+        "the service that the task belongs to: one class, one program",
+    ),
     ("key", "the key under which a keyed class drops repeats"),
-    ("life", "how long it should run: a number with ms, s, m or h"),
+    (
+        "life",
+        "how long it should run: a number with ms, s, m or h",
+    ),
     ("cores", "cores it asks for, over 0"),
-    ("memory", "memory it asks for, over 0, in the unit of the settings"),
-    ("labels", "what others can be near to or apart from: NAME:VALUE, joined by commas"),
-    ("constraint", "where it may stand, in the words of docs/constraints.md, in quotes"),
+    (
+        "memory",
+        "memory it asks for, over 0, in the unit of the settings",
+    ),
+    (
+        "labels",
+        "what others can be near to or apart from: NAME:VALUE, joined by commas",
+    ),
+    (
+        "constraint",
+        "where it may stand, in the words of docs/constraints.md, in quotes",
+    ),
 ];
 
 /// A specification as read; what it does not say is `None`.
@@ -61,18 +79,28 @@
 
 fn name<'a>(input: &mut Input<'a>) -> ModalResult<&'a str> {
     take_while(1.., |c: char| c.is_alphanumeric() || c == '_' || c == '-')
-        .context(StrContext::Expected(StrContextValue::Description("a name such as `class`")))
+        .context(StrContext::Expected(StrContextValue::Description(
+            "a name such as `class`",
+        )))
         .parse_next(input)
 }
 
 fn value<'a>(input: &mut Input<'a>) -> ModalResult<&'a str> {
     let quoted = |quote: char| {
-        delimited(quote, take_while(0.., move |c: char| c != quote), cut_err(quote))
-            .context(StrContext::Expected(StrContextValue::Description("a closing quote")))
+        delimited(
+            quote,
+            take_while(0.., move |c: char| c != quote),
+            cut_err(quote),
+        )
+        .context(StrContext::Expected(StrContextValue::Description(
+            "a closing quote",
+        )))
     };
     let bare = take_while(1.., |c: char| !c.is_whitespace() && !"'\"=".contains(c));
     alt((quoted('"'), quoted('\''), bare))
-        .context(StrContext::Expected(StrContextValue::Description("a value")))
+        .context(StrContext::Expected(StrContextValue::Description(
+            "a value",
+        )))
         .parse_next(input)
 }
 
@@ -80,7 +108,11 @@
 
 fn word<'a>(input: &mut Input<'a>) -> ModalResult<Word<'a>> {
     let equals = cut_err('=').context(StrContext::Expected(StrContextValue::Description("`=`")));
-    (terminated(name.with_span(), equals), cut_err(value.with_span())).parse_next(input)
+    (
+        terminated(name.with_span(), equals),
+        cut_err(value.with_span()),
+    )
+        .parse_next(input)
 }
 
 fn words<'a>(input: &mut Input<'a>) -> ModalResult<Vec<Word<'a>>> {
@@ -91,13 +123,23 @@
 fn pointing(code: ErrorCode, text: &str, span: Range<usize>, why: &str) -> Error {
     let from = text.floor_char_boundary(span.start.min(text.len()));
     let to = text.floor_char_boundary(span.end.min(text.len())).max(from);
-    let (before, marked) = (text[..from].chars().count(), text[from..to].chars().count().max(1));
+    let (before, marked) = (
+        text[..from].chars().count(),
+        text[from..to].chars().count().max(1),
+    );
     // A long text is shown from a little before the place, so that the mark stays in sight.
     let skip = before.saturating_sub(40);
     let shown: String = text.chars().skip(skip).take(100).collect();
-    let mark = format!("{}{}", " ".repeat(before - skip), "^".repeat(marked.min(60)));
+    let mark = format!(
+        "{}{}",
+        " ".repeat(before - skip),
+        "^".repeat(marked.min(60))
+    );
     let place = format!("character {}", before + 1);
-    Error::new(code, format!("native specification, {place}: {why}\n  {shown}\n  {mark}"))
+    Error::new(
+        code,
+        format!("native specification, {place}: {why}\n  {shown}\n  {mark}"),
+    )
 }
 
 /// Labels `NAME:VALUE`, joined by commas.
@@ -133,23 +175,47 @@
     /// unknown name, a name given twice or a value outside its range. The text points at the place.
     pub fn parse(text: &str) -> Result<Self> {
         if text.len() > MAX_LENGTH {
-            let why = format!("native specification: {} bytes, at most {MAX_LENGTH} fit", text.len());
+            let why = format!(
+                "native specification: {} bytes, at most {MAX_LENGTH} fit",
+                text.len()
+            );
             return Err(Error::new(ErrorCode::InvalidAttributeFormat, why));
         }
         let read = words.parse(LocatingSlice::new(text)).map_err(|error| {
             let why = expected(error.inner());
-            pointing(ErrorCode::InvalidAttributeFormat, text, error.char_span(), &why)
+            pointing(
+                ErrorCode::InvalidAttributeFormat,
+                text,
+                error.char_span(),
+                &why,
+            )
         })?;
         let mut native = Self::default();
         for ((name, name_span), (value, value_span)) in read {
-            let odd = |why: &str| pointing(ErrorCode::InvalidAttributeValue, text, value_span.clone(), why);
+            let odd = |why: &str| {
+                pointing(
+                    ErrorCode::InvalidAttributeValue,
+                    text,
+                    value_span.clone(),
+                    why,
+                )
+            };
             let word = |slot: &mut Option<String>| {
                 let twice = slot.replace(value.to_owned()).is_some();
-                if value.is_empty() { Err("the value is empty") } else { Ok(twice) }
+                if value.is_empty() {
+                    Err("the value is empty")
+                } else {
+                    Ok(twice)
+                }
             };
             let amount = |slot: &mut Option<f64>| {
-                let number = value.parse::<f64>().ok().filter(|x| x.is_finite() && *x > 0.0);
-                number.map(|x| slot.replace(x).is_some()).ok_or("this is not a number over 0")
+                let number = value
+                    .parse::<f64>()
+                    .ok()
+                    .filter(|x| x.is_finite() && *x > 0.0);
+                number
+                    .map(|x| slot.replace(x).is_some())
+                    .ok_or("this is not a number over 0")
             };
             let twice = match name {
                 "class" => word(&mut native.class),
@@ -167,15 +233,26 @@
                     .ok_or("this is not a time such as 250ms, 20s, 1.5m or 2h"),
                 _ => {
                     let known: Vec<&str> = NAMES.iter().map(|(name, _)| *name).collect();
-                    let near = nearest(name, &known).map(|near| format!("; did you mean `{near}`?"));
+                    let near =
+                        nearest(name, &known).map(|near| format!("; did you mean `{near}`?"));
                     let list = format!("; known are {}", known.join(", "));
                     let why = format!("unknown name `{name}`{}", near.unwrap_or(list));
-                    return Err(pointing(ErrorCode::InvalidAttributeValue, text, name_span, &why));
+                    return Err(pointing(
+                        ErrorCode::InvalidAttributeValue,
+                        text,
+                        name_span,
+                        &why,
+                    ));
                 }
             };
             if twice.map_err(odd)? {
                 let why = format!("`{name}` is given twice");
-                return Err(pointing(ErrorCode::InvalidAttributeValue, text, name_span, &why));
+                return Err(pointing(
+                    ErrorCode::InvalidAttributeValue,
+                    text,
+                    name_span,
+                    &why,
+                ));
             }
         }
         Ok(native)
@@ -205,7 +282,11 @@
             _ => None,
         })
         .collect();
-    wanted.first().map_or("this is no `name=value`".to_owned(), |want| format!("expected {want}"))
+    wanted
+        .first()
+        .map_or("this is no `name=value`".to_owned(), |want| {
+            format!("expected {want}")
+        })
 }
 
 #[cfg(test)]
@@ -216,7 +297,8 @@
     #[test]
     fn words_are_read_with_and_without_quotes() {
         let native =
-            Native::parse("  class=capture service='crate 7' key=\"a=b\" life=1.5m cores=0.5 ").unwrap();
+            Native::parse("  class=capture service='crate 7' key=\"a=b\" life=1.5m cores=0.5 ")
+                .unwrap();
         assert_eq!(native.class.as_deref(), Some("capture"));
         assert_eq!(native.service.as_deref(), Some("crate 7"));
         assert_eq!(native.key.as_deref(), Some("a=b"));
@@ -240,7 +322,10 @@
         ];
         for (text, why, place) in cases {
             let error = Native::parse(text).unwrap_err().message;
-            assert!(error.contains(why) && error.contains(place), "{text}: {error}");
+            assert!(
+                error.contains(why) && error.contains(place),
+                "{text}: {error}"
+            );
             assert!(error.ends_with('^'), "{text}: {error}");
         }
     }
@@ -248,7 +333,10 @@
     #[test]
     fn a_long_text_is_one_error() {
         let text = format!("class={}", "x".repeat(MAX_LENGTH));
-        assert_eq!(Native::parse(&text).unwrap_err().code, ErrorCode::InvalidAttributeFormat);
+        assert_eq!(
+            Native::parse(&text).unwrap_err().code,
+            ErrorCode::InvalidAttributeFormat
+        );
     }
 
     proptest! {
