--- a/crates/drmaa/src/rpc.rs
+++ b/crates/drmaa/src/rpc.rs
@@ -60,8 +60,14 @@
     /// The indices; `None` where the range is empty, starts at 0, does not move or is over `most`.
     pub fn indices(self, most: u64) -> Option<impl Iterator<Item = u64> + Clone> {
         let legal = self.first >= 1 && self.step >= 1 && self.last >= self.first;
-        let count = if legal { (self.last - self.first) / self.step + 1 } else { 0 };
-        (1..=most).contains(&count).then(move || (0..count).map(move |n| self.first + n * self.step))
+        let count = if legal {
+            (self.last - self.first) / self.step + 1
+        } else {
+            0
+        };
+        (1..=most)
+            .contains(&count)
+            .then(move || (0..count).map(move |n| self.first + n * self.step))
     }
 }
 
@@ -197,7 +203,11 @@
 impl Request {
     /// A call with its id.
     pub fn new(id: u64, call: Call) -> Self {
-        Self { jsonrpc: Version, id, call }
+        Self {
+            jsonrpc: Version,
+            id,
+            call,
+        }
     }
 }
 
@@ -214,7 +224,11 @@
 impl<'de> Deserialize<'de> for Version {
     fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let text = String::deserialize(deserializer)?;
-        if text == "2.0" { Ok(Self) } else { Err(serde::de::Error::custom("jsonrpc is not `2.0`")) }
+        if text == "2.0" {
+            Ok(Self)
+        } else {
+            Err(serde::de::Error::custom("jsonrpc is not `2.0`"))
+        }
     }
 }
 
@@ -253,15 +267,23 @@
 
 impl From<Error> for Fault {
     fn from(error: Error) -> Self {
-        Self { code: DRMAA_BASE + i64::from(error.code.number()), message: error.message }
+        Self {
+            code: DRMAA_BASE + i64::from(error.code.number()),
+            message: error.message,
+        }
     }
 }
 
 impl From<Fault> for Error {
     fn from(fault: Fault) -> Self {
         let number = i32::try_from(fault.code - DRMAA_BASE).ok();
-        let code = number.and_then(ErrorCode::from_number).unwrap_or(ErrorCode::InternalError);
-        Self { code, message: fault.message }
+        let code = number
+            .and_then(ErrorCode::from_number)
+            .unwrap_or(ErrorCode::InternalError);
+        Self {
+            code,
+            message: fault.message,
+        }
     }
 }
 
@@ -272,13 +294,26 @@
             Ok(answer) => (Some(answer), None),
             Err(error) => (None, Some(error.into())),
         };
-        Self { jsonrpc: Version, id: Some(id), result, error }
+        Self {
+            jsonrpc: Version,
+            id: Some(id),
+            result,
+            error,
+        }
     }
 
     /// The answer to what is no call.
     pub fn fault(id: Option<u64>, code: i64, message: impl Into<String>) -> Self {
-        let error = Some(Fault { code, message: message.into() });
-        Self { jsonrpc: Version, id, result: None, error }
+        let error = Some(Fault {
+            code,
+            message: message.into(),
+        });
+        Self {
+            jsonrpc: Version,
+            id,
+            result: None,
+            error,
+        }
     }
 }
 
@@ -478,21 +513,42 @@
 
     #[test]
     fn calls_are_json_rpc() {
-        let call = Call::JobPs { session: "s".into(), job: "j.1".into() };
+        let call = Call::JobPs {
+            session: "s".into(),
+            job: "j.1".into(),
+        };
         let text = serde_json::to_string(&Request::new(7, call)).unwrap();
         let want = r#"{"jsonrpc":"2.0","id":7,"method":"drmaa_job_ps","params":{"session":"s","job":"j.1"}}"#;
         assert_eq!(text, want);
         let read = read_request(text.as_bytes()).unwrap();
-        assert_eq!(read.call, Call::JobPs { session: "s".into(), job: "j.1".into() });
+        assert_eq!(
+            read.call,
+            Call::JobPs {
+                session: "s".into(),
+                job: "j.1".into()
+            }
+        );
     }
 
     #[test]
     fn what_is_no_call_is_answered_as_json_rpc_asks() {
-        let code = |text: &str| read_request(text.as_bytes()).unwrap_err().error.unwrap().code;
+        let code = |text: &str| {
+            read_request(text.as_bytes())
+                .unwrap_err()
+                .error
+                .unwrap()
+                .code
+        };
         assert_eq!(code("{"), PARSE_ERROR);
         assert_eq!(code("{}"), INVALID_REQUEST);
-        assert_eq!(code(r#"{"jsonrpc":"1.0","id":1,"method":"drmaa_version","params":{}}"#), INVALID_REQUEST);
-        assert_eq!(code(r#"{"jsonrpc":"2.0","id":1,"method":"drmaa_what","params":{}}"#), METHOD_NOT_FOUND);
+        assert_eq!(
+            code(r#"{"jsonrpc":"1.0","id":1,"method":"drmaa_version","params":{}}"#),
+            INVALID_REQUEST
+        );
+        assert_eq!(
+            code(r#"{"jsonrpc":"2.0","id":1,"method":"drmaa_what","params":{}}"#),
+            METHOD_NOT_FOUND
+        );
         let odd = r#"{"jsonrpc":"2.0","id":5,"method":"drmaa_job_ps","params":{"job":1}}"#;
         let response = read_request(odd.as_bytes()).unwrap_err();
         assert_eq!(response.id, Some(5));
@@ -511,7 +567,9 @@
     #[test]
     fn a_range_has_the_indices_of_the_specification() {
         let range = |first, last, step| {
-            Range { first, last, step }.indices(1_000).map(|indices| indices.collect::<Vec<u64>>())
+            Range { first, last, step }
+                .indices(1_000)
+                .map(|indices| indices.collect::<Vec<u64>>())
         };
         assert_eq!(range(1, 5, 2), Some(vec![1, 3, 5]));
         assert_eq!(range(2, 6, 3), Some(vec![2, 5]));
--- a/crates/drmaa/src/state.rs
+++ b/crates/drmaa/src/state.rs
@@ -63,7 +63,13 @@
 impl Control {
     /// The control with this number of `drmaa.h`.
     pub fn from_number(number: i32) -> Option<Self> {
-        let all = [Self::Suspend, Self::Resume, Self::Hold, Self::Release, Self::Terminate];
+        let all = [
+            Self::Suspend,
+            Self::Resume,
+            Self::Hold,
+            Self::Release,
+            Self::Terminate,
+        ];
         all.into_iter().find(|control| *control as i32 == number)
     }
 }
--- a/crates/drmaa/src/template.rs
+++ b/crates/drmaa/src/template.rs
@@ -58,11 +58,17 @@
 }
 
 fn format_error(name: &str, value: &str, want: &str) -> Error {
-    Error::new(ErrorCode::InvalidAttributeFormat, format!("{name}: `{value}` is not {want}"))
+    Error::new(
+        ErrorCode::InvalidAttributeFormat,
+        format!("{name}: `{value}` is not {want}"),
+    )
 }
 
 fn value_error(name: &str, value: &str, want: &str) -> Error {
-    Error::new(ErrorCode::InvalidAttributeValue, format!("{name}: `{value}` is not {want}"))
+    Error::new(
+        ErrorCode::InvalidAttributeValue,
+        format!("{name}: `{value}` is not {want}"),
+    )
 }
 
 /// A limit of time, `[[h:]m:]s`, in seconds.
@@ -70,7 +76,9 @@
     let parts: Option<Vec<u64>> = value.split(':').map(|part| part.parse().ok()).collect();
     let parts = parts.filter(|parts| parts.len() <= 3);
     let total = parts.and_then(|parts| {
-        parts.into_iter().try_fold(0_u64, |sum, part| sum.checked_mul(60)?.checked_add(part))
+        parts
+            .into_iter()
+            .try_fold(0_u64, |sum, part| sum.checked_mul(60)?.checked_add(part))
     });
     total.ok_or_else(|| format_error(name, value, "a time of the form [[h:]m:]s"))
 }
@@ -78,12 +86,20 @@
 /// `[hostname]:file_path`, with placeholders only where the specification allows them.
 fn path(name: &str, value: &str) -> Result<()> {
     let (_, file) = value.split_once(':').ok_or_else(|| {
-        format_error(name, value, "a path of the form [hostname]:file_path; the colon is missing")
+        format_error(
+            name,
+            value,
+            "a path of the form [hostname]:file_path; the colon is missing",
+        )
     })?;
     let home = file.rfind(HOME).is_some_and(|at| at > 0);
     let working = file.rfind(WORKING).is_some_and(|at| at > 0);
     if home || working {
-        return Err(format_error(name, value, "a path with its directory placeholder at the start"));
+        return Err(format_error(
+            name,
+            value,
+            "a path with its directory placeholder at the start",
+        ));
     }
     Ok(())
 }
@@ -93,25 +109,34 @@
         "drmaa_js_state" if !["drmaa_hold", "drmaa_active"].contains(&value) => {
             Err(value_error(name, value, "`drmaa_hold` or `drmaa_active`"))
         }
-        "drmaa_block_email" if !["0", "1"].contains(&value) => Err(value_error(name, value, "`0` or `1`")),
-        "drmaa_join_files" if !["y", "n"].contains(&value) => Err(value_error(name, value, "`y` or `n`")),
+        "drmaa_block_email" if !["0", "1"].contains(&value) => {
+            Err(value_error(name, value, "`0` or `1`"))
+        }
+        "drmaa_join_files" if !["y", "n"].contains(&value) => {
+            Err(value_error(name, value, "`y` or `n`"))
+        }
         "drmaa_transfer_files" => {
             let once = |c: char| value.chars().filter(|other| *other == c).count() == 1;
             let fits = value.chars().all(|c| "eio".contains(c) && once(c));
             if fits {
                 Ok(())
             } else {
-                Err(value_error(name, value, "made of `e`, `i` and `o`, each at most once"))
+                Err(value_error(
+                    name,
+                    value,
+                    "made of `e`, `i` and `o`, each at most once",
+                ))
             }
         }
         "drmaa_start_time" | "drmaa_deadline_time" => Partial::parse(value).map(drop),
-        "drmaa_wct_hlimit" | "drmaa_wct_slimit" | "drmaa_durartion_hlimit" | "drmaa_durartion_slimit" => {
-            seconds(name, value).map(drop)
-        }
+        "drmaa_wct_hlimit"
+        | "drmaa_wct_slimit"
+        | "drmaa_durartion_hlimit"
+        | "drmaa_durartion_slimit" => seconds(name, value).map(drop),
         "drmaa_input_path" | "drmaa_output_path" | "drmaa_error_path" => path(name, value),
-        "drmaa_wd" if value.rfind(HOME).is_some_and(|at| at > 0) || value.contains(WORKING) => {
-            Err(format_error(name, value, "a directory that may begin with $drmaa_hd_ph$"))
-        }
+        "drmaa_wd" if value.rfind(HOME).is_some_and(|at| at > 0) || value.contains(WORKING) => Err(
+            format_error(name, value, "a directory that may begin with $drmaa_hd_ph$"),
+        ),
         _ => Ok(()),
     }
 }
@@ -150,7 +175,10 @@
         if !VECTORS.contains(&name) {
             return Err(unknown(name, &VECTORS));
         }
-        if let Some(odd) = values.iter().find(|v| name == "drmaa_v_env" && !v.contains('=')) {
+        if let Some(odd) = values
+            .iter()
+            .find(|v| name == "drmaa_v_env" && !v.contains('='))
+        {
             return Err(format_error(name, odd, "of the form NAME=VALUE"));
         }
         self.vectors.insert(name.to_owned(), values);
@@ -190,10 +218,14 @@
         let list = |name: &str| self.vectors.get(name).cloned().unwrap_or_default();
         let time = |name: &str| -> Result<Option<i64>> {
             let text = self.scalars.get(name);
-            text.map(|text| Partial::parse(text)?.resolve(now)).transpose()
+            text.map(|text| Partial::parse(text)?.resolve(now))
+                .transpose()
         };
         let limit = |name: &str| -> Result<Option<u64>> {
-            self.scalars.get(name).map(|text| seconds(name, text)).transpose()
+            self.scalars
+                .get(name)
+                .map(|text| seconds(name, text))
+                .transpose()
         };
         let spec = JobSpec {
             command: get("drmaa_remote_command"),
@@ -224,13 +256,20 @@
 }
 
 fn unknown(name: &str, known: &[&str]) -> Error {
-    let near = nearest(name, known).map(|near| format!("; did you mean `{near}`?")).unwrap_or_default();
-    Error::new(ErrorCode::InvalidArgument, format!("`{name}` is no such attribute{near}"))
+    let near = nearest(name, known)
+        .map(|near| format!("; did you mean `{near}`?"))
+        .unwrap_or_default();
+    Error::new(
+        ErrorCode::InvalidArgument,
+        format!("`{name}` is no such attribute{near}"),
+    )
 }
 
 /// The known name that `name` was most likely meant to be, where one is close.
 pub fn nearest<'a>(name: &str, known: &[&'a str]) -> Option<&'a str> {
-    let scored = known.iter().map(|known| (strsim::damerau_levenshtein(name, known), *known));
+    let scored = known
+        .iter()
+        .map(|known| (strsim::damerau_levenshtein(name, known), *known));
     let (distance, found) = scored.min()?;
     (distance <= 1 + name.chars().count() / 4).then_some(found)
 }
@@ -311,13 +350,16 @@
     /// # Errors
     /// `ConflictingAttributeValues` for a deadline before the start or a soft limit over the hard one.
     pub fn check(&self) -> Result<()> {
-        let over = |soft: Option<u64>, hard: Option<u64>| soft.zip(hard).is_some_and(|(s, h)| s > h);
+        let over =
+            |soft: Option<u64>, hard: Option<u64>| soft.zip(hard).is_some_and(|(s, h)| s > h);
         let conflict = |text: String| Err(Error::new(ErrorCode::ConflictingAttributeValues, text));
         if let (Some(start), Some(deadline)) = (self.start, self.deadline)
             && deadline < start
         {
             let (start, deadline) = (timestamp::format(start), timestamp::format(deadline));
-            return conflict(format!("drmaa_deadline_time {deadline} is before drmaa_start_time {start}"));
+            return conflict(format!(
+                "drmaa_deadline_time {deadline} is before drmaa_start_time {start}"
+            ));
         }
         if over(self.wall_soft, self.wall_hard) {
             return conflict("drmaa_wct_slimit is over drmaa_wct_hlimit".to_owned());
@@ -354,7 +396,9 @@
     use jiff::tz::TimeZone;
 
     fn now() -> Zoned {
-        Timestamp::from_second(1_768_478_400).unwrap().to_zoned(TimeZone::UTC)
+        Timestamp::from_second(1_768_478_400)
+            .unwrap()
+            .to_zoned(TimeZone::UTC)
     }
 
     #[test]
@@ -367,7 +411,11 @@
             ("drmaa_block_email", "2", InvalidAttributeValue),
             ("drmaa_wct_hlimit", "1:2:3:4", InvalidAttributeFormat),
             ("drmaa_input_path", "/no/colon", InvalidAttributeFormat),
-            ("drmaa_output_path", ":/a/$drmaa_hd_ph$/b", InvalidAttributeFormat),
+            (
+                "drmaa_output_path",
+                ":/a/$drmaa_hd_ph$/b",
+                InvalidAttributeFormat,
+            ),
             ("drmaa_wd", "/a/$drmaa_hd_ph$", InvalidAttributeFormat),
             ("drmaa_start_time", "25:00", InvalidAttributeFormat),
             ("drmaa_job_nane", "x", InvalidArgument),
@@ -392,8 +440,12 @@
     #[test]
     fn contradictions_are_found_at_submission() {
         let mut template = JobTemplate::new();
-        template.set("drmaa_start_time", "2026/03/02 10:00").unwrap();
-        template.set("drmaa_deadline_time", "2026/03/01 10:00").unwrap();
+        template
+            .set("drmaa_start_time", "2026/03/02 10:00")
+            .unwrap();
+        template
+            .set("drmaa_deadline_time", "2026/03/01 10:00")
+            .unwrap();
         let code = template.spec(&now()).unwrap_err().code;
         assert_eq!(code, ErrorCode::ConflictingAttributeValues);
         template.set("drmaa_deadline_time", "").unwrap();
@@ -406,7 +458,9 @@
     #[test]
     fn placeholders_are_filled_where_they_are_known() {
         let mut template = JobTemplate::new();
-        template.set("drmaa_output_path", ":$drmaa_hd_ph$/out.$drmaa_incr_ph$").unwrap();
+        template
+            .set("drmaa_output_path", ":$drmaa_hd_ph$/out.$drmaa_incr_ph$")
+            .unwrap();
         let spec = template.spec(&now()).unwrap().at_index(7);
         assert_eq!(spec.output, ":$drmaa_hd_ph$/out.7");
         assert_eq!(expand(&spec.output, "/home/a", "/work"), ":/home/a/out.7");
@@ -416,7 +470,9 @@
     fn a_spec_survives_its_json() {
         let mut template = JobTemplate::new();
         template.set("drmaa_remote_command", "sleep").unwrap();
-        template.set_vector("drmaa_v_argv", vec!["1".into()]).unwrap();
+        template
+            .set_vector("drmaa_v_argv", vec!["1".into()])
+            .unwrap();
         let spec = template.spec(&now()).unwrap();
         let text = serde_json::to_string(&spec).unwrap();
         assert_eq!(text, r#"{"command":"sleep","args":["1"]}"#);
--- a/crates/drmaa/src/timestamp.rs
+++ b/crates/drmaa/src/timestamp.rs
@@ -28,11 +28,14 @@
 }
 
 fn two<'i>(input: &mut &'i str) -> ModalResult<i8> {
-    take_while(2, |c: char| c.is_ascii_digit()).try_map(|text: &'i str| text.parse()).parse_next(input)
+    take_while(2, |c: char| c.is_ascii_digit())
+        .try_map(|text: &'i str| text.parse())
+        .parse_next(input)
 }
 
 fn zone(input: &mut &str) -> ModalResult<i32> {
-    let (sign, hours, minutes) = (one_of(['-', '+']), terminated(two, ':'), two).parse_next(input)?;
+    let (sign, hours, minutes) =
+        (one_of(['-', '+']), terminated(two, ':'), two).parse_next(input)?;
     let seconds = (i32::from(hours) * 60 + i32::from(minutes)) * 60;
     Ok(if sign == '-' { -seconds } else { seconds })
 }
@@ -42,7 +45,8 @@
 /// The date's parts from the left: century, year, month, day.
 fn date(input: &mut &str) -> ModalResult<Day> {
     alt((
-        seq!(two, two, _: '/', two, _: '/', two).map(|(c, y, m, d)| (Some(c), Some(y), Some(m), Some(d))),
+        seq!(two, two, _: '/', two, _: '/', two)
+            .map(|(c, y, m, d)| (Some(c), Some(y), Some(m), Some(d))),
         seq!(two, _: '/', two, _: '/', two).map(|(y, m, d)| (None, Some(y), Some(m), Some(d))),
         seq!(two, _: '/', two).map(|(m, d)| (None, None, Some(m), Some(d))),
         two.map(|d| (None, None, None, Some(d))),
@@ -59,12 +63,24 @@
     let offset = opt(preceded(multispace0, zone)).parse_next(input)?;
     let _ = multispace0.parse_next(input)?;
     let (century, year) = (century.map(i16::from), year.map(i16::from));
-    Ok(Partial { century, year, month, day, hour, minute, second, offset })
+    Ok(Partial {
+        century,
+        year,
+        month,
+        day,
+        hour,
+        minute,
+        second,
+        offset,
+    })
 }
 
 fn bad(text: &str, why: &str) -> Error {
     let form = "[[[[CC]YY/]MM/]DD] hh:mm[:ss] [{-|+}UU:uu]";
-    Error::new(ErrorCode::InvalidAttributeFormat, format!("timestamp `{text}`: {why}; the form is {form}"))
+    Error::new(
+        ErrorCode::InvalidAttributeFormat,
+        format!("timestamp `{text}`: {why}; the form is {form}"),
+    )
 }
 
 impl Partial {
@@ -74,20 +90,35 @@
     /// `InvalidAttributeFormat` where the text has another form or a part is outside its range: hours to
     /// 23, minutes to 59, seconds to 61 as in the specification (60 and 61 count as 59).
     pub fn parse(text: &str) -> Result<Self> {
-        let read = partial
-            .parse(text)
-            .map_err(|error| bad(text, &format!("unexpected text at character {}", error.offset() + 1)))?;
+        let read = partial.parse(text).map_err(|error| {
+            bad(
+                text,
+                &format!("unexpected text at character {}", error.offset() + 1),
+            )
+        })?;
         let ranges = [
             (read.hour <= 23, "the hour is over 23"),
             (read.minute <= 59, "the minute is over 59"),
             (read.second <= 61, "the second is over 61"),
-            (read.month.is_none_or(|m| (1..=12).contains(&m)), "the month is not 01 to 12"),
-            (read.day.is_none_or(|d| (1..=31).contains(&d)), "the day is not 01 to 31"),
-            (read.offset.is_none_or(|o| o.abs() < 24 * 3600), "the offset is a day or more"),
+            (
+                read.month.is_none_or(|m| (1..=12).contains(&m)),
+                "the month is not 01 to 12",
+            ),
+            (
+                read.day.is_none_or(|d| (1..=31).contains(&d)),
+                "the day is not 01 to 31",
+            ),
+            (
+                read.offset.is_none_or(|o| o.abs() < 24 * 3600),
+                "the offset is a day or more",
+            ),
         ];
         match ranges.iter().find(|(fits, _)| !fits) {
             Some((_, why)) => Err(bad(text, why)),
-            None => Ok(Self { second: read.second.min(59), ..read }),
+            None => Ok(Self {
+                second: read.second.min(59),
+                ..read
+            }),
         }
     }
 
@@ -104,7 +135,11 @@
         let time = Time::new(self.hour, self.minute, self.second, 0).map_err(value)?;
         let at = |date: Date| -> Result<i64> {
             let moment = DateTime::from_parts(date, time);
-            Ok(zone.to_zoned(moment).map_err(value)?.timestamp().as_second())
+            Ok(zone
+                .to_zoned(moment)
+                .map_err(value)?
+                .timestamp()
+                .as_second())
         };
         let year = match (self.century, self.year) {
             (Some(century), Some(year)) => century * 100 + year,
@@ -114,7 +149,11 @@
         let Some(day) = self.day else {
             let first = at(today.date())?;
             let tomorrow = today.date().tomorrow().map_err(value)?;
-            return if first < now.timestamp().as_second() { at(tomorrow) } else { Ok(first) };
+            return if first < now.timestamp().as_second() {
+                at(tomorrow)
+            } else {
+                Ok(first)
+            };
         };
         let month = self.month.unwrap_or(today.month());
         // The next month or year that has such a day: 31 in a short month, 29 February in most years.
@@ -133,7 +172,10 @@
             }
             first = first.checked_add(step).map_err(value)?;
         }
-        Err(Error::new(ErrorCode::InvalidAttributeValue, "no such day comes within nine steps"))
+        Err(Error::new(
+            ErrorCode::InvalidAttributeValue,
+            "no such day comes within nine steps",
+        ))
     }
 }
 
@@ -153,7 +195,10 @@
 
     /// Thursday, 2026-01-15 12:00:00 UTC.
     fn noon() -> Zoned {
-        "2026-01-15T12:00:00Z".parse::<Timestamp>().unwrap().to_zoned(TimeZone::UTC)
+        "2026-01-15T12:00:00Z"
+            .parse::<Timestamp>()
+            .unwrap()
+            .to_zoned(TimeZone::UTC)
     }
 
     fn resolved(text: &str) -> String {
@@ -169,24 +214,49 @@
         assert_eq!(resolved("01/14 08:00"), "2027/01/14 08:00:00 +00:00");
         assert_eq!(resolved("02/29 08:00"), "2028/02/29 08:00:00 +00:00");
         assert_eq!(resolved("27/03/04 08:00"), "2027/03/04 08:00:00 +00:00");
-        assert_eq!(resolved("2030/03/04 08:00:01 -03:30"), "2030/03/04 11:30:01 +00:00");
+        assert_eq!(
+            resolved("2030/03/04 08:00:01 -03:30"),
+            "2030/03/04 11:30:01 +00:00"
+        );
     }
 
     #[test]
     fn the_formatted_form_reads_back() {
         for unix in [0, 1_768_478_400, 4_000_000_000] {
-            assert_eq!(Partial::parse(&format(unix)).unwrap().resolve(&noon()).unwrap(), unix);
+            assert_eq!(
+                Partial::parse(&format(unix))
+                    .unwrap()
+                    .resolve(&noon())
+                    .unwrap(),
+                unix
+            );
         }
     }
 
     #[test]
     fn wrong_texts_are_named() {
-        for text in ["", "8:00", "24:00", "12:60", "12:00:62", "13/01 12:00", "00 12:00", "12:00 +25:00", "x"]
-        {
+        for text in [
+            "",
+            "8:00",
+            "24:00",
+            "12:60",
+            "12:00:62",
+            "13/01 12:00",
+            "00 12:00",
+            "12:00 +25:00",
+            "x",
+        ] {
             let error = Partial::parse(text).unwrap_err();
-            assert_eq!(error.code, ErrorCode::InvalidAttributeFormat, "{text}: {error}");
+            assert_eq!(
+                error.code,
+                ErrorCode::InvalidAttributeFormat,
+                "{text}: {error}"
+            );
         }
         let day = Partial::parse("2026/02/31 12:00").unwrap();
-        assert_eq!(day.resolve(&noon()).unwrap_err().code, ErrorCode::InvalidAttributeValue);
+        assert_eq!(
+            day.resolve(&noon()).unwrap_err().code,
+            ErrorCode::InvalidAttributeValue
+        );
     }
 }
--- a/crates/libdrmaa/benches/bulk.rs
+++ b/crates/libdrmaa/benches/bulk.rs
@@ -18,6 +18,9 @@
         began.elapsed().as_secs_f64(),
         report.breaches.len()
     );
-    report.breaches.iter().for_each(|breach| println!("  {}", breach.text));
+    report
+        .breaches
+        .iter()
+        .for_each(|breach| println!("  {}", breach.text));
     assert!(report.breaches.is_empty() && report.taken == 10_001);
 }
--- a/crates/libdrmaa/src/buffers.rs
+++ b/crates/libdrmaa/src/buffers.rs
@@ -34,7 +34,9 @@
     }
     // SAFETY: not null, and the caller promises that it ends in NUL.
     let bytes = unsafe { CStr::from_ptr(text) };
-    let text = bytes.to_str().map_err(|_| Error::new(ErrorCode::InvalidArgument, "a text is no UTF-8"))?;
+    let text = bytes
+        .to_str()
+        .map_err(|_| Error::new(ErrorCode::InvalidArgument, "a text is no UTF-8"))?;
     Ok(Some(text))
 }
 
@@ -54,7 +56,10 @@
 /// `list` is null or an array of C strings that ends in null.
 pub(crate) unsafe fn list(list: *const *const c_char, what: &str) -> Result<Vec<String>> {
     if list.is_null() {
-        return Err(Error::new(ErrorCode::InvalidArgument, format!("{what} is null")));
+        return Err(Error::new(
+            ErrorCode::InvalidArgument,
+            format!("{what} is null"),
+        ));
     }
     let mut found = Vec::new();
     loop {
@@ -73,7 +78,10 @@
 /// `out` is null or may be written.
 pub(crate) unsafe fn set<T>(out: *mut T, value: T, what: &str) -> Result<()> {
     if out.is_null() {
-        return Err(Error::new(ErrorCode::InvalidArgument, format!("{what} is null")));
+        return Err(Error::new(
+            ErrorCode::InvalidArgument,
+            format!("{what} is null"),
+        ));
     }
     // SAFETY: not null, and the caller promises that it may be written.
     unsafe { out.write(value) };
@@ -90,7 +98,10 @@
     call: impl FnOnce() -> Result<()>,
 ) -> c_int {
     let result = catch_unwind(AssertUnwindSafe(call)).unwrap_or_else(|_| {
-        Err(Error::new(ErrorCode::InternalError, "the library broke; please report what was called"))
+        Err(Error::new(
+            ErrorCode::InternalError,
+            "the library broke; please report what was called",
+        ))
     });
     let Err(error) = result else {
         return SUCCESS;
--- a/crates/libdrmaa/src/calls.rs
+++ b/crates/libdrmaa/src/calls.rs
@@ -6,7 +6,8 @@
 
 use reedring_client::drmaa::rpc::{Jobs, Range};
 use reedring_client::drmaa::{
-    Control, End, Error, ErrorCode, JobInfo, NO_WAIT, Result, SESSION_ALL, SESSION_ANY, VERSION, WAIT_FOREVER,
+    Control, End, Error, ErrorCode, JobInfo, NO_WAIT, Result, SESSION_ALL, SESSION_ANY, VERSION,
+    WAIT_FOREVER,
 };
 
 use crate::buffers::{boundary, get, list, need, put, set};
@@ -26,7 +27,9 @@
         NO_WAIT => Ok(Some(Duration::ZERO)),
         seconds => match u64::try_from(seconds) {
             Ok(seconds) => Ok(Some(Duration::from_secs(seconds))),
-            Err(_) => Err(invalid(format!("a timeout of {seconds} s; it is -1, 0 or more"))),
+            Err(_) => Err(invalid(format!(
+                "a timeout of {seconds} s; it is -1, 0 or more"
+            ))),
         },
     }
 }
@@ -36,7 +39,11 @@
 /// # Safety
 /// `contact` is null or ends in NUL; `diagnosis` is null or has room for `len` bytes, as in all functions.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn drmaa_init(contact: *const c_char, diagnosis: *mut c_char, len: usize) -> c_int {
+pub unsafe extern "C" fn drmaa_init(
+    contact: *const c_char,
+    diagnosis: *mut c_char,
+    len: usize,
+) -> c_int {
     // SAFETY: the caller's promises.
     unsafe { boundary(diagnosis, len, || session::open(get(contact)?)) }
 }
@@ -95,8 +102,13 @@
             if jobs.is_null() {
                 return Err(invalid("the place for the job ids is null"));
             }
-            let number = |n: c_int| u64::try_from(n).map_err(|_| invalid(format!("index {n} is below 0")));
-            let range = Range { first: number(start)?, last: number(end)?, step: number(step)? };
+            let number =
+                |n: c_int| u64::try_from(n).map_err(|_| invalid(format!("index {n} is below 0")));
+            let range = Range {
+                first: number(start)?,
+                last: number(end)?,
+                step: number(step)?,
+            };
             let template = with(template, |template| Ok(template.clone()))?;
             let all = session.run_bulk_jobs(&template, range)?;
             set(jobs, Strings::hand_out(all), "the place for the job ids")
@@ -119,8 +131,8 @@
     unsafe {
         boundary(diagnosis, len, || {
             let session = session::active()?;
-            let action =
-                Control::from_number(action).ok_or_else(|| invalid(format!("{action} is no action")))?;
+            let action = Control::from_number(action)
+                .ok_or_else(|| invalid(format!("{action} is no action")))?;
             let jobs = match need(job, "the job id")? {
                 SESSION_ALL => Jobs::All,
                 job => Jobs::These(vec![job.to_owned()]),
@@ -147,8 +159,11 @@
         boundary(diagnosis, len, || {
             let session = session::active()?;
             let names = list(jobs, "the list of job ids")?;
-            let jobs =
-                if names.iter().any(|name| name == SESSION_ALL) { Jobs::All } else { Jobs::These(names) };
+            let jobs = if names.iter().any(|name| name == SESSION_ALL) {
+                Jobs::All
+            } else {
+                Jobs::These(names)
+            };
             session.synchronize(jobs, timeout(seconds)?, dispose != 0)
         })
     }
@@ -181,7 +196,11 @@
                 set(stat, info.end.to_stat(), "stat")?;
             }
             if !usage.is_null() {
-                let pairs = info.usage.iter().map(|(name, value)| format!("{name}={value}")).collect();
+                let pairs = info
+                    .usage
+                    .iter()
+                    .map(|(name, value)| format!("{name}={value}"))
+                    .collect();
                 set(usage, Strings::hand_out(pairs), "the usage")?;
             }
             Ok(())
@@ -280,7 +299,11 @@
     static TEXTS: OnceLock<Vec<CString>> = OnceLock::new();
     let texts = TEXTS.get_or_init(|| {
         let texts = ErrorCode::ALL.iter().map(|code| code.text());
-        ["success"].into_iter().chain(texts).map(|text| CString::new(text).unwrap_or_default()).collect()
+        ["success"]
+            .into_iter()
+            .chain(texts)
+            .map(|text| CString::new(text).unwrap_or_default())
+            .collect()
     });
     let text = usize::try_from(code).ok().and_then(|code| texts.get(code));
     text.map_or(std::ptr::null(), |text| text.as_ptr())
@@ -301,7 +324,13 @@
     unsafe {
         boundary(diagnosis, len, || {
             let contact = session::active().map(|session| session.contact()).ok();
-            put(out, out_len, &contact.or_else(session::default_contact).unwrap_or_default());
+            put(
+                out,
+                out_len,
+                &contact
+                    .or_else(session::default_contact)
+                    .unwrap_or_default(),
+            );
             Ok(())
         })
     }
@@ -365,7 +394,11 @@
     // SAFETY: the caller's promises.
     unsafe {
         boundary(diagnosis, len, || {
-            put(out, out_len, concat!("reedring libdrmaa ", env!("CARGO_PKG_VERSION")));
+            put(
+                out,
+                out_len,
+                concat!("reedring libdrmaa ", env!("CARGO_PKG_VERSION")),
+            );
             Ok(())
         })
     }
--- a/crates/libdrmaa/src/iterators.rs
+++ b/crates/libdrmaa/src/iterators.rs
@@ -43,7 +43,8 @@
     // SAFETY: no diagnosis is asked for, and the caller's promise on `size`.
     unsafe {
         boundary(std::ptr::null_mut(), 0, || {
-            let count = count.ok_or_else(|| Error::new(ErrorCode::InvalidArgument, "the list is null"))?;
+            let count =
+                count.ok_or_else(|| Error::new(ErrorCode::InvalidArgument, "the list is null"))?;
             set(size, count, "the size")
         })
     }
@@ -92,6 +93,18 @@
     };
 }
 
-iterator!(drmaa_get_next_attr_name, drmaa_get_num_attr_names, drmaa_release_attr_names);
-iterator!(drmaa_get_next_attr_value, drmaa_get_num_attr_values, drmaa_release_attr_values);
-iterator!(drmaa_get_next_job_id, drmaa_get_num_job_ids, drmaa_release_job_ids);
+iterator!(
+    drmaa_get_next_attr_name,
+    drmaa_get_num_attr_names,
+    drmaa_release_attr_names
+);
+iterator!(
+    drmaa_get_next_attr_value,
+    drmaa_get_num_attr_values,
+    drmaa_release_attr_values
+);
+iterator!(
+    drmaa_get_next_job_id,
+    drmaa_get_num_job_ids,
+    drmaa_release_job_ids
+);
--- a/crates/libdrmaa/src/session.rs
+++ b/crates/libdrmaa/src/session.rs
@@ -9,19 +9,27 @@
 
 /// The contact that is used where `drmaa_init` gets none.
 pub(crate) fn default_contact() -> Option<String> {
-    std::env::var("REEDRING_CONTACT").ok().filter(|contact| !contact.is_empty())
+    std::env::var("REEDRING_CONTACT")
+        .ok()
+        .filter(|contact| !contact.is_empty())
 }
 
 /// The open session. Calls that wait keep it while another thread closes it.
 pub(crate) fn active() -> Result<Arc<Session>> {
-    let session = SESSION.read().unwrap_or_else(PoisonError::into_inner).clone();
+    let session = SESSION
+        .read()
+        .unwrap_or_else(PoisonError::into_inner)
+        .clone();
     session.ok_or_else(|| Error::new(ErrorCode::NoActiveSession, "drmaa_init was not called"))
 }
 
 pub(crate) fn open(contact: Option<&str>) -> Result<()> {
     let mut session = SESSION.write().unwrap_or_else(PoisonError::into_inner);
     if session.is_some() {
-        return Err(Error::new(ErrorCode::AlreadyActiveSession, "this process has one session at a time"));
+        return Err(Error::new(
+            ErrorCode::AlreadyActiveSession,
+            "this process has one session at a time",
+        ));
     }
     let told = contact.filter(|contact| !contact.is_empty());
     let opened = match (told, default_contact()) {
@@ -43,8 +51,13 @@
 }
 
 pub(crate) fn close() -> Result<()> {
-    let session = SESSION.write().unwrap_or_else(PoisonError::into_inner).take();
-    let session =
-        session.ok_or_else(|| Error::new(ErrorCode::NoActiveSession, "drmaa_init was not called"))?;
-    session.close().map_err(|error| Error::new(ErrorCode::DrmsExitError, error.to_string()))
+    let session = SESSION
+        .write()
+        .unwrap_or_else(PoisonError::into_inner)
+        .take();
+    let session = session
+        .ok_or_else(|| Error::new(ErrorCode::NoActiveSession, "drmaa_init was not called"))?;
+    session
+        .close()
+        .map_err(|error| Error::new(ErrorCode::DrmsExitError, error.to_string()))
 }
--- a/crates/libdrmaa/src/templates.rs
+++ b/crates/libdrmaa/src/templates.rs
@@ -21,8 +21,8 @@
 ) -> Result<T> {
     // SAFETY: the caller's promise.
     let template = unsafe { template.as_ref() };
-    let template =
-        template.ok_or_else(|| Error::new(ErrorCode::InvalidArgument, "the job template is null"))?;
+    let template = template
+        .ok_or_else(|| Error::new(ErrorCode::InvalidArgument, "the job template is null"))?;
     act(&mut template.0.lock().unwrap_or_else(PoisonError::into_inner))
 }
 
@@ -41,9 +41,16 @@
         boundary(diagnosis, len, || {
             session::active()?;
             if out.is_null() {
-                return Err(Error::new(ErrorCode::InvalidArgument, "the place for the template is null"));
+                return Err(Error::new(
+                    ErrorCode::InvalidArgument,
+                    "the place for the template is null",
+                ));
             }
-            set(out, Box::into_raw(Box::new(Template(Mutex::default()))), "the template")
+            set(
+                out,
+                Box::into_raw(Box::new(Template(Mutex::default()))),
+                "the template",
+            )
         })
     }
 }
@@ -62,7 +69,10 @@
     unsafe {
         boundary(diagnosis, len, || {
             if template.is_null() {
-                return Err(Error::new(ErrorCode::InvalidArgument, "the job template is null"));
+                return Err(Error::new(
+                    ErrorCode::InvalidArgument,
+                    "the job template is null",
+                ));
             }
             drop(Box::from_raw(template));
             Ok(())
@@ -108,7 +118,9 @@
     unsafe {
         boundary(diagnosis, len, || {
             let name = need(name, "the name")?;
-            let text = with(template, |template| Ok(template.get(name)?.unwrap_or_default().to_owned()))?;
+            let text = with(template, |template| {
+                Ok(template.get(name)?.unwrap_or_default().to_owned())
+            })?;
             put(value, value_len, &text);
             Ok(())
         })
@@ -152,7 +164,9 @@
     unsafe {
         boundary(diagnosis, len, || {
             let name = need(name, "the name")?;
-            let all = with(template, |template| Ok(template.get_vector(name)?.unwrap_or_default().to_vec()))?;
+            let all = with(template, |template| {
+                Ok(template.get_vector(name)?.unwrap_or_default().to_vec())
+            })?;
             set(values, Strings::hand_out(all), "the place for the values")
         })
     }
@@ -176,7 +190,11 @@
     unsafe {
         boundary(diagnosis, len, || {
             session::active()?;
-            set(out, Strings::hand_out(names(&SCALARS)), "the place for the names")
+            set(
+                out,
+                Strings::hand_out(names(&SCALARS)),
+                "the place for the names",
+            )
         })
     }
 }
@@ -195,7 +213,11 @@
     unsafe {
         boundary(diagnosis, len, || {
             session::active()?;
-            set(out, Strings::hand_out(names(&VECTORS)), "the place for the names")
+            set(
+                out,
+                Strings::hand_out(names(&VECTORS)),
+                "the place for the names",
+            )
         })
     }
 }
--- a/crates/libdrmaa/tests/binding.rs
+++ b/crates/libdrmaa/tests/binding.rs
@@ -12,7 +12,10 @@
 #[test]
 fn a_c_program_submits_from_many_threads() {
     let report = c_program(8, 50);
-    assert_eq!((report.breaches, report.taken, report.placed), (Vec::new(), 401, 401));
+    assert_eq!(
+        (report.breaches, report.taken, report.placed),
+        (Vec::new(), 401, 401)
+    );
 }
 
 /// A client that others wrote, unmodified.
@@ -21,11 +24,17 @@
     let packages = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../target/python");
     let python = || {
         let mut python = Command::new("python3");
-        python.env("PYTHONPATH", &packages).env("DRMAA_LIBRARY_PATH", library());
+        python
+            .env("PYTHONPATH", &packages)
+            .env("DRMAA_LIBRARY_PATH", library());
         python
     };
-    let found =
-        python().args(["-c", "import importlib.util as u; exit(u.find_spec('drmaa') is None)"]).status();
+    let found = python()
+        .args([
+            "-c",
+            "import importlib.util as u; exit(u.find_spec('drmaa') is None)",
+        ])
+        .status();
     if !found.is_ok_and(|status| status.success()) {
         eprintln!(
             "LEFT OUT: the Python package `drmaa` is not installed (pip install --target target/python drmaa)"
--- a/crates/libdrmaa/tests/support/mod.rs
+++ b/crates/libdrmaa/tests/support/mod.rs
@@ -11,8 +11,15 @@
 pub fn library() -> PathBuf {
     let test = std::env::current_exe().unwrap();
     let deps = test.parent().unwrap();
-    let places = [deps.join("libdrmaa.so"), deps.parent().unwrap().join("libdrmaa.so")];
-    places.iter().find(|path| path.exists()).expect("libdrmaa.so was built with this test").clone()
+    let places = [
+        deps.join("libdrmaa.so"),
+        deps.parent().unwrap().join("libdrmaa.so"),
+    ];
+    places
+        .iter()
+        .find(|path| path.exists())
+        .expect("libdrmaa.so was built with this test")
+        .clone()
 }
 
 /// Runs a program to its end and returns what it printed.
@@ -20,7 +27,11 @@
     let output = command.output().unwrap();
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     let (out, err) = (text(&output.stdout), text(&output.stderr));
-    assert!(output.status.success(), "{command:?}: {}\n{out}\n{err}", output.status);
+    assert!(
+        output.status.success(),
+        "{command:?}: {}\n{out}\n{err}",
+        output.status
+    );
     out
 }
 
@@ -34,8 +45,11 @@
     let dir = tempfile::tempdir().unwrap();
     let (binary, source) = (dir.path().join("client"), env!("CARGO_MANIFEST_DIR"));
     let mut cc = Command::new("cc");
-    cc.args(["-Wall", "-Wextra", "-Werror", "-pthread", "-o"]).arg(&binary);
-    cc.arg(format!("-I{source}/include")).arg(format!("{source}/tests/client.c")).arg(library());
+    cc.args(["-Wall", "-Wextra", "-Werror", "-pthread", "-o"])
+        .arg(&binary);
+    cc.arg(format!("-I{source}/include"))
+        .arg(format!("{source}/tests/client.c"))
+        .arg(library());
     run(cc);
     let mut client = Command::new(&binary);
     client.args([threads.to_string(), jobs.to_string()]);
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -23,7 +23,11 @@
 impl Backoff {
     /// Waits from `first` to `last`.
     pub const fn new(first: Duration, last: Duration) -> Self {
-        Self { first, last, next: first }
+        Self {
+            first,
+            last,
+            next: first,
+        }
     }
 
     /// The next wait.
@@ -87,7 +91,10 @@
     fn waits_double_up_to_the_last_and_begin_again() {
         let ms = Duration::from_millis;
         let mut backoff = Backoff::new(ms(50), ms(150));
-        assert_eq!([0; 4].map(|_| backoff.wait()), [ms(50), ms(100), ms(150), ms(150)]);
+        assert_eq!(
+            [0; 4].map(|_| backoff.wait()),
+            [ms(50), ms(100), ms(150), ms(150)]
+        );
         backoff.reset();
         assert_eq!(backoff.wait(), ms(50));
     }
--- a/crates/nodeproto/src/codec.rs
+++ b/crates/nodeproto/src/codec.rs
@@ -6,7 +6,9 @@
 
 use crate::delta::{delta, put_delta};
 use crate::frame::{FrameError, Reader};
-use crate::message::{AttemptId, End, Group, Held, HeldState, Message, Reason, Repeat, Task, Topic};
+use crate::message::{
+    AttemptId, End, Group, Held, HeldState, Message, Reason, Repeat, Task, Topic,
+};
 use crate::versions::{Ballot, DeltaStep, Digest, Introduced, Order, Record, Stamp, Version};
 use crate::{MAX_NAME, MAX_PAYLOAD, MAX_PLAN, MAX_REPORT, MAX_TEXT};
 
@@ -46,7 +48,9 @@
 fn put_report(out: &mut Vec<u8>, report: &[f64]) {
     let report = &report[..report.len().min(MAX_REPORT)];
     out.push(report.len() as u8);
-    report.iter().for_each(|value| out.extend_from_slice(&value.to_be_bytes()));
+    report
+        .iter()
+        .for_each(|value| out.extend_from_slice(&value.to_be_bytes()));
 }
 
 fn put_attempt(out: &mut Vec<u8>, attempt: AttemptId) {
@@ -56,7 +60,13 @@
 }
 
 fn put_task(out: &mut Vec<u8>, task: &Task) {
-    for name in [&task.session, &task.job, &task.class, &task.tenant, &task.service] {
+    for name in [
+        &task.session,
+        &task.job,
+        &task.class,
+        &task.tenant,
+        &task.service,
+    ] {
         put_text(out, name, MAX_NAME);
     }
     out.push(match task.repeat {
@@ -144,11 +154,17 @@
             out.push(0);
             put_stamp(out, stamp);
         }
-        Order::Fetch { version, have: None } => {
+        Order::Fetch {
+            version,
+            have: None,
+        } => {
             out.push(1);
             put_version(out, version);
         }
-        Order::Fetch { version, have: Some(have) } => {
+        Order::Fetch {
+            version,
+            have: Some(have),
+        } => {
             out.push(7);
             put_version(out, version);
             put_version(out, have);
@@ -159,13 +175,23 @@
             put_delta(out, delta);
             out.extend_from_slice(&list.to_be_bytes());
         }
-        Order::Prepare { follows, ballot, list } => {
+        Order::Prepare {
+            follows,
+            ballot,
+            list,
+        } => {
             out.push(2);
             put_version(out, follows);
             put_ballot(out, ballot);
             out.extend_from_slice(&list.to_be_bytes());
         }
-        Order::Accept { follows, ballot, version, text, list } => {
+        Order::Accept {
+            follows,
+            ballot,
+            version,
+            text,
+            list,
+        } => {
             out.push(3);
             put_version(out, follows);
             put_ballot(out, ballot);
@@ -173,14 +199,23 @@
             put_text(out, text, MAX_PLAN);
             out.extend_from_slice(&list.to_be_bytes());
         }
-        Order::Joint { follows, version, text, list } => {
+        Order::Joint {
+            follows,
+            version,
+            text,
+            list,
+        } => {
             out.push(4);
             put_version(out, follows);
             put_version(out, version);
             put_text(out, text, MAX_PLAN);
             out.extend_from_slice(&list.to_be_bytes());
         }
-        Order::Force { version, text, list } => {
+        Order::Force {
+            version,
+            text,
+            list,
+        } => {
             out.push(5);
             put_version(out, version);
             put_text(out, text, MAX_PLAN);
@@ -198,8 +233,13 @@
     match message {
         Message::Hello { acts: Some(_), .. }
         | Message::Offer { stamp: Some(_), .. }
-        | Message::Welcome { record: Some(_), .. }
-        | Message::Refused { reason: Reason::Superseded, .. }
+        | Message::Welcome {
+            record: Some(_), ..
+        }
+        | Message::Refused {
+            reason: Reason::Superseded,
+            ..
+        }
         | Message::Plan(
             Order::Ask { .. }
             | Order::Fetch { have: None, .. }
@@ -211,9 +251,8 @@
         )
         | Message::Record(_)
         | Message::PlanText { .. } => 2,
-        Message::Plan(Order::Fetch { have: Some(_), .. } | Order::ByDelta { .. }) | Message::PlanDelta(_) => {
-            3
-        }
+        Message::Plan(Order::Fetch { have: Some(_), .. } | Order::ByDelta { .. })
+        | Message::PlanDelta(_) => 3,
         _ => 1,
     }
 }
@@ -233,7 +272,11 @@
 
 fn flags(message: &Message) -> u8 {
     match message {
-        Message::Welcome { record: Some(record), .. } | Message::Record(record) => {
+        Message::Welcome {
+            record: Some(record),
+            ..
+        }
+        | Message::Record(record) => {
             let learns = if record.learns { LEARNS } else { 0 };
             let deltas = if record.deltas { DELTAS } else { 0 };
             learns | deltas
@@ -244,12 +287,21 @@
 
 /// Appends the body of a message; returns what its header says.
 pub(crate) fn write(message: &Message, out: &mut Vec<u8>) -> Head {
-    Head { version: needs(message), kind: write_body(message, out), flags: flags(message) }
+    Head {
+        version: needs(message),
+        kind: write_body(message, out),
+        flags: flags(message),
+    }
 }
 
 fn write_body(message: &Message, out: &mut Vec<u8>) -> u8 {
     match message {
-        Message::Hello { placer, life, link, acts } => {
+        Message::Hello {
+            placer,
+            life,
+            link,
+            acts,
+        } => {
             put_text(out, placer, MAX_NAME);
             out.extend_from_slice(&life.to_be_bytes());
             out.extend_from_slice(&link.to_be_bytes());
@@ -259,7 +311,12 @@
             }
             kind::HELLO
         }
-        Message::Offer { attempt, task, within_ms, stamp } => {
+        Message::Offer {
+            attempt,
+            task,
+            within_ms,
+            stamp,
+        } => {
             put_attempt(out, *attempt);
             out.extend_from_slice(&within_ms.to_be_bytes());
             put_task(out, task);
@@ -286,7 +343,13 @@
             put_attempt(out, *attempt);
             kind::ACK
         }
-        Message::Welcome { node, life, up_ms, can_suspend, record } => {
+        Message::Welcome {
+            node,
+            life,
+            up_ms,
+            can_suspend,
+            record,
+        } => {
             put_text(out, node, MAX_NAME);
             out.extend_from_slice(&life.to_be_bytes());
             out.extend_from_slice(&up_ms.to_be_bytes());
@@ -297,7 +360,12 @@
         Message::Holds { held, last } => {
             out.push(u8::from(*last));
             out.extend_from_slice(&(held.len() as u16).to_be_bytes());
-            for Held { attempt, task, state } in held {
+            for Held {
+                attempt,
+                task,
+                state,
+            } in held
+            {
                 put_attempt(out, *attempt);
                 put_task(out, task);
                 match state {
@@ -318,20 +386,34 @@
             put_report(out, report);
             kind::ACCEPTED
         }
-        Message::Refused { attempt, reason, text, report } => {
+        Message::Refused {
+            attempt,
+            reason,
+            text,
+            report,
+        } => {
             put_attempt(out, *attempt);
             out.push(Reason::ALL.iter().position(|r| r == reason).unwrap_or(0) as u8);
             put_text(out, text, MAX_TEXT);
             put_report(out, report);
             kind::REFUSED
         }
-        Message::Note { attempt, topic, amount } => {
+        Message::Note {
+            attempt,
+            topic,
+            amount,
+        } => {
             put_attempt(out, *attempt);
             out.push(Topic::ALL.iter().position(|t| t == topic).unwrap_or(0) as u8 + 1);
             out.extend_from_slice(&amount.to_be_bytes());
             kind::NOTE
         }
-        Message::Ended { attempt, end, ran, report } => {
+        Message::Ended {
+            attempt,
+            end,
+            ran,
+            report,
+        } => {
             put_attempt(out, *attempt);
             put_end(out, end);
             out.push(u8::from(*ran));
@@ -374,7 +456,9 @@
 pub(crate) fn text(most: usize) -> impl FnMut(&mut Input<'_>) -> ModalResult<String> {
     move |input| {
         let bytes = length_take(be_u16).verify(|bytes: &[u8]| bytes.len() <= most);
-        bytes.try_map(|bytes| std::str::from_utf8(bytes).map(str::to_owned)).parse_next(input)
+        bytes
+            .try_map(|bytes| std::str::from_utf8(bytes).map(str::to_owned))
+            .parse_next(input)
     }
 }
 
@@ -383,28 +467,48 @@
 }
 
 fn flag(input: &mut Input<'_>) -> ModalResult<bool> {
-    u8.verify_map(|byte| [false, true].get(usize::from(byte)).copied()).parse_next(input)
+    u8.verify_map(|byte| [false, true].get(usize::from(byte)).copied())
+        .parse_next(input)
 }
 
 fn amount(input: &mut Input<'_>) -> ModalResult<f64> {
-    be_f64.verify(|value: &f64| value.is_finite()).parse_next(input)
+    be_f64
+        .verify(|value: &f64| value.is_finite())
+        .parse_next(input)
 }
 
 fn report(input: &mut Input<'_>) -> ModalResult<Vec<f64>> {
-    let count = u8.verify(|count| usize::from(*count) <= MAX_REPORT).parse_next(input)?;
-    (0..count).map(|_| amount.context(label("a value of the report")).parse_next(input)).collect()
+    let count = u8
+        .verify(|count| usize::from(*count) <= MAX_REPORT)
+        .parse_next(input)?;
+    (0..count)
+        .map(|_| {
+            amount
+                .context(label("a value of the report"))
+                .parse_next(input)
+        })
+        .collect()
 }
 
 fn attempt(input: &mut Input<'_>) -> ModalResult<AttemptId> {
     let ids = (be_u64, be_u64, be_u16).context(label("the attempt"));
-    ids.map(|(life, request, number)| AttemptId { life, request, number }).parse_next(input)
+    ids.map(|(life, request, number)| AttemptId {
+        life,
+        request,
+        number,
+    })
+    .parse_next(input)
 }
 
 fn task(input: &mut Input<'_>) -> ModalResult<Task> {
-    let (session, job) = (name.context(label("session")), name.context(label("job"))).parse_next(input)?;
-    let (class, tenant, service) =
-        (name.context(label("class")), name.context(label("tenant")), name.context(label("service")))
-            .parse_next(input)?;
+    let (session, job) =
+        (name.context(label("session")), name.context(label("job"))).parse_next(input)?;
+    let (class, tenant, service) = (
+        name.context(label("class")),
+        name.context(label("tenant")),
+        name.context(label("service")),
+    )
+        .parse_next(input)?;
     let repeat = u8.verify_map(|code| match code {
         0 => Some(Repeat::Safe),
         1 => Some(Repeat::Keyed),
@@ -419,14 +523,19 @@
         _ => None,
     });
     let group = group.context(label("group")).parse_next(input)?;
-    let (window_ms, key) = (be_u32, be_u64).context(label("window and key")).parse_next(input)?;
+    let (window_ms, key) = (be_u32, be_u64)
+        .context(label("window and key"))
+        .parse_next(input)?;
     let ask = amount.verify(|value: &f64| *value >= 0.0);
     let (cores, memory) = (ask, amount.verify(|value: &f64| *value >= 0.0))
         .context(label("cores and memory"))
         .parse_next(input)?;
     let life_ms = be_u64.context(label("life")).parse_next(input)?;
     let payload = length_take(be_u16).verify(|bytes: &[u8]| bytes.len() <= MAX_PAYLOAD);
-    let payload = payload.context(label("payload")).parse_next(input)?.to_vec();
+    let payload = payload
+        .context(label("payload"))
+        .parse_next(input)?
+        .to_vec();
     Ok(Task {
         session,
         job,
@@ -473,46 +582,81 @@
         }
         _ => return Err(ErrMode::Backtrack(ContextError::new())),
     };
-    Ok(Held { attempt, task, state })
+    Ok(Held {
+        attempt,
+        task,
+        state,
+    })
 }
 
 pub(crate) fn plan_version(input: &mut Input<'_>) -> ModalResult<Version> {
-    let digest =
-        winnow::token::take(16_usize).map(|bytes: &[u8]| Digest(bytes.try_into().unwrap_or_default()));
+    let digest = winnow::token::take(16_usize)
+        .map(|bytes: &[u8]| Digest(bytes.try_into().unwrap_or_default()));
     let version = (be_u64, digest).map(|(number, digest)| Version { number, digest });
-    version.context(label("the plan's version")).parse_next(input)
+    version
+        .context(label("the plan's version"))
+        .parse_next(input)
 }
 
 fn ballot(input: &mut Input<'_>) -> ModalResult<Ballot> {
-    (be_u64, be_u64).map(|(round, by)| Ballot { round, by }).context(label("the ballot")).parse_next(input)
+    (be_u64, be_u64)
+        .map(|(round, by)| Ballot { round, by })
+        .context(label("the ballot"))
+        .parse_next(input)
 }
 
 fn stamp(input: &mut Input<'_>) -> ModalResult<Stamp> {
     let (version, joint, list, build) = (plan_version, flag, be_u64, be_u32).parse_next(input)?;
-    Ok(Stamp { version, joint, list, build })
+    Ok(Stamp {
+        version,
+        joint,
+        list,
+        build,
+    })
 }
 
 fn record(input: &mut Input<'_>) -> ModalResult<Record> {
     let force = plan_version(input)?;
     let next = if flag(input)? {
         let (ballot, version, joint) = (ballot, plan_version, flag).parse_next(input)?;
-        Some(Introduced { ballot, version, joint })
+        Some(Introduced {
+            ballot,
+            version,
+            joint,
+        })
     } else {
         None
     };
     let (promised, list, floor_ms, linked, behind, stuck) =
-        (ballot, be_u64, be_u64, be_u16, be_u16, flag).context(label("the record")).parse_next(input)?;
+        (ballot, be_u64, be_u64, be_u16, be_u16, flag)
+            .context(label("the record"))
+            .parse_next(input)?;
     // Whether it is a learner's, and whether the node reads deltas, the header says.
-    Ok(Record { force, next, promised, list, floor_ms, linked, behind, stuck, learns: false, deltas: false })
+    Ok(Record {
+        force,
+        next,
+        promised,
+        list,
+        floor_ms,
+        linked,
+        behind,
+        stuck,
+        learns: false,
+        deltas: false,
+    })
 }
 
 fn plan_text(input: &mut Input<'_>) -> ModalResult<String> {
-    text(MAX_PLAN).context(label("the plan's text")).parse_next(input)
+    text(MAX_PLAN)
+        .context(label("the plan's text"))
+        .parse_next(input)
 }
 
 fn step(input: &mut Input<'_>) -> ModalResult<DeltaStep> {
     Ok(match u8.context(label("the step")).parse_next(input)? {
-        0 => DeltaStep::Accept { ballot: ballot(input)? },
+        0 => DeltaStep::Accept {
+            ballot: ballot(input)?,
+        },
         1 => DeltaStep::Joint,
         2 => DeltaStep::Force,
         _ => return Err(ErrMode::Backtrack(ContextError::new())),
@@ -521,30 +665,59 @@
 
 fn order(version: u8, input: &mut Input<'_>) -> ModalResult<Order> {
     Ok(match u8.context(label("the order")).parse_next(input)? {
-        0 => Order::Ask { stamp: stamp(input)? },
-        1 => Order::Fetch { version: plan_version(input)?, have: None },
+        0 => Order::Ask {
+            stamp: stamp(input)?,
+        },
+        1 => Order::Fetch {
+            version: plan_version(input)?,
+            have: None,
+        },
         2 => {
             let (follows, ballot, list) = (plan_version, ballot, be_u64).parse_next(input)?;
-            Order::Prepare { follows, ballot, list }
+            Order::Prepare {
+                follows,
+                ballot,
+                list,
+            }
         }
         3 => {
             let (follows, ballot, version, text, list) =
                 (plan_version, ballot, plan_version, plan_text, be_u64).parse_next(input)?;
-            Order::Accept { follows, ballot, version, text, list }
+            Order::Accept {
+                follows,
+                ballot,
+                version,
+                text,
+                list,
+            }
         }
         4 => {
             let (follows, version, text, list) =
                 (plan_version, plan_version, plan_text, be_u64).parse_next(input)?;
-            Order::Joint { follows, version, text, list }
+            Order::Joint {
+                follows,
+                version,
+                text,
+                list,
+            }
         }
         5 => {
             let (version, text, list) = (plan_version, plan_text, be_u64).parse_next(input)?;
-            Order::Force { version, text, list }
+            Order::Force {
+                version,
+                text,
+                list,
+            }
         }
-        6 => Order::Raise { stamp: stamp(input)? },
+        6 => Order::Raise {
+            stamp: stamp(input)?,
+        },
         7 if version >= 3 => {
             let (version, have) = (plan_version, plan_version).parse_next(input)?;
-            Order::Fetch { version, have: Some(have) }
+            Order::Fetch {
+                version,
+                have: Some(have),
+            }
         }
         8 if version >= 3 => {
             let (step, delta, list) = (step, delta, be_u64).parse_next(input)?;
@@ -560,7 +733,11 @@
     read: impl Fn(&mut Input<'_>) -> ModalResult<T>,
     input: &mut Input<'_>,
 ) -> ModalResult<Option<T>> {
-    if version < 2 { Ok(None) } else { read(input).map(Some) }
+    if version < 2 {
+        Ok(None)
+    } else {
+        read(input).map(Some)
+    }
 }
 
 fn body(version: u8, kind: u8, input: &mut Input<'_>) -> ModalResult<Option<Message>> {
@@ -568,22 +745,49 @@
         kind::HELLO => {
             let (placer, life, link) = (name, be_u64, be_u64).parse_next(input)?;
             let acts = from_two(version, |input| (stamp, name).parse_next(input), input)?;
-            Message::Hello { placer, life, link, acts }
+            Message::Hello {
+                placer,
+                life,
+                link,
+                acts,
+            }
         }
         kind::OFFER => {
             let (attempt, within_ms, task) = (attempt, be_u32, task).parse_next(input)?;
             let stamp = from_two(version, stamp, input)?;
-            Message::Offer { attempt, task: Box::new(task), within_ms, stamp }
+            Message::Offer {
+                attempt,
+                task: Box::new(task),
+                within_ms,
+                stamp,
+            }
         }
-        kind::STOP => Message::Stop { attempt: attempt(input)? },
-        kind::PROBE => Message::Probe { nonce: be_u64.parse_next(input)? },
-        kind::SUSPEND => Message::Suspend { attempt: attempt(input)? },
-        kind::RESUME => Message::Resume { attempt: attempt(input)? },
-        kind::ACK => Message::Ack { attempt: attempt(input)? },
+        kind::STOP => Message::Stop {
+            attempt: attempt(input)?,
+        },
+        kind::PROBE => Message::Probe {
+            nonce: be_u64.parse_next(input)?,
+        },
+        kind::SUSPEND => Message::Suspend {
+            attempt: attempt(input)?,
+        },
+        kind::RESUME => Message::Resume {
+            attempt: attempt(input)?,
+        },
+        kind::ACK => Message::Ack {
+            attempt: attempt(input)?,
+        },
         kind::WELCOME => {
-            let (node, life, up_ms, can_suspend) = (name, be_u64, be_u64, flag).parse_next(input)?;
+            let (node, life, up_ms, can_suspend) =
+                (name, be_u64, be_u64, flag).parse_next(input)?;
             let record = from_two(version, record, input)?;
-            Message::Welcome { node, life, up_ms, can_suspend, record }
+            Message::Welcome {
+                node,
+                life,
+                up_ms,
+                can_suspend,
+                record,
+            }
         }
         kind::HOLDS => {
             let (last, count) = (flag, be_u16).parse_next(input)?;
@@ -597,20 +801,40 @@
         }
         kind::REFUSED => {
             let reason = u8.verify_map(|code| Reason::ALL.get(usize::from(code)).copied());
-            let (attempt, reason, text, report) =
-                (attempt, reason.context(label("reason")), text(MAX_TEXT), report).parse_next(input)?;
-            Message::Refused { attempt, reason, text, report }
+            let (attempt, reason, text, report) = (
+                attempt,
+                reason.context(label("reason")),
+                text(MAX_TEXT),
+                report,
+            )
+                .parse_next(input)?;
+            Message::Refused {
+                attempt,
+                reason,
+                text,
+                report,
+            }
         }
         kind::NOTE => {
-            let topic = u8.verify_map(|code| Topic::ALL.get(usize::from(code).checked_sub(1)?).copied());
+            let topic =
+                u8.verify_map(|code| Topic::ALL.get(usize::from(code).checked_sub(1)?).copied());
             let (attempt, topic, amount) =
                 (attempt, topic.context(label("topic")), amount).parse_next(input)?;
-            Message::Note { attempt, topic, amount }
+            Message::Note {
+                attempt,
+                topic,
+                amount,
+            }
         }
         kind::ENDED => {
             let (attempt, end, ran, report) =
                 (attempt, end.context(label("end")), flag, report).parse_next(input)?;
-            Message::Ended { attempt, end, ran, report }
+            Message::Ended {
+                attempt,
+                end,
+                ran,
+                report,
+            }
         }
         kind::REPORT => {
             let (nonce, report) = (be_u64, report).parse_next(input)?;
@@ -629,7 +853,12 @@
 
 /// Gives the record of a message what its header says.
 fn mark(message: &mut Message, flags: u8) {
-    if let Message::Welcome { record: Some(record), .. } | Message::Record(record) = message {
+    if let Message::Welcome {
+        record: Some(record),
+        ..
+    }
+    | Message::Record(record) = message
+    {
         record.learns = flags & LEARNS != 0;
         record.deltas = flags & DELTAS != 0;
     }
@@ -637,7 +866,11 @@
 
 /// Reads the body of a frame. Flags that are not known here are passed by.
 pub(crate) fn read(head: Head, bytes: &[u8]) -> Result<Message, FrameError> {
-    let Head { version, kind, flags } = head;
+    let Head {
+        version,
+        kind,
+        flags,
+    } = head;
     let mut input = bytes;
     let fault = |field: String| FrameError::Field { kind, field };
     match body(version, kind, &mut input) {
@@ -654,7 +887,10 @@
                 StrContext::Label(text) => Some(*text),
                 _ => None,
             });
-            Err(fault(format!("{} can't be read at byte {at}", named.unwrap_or("a field"))))
+            Err(fault(format!(
+                "{} can't be read at byte {at}",
+                named.unwrap_or("a field")
+            )))
         }
     }
 }
@@ -666,6 +902,12 @@
 pub fn decode(frame: &[u8]) -> Result<Message, FrameError> {
     let mut reader = Reader::default();
     reader.push(frame);
-    let cut = FrameError::Field { kind: frame.get(5).copied().unwrap_or(0), field: "cut short".into() };
-    reader.next_message()?.map(|(message, _)| message).ok_or(cut)
+    let cut = FrameError::Field {
+        kind: frame.get(5).copied().unwrap_or(0),
+        field: "cut short".into(),
+    };
+    reader
+        .next_message()?
+        .map(|(message, _)| message)
+        .ok_or(cut)
 }
--- a/crates/nodeproto/src/delta.rs
+++ b/crates/nodeproto/src/delta.rs
@@ -33,7 +33,13 @@
 
 impl Table {
     /// Every table; its place here, from 1, is its code on the wire.
-    pub const ALL: [Self; 5] = [Self::Kind, Self::Class, Self::Tenant, Self::Category, Self::Constraint];
+    pub const ALL: [Self; 5] = [
+        Self::Kind,
+        Self::Class,
+        Self::Tenant,
+        Self::Category,
+        Self::Constraint,
+    ];
 
     /// Its name in the settings.
     pub const fn word(self) -> &'static str {
@@ -173,7 +179,9 @@
     }
     let table = Table::ALL.get(usize::from(code - 1)).copied();
     let table = table.ok_or_else(|| ErrMode::Backtrack(ContextError::new()))?;
-    let name = text(MAX_NAME).context(label("a section's name")).parse_next(input)?;
+    let name = text(MAX_NAME)
+        .context(label("a section's name"))
+        .parse_next(input)?;
     Ok(SectionKey::Named { table, name })
 }
 
@@ -181,7 +189,9 @@
     match u8.context(label("an edit")).parse_next(input)? {
         PUT => {
             let (key, at) = (key, be_u16).parse_next(input)?;
-            let text = text(MAX_PLAN).context(label("a section's text")).parse_next(input)?;
+            let text = text(MAX_PLAN)
+                .context(label("a section's text"))
+                .parse_next(input)?;
             Ok(Edit::Put { key, at, text })
         }
         REMOVE => Ok(Edit::Remove { key: key(input)? }),
@@ -191,8 +201,14 @@
 
 pub(crate) fn delta(input: &mut Input<'_>) -> ModalResult<Delta> {
     let (base, target) = (plan_version, plan_version).parse_next(input)?;
-    let count = be_u16.context(label("the count of edits")).parse_next(input)?;
+    let count = be_u16
+        .context(label("the count of edits"))
+        .parse_next(input)?;
     // Nothing is set aside by the count: the body's length bounds what can follow.
     let edits: ModalResult<Vec<Edit>> = (0..count).map(|_| edit(input)).collect();
-    Ok(Delta { base, target, edits: edits? })
+    Ok(Delta {
+        base,
+        target,
+        edits: edits?,
+    })
 }
--- a/crates/nodeproto/src/frame.rs
+++ b/crates/nodeproto/src/frame.rs
@@ -93,7 +93,14 @@
         if rest[body..body + TRAILER] != sum {
             return Err(FrameError::Checksum);
         }
-        let message = codec::read(Head { version, kind, flags }, &rest[HEADER..body])?;
+        let message = codec::read(
+            Head {
+                version,
+                kind,
+                flags,
+            },
+            &rest[HEADER..body],
+        )?;
         let from = self.at;
         self.at += body + TRAILER;
         Ok(Some((message, &self.buffer[from..self.at])))
--- a/crates/nodeproto/src/message.rs
+++ b/crates/nodeproto/src/message.rs
@@ -166,8 +166,15 @@
 
 impl Topic {
     /// Every topic, in the order of its code on the wire, which starts at 1.
-    pub const ALL: [Self; 7] =
-        [Self::Runs, Self::Cores, Self::Memory, Self::Served, Self::Pressure, Self::Suspended, Self::Resumed];
+    pub const ALL: [Self; 7] = [
+        Self::Runs,
+        Self::Cores,
+        Self::Memory,
+        Self::Served,
+        Self::Pressure,
+        Self::Suspended,
+        Self::Resumed,
+    ];
 }
 
 /// The state of a task that a node holds.
--- a/crates/nodeproto/src/traffic.rs
+++ b/crates/nodeproto/src/traffic.rs
@@ -208,7 +208,10 @@
     }
 
     fn count(&self) -> Count {
-        Count { messages: self.messages.load(Ordering::Relaxed), bytes: self.bytes.load(Ordering::Relaxed) }
+        Count {
+            messages: self.messages.load(Ordering::Relaxed),
+            bytes: self.bytes.load(Ordering::Relaxed),
+        }
     }
 }
 
@@ -245,7 +248,10 @@
     /// The counters of every peer so far, by name.
     pub fn peers(&self) -> Vec<(String, Arc<Traffic>)> {
         let peers = self.peers.lock().unwrap_or_else(PoisonError::into_inner);
-        peers.iter().map(|(name, traffic)| (name.clone(), Arc::clone(traffic))).collect()
+        peers
+            .iter()
+            .map(|(name, traffic)| (name.clone(), Arc::clone(traffic)))
+            .collect()
     }
 }
 
@@ -257,7 +263,12 @@
     fn kinds_stand_in_the_order_of_their_counters_and_have_names_of_their_own() {
         for (n, kind) in MessageKind::ALL.into_iter().enumerate() {
             assert_eq!(kind as usize, n);
-            assert!(MessageKind::ALL[..n].iter().all(|other| other.name() != kind.name()), "{kind:?}");
+            assert!(
+                MessageKind::ALL[..n]
+                    .iter()
+                    .all(|other| other.name() != kind.name()),
+                "{kind:?}"
+            );
         }
     }
 
@@ -268,17 +279,37 @@
         let link = traffic.of("node-1");
         link.wrote(&probe, 20);
         link.wrote(&probe, 22);
-        traffic.of("node-1").read(&Message::Report { nonce: 1, report: Vec::new() }, 30);
+        traffic.of("node-1").read(
+            &Message::Report {
+                nonce: 1,
+                report: Vec::new(),
+            },
+            30,
+        );
         traffic.of("node-2");
-        let [(first, of_first), (second, of_second)] = &traffic.peers()[..] else { panic!("two peers") };
+        let [(first, of_first), (second, of_second)] = &traffic.peers()[..] else {
+            panic!("two peers")
+        };
         assert_eq!((first.as_str(), second.as_str()), ("node-1", "node-2"));
         let [written, read] = of_first.counts();
         for kind in MessageKind::ALL {
             let expected = |counted: MessageKind, messages, bytes| {
-                if kind == counted { Count { messages, bytes } } else { Count::default() }
+                if kind == counted {
+                    Count { messages, bytes }
+                } else {
+                    Count::default()
+                }
             };
-            assert_eq!(written[kind as usize], expected(MessageKind::Probe, 2, 42), "{kind:?}");
-            assert_eq!(read[kind as usize], expected(MessageKind::Report, 1, 30), "{kind:?}");
+            assert_eq!(
+                written[kind as usize],
+                expected(MessageKind::Probe, 2, 42),
+                "{kind:?}"
+            );
+            assert_eq!(
+                read[kind as usize],
+                expected(MessageKind::Report, 1, 30),
+                "{kind:?}"
+            );
         }
         assert_eq!(of_second.counts(), <[Counts; 2]>::default());
     }
--- a/crates/nodeproto/src/versions.rs
+++ b/crates/nodeproto/src/versions.rs
@@ -8,7 +8,10 @@
 
 impl std::fmt::Display for Digest {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        self.0.iter().take(4).try_for_each(|byte| write!(f, "{byte:02x}"))
+        self.0
+            .iter()
+            .take(4)
+            .try_for_each(|byte| write!(f, "{byte:02x}"))
     }
 }
 
@@ -57,7 +60,10 @@
 
 /// Where between two plans something stands: twice the number, and one less where it is joint with the one before.
 pub fn level(version: Version, joint: bool) -> u64 {
-    version.number.saturating_mul(2).saturating_sub(u64::from(joint))
+    version
+        .number
+        .saturating_mul(2)
+        .saturating_sub(u64::from(joint))
 }
 
 impl Stamp {
--- a/crates/nodeproto/tests/frames.rs
+++ b/crates/nodeproto/tests/frames.rs
@@ -15,20 +15,22 @@
     let names = prop::collection::vec("[a-zäöü0-9./-]{0,12}", 5);
     let asks = (0.0..1e6, 0.0..1e6, any::<u64>(), any::<u64>(), any::<u32>());
     let payload = prop::collection::vec(any::<u8>(), 0..64);
-    (names, asks, payload, 0..3_u8, 0..3_u8).prop_map(|(names, asks, payload, repeat, group)| Task {
-        session: names[0].clone(),
-        job: names[1].clone(),
-        class: names[2].clone(),
-        tenant: names[3].clone(),
-        service: names[4].clone(),
-        repeat: [Repeat::Safe, Repeat::Keyed, Repeat::Unsafe][usize::from(repeat)],
-        group: [Group::All, Group::Hall, Group::Rack][usize::from(group)],
-        window_ms: asks.4,
-        key: asks.3,
-        cores: asks.0,
-        memory: asks.1,
-        life_ms: asks.2,
-        payload,
+    (names, asks, payload, 0..3_u8, 0..3_u8).prop_map(|(names, asks, payload, repeat, group)| {
+        Task {
+            session: names[0].clone(),
+            job: names[1].clone(),
+            class: names[2].clone(),
+            tenant: names[3].clone(),
+            service: names[4].clone(),
+            repeat: [Repeat::Safe, Repeat::Keyed, Repeat::Unsafe][usize::from(repeat)],
+            group: [Group::All, Group::Hall, Group::Rack][usize::from(group)],
+            window_ms: asks.4,
+            key: asks.3,
+            cores: asks.0,
+            memory: asks.1,
+            life_ms: asks.2,
+            payload,
+        }
     })
 }
 
@@ -53,7 +55,11 @@
         Just(HeldState::Suspended),
         (end(), any::<bool>()).prop_map(|(end, ran)| HeldState::Ended { end, ran }),
     ];
-    (attempt(), task(), state).prop_map(|(attempt, task, state)| Held { attempt, task, state })
+    (attempt(), task(), state).prop_map(|(attempt, task, state)| Held {
+        attempt,
+        task,
+        state,
+    })
 }
 
 fn report() -> impl Strategy<Value = Vec<f64>> {
@@ -61,7 +67,10 @@
 }
 
 fn version() -> impl Strategy<Value = Version> {
-    (any::<u64>(), any::<[u8; 16]>()).prop_map(|(number, digest)| Version { number, digest: Digest(digest) })
+    (any::<u64>(), any::<[u8; 16]>()).prop_map(|(number, digest)| Version {
+        number,
+        digest: Digest(digest),
+    })
 }
 
 fn ballot() -> impl Strategy<Value = Ballot> {
@@ -69,66 +78,133 @@
 }
 
 fn stamp() -> impl Strategy<Value = Stamp> {
-    (version(), any::<bool>(), any::<u64>(), any::<u32>()).prop_map(|(version, joint, list, build)| Stamp {
-        version,
-        joint,
-        list,
-        build,
-    })
+    (version(), any::<bool>(), any::<u64>(), any::<u32>()).prop_map(
+        |(version, joint, list, build)| Stamp {
+            version,
+            joint,
+            list,
+            build,
+        },
+    )
 }
 
 fn record() -> impl Strategy<Value = Record> {
     let next = (ballot(), version(), any::<bool>());
-    let next = next.prop_map(|(ballot, version, joint)| Introduced { ballot, version, joint });
+    let next = next.prop_map(|(ballot, version, joint)| Introduced {
+        ballot,
+        version,
+        joint,
+    });
     let flags = (any::<bool>(), any::<bool>(), any::<bool>());
-    let rest = (any::<u64>(), any::<u64>(), any::<u16>(), any::<u16>(), flags);
+    let rest = (
+        any::<u64>(),
+        any::<u64>(),
+        any::<u16>(),
+        any::<u16>(),
+        flags,
+    );
     (version(), prop::option::of(next), ballot(), rest).prop_map(
-        |(force, next, promised, (list, floor_ms, linked, behind, (stuck, learns, deltas)))| Record {
-            force,
-            next,
-            promised,
-            list,
-            floor_ms,
-            linked,
-            behind,
-            stuck,
-            learns,
-            deltas,
+        |(force, next, promised, (list, floor_ms, linked, behind, (stuck, learns, deltas)))| {
+            Record {
+                force,
+                next,
+                promised,
+                list,
+                floor_ms,
+                linked,
+                behind,
+                stuck,
+                learns,
+                deltas,
+            }
         },
     )
 }
 
 fn delta(base: Version, target: Version, text: &str) -> Delta {
-    let key = SectionKey::Named { table: Table::Tenant, name: format!("\"{text}\"") };
-    let put = Edit::Put { key: SectionKey::Site, at: 3, text: text.to_owned() };
-    Delta { base, target, edits: vec![Edit::Remove { key }, put] }
+    let key = SectionKey::Named {
+        table: Table::Tenant,
+        name: format!("\"{text}\""),
+    };
+    let put = Edit::Put {
+        key: SectionKey::Site,
+        at: 3,
+        text: text.to_owned(),
+    };
+    Delta {
+        base,
+        target,
+        edits: vec![Edit::Remove { key }, put],
+    }
 }
 
 fn order() -> impl Strategy<Value = Order> {
-    let all = (0..9, stamp(), version(), ballot(), "[a-z\n =]{0,40}", any::<u64>());
+    let all = (
+        0..9,
+        stamp(),
+        version(),
+        ballot(),
+        "[a-z\n =]{0,40}",
+        any::<u64>(),
+    );
     all.prop_map(|(kind, stamp, version, ballot, text, list)| match kind {
         0 => Order::Ask { stamp },
-        1 => Order::Fetch { version, have: None },
-        6 => Order::Fetch { version, have: Some(stamp.version) },
+        1 => Order::Fetch {
+            version,
+            have: None,
+        },
+        6 => Order::Fetch {
+            version,
+            have: Some(stamp.version),
+        },
         7 => {
-            let step = [DeltaStep::Accept { ballot }, DeltaStep::Joint, DeltaStep::Force][list as usize % 3];
-            Order::ByDelta { step, delta: delta(stamp.version, version, &text), list }
+            let step = [
+                DeltaStep::Accept { ballot },
+                DeltaStep::Joint,
+                DeltaStep::Force,
+            ][list as usize % 3];
+            Order::ByDelta {
+                step,
+                delta: delta(stamp.version, version, &text),
+                list,
+            }
         }
-        2 => Order::Prepare { follows: stamp.version, ballot, list },
-        3 => Order::Accept { follows: stamp.version, ballot, version, text, list },
-        4 => Order::Joint { follows: stamp.version, version, text, list },
-        5 => Order::Force { version, text, list },
+        2 => Order::Prepare {
+            follows: stamp.version,
+            ballot,
+            list,
+        },
+        3 => Order::Accept {
+            follows: stamp.version,
+            ballot,
+            version,
+            text,
+            list,
+        },
+        4 => Order::Joint {
+            follows: stamp.version,
+            version,
+            text,
+            list,
+        },
+        5 => Order::Force {
+            version,
+            text,
+            list,
+        },
         _ => Order::Raise { stamp },
     })
 }
 
 fn message() -> impl Strategy<Value = Message> {
     prop_oneof![
-        ("[a-z]{0,9}", any::<u64>(), any::<u64>()).prop_map(|(placer, life, link)| Message::Hello {
-            placer,
-            life,
-            link,
-            acts: None,
+        ("[a-z]{0,9}", any::<u64>(), any::<u64>()).prop_map(|(placer, life, link)| {
+            Message::Hello {
+                placer,
+                life,
+                link,
+                acts: None,
+            }
         }),
         ("[a-z]{0,9}", any::<u64>(), stamp()).prop_map(|(placer, life, stamp)| Message::Hello {
             placer,
@@ -152,33 +228,49 @@
         attempt().prop_map(|attempt| Message::Stop { attempt }),
         attempt().prop_map(|attempt| Message::Ack { attempt }),
         any::<u64>().prop_map(|nonce| Message::Probe { nonce }),
-        ("[a-z]{0,9}", any::<u64>(), any::<u64>(), any::<bool>(), prop::option::of(record())).prop_map(
-            |(node, life, up_ms, can_suspend, record)| Message::Welcome {
-                node,
-                life,
-                up_ms,
-                can_suspend,
-                record
-            }
-        ),
+        (
+            "[a-z]{0,9}",
+            any::<u64>(),
+            any::<u64>(),
+            any::<bool>(),
+            prop::option::of(record())
+        )
+            .prop_map(
+                |(node, life, up_ms, can_suspend, record)| Message::Welcome {
+                    node,
+                    life,
+                    up_ms,
+                    can_suspend,
+                    record
+                }
+            ),
         (prop::collection::vec(held(), 0..5), any::<bool>())
             .prop_map(|(held, last)| Message::Holds { held, last }),
         (attempt(), report()).prop_map(|(attempt, report)| Message::Accepted { attempt, report }),
         (attempt(), 0..Reason::ALL.len(), "[a-z ]{0,30}", report()).prop_map(
             |(attempt, reason, text, report)| {
-                Message::Refused { attempt, reason: Reason::ALL[reason], text, report }
+                Message::Refused {
+                    attempt,
+                    reason: Reason::ALL[reason],
+                    text,
+                    report,
+                }
             }
         ),
-        (attempt(), 0..Topic::ALL.len(), 0.0..1e9).prop_map(|(attempt, topic, amount)| Message::Note {
-            attempt,
-            topic: Topic::ALL[topic],
-            amount
+        (attempt(), 0..Topic::ALL.len(), 0.0..1e9).prop_map(|(attempt, topic, amount)| {
+            Message::Note {
+                attempt,
+                topic: Topic::ALL[topic],
+                amount,
+            }
         }),
-        (attempt(), end(), any::<bool>(), report()).prop_map(|(attempt, end, ran, report)| Message::Ended {
-            attempt,
-            end,
-            ran,
-            report
+        (attempt(), end(), any::<bool>(), report()).prop_map(|(attempt, end, ran, report)| {
+            Message::Ended {
+                attempt,
+                end,
+                ran,
+                report,
+            }
         }),
         (any::<u64>(), report()).prop_map(|(nonce, report)| Message::Report { nonce, report }),
     ]
@@ -227,16 +319,31 @@
     let mut reader = Reader::default();
     reader.push(&[0, 0, 0, 8, 9, 4, 0, 0]);
     assert_eq!(reader.next_message().unwrap_err(), FrameError::Version(9));
-    let long = Message::Hello { placer: "ä".repeat(MAX_NAME), life: 1, link: 1, acts: None };
-    let Message::Hello { placer, .. } = decode(&encode(&long)).unwrap() else { panic!("no hello") };
+    let long = Message::Hello {
+        placer: "ä".repeat(MAX_NAME),
+        life: 1,
+        link: 1,
+        acts: None,
+    };
+    let Message::Hello { placer, .. } = decode(&encode(&long)).unwrap() else {
+        panic!("no hello")
+    };
     assert_eq!(placer.len(), MAX_NAME);
 }
 
 #[test]
 fn the_bytes_of_a_frame_stay_as_documented() {
-    let stop = Message::Stop { attempt: AttemptId { life: 1, request: 2, number: 3 } };
+    let stop = Message::Stop {
+        attempt: AttemptId {
+            life: 1,
+            request: 2,
+            number: 3,
+        },
+    };
     let bytes = encode(&stop);
-    let want = [0, 0, 0, 18, 1, 3, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 2, 0, 3];
+    let want = [
+        0, 0, 0, 18, 1, 3, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 2, 0, 3,
+    ];
     assert_eq!(bytes[..26], want);
     assert_eq!(bytes[26..], crc32c::crc32c(&want).to_be_bytes());
 }
@@ -254,23 +361,38 @@
 /// Ends of the former version: what they write is read, and what is written to them is what they always read.
 #[test]
 fn ends_of_version_2_and_3_read_each_other() {
-    let version = Version { number: 5, digest: Digest([7; 16]) };
+    let version = Version {
+        number: 5,
+        digest: Digest([7; 16]),
+    };
     let told: Vec<u8> = [&5_u64.to_be_bytes()[..], &[7; 16]].concat();
     // What a placer of version 2 asks for, and what one of version 3 asks a node of version 2 for.
     let ask_in_full = frame(2, 8, 0, &[&[1], &told[..]].concat());
-    let fetch = Message::Plan(Order::Fetch { version, have: None });
+    let fetch = Message::Plan(Order::Fetch {
+        version,
+        have: None,
+    });
     assert_eq!(encode(&fetch), ask_in_full);
     assert_eq!(decode(&ask_in_full).unwrap(), fetch);
     // What only version 3 has says so in its header, and is none of version 2.
-    let have = Version { number: 4, digest: Digest([6; 16]) };
+    let have = Version {
+        number: 4,
+        digest: Digest([6; 16]),
+    };
     let had = [&4_u64.to_be_bytes()[..], &[6; 16]].concat();
     let body = [&[7], &told[..], &had].concat();
-    let fetch = Message::Plan(Order::Fetch { version, have: Some(have) });
+    let fetch = Message::Plan(Order::Fetch {
+        version,
+        have: Some(have),
+    });
     assert_eq!(encode(&fetch), frame(3, 8, 0, &body));
     assert_eq!(decode(&frame(3, 8, 0, &body)).unwrap(), fetch);
     assert!(decode(&frame(2, 8, 0, &body)).is_err());
-    let accept =
-        Message::Plan(Order::ByDelta { step: DeltaStep::Joint, delta: delta(have, version, "t"), list: 1 });
+    let accept = Message::Plan(Order::ByDelta {
+        step: DeltaStep::Joint,
+        delta: delta(have, version, "t"),
+        list: 1,
+    });
     let bytes = encode(&accept);
     assert_eq!((bytes[4], bytes[8]), (3, 8));
     assert!(decode(&frame(2, 8, 0, &bytes[8..bytes.len() - 4])).is_err());
@@ -279,7 +401,10 @@
 /// A record is of version 2 to the byte: that its node reads deltas is a flag that former ends pass by.
 #[test]
 fn a_record_tells_former_ends_nothing_new() {
-    let version = Version { number: 5, digest: Digest([7; 16]) };
+    let version = Version {
+        number: 5,
+        digest: Digest([7; 16]),
+    };
     let body = [
         &[0, 0, 0, 0, 0, 0, 0, 5][..],
         &[7; 16],
@@ -299,16 +424,36 @@
         stuck: true,
         ..Record::default()
     };
-    let deltas = Record { deltas: true, ..record };
+    let deltas = Record {
+        deltas: true,
+        ..record
+    };
     assert_eq!(encode(&Message::Record(record)), frame(2, 72, 0, &body));
     assert_eq!(encode(&Message::Record(deltas)), frame(2, 72, 2, &body));
-    assert_eq!(decode(&frame(2, 72, 0, &body)).unwrap(), Message::Record(record));
-    assert_eq!(decode(&frame(2, 72, 2, &body)).unwrap(), Message::Record(deltas));
+    assert_eq!(
+        decode(&frame(2, 72, 0, &body)).unwrap(),
+        Message::Record(record)
+    );
+    assert_eq!(
+        decode(&frame(2, 72, 2, &body)).unwrap(),
+        Message::Record(deltas)
+    );
     // Flags that are not known yet are passed by, and so they are on messages without a record.
-    assert_eq!(decode(&frame(2, 72, 0xf0, &body)).unwrap(), Message::Record(record));
-    assert_eq!(decode(&frame(1, 4, 2, &[0; 8])).unwrap(), Message::Probe { nonce: 0 });
-    let welcome =
-        |record| Message::Welcome { node: "n".into(), life: 1, up_ms: 2, can_suspend: false, record };
+    assert_eq!(
+        decode(&frame(2, 72, 0xf0, &body)).unwrap(),
+        Message::Record(record)
+    );
+    assert_eq!(
+        decode(&frame(1, 4, 2, &[0; 8])).unwrap(),
+        Message::Probe { nonce: 0 }
+    );
+    let welcome = |record| Message::Welcome {
+        node: "n".into(),
+        life: 1,
+        up_ms: 2,
+        can_suspend: false,
+        record,
+    };
     let bytes = encode(&welcome(Some(deltas)));
     assert_eq!((bytes[4], bytes[6]), (2, 2));
     assert_eq!(decode(&bytes).unwrap(), welcome(Some(deltas)));
@@ -348,17 +493,39 @@
 }
 
 fn learner_record() -> Record {
-    let version = Version { number: 7, digest: Digest([9; 16]) };
-    let next = Some(Introduced { ballot: Ballot::default(), version, joint: true });
-    Record { next, floor_ms: 5, linked: 3, behind: 1, stuck: true, learns: true, ..Record::default() }
+    let version = Version {
+        number: 7,
+        digest: Digest([9; 16]),
+    };
+    let next = Some(Introduced {
+        ballot: Ballot::default(),
+        version,
+        joint: true,
+    });
+    Record {
+        next,
+        floor_ms: 5,
+        linked: 3,
+        behind: 1,
+        stuck: true,
+        learns: true,
+        ..Record::default()
+    }
 }
 
 #[test]
 fn a_record_of_the_former_version_is_read_as_a_voters() {
-    let record = Record { learns: false, ..learner_record() };
+    let record = Record {
+        learns: false,
+        ..learner_record()
+    };
     let bytes = former_frame(72, &former_body(&record));
     assert_eq!(decode(&bytes), Ok(Message::Record(record)));
-    assert_eq!(encode(&Message::Record(record)), bytes, "what keeps plans writes what it always wrote");
+    assert_eq!(
+        encode(&Message::Record(record)),
+        bytes,
+        "what keeps plans writes what it always wrote"
+    );
 }
 
 /// An end of the former version passes bytes 6 and 7 of the header by, and reads the body that it always read.
@@ -386,6 +553,12 @@
 
 #[test]
 fn the_level_of_any_number_that_a_frame_can_hold_is_a_level() {
-    let version = Version { number: u64::MAX, ..Version::default() };
-    assert_eq!((level(version, false), level(version, true)), (u64::MAX, u64::MAX - 1));
+    let version = Version {
+        number: u64::MAX,
+        ..Version::default()
+    };
+    assert_eq!(
+        (level(version, false), level(version, true)),
+        (u64::MAX, u64::MAX - 1)
+    );
 }
--- a/crates/placer/src/clients.rs
+++ b/crates/placer/src/clients.rs
@@ -59,7 +59,12 @@
 }
 
 /// Accepts connections up to the limit; one more is told so and closed.
-pub(crate) async fn accept(listener: Listener, limit: usize, shared: Arc<Shared>, came: mpsc::Sender<Came>) {
+pub(crate) async fn accept(
+    listener: Listener,
+    limit: usize,
+    shared: Arc<Shared>,
+    came: mpsc::Sender<Came>,
+) {
     let (places, numbers) = (Arc::new(Semaphore::new(limit)), AtomicU64::new(1));
     loop {
         let conn = numbers.fetch_add(1, Ordering::Relaxed);
@@ -95,7 +100,13 @@
     let (shared, came) = (Arc::clone(shared), came.clone());
     let under_way = Arc::new(Semaphore::new(UNDER_WAY));
     let (out, responses) = mpsc::unbounded_channel();
-    let writer = tokio::spawn(writes(conn, write, responses, Arc::clone(&under_way), Arc::clone(&shared)));
+    let writer = tokio::spawn(writes(
+        conn,
+        write,
+        responses,
+        Arc::clone(&under_way),
+        Arc::clone(&shared),
+    ));
     let Some(place) = place else {
         let code = DRMAA_BASE + i64::from(ErrorCode::TryLater.number());
         let _ = out.send(Response::fault(
@@ -150,7 +161,11 @@
                 Err(_) => return,
             }
             let news = match read_request(&body) {
-                Ok(request) => Came::Input(Input::Call { conn, id: request.id, call: request.call }),
+                Ok(request) => Came::Input(Input::Call {
+                    conn,
+                    id: request.id,
+                    call: request.call,
+                }),
                 Err(response) => Came::Answer(conn, *response),
             };
             if came.send(news).await.is_err() {
--- a/crates/placer/src/links.rs
+++ b/crates/placer/src/links.rs
@@ -38,7 +38,10 @@
 
 impl From<String> for End {
     fn from(why: String) -> Self {
-        Self { why, closed_on: false }
+        Self {
+            why,
+            closed_on: false,
+        }
     }
 }
 
@@ -68,7 +71,11 @@
     pub fn new(shared: &Shared) -> Self {
         let pacer = Pacer::new(&shared.name, shared.life);
         tokio::spawn(Arc::clone(&pacer).run());
-        Self { all: BTreeMap::new(), made: BTreeMap::new(), pacer }
+        Self {
+            all: BTreeMap::new(),
+            made: BTreeMap::new(),
+            pacer,
+        }
     }
 
     pub fn connect(
@@ -108,15 +115,33 @@
         let id = turns.id();
         let traffic = shared.traffic.as_ref().map(|peers| peers.of(&node));
         let node_name = node.clone();
-        let keeper =
-            Keeper { node: node_name, address, number: *number, shared, came, turns, old: None, traffic };
+        let keeper = Keeper {
+            node: node_name,
+            address,
+            number: *number,
+            shared,
+            came,
+            turns,
+            old: None,
+            traffic,
+        };
         let task = tokio::spawn(async move {
             if let Some(first) = first {
                 let _ = keeper.came.send(first).await;
             }
             keeper.keep(messages).await;
         });
-        self.all.insert(node, Link { id, address, zone, up: 0, out, task });
+        self.all.insert(
+            node,
+            Link {
+                id,
+                address,
+                zone,
+                up: 0,
+                out,
+                task,
+            },
+        );
     }
 
     pub fn disconnect(&mut self, node: &str) {
@@ -133,14 +158,25 @@
         }
     }
 
-    pub fn send(&mut self, node: &str, message: Message, shared: &Arc<Shared>, came: &mpsc::Sender<Came>) {
-        let Some(link) = self.all.get(node) else { return };
+    pub fn send(
+        &mut self,
+        node: &str,
+        message: Message,
+        shared: &Arc<Shared>,
+        came: &mpsc::Sender<Came>,
+    ) {
+        let Some(link) = self.all.get(node) else {
+            return;
+        };
         if link.out.try_send((link.up, message)).is_ok() {
             return;
         }
         let (node, place) = (node.to_owned(), (link.address, link.zone.clone()));
         let why = format!("it reads nothing, {QUEUE} messages wait; the link is cut");
-        let down = Came::Input(Input::LinkDown { node: node.clone(), why });
+        let down = Came::Input(Input::LinkDown {
+            node: node.clone(),
+            why,
+        });
         self.keep(node, place, shared, came, Some(down));
     }
 }
@@ -172,19 +208,29 @@
                     closed_on = 0;
                     (why, None)
                 }
-                Err(End { why, closed_on: true }) if !plain => {
+                Err(End {
+                    why,
+                    closed_on: true,
+                }) if !plain => {
                     closed_on += 1;
                     (why, Some(Failure::Closed))
                 }
-                Err(End { why, closed_on: true }) => {
+                Err(End {
+                    why,
+                    closed_on: true,
+                }) => {
                     // It closed on what only version 2 has, or it knows plans: the next greeting finds out.
                     closed_on = if self.old.is_some() { CLOSED_ON } else { 0 };
                     (why, Some(Failure::Closed))
                 }
                 Err(End { why, .. }) => (why, Some(Failure::Silent)),
             };
-            self.shared.record_link(Event::LinkDown, &self.node, self.number, why.as_bytes());
-            let down = Input::LinkDown { node: self.node.clone(), why };
+            self.shared
+                .record_link(Event::LinkDown, &self.node, self.number, why.as_bytes());
+            let down = Input::LinkDown {
+                node: self.node.clone(),
+                why,
+            };
             if self.came.send(Came::Input(down)).await.is_err() {
                 return;
             }
@@ -199,7 +245,11 @@
     }
 
     /// Waits for the next try. No link stands meanwhile, so whatever is to be sent was meant for one that has ended.
-    async fn void_until(&self, turn: impl Future<Output = ()>, messages: &mut mpsc::Receiver<Meant>) {
+    async fn void_until(
+        &self,
+        turn: impl Future<Output = ()>,
+        messages: &mut mpsc::Receiver<Meant>,
+    ) {
         tokio::pin!(turn);
         let mut void = Vec::new();
         loop {
@@ -224,12 +274,19 @@
         let attempts: Vec<AttemptId> = void.filter_map(offered).collect();
         if !attempts.is_empty() {
             // Where nobody listens the placer ends, and the next send says so.
-            let _ = self.came.send(Came::Input(Input::Unwritten(attempts))).await;
+            let _ = self
+                .came
+                .send(Came::Input(Input::Unwritten(attempts)))
+                .await;
         }
     }
 
     /// One link from its start to its end: why it ended, or why it never stood.
-    async fn link(&mut self, messages: &mut mpsc::Receiver<Meant>, plain: bool) -> Result<String, End> {
+    async fn link(
+        &mut self,
+        messages: &mut mpsc::Receiver<Meant>,
+        plain: bool,
+    ) -> Result<String, End> {
         let limit = self.shared.connect_timeout;
         let connect = tokio::time::timeout(limit, TcpStream::connect(self.address)).await;
         let stream = connect.map_err(|_| "no connection in time".to_owned())?;
@@ -237,32 +294,58 @@
         let _ = stream.set_nodelay(true);
         let (mut read, mut write) = stream.into_split();
         let shared = &self.shared;
-        let acts = if plain { None } else { *shared.acts.lock().unwrap_or_else(PoisonError::into_inner) };
+        let acts = if plain {
+            None
+        } else {
+            *shared.acts.lock().unwrap_or_else(PoisonError::into_inner)
+        };
         let acts = acts.map(|stamp| (stamp, reedring_core::BUILD.to_owned()));
         let told = acts.is_some();
-        let hello =
-            Message::Hello { placer: shared.name.clone(), life: shared.life, link: self.number, acts };
-        self.write(&mut write, &[hello]).await.map_err(|error| format!("no greeting: {error}"))?;
+        let hello = Message::Hello {
+            placer: shared.name.clone(),
+            life: shared.life,
+            link: self.number,
+            acts,
+        };
+        self.write(&mut write, &[hello])
+            .await
+            .map_err(|error| format!("no greeting: {error}"))?;
         let mut reader = Reader::default();
         let greeting = tokio::time::timeout(limit, self.greeted(&mut read, &mut reader)).await;
         let up = greeting.map_err(|_| "no greeting in time".to_owned())?;
-        let up = up.map_err(|why| End { closed_on: told && why == UNGREETED, why })?;
+        let up = up.map_err(|why| End {
+            closed_on: told && why == UNGREETED,
+            why,
+        })?;
         // Links are cut for many reasons: that a node knows no plans is believed once a question shows it.
-        if let Input::LinkUp { life, record: None, .. } = &up
+        if let Input::LinkUp {
+            life, record: None, ..
+        } = &up
             && plain
             && self.old != Some(*life)
         {
             let life = *life;
             let asked = self.knows_plans(&mut read, &mut write, &mut reader);
-            let knows =
-                tokio::time::timeout(limit, asked).await.map_err(|_| "no answer in time".to_owned())?;
+            let knows = tokio::time::timeout(limit, asked)
+                .await
+                .map_err(|_| "no answer in time".to_owned())?;
             self.old = (!knows).then_some(life);
-            let why = if knows { "it knows plans" } else { "it speaks version 1 alone" };
-            return Err(End { why: why.to_owned(), closed_on: true });
+            let why = if knows {
+                "it knows plans"
+            } else {
+                "it speaks version 1 alone"
+            };
+            return Err(End {
+                why: why.to_owned(),
+                closed_on: true,
+            });
         }
         self.turns.stood();
         let up = Came::LinkUp(self.number, up);
-        self.came.send(up).await.map_err(|_| "the placer ends".to_owned())?;
+        self.came
+            .send(up)
+            .await
+            .map_err(|_| "the placer ends".to_owned())?;
         let why = tokio::select! {
             why = self.reads(&mut read, &mut reader) => why,
             why = self.writes(&mut write, messages) => why,
@@ -277,8 +360,17 @@
         write: &mut OwnedWriteHalf,
         reader: &mut Reader,
     ) -> bool {
-        let stamp = self.shared.acts.lock().unwrap_or_else(PoisonError::into_inner).unwrap_or_default();
-        if self.write(write, &[Message::Plan(Order::Ask { stamp })]).await.is_err() {
+        let stamp = self
+            .shared
+            .acts
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .unwrap_or_default();
+        if self
+            .write(write, &[Message::Plan(Order::Ask { stamp })])
+            .await
+            .is_err()
+        {
             return false;
         }
         let mut buffer = vec![0; 64 * 1024];
@@ -302,17 +394,36 @@
     }
 
     /// Reads the welcome: what the core is to be told.
-    async fn greeted(&self, read: &mut OwnedReadHalf, reader: &mut Reader) -> Result<Input, String> {
+    async fn greeted(
+        &self,
+        read: &mut OwnedReadHalf,
+        reader: &mut Reader,
+    ) -> Result<Input, String> {
         loop {
             match reader.next_message() {
                 Ok(Some((message, bytes))) => {
-                    self.shared.record_link(Event::FromNode, &self.node, self.number, bytes);
+                    self.shared
+                        .record_link(Event::FromNode, &self.node, self.number, bytes);
                     self.count_read(&message, bytes.len());
-                    let Message::Welcome { node: called, life, up_ms, can_suspend, record } = message else {
+                    let Message::Welcome {
+                        node: called,
+                        life,
+                        up_ms,
+                        can_suspend,
+                        record,
+                    } = message
+                    else {
                         return Err("it did not greet".to_owned());
                     };
                     let node = self.node.clone();
-                    return Ok(Input::LinkUp { node, called, life, up_ms, can_suspend, record });
+                    return Ok(Input::LinkUp {
+                        node,
+                        called,
+                        life,
+                        up_ms,
+                        can_suspend,
+                        record,
+                    });
                 }
                 Ok(None) => {}
                 Err(error) => return Err(error.to_string()),
@@ -332,9 +443,13 @@
             loop {
                 match reader.next_message() {
                     Ok(Some((message, bytes))) => {
-                        self.shared.record_link(Event::FromNode, &self.node, self.number, bytes);
+                        self.shared
+                            .record_link(Event::FromNode, &self.node, self.number, bytes);
                         self.count_read(&message, bytes.len());
-                        let input = Input::Message { node: self.node.clone(), message };
+                        let input = Input::Message {
+                            node: self.node.clone(),
+                            message,
+                        };
                         if self.came.send(Came::Input(input)).await.is_err() {
                             return "the placer ends".to_owned();
                         }
@@ -357,13 +472,18 @@
         }
     }
 
-    async fn writes(&self, write: &mut OwnedWriteHalf, messages: &mut mpsc::Receiver<Meant>) -> String {
+    async fn writes(
+        &self,
+        write: &mut OwnedWriteHalf,
+        messages: &mut mpsc::Receiver<Meant>,
+    ) -> String {
         let mut batch = Vec::new();
         while messages.recv_many(&mut batch, WRITE_BATCH).await > 0 {
             // What the core meant for an older link is void, also where it hears late that this one stands: an
             // offer among it would reach the node after it has told what it holds, and count as never sent.
-            let (meant, void): (Vec<Meant>, Vec<Meant>) =
-                batch.drain(..).partition(|(number, _)| *number == self.number);
+            let (meant, void): (Vec<Meant>, Vec<Meant>) = batch
+                .drain(..)
+                .partition(|(number, _)| *number == self.number);
             self.tell_unwritten(void.into_iter()).await;
             let meant: Vec<Message> = meant.into_iter().map(|(_, message)| message).collect();
             if let Err(error) = self.write(write, &meant).await {
@@ -377,7 +497,8 @@
         let mut bytes = Vec::new();
         for message in batch {
             let frame = encode(message);
-            self.shared.record_link(Event::ToNode, &self.node, self.number, &frame);
+            self.shared
+                .record_link(Event::ToNode, &self.node, self.number, &frame);
             if let Some(traffic) = &self.traffic {
                 traffic.wrote(message, frame.len());
             }
@@ -417,12 +538,21 @@
         out.send((4, Message::Probe { nonce: 1 })).await.unwrap();
         let keeping = tokio::spawn(keeper.keep(messages));
         let (mut node, _) = listener.accept().await.unwrap();
-        let welcome =
-            Message::Welcome { node: "n".into(), life: 1, up_ms: 0, can_suspend: false, record: None };
+        let welcome = Message::Welcome {
+            node: "n".into(),
+            life: 1,
+            up_ms: 0,
+            can_suspend: false,
+            record: None,
+        };
         node.write_all(&encode(&welcome)).await.unwrap();
-        let Some(Came::LinkUp(number, _)) = coming.recv().await else { panic!("no link") };
+        let Some(Came::LinkUp(number, _)) = coming.recv().await else {
+            panic!("no link")
+        };
         out.send((4, Message::Probe { nonce: 2 })).await.unwrap();
-        out.send((number, Message::Probe { nonce: 3 })).await.unwrap();
+        out.send((number, Message::Probe { nonce: 3 }))
+            .await
+            .unwrap();
         let (mut reader, mut buffer, mut read) = (Reader::default(), [0; 256], Vec::new());
         while read.len() < 2 {
             let count = node.read(&mut buffer).await.unwrap();
@@ -432,13 +562,31 @@
                 read.push(message);
             }
         }
-        assert!(matches!(read[..], [Message::Hello { .. }, Message::Probe { nonce: 3 }]), "{read:?}");
+        assert!(
+            matches!(
+                read[..],
+                [Message::Hello { .. }, Message::Probe { nonce: 3 }]
+            ),
+            "{read:?}"
+        );
         keeping.abort();
     }
 
     fn offer(request: u64) -> (AttemptId, Message) {
-        let attempt = AttemptId { life: 1, request, number: 0 };
-        (attempt, Message::Offer { attempt, task: Box::default(), within_ms: 0, stamp: None })
+        let attempt = AttemptId {
+            life: 1,
+            request,
+            number: 0,
+        };
+        (
+            attempt,
+            Message::Offer {
+                attempt,
+                task: Box::default(),
+                within_ms: 0,
+                stamp: None,
+            },
+        )
     }
 
     /// Such a copy does not stand, and the core must not count it for longer than it takes to hear so.
@@ -465,12 +613,17 @@
                     can_suspend: false,
                     record: None,
                 };
-                node.insert(stream).write_all(&encode(&welcome)).await.unwrap();
+                node.insert(stream)
+                    .write_all(&encode(&welcome))
+                    .await
+                    .unwrap();
             }
             let first = coming.recv().await;
             assert_eq!(matches!(first, Some(Came::LinkUp(..))), reachable);
             let told = tokio::time::timeout(Duration::from_secs(10), coming.recv()).await;
-            let Ok(Some(Came::Input(Input::Unwritten(attempts)))) = told else { panic!("not told") };
+            let Ok(Some(Came::Input(Input::Unwritten(attempts)))) = told else {
+                panic!("not told")
+            };
             assert_eq!(attempts, [attempt]);
             keeping.abort();
         }
@@ -480,8 +633,13 @@
     async fn greet_all(listener: tokio::net::TcpListener) {
         let mut kept = Vec::new();
         while let Ok((mut stream, _)) = listener.accept().await {
-            let welcome =
-                Message::Welcome { node: "n".into(), life: 1, up_ms: 0, can_suspend: false, record: None };
+            let welcome = Message::Welcome {
+                node: "n".into(),
+                life: 1,
+                up_ms: 0,
+                can_suspend: false,
+                record: None,
+            };
             stream.write_all(&encode(&welcome)).await.unwrap();
             kept.push(stream);
         }
@@ -513,17 +671,29 @@
         let mut links = Links::new(&shared);
         let began = tokio::time::Instant::now();
         for n in 0..NODES {
-            links.connect(format!("node-{n}"), (address, "hall".to_owned()), &shared, &came);
+            links.connect(
+                format!("node-{n}"),
+                (address, "hall".to_owned()),
+                &shared,
+                &came,
+            );
         }
         let (up, down) = until(&mut coming, began + Duration::from_secs(3)).await;
         assert_eq!(up, 0);
         let most = NODES + (ZONE_BURST + 3 * ZONE_RATE) as usize + 1;
-        assert!((NODES + 30..=most).contains(&down), "{down} tries, {most} at most");
+        assert!(
+            (NODES + 30..=most).contains(&down),
+            "{down} tries, {most} at most"
+        );
         // One that is wanted by nobody any more is not tried.
         links.disconnect("node-0");
         let listener = tokio::net::TcpListener::bind(address).await.unwrap();
         let greeting = tokio::spawn(greet_all(listener));
-        let (up, _) = until(&mut coming, tokio::time::Instant::now() + Duration::from_secs(2)).await;
+        let (up, _) = until(
+            &mut coming,
+            tokio::time::Instant::now() + Duration::from_secs(2),
+        )
+        .await;
         assert_eq!(up, NODES - 1, "all others are heard within 2 s");
         greeting.abort();
     }
--- a/crates/placer/src/pacing.rs
+++ b/crates/placer/src/pacing.rs
@@ -26,7 +26,10 @@
 impl Pacer {
     /// For this life of a placer.
     pub fn new(placer: &str, life: u64) -> Arc<Self> {
-        let state = State { pacing: ReconnectPacing::new(life), turns: BTreeMap::new() };
+        let state = State {
+            pacing: ReconnectPacing::new(life),
+            turns: BTreeMap::new(),
+        };
         Arc::new(Self {
             placer: placer.to_owned(),
             began: Instant::now(),
@@ -49,7 +52,11 @@
         let mut state = self.state();
         let id = state.pacing.wanted(zone);
         state.turns.insert(id, Arc::clone(&turn));
-        Turns { id, turn, pacer: Arc::clone(self) }
+        Turns {
+            id,
+            turn,
+            pacer: Arc::clone(self),
+        }
     }
 
     /// A link is wanted no more.
--- a/crates/placer/src/run.rs
+++ b/crates/placer/src/run.rs
@@ -150,7 +150,10 @@
     /// See [`StartError`].
     pub fn start(settings: Settings, options: Options) -> Result<Self, StartError> {
         let name = settings.name.clone();
-        let runtime_error = |error| StartError::Runtime { name: name.clone(), error };
+        let runtime_error = |error| StartError::Runtime {
+            name: name.clone(),
+            error,
+        };
         let mut builder = match options.threads {
             0 | 1 => tokio::runtime::Builder::new_current_thread(),
             _ => tokio::runtime::Builder::new_multi_thread(),
@@ -159,10 +162,19 @@
             builder.worker_threads(options.threads);
         }
         let runtime = builder.enable_all().build().map_err(runtime_error)?;
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let mut life = unix.as_micros() as u64;
-        let folder = settings.state.as_ref().map(|state| Folder::open(&settings, state, life)).transpose();
-        let folder = folder.map_err(|error| StartError::State { name: settings.name.clone(), error })?;
+        let folder = settings
+            .state
+            .as_ref()
+            .map(|state| Folder::open(&settings, state, life))
+            .transpose();
+        let folder = folder.map_err(|error| StartError::State {
+            name: settings.name.clone(),
+            error,
+        })?;
         if let Some(folder) = &folder {
             // Nodes and clients take a greater life for the newer one, also where the clock went back.
             life = life.max(folder.restored.image.last_life() + 1);
@@ -177,24 +189,47 @@
         let recorder = options.recorder.clone();
         let shut_out = Arc::new(AtomicBool::new(false));
         let told = Arc::clone(&shut_out);
-        let thread = std::thread::Builder::new().name(name.clone()).spawn(move || {
-            let begin = async {
-                let (listener, contact) = match listen(&settings).await {
-                    Ok(bound) => bound,
-                    Err(error) => return drop(ready.send(Err(error))),
+        let thread = std::thread::Builder::new()
+            .name(name.clone())
+            .spawn(move || {
+                let begin = async {
+                    let (listener, contact) = match listen(&settings).await {
+                        Ok(bound) => bound,
+                        Err(error) => return drop(ready.send(Err(error))),
+                    };
+                    let _ = ready.send(Ok(contact));
+                    let life = (life, unix);
+                    run(
+                        settings,
+                        options,
+                        listener,
+                        life,
+                        folder,
+                        (ordered, stopped),
+                        told,
+                    )
+                    .await;
                 };
-                let _ = ready.send(Ok(contact));
-                let life = (life, unix);
-                run(settings, options, listener, life, folder, (ordered, stopped), told).await;
-            };
-            runtime.block_on(begin);
-            // What still runs ends here, and its sockets with it.
-            runtime.shutdown_background();
-        });
+                runtime.block_on(begin);
+                // What still runs ends here, and its sockets with it.
+                runtime.shutdown_background();
+            });
         let thread = thread.map_err(runtime_error)?;
-        let contact = started.recv().map_err(|_| runtime_error(io::Error::other("its thread ended")))??;
+        let contact = started
+            .recv()
+            .map_err(|_| runtime_error(io::Error::other("its thread ended")))??;
         let (stop, thread) = (Some(stop), Some(thread));
-        Ok(Self { name, contact, life, orders, stop, thread, recorder, socket, shut_out })
+        Ok(Self {
+            name,
+            contact,
+            life,
+            orders,
+            stop,
+            thread,
+            recorder,
+            socket,
+            shut_out,
+        })
     }
 
     /// Its name.
@@ -257,11 +292,17 @@
 async fn listen(settings: &Settings) -> Result<(Listener, String), StartError> {
     let error = |address: String| {
         let name = settings.name.clone();
-        move |error| StartError::Listen { name, address, error }
+        move |error| StartError::Listen {
+            name,
+            address,
+            error,
+        }
     };
     match &settings.listen {
         Address::Tcp(address) => {
-            let listener = TcpListener::bind(address).await.map_err(error(address.to_string()))?;
+            let listener = TcpListener::bind(address)
+                .await
+                .map_err(error(address.to_string()))?;
             let bound: SocketAddr = listener.local_addr().map_err(error(address.to_string()))?;
             Ok((Listener::Tcp(listener), format!("tcp:{bound}")))
         }
@@ -302,10 +343,20 @@
         recorder: options.recorder,
         traffic: options.traffic,
     });
-    shared.record(Event::PlacerStarted, "", life, options.settings_text.as_bytes());
+    shared.record(
+        Event::PlacerStarted,
+        "",
+        life,
+        options.settings_text.as_bytes(),
+    );
     let seed = settings.seed.unwrap_or(life);
     let limit = settings.limits.connections;
-    let start = Start { now: unix_us, unix_us, life, seed };
+    let start = Start {
+        now: unix_us,
+        unix_us,
+        life,
+        seed,
+    };
     let (came, mut coming) = mpsc::channel(INPUTS);
     let (mut core, writer) = match folder {
         None => (Core::new(settings, start), None),
@@ -319,7 +370,12 @@
     };
     core.time_module(monotonic_ns);
     let (listed, mut lists) = mpsc::channel(4);
-    tokio::spawn(clients::accept(listener, limit, Arc::clone(&shared), came.clone()));
+    tokio::spawn(clients::accept(
+        listener,
+        limit,
+        Arc::clone(&shared),
+        came.clone(),
+    ));
     let (changed, mut changes) = mpsc::channel(4);
     if let Some(file) = options.settings_file {
         tokio::spawn(file.watch(changed));
@@ -327,10 +383,20 @@
     let known = options.source.settings();
     tokio::spawn(options.source.run(listed));
     let (clients, links) = (Clients::default(), Links::new(&shared));
-    let mut shell = Shell { clients, links, shared, came, writer, known, shut_out };
+    let mut shell = Shell {
+        clients,
+        links,
+        shared,
+        came,
+        writer,
+        known,
+        shut_out,
+    };
     let mut batch = Vec::with_capacity(BATCH);
     loop {
-        let wake = core.next_wake().map(|at| Duration::from_micros(at.saturating_sub(now())));
+        let wake = core
+            .next_wake()
+            .map(|at| Duration::from_micros(at.saturating_sub(now())));
         tokio::select! {
             _ = coming.recv_many(&mut batch, BATCH) => {}
             Some(update) = lists.recv() => shell.listed(&mut core, now(), update),
@@ -425,8 +491,13 @@
     fn carry_out(&mut self, output: Output) {
         match output {
             Output::Reply { conn, response } => self.clients.reply(conn, response),
-            Output::Connect { node, address, zone } => {
-                self.links.connect(node, (address, zone), &self.shared, &self.came);
+            Output::Connect {
+                node,
+                address,
+                zone,
+            } => {
+                self.links
+                    .connect(node, (address, zone), &self.shared, &self.came);
             }
             Output::MoveZone { node, zone } => self.links.move_zone(&node, zone),
             Output::Disconnect { node } => self.links.disconnect(&node),
@@ -444,7 +515,11 @@
                 }
             }
             Output::Acts(stamp) => {
-                *self.shared.acts.lock().unwrap_or_else(PoisonError::into_inner) = Some(stamp);
+                *self
+                    .shared
+                    .acts
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner) = Some(stamp);
             }
             Output::Settings(settings) => {
                 if let Some(known) = &self.known {
@@ -452,8 +527,14 @@
                 }
             }
             Output::ShutOut(shut_out) => self.shut_out.store(shut_out, Ordering::Relaxed),
-            Output::Log { level: Level::Warn, line } => tracing::warn!(placer = self.shared.name, "{line}"),
-            Output::Log { level: Level::Info, line } => tracing::info!(placer = self.shared.name, "{line}"),
+            Output::Log {
+                level: Level::Warn,
+                line,
+            } => tracing::warn!(placer = self.shared.name, "{line}"),
+            Output::Log {
+                level: Level::Info,
+                line,
+            } => tracing::info!(placer = self.shared.name, "{line}"),
         }
     }
 }
--- a/crates/placer/src/settings_file.rs
+++ b/crates/placer/src/settings_file.rs
@@ -31,7 +31,10 @@
 
 impl Looks {
     fn new(text: String) -> Self {
-        Self { told: Ok(text.clone()), last: Ok(text) }
+        Self {
+            told: Ok(text.clone()),
+            last: Ok(text),
+        }
     }
 
     /// What is to be told after this look.
@@ -67,7 +70,8 @@
 
     fn parse(&self, read: &Read) -> FileUpdate {
         let parsed = read.clone().and_then(|text| {
-            Settings::parse(&text, &self.path.display().to_string()).map_err(|problems| problems.to_string())
+            Settings::parse(&text, &self.path.display().to_string())
+                .map_err(|problems| problems.to_string())
         });
         match parsed {
             Ok(settings) => FileUpdate::Changed(Box::new(settings)),
--- a/crates/placer/src/source.rs
+++ b/crates/placer/src/source.rs
@@ -41,11 +41,18 @@
 impl FileSource {
     /// The list in this file, checked against the kinds of the settings.
     pub fn new(path: PathBuf, settings: Settings) -> Self {
-        Self { path, settings: watch::Sender::new(settings) }
+        Self {
+            path,
+            settings: watch::Sender::new(settings),
+        }
     }
 
     fn parse(&self, text: &str) -> Result<NodeList, Problems> {
-        NodeList::parse(text, &self.path.display().to_string(), &self.settings.borrow())
+        NodeList::parse(
+            text,
+            &self.path.display().to_string(),
+            &self.settings.borrow(),
+        )
     }
 
     async fn watch(self, out: mpsc::Sender<Update>) {
--- a/crates/placer/src/state.rs
+++ b/crates/placer/src/state.rs
@@ -48,26 +48,51 @@
     pub fn open(settings: &Settings, state: &State, now_unix: u64) -> Result<Self, StateError> {
         let retry = Duration::from_micros(state.retry_us);
         let lost = |why: String| {
-            let restored = Restored { lost: Some(why), ..Restored::default() };
-            Ok(Self { keeper: None, restored, retry })
+            let restored = Restored {
+                lost: Some(why),
+                ..Restored::default()
+            };
+            Ok(Self {
+                keeper: None,
+                restored,
+                retry,
+            })
         };
         let disk = match Disk::lock(&state.folder) {
             Ok(disk) => disk,
             Err(error @ LockError::Taken { .. }) => return Err(error.into()),
             Err(error) => return lost(error.to_string()),
         };
-        let Opened { keeper, image, learned, passed_by } = match Keeper::open(disk, &settings.name) {
+        let Opened {
+            keeper,
+            image,
+            learned,
+            passed_by,
+        } = match Keeper::open(disk, &settings.name) {
             Ok(opened) => opened,
             Err(error @ StoreError::Io { .. }) => return lost(error.to_string()),
             Err(error) => return Err(error.into()),
         };
         for error in passed_by {
-            tracing::warn!(placer = settings.name, "state: what was learned is passed by: {error}");
+            tracing::warn!(
+                placer = settings.name,
+                "state: what was learned is passed by: {error}"
+            );
         }
         let half = HalfLives::told(settings);
-        let learned = learned.map(|learned| learned.aged(now_unix, &half)).unwrap_or_default();
-        let restored = Restored { image, learned, lost: None };
-        Ok(Self { keeper: Some(keeper), restored, retry })
+        let learned = learned
+            .map(|learned| learned.aged(now_unix, &half))
+            .unwrap_or_default();
+        let restored = Restored {
+            image,
+            learned,
+            lost: None,
+        };
+        Ok(Self {
+            keeper: Some(keeper),
+            restored,
+            retry,
+        })
     }
 
     pub fn take_restored(&mut self) -> Restored {
@@ -79,12 +104,20 @@
         let (writes, asked) = channel();
         let abandon = Arc::new(AtomicBool::new(false));
         let Some(keeper) = self.keeper else {
-            return Ok(Writer { writes: None, thread: None, abandon });
+            return Ok(Writer {
+                writes: None,
+                thread: None,
+                abandon,
+            });
         };
         let (retry, given_up) = (self.retry, Arc::clone(&abandon));
         let thread = std::thread::Builder::new().name("state".to_owned());
         let thread = thread.spawn(move || run(keeper, &asked, retry, &came, &given_up))?;
-        Ok(Writer { writes: Some(writes), thread: Some(thread), abandon })
+        Ok(Writer {
+            writes: Some(writes),
+            thread: Some(thread),
+            abandon,
+        })
     }
 }
 
@@ -183,7 +216,10 @@
             Some(Ok(seq)) => tell(Input::Durable(seq)),
             Some(Err(why)) => {
                 next_try.get_or_insert_with(|| Instant::now() + retry);
-                tell(Input::StateLost { why: why.why, marked: why.marked });
+                tell(Input::StateLost {
+                    why: why.why,
+                    marked: why.marked,
+                });
             }
             None => {}
         }
@@ -208,19 +244,36 @@
             let abandon = &abandon;
             scope.spawn(move || run(keeper, &asked, Duration::from_millis(50), &came, abandon));
             folder.fail_sync();
-            let batch = Batch { seq: 1, at: 1, changes: vec![Change::Life(1)] };
+            let batch = Batch {
+                seq: 1,
+                at: 1,
+                changes: vec![Change::Life(1)],
+            };
             writes.send(Write::Batch(batch, false)).unwrap();
             let lost = coming.blocking_recv().unwrap();
-            assert!(matches!(lost, Came::Input(Input::StateLost { marked: true, .. })));
-            let nothing =
-                Learned { at: 1, nodes: Vec::new(), answers: Vec::new(), arrivals: Vec::new(), ratio: None };
+            assert!(matches!(
+                lost,
+                Came::Input(Input::StateLost { marked: true, .. })
+            ));
+            let nothing = Learned {
+                at: 1,
+                nodes: Vec::new(),
+                answers: Vec::new(),
+                arrivals: Vec::new(),
+                ratio: None,
+            };
             let began = Instant::now();
             let back = loop {
                 if let Ok(news) = coming.try_recv() {
                     break news;
                 }
-                assert!(began.elapsed() < Duration::from_secs(20), "it was never tried again");
-                writes.send(Write::Learned(Box::new(nothing.clone()))).unwrap();
+                assert!(
+                    began.elapsed() < Duration::from_secs(20),
+                    "it was never tried again"
+                );
+                writes
+                    .send(Write::Learned(Box::new(nothing.clone())))
+                    .unwrap();
                 // Well under the time between two tries.
                 std::thread::sleep(Duration::from_millis(5));
             };
--- a/crates/plan/src/compact.rs
+++ b/crates/plan/src/compact.rs
@@ -30,14 +30,27 @@
         match order {
             Order::Fetch { version, .. } => {
                 let before = |base: &Version| base.number.checked_add(1) == Some(version.number);
-                Order::Fetch { version, have: base.map(Kept::version).filter(before) }
-            }
-            Order::Joint { follows, version, list, .. } if keeps(version) => {
-                Order::Joint { follows, version, text: String::new(), list }
-            }
-            Order::Force { version, list, .. } if keeps(version) => {
-                Order::Force { version, text: String::new(), list }
+                Order::Fetch {
+                    version,
+                    have: base.map(Kept::version).filter(before),
+                }
             }
+            Order::Joint {
+                follows,
+                version,
+                list,
+                ..
+            } if keeps(version) => Order::Joint {
+                follows,
+                version,
+                text: String::new(),
+                list,
+            },
+            Order::Force { version, list, .. } if keeps(version) => Order::Force {
+                version,
+                text: String::new(),
+                list,
+            },
             order => match base.filter(|base| base.version() == record.force) {
                 Some(base) => self.by_delta(base, &order).unwrap_or(order),
                 None => order,
@@ -48,11 +61,24 @@
     /// The same order with a delta from the plan that its node has in force, where that is shorter.
     fn by_delta(&mut self, base: &Kept, order: &Order) -> Option<Order> {
         let (step, version, text, list) = match order {
-            Order::Accept { ballot, version, text, list, .. } => {
-                (DeltaStep::Accept { ballot: *ballot }, *version, text, *list)
-            }
-            Order::Joint { version, text, list, .. } => (DeltaStep::Joint, *version, text, *list),
-            Order::Force { version, text, list } => (DeltaStep::Force, *version, text, *list),
+            Order::Accept {
+                ballot,
+                version,
+                text,
+                list,
+                ..
+            } => (DeltaStep::Accept { ballot: *ballot }, *version, text, *list),
+            Order::Joint {
+                version,
+                text,
+                list,
+                ..
+            } => (DeltaStep::Joint, *version, text, *list),
+            Order::Force {
+                version,
+                text,
+                list,
+            } => (DeltaStep::Force, *version, text, *list),
             _ => return None,
         };
         let delta = self.delta(base, version, text)?;
@@ -65,7 +91,9 @@
         {
             return delta.clone();
         }
-        let delta = Kept::checked(version, text).ok().and_then(|target| delta::shorter(base, &target));
+        let delta = Kept::checked(version, text)
+            .ok()
+            .and_then(|target| delta::shorter(base, &target));
         self.made = Some((base.version(), version, delta.clone()));
         delta
     }
--- a/crates/plan/src/delta.rs
+++ b/crates/plan/src/delta.rs
@@ -170,7 +170,11 @@
             Inside::Basic(quotes) | Inside::Literal(quotes) => {
                 if rest.starts_with(quotes.as_bytes()) {
                     // Up to two more quotes may stand right before those that end a string of several lines.
-                    let more = rest[quotes.len()..].iter().take(2).take_while(|next| *next == byte).count();
+                    let more = rest[quotes.len()..]
+                        .iter()
+                        .take(2)
+                        .take_while(|next| *next == byte)
+                        .count();
                     step = quotes.len() + if quotes.len() == 3 { more } else { 0 };
                     inside = Inside::Nothing;
                 } else if *byte == b'\n' && quotes.len() == 1 {
@@ -194,22 +198,33 @@
     if header == "[site]" {
         return Ok(SectionKey::Site);
     }
-    let word = header.strip_prefix("[[").and_then(|rest| rest.strip_suffix("]]"));
+    let word = header
+        .strip_prefix("[[")
+        .and_then(|rest| rest.strip_suffix("]]"));
     let table = word.and_then(|word| Table::ALL.into_iter().find(|table| table.word() == word));
     let table = table.ok_or((0, SectionError::Header))?;
-    let name = lines.next().and_then(|line| line.strip_prefix("name = ")).unwrap_or_default();
+    let name = lines
+        .next()
+        .and_then(|line| line.strip_prefix("name = "))
+        .unwrap_or_default();
     let quoted = |quote: char| name.len() >= 2 && name.starts_with(quote) && name.ends_with(quote);
     // A name over several lines is not told from its first: such a text is sent in full.
     let several = name.starts_with("\"\"\"") || name.starts_with("'''");
     if several || name.len() > MAX_NAME || !(quoted('"') || quoted('\'')) {
         return Err((1, SectionError::Name));
     }
-    Ok(SectionKey::Named { table, name: name.to_owned() })
+    Ok(SectionKey::Named {
+        table,
+        name: name.to_owned(),
+    })
 }
 
 /// Which line of a text an offset is in, from 0.
 fn line_of(text: &str, at: usize) -> usize {
-    text.as_bytes()[..at].iter().filter(|byte| **byte == b'\n').count()
+    text.as_bytes()[..at]
+        .iter()
+        .filter(|byte| **byte == b'\n')
+        .count()
 }
 
 /// The sections of a text, in order. The error's line is counted from 1.
@@ -226,7 +241,11 @@
         let line = || 1 + line_of(text, *begin);
         let whole = &text[*begin..begins.get(index + 1).copied().unwrap_or(text.len())];
         let last = index + 1 == begins.len();
-        let own = if last { Some(whole) } else { whole.strip_suffix('\n') };
+        let own = if last {
+            Some(whole)
+        } else {
+            whole.strip_suffix('\n')
+        };
         let own = own.filter(|own| own.ends_with('\n') && !own.ends_with("\n\n"));
         let own = own.ok_or_else(|| (line(), SectionError::Gap))?;
         let key = key(own).map_err(|(after, wrong)| (line() + after, wrong))?;
@@ -239,17 +258,29 @@
 }
 
 fn sections_of(plan: &Kept) -> Result<Vec<Section<'_>>, DeltaError> {
-    sections(plan.text()).map_err(|(line, wrong)| DeltaError::Text { version: plan.version(), line, wrong })
+    sections(plan.text()).map_err(|(line, wrong)| DeltaError::Text {
+        version: plan.version(),
+        line,
+        wrong,
+    })
 }
 
 fn follows(base: Version, target: Version) -> Result<(), DeltaError> {
     let (base, target) = (base.number, target.number);
-    if base.checked_add(1) == Some(target) { Ok(()) } else { Err(DeltaError::Number { base, target }) }
+    if base.checked_add(1) == Some(target) {
+        Ok(())
+    } else {
+        Err(DeltaError::Number { base, target })
+    }
 }
 
 fn bounded(delta: Delta) -> Result<Delta, DeltaError> {
     let bytes = delta.encoded_len();
-    if bytes > MAX_PLAN { Err(DeltaError::Long { bytes }) } else { Ok(delta) }
+    if bytes > MAX_PLAN {
+        Err(DeltaError::Long { bytes })
+    } else {
+        Ok(delta)
+    }
 }
 
 /// Of places in the base, in the order of the target, the most that stand in rising order.
@@ -259,7 +290,11 @@
     for (index, place) in places.iter().enumerate() {
         let length = ends.partition_point(|end| places[*end] < *place);
         before[index] = length.checked_sub(1).map(|shorter| ends[shorter]);
-        if length == ends.len() { ends.push(index) } else { ends[length] = index }
+        if length == ends.len() {
+            ends.push(index)
+        } else {
+            ends[length] = index
+        }
     }
     let (mut rising, mut next) = (BTreeSet::new(), ends.last().copied());
     while let Some(index) = next {
@@ -276,39 +311,66 @@
 pub fn between(base: &Kept, target: &Kept) -> Result<Delta, DeltaError> {
     follows(base.version(), target.version())?;
     let (old, new) = (sections_of(base)?, sections_of(target)?);
-    let old_places: BTreeMap<&SectionKey, usize> =
-        old.iter().enumerate().map(|(place, section)| (&section.key, place)).collect();
+    let old_places: BTreeMap<&SectionKey, usize> = old
+        .iter()
+        .enumerate()
+        .map(|(place, section)| (&section.key, place))
+        .collect();
     let unchanged = |section: &Section<'_>| {
-        old_places.get(&section.key).copied().filter(|place| old[*place].text == section.text)
+        old_places
+            .get(&section.key)
+            .copied()
+            .filter(|place| old[*place].text == section.text)
     };
     let places: Vec<usize> = new.iter().filter_map(unchanged).collect();
     let stays = longest_rising(&places);
     let new_keys: BTreeSet<&SectionKey> = new.iter().map(|section| &section.key).collect();
-    let gone = old.iter().filter(|section| !new_keys.contains(&section.key));
-    let mut edits: Vec<Edit> = gone.map(|section| Edit::Remove { key: section.key.clone() }).collect();
+    let gone = old
+        .iter()
+        .filter(|section| !new_keys.contains(&section.key));
+    let mut edits: Vec<Edit> = gone
+        .map(|section| Edit::Remove {
+            key: section.key.clone(),
+        })
+        .collect();
     for (at, section) in new.iter().enumerate() {
         if unchanged(section).is_none_or(|place| !stays.contains(&place)) {
             let (key, text) = (section.key.clone(), section.text.to_owned());
-            edits.push(Edit::Put { key, at: at as u16, text });
+            edits.push(Edit::Put {
+                key,
+                at: at as u16,
+                text,
+            });
         }
     }
-    bounded(Delta { base: base.version(), target: target.version(), edits })
+    bounded(Delta {
+        base: base.version(),
+        target: target.version(),
+        edits,
+    })
 }
 
 /// What changed from one plan to the next, where that is known and shorter than the next one's text.
 pub fn shorter(base: &Kept, target: &Kept) -> Option<Delta> {
-    between(base, target).ok().filter(|delta| delta.encoded_len() < target.text().len())
+    between(base, target)
+        .ok()
+        .filter(|delta| delta.encoded_len() < target.text().len())
 }
 
 /// Checks that a text is the section that a key names.
 fn check_section(wanted: &SectionKey, text: &str) -> Result<(), DeltaError> {
-    let error = |line, wrong| DeltaError::Section { key: wanted.clone(), line, wrong };
+    let error = |line, wrong| DeltaError::Section {
+        key: wanted.clone(),
+        line,
+        wrong,
+    };
     let found = sections(text).map_err(|(line, wrong)| error(line, wrong))?;
     match &found[..] {
         [only] if only.key == *wanted => Ok(()),
-        [only] => {
-            Err(error(1 + usize::from(matches!(only.key, SectionKey::Named { .. })), SectionError::Other))
-        }
+        [only] => Err(error(
+            1 + usize::from(matches!(only.key, SectionKey::Named { .. })),
+            SectionError::Other,
+        )),
         [first, ..] => Err(error(2 + first.text.lines().count(), SectionError::Second)),
         [] => Err(error(1, SectionError::Header)),
     }
@@ -320,7 +382,10 @@
 /// See [`DeltaError`]: nothing but the plan of the target's number and digest ever comes of it.
 pub fn apply(base: &Kept, delta: &Delta) -> Result<Kept, DeltaError> {
     if delta.base != base.version() {
-        return Err(DeltaError::OtherBase { wanted: delta.base, found: base.version() });
+        return Err(DeltaError::OtherBase {
+            wanted: delta.base,
+            found: base.version(),
+        });
     }
     follows(delta.base, delta.target)?;
     let bytes = delta.encoded_len();
@@ -332,7 +397,9 @@
     let (mut changed, mut puts) = (BTreeSet::new(), Vec::new());
     for edit in &delta.edits {
         if !changed.insert(edit.key()) {
-            return Err(DeltaError::Twice { key: edit.key().clone() });
+            return Err(DeltaError::Twice {
+                key: edit.key().clone(),
+            });
         }
         match edit {
             Edit::Remove { key } if !known.contains(key) => {
@@ -346,13 +413,20 @@
         }
     }
     puts.sort_unstable_by_key(|(at, _, _)| *at);
-    let mut stays = old.iter().filter(|section| !changed.contains(&section.key)).map(|section| section.text);
+    let mut stays = old
+        .iter()
+        .filter(|section| !changed.contains(&section.key))
+        .map(|section| section.text);
     let mut texts: Vec<&str> = Vec::with_capacity(old.len() + puts.len());
     for (at, key, text) in puts {
         let missing = usize::from(at).saturating_sub(texts.len());
         texts.extend(stays.by_ref().take(missing));
         if texts.len() != usize::from(at) {
-            return Err(DeltaError::Place { key: key.clone(), at, sections: texts.len() });
+            return Err(DeltaError::Place {
+                key: key.clone(),
+                at,
+                sections: texts.len(),
+            });
         }
         texts.push(text);
     }
--- a/crates/plan/src/fleet.rs
+++ b/crates/plan/src/fleet.rs
@@ -48,7 +48,10 @@
     /// The listed nodes that vote.
     pub fn voters(&self) -> impl Iterator<Item = (u32, &Kin)> {
         let voter = |(node, _): &(u32, &Kin)| self.member(*node) == Member::Voter;
-        self.nodes.iter().map(|(node, kin)| (*node, kin)).filter(voter)
+        self.nodes
+            .iter()
+            .map(|(node, kin)| (*node, kin))
+            .filter(voter)
     }
 
     /// How many nodes are a majority of the voters.
@@ -63,13 +66,17 @@
 
     /// What nodes told that keep plans, whether they vote by this list or not.
     pub fn keepers(&self) -> impl Iterator<Item = (u32, &Record)> {
-        let kept = self.nodes.iter().filter_map(|(node, kin)| Some((*node, kin.record()?)));
+        let kept = self
+            .nodes
+            .iter()
+            .filter_map(|(node, kin)| Some((*node, kin.record()?)));
         kept.filter(|(_, record)| !record.learns)
     }
 
     /// What voters told that keep plans.
     pub fn votes(&self) -> impl Iterator<Item = (u32, &Record)> {
-        self.keepers().filter(|(node, _)| self.member(*node) == Member::Voter)
+        self.keepers()
+            .filter(|(node, _)| self.member(*node) == Member::Voter)
     }
 
     /// Most voters keep nothing: plans can't be agreed on yet.
@@ -80,13 +87,24 @@
     /// The newest plan in force that any node told of. One node's word is enough: it was told by somebody who had
     /// counted a majority.
     pub fn force(&self) -> Version {
-        self.keepers().map(|(_, record)| record.force).max().unwrap_or_default()
+        self.keepers()
+            .map(|(_, record)| record.force)
+            .max()
+            .unwrap_or_default()
     }
 
     /// The newest plan that learners know of: some placer acted by it, joint or alone, so it was decided.
     pub fn learned(&self) -> Version {
-        let learners = self.nodes.values().filter_map(Kin::record).filter(|record| record.learns);
-        learners.filter_map(|record| record.next).map(|next| next.version).max().unwrap_or_default()
+        let learners = self
+            .nodes
+            .values()
+            .filter_map(Kin::record)
+            .filter(|record| record.learns);
+        learners
+            .filter_map(|record| record.next)
+            .map(|next| next.version)
+            .max()
+            .unwrap_or_default()
     }
 
     /// The plan that is to follow this one, once that can't change any more.
@@ -108,7 +126,9 @@
             let votes_here = self.member(node) == Member::Voter && !record.stuck;
             *votes.entry((next.ballot, next.version)).or_insert(0_usize) += usize::from(votes_here);
         }
-        let most = votes.into_iter().find(|(_, count)| *count >= self.majority());
+        let most = votes
+            .into_iter()
+            .find(|(_, count)| *count >= self.majority());
         most.map(|((_, version), _)| version)
     }
 
@@ -116,15 +136,24 @@
     /// later one.
     pub fn joint_at(&self, version: Version) -> usize {
         let joint = |record: &Record| {
-            record.next.is_some_and(|next| next.joint && next.version == version)
+            record
+                .next
+                .is_some_and(|next| next.joint && next.version == version)
                 || record.force.number >= version.number
         };
-        self.votes().filter(|(_, record)| !record.stuck && joint(record)).count()
+        self.votes()
+            .filter(|(_, record)| !record.stuck && joint(record))
+            .count()
     }
 
     /// Placers that have a link to some node, as far as any one node knows.
     pub fn linked(&self) -> u32 {
-        self.nodes.values().filter_map(Kin::record).map(|record| u32::from(record.linked)).max().unwrap_or(0)
+        self.nodes
+            .values()
+            .filter_map(Kin::record)
+            .map(|record| u32::from(record.linked))
+            .max()
+            .unwrap_or(0)
     }
 }
 
@@ -134,28 +163,56 @@
     use reedring_nodeproto::{Ballot, Digest, Introduced};
 
     fn version(number: u64, name: u8) -> Version {
-        Version { number, digest: Digest([name; 16]) }
+        Version {
+            number,
+            digest: Digest([name; 16]),
+        }
     }
 
     /// Five nodes: what each told to have kept after plan 1, with which round, joint or not, stuck or not.
     fn fleet(told: &[Option<(u8, u64, bool, bool)>; 5]) -> Fleet {
         let kin = |told: &Option<(u8, u64, bool, bool)>| {
-            let (mut record, mut stuck) = (Record { force: version(1, 1), ..Record::default() }, false);
+            let (mut record, mut stuck) = (
+                Record {
+                    force: version(1, 1),
+                    ..Record::default()
+                },
+                false,
+            );
             if let Some((name, round, joint, can_not)) = told {
-                let ballot = Ballot { round: *round, by: 1 };
-                record.next = Some(Introduced { ballot, version: version(2, *name), joint: *joint });
+                let ballot = Ballot {
+                    round: *round,
+                    by: 1,
+                };
+                record.next = Some(Introduced {
+                    ballot,
+                    version: version(2, *name),
+                    joint: *joint,
+                });
                 stuck = *can_not;
             }
             Kin::Told(Record { stuck, ..record })
         };
-        let nodes = told.iter().enumerate().map(|(n, told)| (n as u32, kin(told))).collect();
-        Fleet { nodes, ..Fleet::default() }
+        let nodes = told
+            .iter()
+            .enumerate()
+            .map(|(n, told)| (n as u32, kin(told)))
+            .collect();
+        Fleet {
+            nodes,
+            ..Fleet::default()
+        }
     }
 
     #[test]
     fn a_plan_is_decided_by_a_majority_with_one_ballot_or_by_one_that_is_joint() {
         let kept = |name, round| Some((name, round, false, false));
-        let (a, a2, b, stuck) = (kept(7, 1), kept(7, 2), kept(8, 2), Some((7, 1, false, true)));
+        let (a, a2, b, stuck) = (
+            kept(7, 1),
+            kept(7, 2),
+            kept(8, 2),
+            Some((7, 1, false, true)),
+        );
         let joint = Some((8, 1, true, false));
         for (told, decided) in [
             ([None; 5], None),
@@ -168,7 +225,11 @@
         ] {
             let want = decided.map(|name| version(2, name));
             assert_eq!(fleet(&told).decided(version(1, 1)), want, "{told:?}");
-            assert_eq!(fleet(&told).decided(version(3, 3)), None, "after another plan it says nothing");
+            assert_eq!(
+                fleet(&told).decided(version(3, 3)),
+                None,
+                "after another plan it says nothing"
+            );
         }
     }
 
@@ -177,7 +238,13 @@
         let (joint, stuck) = (Some((7, 1, true, false)), Some((7, 1, true, true)));
         let mut fleet = fleet(&[joint, joint, stuck, Some((7, 1, false, false)), None]);
         assert_eq!(fleet.joint_at(version(2, 7)), 2);
-        fleet.nodes.insert(4, Kin::Told(Record { force: version(3, 3), ..Record::default() }));
+        fleet.nodes.insert(
+            4,
+            Kin::Told(Record {
+                force: version(3, 3),
+                ..Record::default()
+            }),
+        );
         assert_eq!(fleet.joint_at(version(2, 7)), 3);
         assert_eq!((fleet.majority(), fleet.force()), (3, version(3, 3)));
     }
@@ -200,7 +267,11 @@
         ] {
             let fleet = control(fleet(&told));
             let want = decided.map(|name| version(2, name));
-            assert_eq!((fleet.majority(), fleet.decided(version(1, 1))), (2, want), "{told:?}");
+            assert_eq!(
+                (fleet.majority(), fleet.decided(version(1, 1))),
+                (2, want),
+                "{told:?}"
+            );
         }
         let fleet = control(fleet(&[joint, None, None, joint, joint]));
         assert_eq!(fleet.joint_at(version(2, 7)), 1);
@@ -229,13 +300,30 @@
     #[test]
     fn what_learners_tell_is_no_vote_and_says_only_what_was_decided() {
         let mut fleet = control(fleet(&[None; 5]));
-        let next = Introduced { ballot: Ballot::default(), version: version(9, 9), joint: true };
-        let learner = Record { next: Some(next), learns: true, ..Record::default() };
+        let next = Introduced {
+            ballot: Ballot::default(),
+            version: version(9, 9),
+            joint: true,
+        };
+        let learner = Record {
+            next: Some(next),
+            learns: true,
+            ..Record::default()
+        };
         for node in 1..5 {
             fleet.nodes.insert(node, Kin::Told(learner));
         }
-        assert_eq!((fleet.force(), fleet.learned()), (version(1, 1), version(9, 9)));
-        assert_eq!((fleet.decided(Version::default()), fleet.joint_at(version(9, 9))), (None, 0));
+        assert_eq!(
+            (fleet.force(), fleet.learned()),
+            (version(1, 1), version(9, 9))
+        );
+        assert_eq!(
+            (
+                fleet.decided(Version::default()),
+                fleet.joint_at(version(9, 9))
+            ),
+            (None, 0)
+        );
         // A control machine that learns by mistake is one voter less, and stays in the count.
         assert_eq!((fleet.majority(), fleet.votes().count()), (2, 1));
     }
--- a/crates/plan/src/hold.rs
+++ b/crates/plan/src/hold.rs
@@ -134,23 +134,50 @@
     use reedring_nodeproto::{Ballot, Digest, Introduced, Version};
 
     fn version(number: u64) -> Version {
-        Version { number, digest: Digest([number as u8; 16]) }
+        Version {
+            number,
+            digest: Digest([number as u8; 16]),
+        }
     }
 
     fn record(force: u64, joint: Option<u64>, floor_ms: u64) -> Kin {
         let ballot = Ballot { round: 1, by: 1 };
-        let next = joint.map(|number| Introduced { ballot, version: version(number), joint: true });
-        let force = if force > 0 { version(force) } else { Version::default() };
-        Kin::Told(Record { force, next, floor_ms, ..Record::default() })
+        let next = joint.map(|number| Introduced {
+            ballot,
+            version: version(number),
+            joint: true,
+        });
+        let force = if force > 0 {
+            version(force)
+        } else {
+            Version::default()
+        };
+        Kin::Told(Record {
+            force,
+            next,
+            floor_ms,
+            ..Record::default()
+        })
     }
 
     /// Every floor from none to two plans on, beside every level.
     #[test]
     fn a_placer_and_a_node_are_never_more_than_half_a_step_apart() {
         let acts = [(1, None), (1, Some(2)), (2, None), (2, Some(3)), (3, None)];
-        let floors = [(0, None), (1, None), (1, Some(2)), (2, None), (2, Some(3)), (3, None)];
+        let floors = [
+            (0, None),
+            (1, None),
+            (1, Some(2)),
+            (2, None),
+            (2, Some(3)),
+            (3, None),
+        ];
         for (force, next) in acts {
-            let acts = Acts { force: version(force), next: next.map(version), ahead: None };
+            let acts = Acts {
+                force: version(force),
+                next: next.map(version),
+                ahead: None,
+            };
             for (at, joint) in floors {
                 let kin = record(at, joint, 9_999);
                 let floor = kin.record().unwrap().floor();
@@ -161,11 +188,19 @@
                 } else {
                     None
                 };
-                assert_eq!(hold(&Standing::Acts(acts), &kin, false, 2_000), want, "{acts:?} {kin:?}");
+                assert_eq!(
+                    hold(&Standing::Acts(acts), &kin, false, 2_000),
+                    want,
+                    "{acts:?} {kin:?}"
+                );
                 // A cold node must be told of both before it gets anything by both.
                 let half = acts.next.is_some() && floor < acts.level();
                 let want = want.or(half.then_some(Hold::NotThere));
-                assert_eq!(hold(&Standing::Acts(acts), &kin, true, 2_000), want, "{acts:?} {kin:?}");
+                assert_eq!(
+                    hold(&Standing::Acts(acts), &kin, true, 2_000),
+                    want,
+                    "{acts:?} {kin:?}"
+                );
             }
         }
     }
@@ -180,13 +215,26 @@
 
     #[test]
     fn a_cold_node_settles_for_a_window_after_its_floor_rose_and_gets_nothing_from_who_is_ahead() {
-        let acts = Acts { force: version(1), next: None, ahead: None };
+        let acts = Acts {
+            force: version(1),
+            next: None,
+            ahead: None,
+        };
         let stands = Standing::Acts(acts);
-        assert_eq!(hold(&stands, &record(1, None, 1_999), true, 2_000), Some(Hold::Settling));
+        assert_eq!(
+            hold(&stands, &record(1, None, 1_999), true, 2_000),
+            Some(Hold::Settling)
+        );
         assert_eq!(hold(&stands, &record(1, None, 2_000), true, 2_000), None);
         assert_eq!(hold(&stands, &record(1, None, 0), false, 2_000), None);
-        let ahead = Standing::Acts(Acts { ahead: Some(version(2)), ..acts });
-        assert_eq!(hold(&ahead, &record(1, None, 9_999), true, 2_000), Some(Hold::Ahead));
+        let ahead = Standing::Acts(Acts {
+            ahead: Some(version(2)),
+            ..acts
+        });
+        assert_eq!(
+            hold(&ahead, &record(1, None, 9_999), true, 2_000),
+            Some(Hold::Ahead)
+        );
         assert_eq!(hold(&ahead, &record(1, None, 9_999), false, 2_000), None);
     }
 
@@ -197,16 +245,30 @@
             assert_eq!(hold(&waits, &kin, false, 0), Some(Hold::Waits(Why::NoPlan)));
             assert_eq!(hold(&Standing::Unkept, &kin, true, 9), None);
         }
-        let acts = Standing::Acts(Acts { force: version(1), next: None, ahead: None });
+        let acts = Standing::Acts(Acts {
+            force: version(1),
+            next: None,
+            ahead: None,
+        });
         assert_eq!(hold(&acts, &Kin::Old, true, 9), None);
         assert_eq!(hold(&acts, &Kin::Unmet, false, 9), Some(Hold::Untold));
     }
 
     /// A learner whose floor is the joint form of this plan; 0 is none.
     fn learner(number: u64, floor_ms: u64) -> Kin {
-        let introduced = Introduced { ballot: Ballot::default(), version: version(number), joint: true };
+        let introduced = Introduced {
+            ballot: Ballot::default(),
+            version: version(number),
+            joint: true,
+        };
         let next = (number > 0).then_some(introduced);
-        Kin::Told(Record { next, floor_ms, learns: true, stuck: true, ..Record::default() })
+        Kin::Told(Record {
+            next,
+            floor_ms,
+            learns: true,
+            stuck: true,
+            ..Record::default()
+        })
     }
 
     /// Every level acted by, beside every floor, warm and cold, settled and not, ahead and not.
@@ -215,10 +277,16 @@
         let acts = [(1, None), (1, Some(2)), (2, None), (2, Some(3)), (3, None)];
         for (force, next) in acts {
             for ahead in [None, Some(version(9))] {
-                let acts = Acts { force: version(force), next: next.map(version), ahead };
+                let acts = Acts {
+                    force: version(force),
+                    next: next.map(version),
+                    ahead,
+                };
                 let plan = next.unwrap_or(force);
                 for at in 0..5 {
-                    for (cold, floor_ms) in [(false, 0), (false, 9_999), (true, 1_999), (true, 2_000)] {
+                    for (cold, floor_ms) in
+                        [(false, 0), (false, 9_999), (true, 1_999), (true, 2_000)]
+                    {
                         let want = if at > plan {
                             Some(Hold::Behind)
                         } else if !cold {
@@ -232,7 +300,10 @@
                         };
                         let kin = learner(at, floor_ms);
                         let got = hold(&Standing::Acts(acts), &kin, cold, 2_000);
-                        assert_eq!(got, want, "{acts:?}, floor of plan {at}, cold {cold}, {floor_ms} ms");
+                        assert_eq!(
+                            got, want,
+                            "{acts:?}, floor of plan {at}, cold {cold}, {floor_ms} ms"
+                        );
                         assert_eq!(must_raise(got, &kin), cold && at < plan);
                     }
                 }
@@ -243,8 +314,17 @@
     #[test]
     fn only_learners_that_are_not_there_are_told_to_raise_their_floor() {
         let kept = record(1, None, 9);
-        assert!(!must_raise(Some(Hold::NotThere), &kept) && !must_raise(Some(Hold::NotThere), &Kin::Unmet));
-        for held in [None, Some(Hold::Behind), Some(Hold::Settling), Some(Hold::Ahead), Some(Hold::Untold)] {
+        assert!(
+            !must_raise(Some(Hold::NotThere), &kept)
+                && !must_raise(Some(Hold::NotThere), &Kin::Unmet)
+        );
+        for held in [
+            None,
+            Some(Hold::Behind),
+            Some(Hold::Settling),
+            Some(Hold::Ahead),
+            Some(Hold::Untold),
+        ] {
             assert!(!must_raise(held, &learner(1, 9)), "{held:?}");
         }
         assert!(must_raise(Some(Hold::NotThere), &learner(0, 9)));
--- a/crates/plan/src/joint.rs
+++ b/crates/plan/src/joint.rs
@@ -39,7 +39,10 @@
         let both = old.classes.get(name).zip(new.classes.get(name));
         let class = match both {
             Some((old, new)) => joint_class(name, old, new, &mut wrong),
-            None => ClassBounds { open: false, ..class.clone() },
+            None => ClassBounds {
+                open: false,
+                ..class.clone()
+            },
         };
         classes.insert(name.clone(), class);
     }
@@ -54,12 +57,19 @@
     let told = |a: Option<u64>, b: Option<u64>| a.max(b);
     Ok(Bounds {
         placers: old.placers.max(new.placers),
-        accepts: (old.accepts.0.min(new.accepts.0), old.accepts.1.min(new.accepts.1)),
+        accepts: (
+            old.accepts.0.min(new.accepts.0),
+            old.accepts.1.min(new.accepts.1),
+        ),
         max_attempts: old.max_attempts.min(new.max_attempts),
         drain_grace_us: old.drain_grace_us.min(new.drain_grace_us),
         warm_after_us: told(old.warm_after_us, new.warm_after_us),
         cold_window_us: told(old.cold_window_us, new.cold_window_us),
-        cold_offers: old.cold_offers.into_iter().chain(new.cold_offers).reduce(f64::min),
+        cold_offers: old
+            .cold_offers
+            .into_iter()
+            .chain(new.cold_offers)
+            .reduce(f64::min),
         yes_when_running: old.yes_when_running,
         classes,
         kinds,
@@ -82,26 +92,49 @@
     }
 }
 
-fn joint_class(name: &str, old: &ClassBounds, new: &ClassBounds, wrong: &mut Vec<String>) -> ClassBounds {
+fn joint_class(
+    name: &str,
+    old: &ClassBounds,
+    new: &ClassBounds,
+    wrong: &mut Vec<String>,
+) -> ClassBounds {
     let mut odd = |key: &str, what: &str| wrong.push(format!("class `{name}`, {key}: {what}"));
     let kind = match (&old.kind, &new.kind) {
         (Some(a), Some(b)) if a != b => {
-            odd("kind", "no machine is of two kinds; close the class in one plan and open it in the next");
+            odd(
+                "kind",
+                "no machine is of two kinds; close the class in one plan and open it in the next",
+            );
             None
         }
         (a, b) => a.clone().or(b.clone()),
     };
     let spread = match (old.spread, new.spread) {
         (Some((a, _)), Some((b, _))) if a != b => {
-            odd("spread.over", "spread over two sorts of place has no joint form; drop it in one plan first");
+            odd(
+                "spread.over",
+                "spread over two sorts of place has no joint form; drop it in one plan first",
+            );
             None
         }
         (Some((over, a)), Some((_, b))) => Some((over, a.min(b))),
         (a, b) => a.or(b),
     };
-    let repeat = if strictness(old.repeat) > strictness(new.repeat) { old.repeat } else { new.repeat };
-    let narrower = if width(old.resend) < width(new.resend) { old.resend } else { new.resend };
-    let wider = if width(old.drops) > width(new.drops) { old.drops } else { new.drops };
+    let repeat = if strictness(old.repeat) > strictness(new.repeat) {
+        old.repeat
+    } else {
+        new.repeat
+    };
+    let narrower = if width(old.resend) < width(new.resend) {
+        old.resend
+    } else {
+        new.resend
+    };
+    let wider = if width(old.drops) > width(new.drops) {
+        old.drops
+    } else {
+        new.drops
+    };
     ClassBounds {
         repeat,
         resend: narrower,
@@ -154,7 +187,12 @@
         let groups = [Group::Rack, Group::Hall, Group::All];
         let agains = [Again::Always, Again::Ended, Again::Never];
         let windows = [None, Some(3), Some(9)];
-        let spreads = [None, Some((Over::Hall, 1)), Some((Over::Hall, 3)), Some((Over::Rack, 2))];
+        let spreads = [
+            None,
+            Some((Over::Hall, 1)),
+            Some((Over::Hall, 3)),
+            Some((Over::Rack, 2)),
+        ];
         let mut sorts = Vec::new();
         for repeat in repeats {
             for group in groups {
@@ -184,7 +222,10 @@
                 assert_eq!(!wrong.is_empty(), odd, "{old:?} {new:?}");
                 for one in [old, new] {
                     assert!(strictness(got.repeat) >= strictness(one.repeat));
-                    assert!(width(got.resend) <= width(one.resend) && width(got.drops) >= width(one.drops));
+                    assert!(
+                        width(got.resend) <= width(one.resend)
+                            && width(got.drops) >= width(one.drops)
+                    );
                     assert!(got.again >= one.again);
                     // No window: a keyed task is not sent again at all.
                     assert!(got.window_us.is_none() || got.window_us <= one.window_us);
@@ -192,14 +233,23 @@
                     assert!(odd || most(&got) <= most(one));
                 }
                 let mut other = Vec::new();
-                assert_eq!(joint_class("c", new, old, &mut other), got, "the order of the two is all one");
+                assert_eq!(
+                    joint_class("c", new, old, &mut other),
+                    got,
+                    "the order of the two is all one"
+                );
             }
         }
     }
 
     #[test]
     fn figures_are_bound_by_the_stricter_and_what_is_told_beats_what_is_not() {
-        let old = Bounds { placers: 3, cold_offers: Some(40.0), drain_grace_us: 100, ..bounds() };
+        let old = Bounds {
+            placers: 3,
+            cold_offers: Some(40.0),
+            drain_grace_us: 100,
+            ..bounds()
+        };
         let new = Bounds {
             placers: 40,
             cold_offers: Some(80.0),
@@ -212,9 +262,18 @@
         };
         for (a, b) in [(&old, &new), (&new, &old)] {
             let got = joint(a, b).unwrap();
-            assert_eq!((got.placers, got.cold_offers, got.drain_grace_us), (40, Some(40.0), 100));
-            assert_eq!((got.cold_window_us, got.warm_after_us, got.max_attempts), (Some(7), Some(9), 2));
-            assert_eq!((got.accepts, got.kinds["k"], got.kinds["l"]), ((1.0, 0.5), (8.0, 16.0), (1.0, 1.0)));
+            assert_eq!(
+                (got.placers, got.cold_offers, got.drain_grace_us),
+                (40, Some(40.0), 100)
+            );
+            assert_eq!(
+                (got.cold_window_us, got.warm_after_us, got.max_attempts),
+                (Some(7), Some(9), 2)
+            );
+            assert_eq!(
+                (got.accepts, got.kinds["k"], got.kinds["l"]),
+                ((1.0, 0.5), (8.0, 16.0), (1.0, 1.0))
+            );
         }
     }
 
@@ -223,20 +282,37 @@
         let mut new = bounds();
         new.classes = BTreeMap::from([("edition".to_owned(), class())]);
         let got = joint(&bounds(), &new).unwrap();
-        assert_eq!(got.classes.values().map(|class| class.open).collect::<Vec<_>>(), [false, false]);
+        assert_eq!(
+            got.classes
+                .values()
+                .map(|class| class.open)
+                .collect::<Vec<_>>(),
+            [false, false]
+        );
     }
 
     #[test]
     fn what_has_no_joint_form_is_named_with_its_place() {
         let with = |kind: &str, over| {
             let mut bounds = bounds();
-            let class = ClassBounds { kind: Some(kind.to_owned()), spread: Some((over, 2)), ..class() };
+            let class = ClassBounds {
+                kind: Some(kind.to_owned()),
+                spread: Some((over, 2)),
+                ..class()
+            };
             bounds.classes.insert("play".to_owned(), class);
             bounds
         };
-        let new = Bounds { yes_when_running: true, ..with("b", Over::Rack) };
+        let new = Bounds {
+            yes_when_running: true,
+            ..with("b", Over::Rack)
+        };
         let wrong = joint(&with("a", Over::Hall), &new).unwrap_err();
-        let places = ["site.yes_when", "class `play`, kind", "class `play`, spread.over"];
+        let places = [
+            "site.yes_when",
+            "class `play`, kind",
+            "class `play`, spread.over",
+        ];
         assert_eq!(wrong.len(), places.len());
         for (wrong, place) in wrong.iter().zip(places) {
             assert!(wrong.starts_with(place), "{wrong}");
--- a/crates/plan/src/kept.rs
+++ b/crates/plan/src/kept.rs
@@ -61,7 +61,10 @@
     body.push(u8::from(memory.taught));
     put_ballot(&mut body, memory.promised);
     body.push(u8::from(memory.force.is_some()));
-    memory.force.iter().for_each(|kept| put_kept(&mut body, kept));
+    memory
+        .force
+        .iter()
+        .for_each(|kept| put_kept(&mut body, kept));
     body.push(u8::from(memory.next.is_some()));
     if let Some(next) = &memory.next {
         put_ballot(&mut body, next.ballot);
@@ -91,11 +94,17 @@
 
 impl<'a> Fields<'a> {
     fn wrong(&self, what: &'static str) -> Unreadable {
-        Unreadable::Field { at: self.whole - self.rest.len(), what }
+        Unreadable::Field {
+            at: self.whole - self.rest.len(),
+            what,
+        }
     }
 
     fn take(&mut self, count: usize, what: &'static str) -> Result<&'a [u8], Unreadable> {
-        let (head, rest) = self.rest.split_at_checked(count).ok_or_else(|| self.wrong(what))?;
+        let (head, rest) = self
+            .rest
+            .split_at_checked(count)
+            .ok_or_else(|| self.wrong(what))?;
         self.rest = rest;
         Ok(head)
     }
@@ -122,7 +131,10 @@
     }
 
     fn ballot(&mut self) -> Result<Ballot, Unreadable> {
-        Ok(Ballot { round: self.u64("a ballot")?, by: self.u64("a ballot")? })
+        Ok(Ballot {
+            round: self.u64("a ballot")?,
+            by: self.u64("a ballot")?,
+        })
     }
 
     fn kept(&mut self) -> Result<Kept, Unreadable> {
@@ -151,14 +163,25 @@
     if crc32c::crc32c(checked).to_be_bytes() != sum {
         return Err(Unreadable::Checksum);
     }
-    let mut fields = Fields { rest: &rest[..length], whole: bytes.len() - 4 };
+    let mut fields = Fields {
+        rest: &rest[..length],
+        whole: bytes.len() - 4,
+    };
     let (list, changes) = (fields.u64("the list")?, fields.u32("the changes")?);
     let taught = fields.flag("whether it was taught")?;
     let promised = fields.ballot()?;
-    let force = if fields.flag("the plan in force")? { Some(fields.kept()?) } else { None };
+    let force = if fields.flag("the plan in force")? {
+        Some(fields.kept()?)
+    } else {
+        None
+    };
     let next = if fields.flag("the next plan")? {
         let (ballot, joint) = (fields.ballot()?, fields.flag("the next plan")?);
-        Some(Next { ballot, joint, kept: fields.kept()? })
+        Some(Next {
+            ballot,
+            joint,
+            kept: fields.kept()?,
+        })
     } else {
         None
     };
@@ -173,7 +196,15 @@
     if !fields.rest.is_empty() {
         return Err(fields.wrong("something follows"));
     }
-    Ok(Memory { force, next, promised, list, changes, taught, seen })
+    Ok(Memory {
+        force,
+        next,
+        promised,
+        list,
+        changes,
+        taught,
+        seen,
+    })
 }
 
 #[cfg(test)]
@@ -182,8 +213,21 @@
 
     fn full() -> Memory {
         let kept = |number, text| Kept::new(number, text).unwrap();
-        let next = Next { ballot: Ballot { round: 3, by: 9 }, kept: kept(2, "two"), joint: true };
-        let seen = (0..5).map(|n| (n, Seen { level: 2 + n, at_s: 1_700_000_000 + n, build: 77 }));
+        let next = Next {
+            ballot: Ballot { round: 3, by: 9 },
+            kept: kept(2, "two"),
+            joint: true,
+        };
+        let seen = (0..5).map(|n| {
+            (
+                n,
+                Seen {
+                    level: 2 + n,
+                    at_s: 1_700_000_000 + n,
+                    build: 77,
+                },
+            )
+        });
         Memory {
             force: Some(kept(1, "one")),
             next: Some(next),
@@ -219,7 +263,14 @@
         let mut memory = Memory::default();
         let empty = write(&memory).len();
         for placer in 0..MAX_PLACERS as u64 {
-            memory.seen.insert(placer, Seen { level: 1 << 31, at_s: 1 << 31, build: u32::MAX });
+            memory.seen.insert(
+                placer,
+                Seen {
+                    level: 1 << 31,
+                    at_s: 1 << 31,
+                    build: u32::MAX,
+                },
+            );
         }
         assert!((write(&memory).len() - empty) / MAX_PLACERS < 64);
     }
--- a/crates/plan/src/learner.rs
+++ b/crates/plan/src/learner.rs
@@ -44,10 +44,17 @@
     pub fn admits(&self, stamp: Option<&Stamp>) -> Result<(), Refusal> {
         let floor = self.level();
         let Some(stamp) = stamp else {
-            return if floor == 0 { Ok(()) } else { Err(Refusal::Under { told: 0, floor }) };
+            return if floor == 0 {
+                Ok(())
+            } else {
+                Err(Refusal::Under { told: 0, floor })
+            };
         };
         if stamp.version.number < self.newest.number {
-            return Err(Refusal::Under { told: stamp.level(), floor });
+            return Err(Refusal::Under {
+                told: stamp.level(),
+                floor,
+            });
         }
         if stamp.version.number == self.newest.number && stamp.version != self.newest {
             return Err(Refusal::Other(self.newest));
@@ -58,9 +65,18 @@
     /// In few words, for placers. It is told as one that can't vote, which is what a placer of the former version
     /// understands. How long the floor stands and who is linked the caller knows.
     pub fn record(&self) -> Record {
-        let introduced = Introduced { ballot: Ballot::default(), version: self.newest, joint: true };
+        let introduced = Introduced {
+            ballot: Ballot::default(),
+            version: self.newest,
+            joint: true,
+        };
         let next = (self.newest.number > 0).then_some(introduced);
-        Record { next, stuck: true, learns: true, ..Record::default() }
+        Record {
+            next,
+            stuck: true,
+            learns: true,
+            ..Record::default()
+        }
     }
 }
 
@@ -70,8 +86,15 @@
     use reedring_nodeproto::Digest;
 
     fn stamp(number: u64, name: u8, joint: bool) -> Stamp {
-        let version = Version { number, digest: Digest([name; 16]) };
-        Stamp { version, joint, ..Stamp::default() }
+        let version = Version {
+            number,
+            digest: Digest([name; 16]),
+        };
+        Stamp {
+            version,
+            joint,
+            ..Stamp::default()
+        }
     }
 
     fn learned(number: u64) -> LearnedFloor {
@@ -127,17 +150,35 @@
             (stamp(4, 4, true), true, 7),
             (stamp(3, 3, false), false, 7),
         ] {
-            assert_eq!((floor.raise(&told), floor.level()), (rises, level), "{told:?}");
+            assert_eq!(
+                (floor.raise(&told), floor.level()),
+                (rises, level),
+                "{told:?}"
+            );
         }
-        assert_eq!(floor.admits(Some(&stamp(4, 4, false))), Ok(()), "the rival of plan 2 took nothing over");
+        assert_eq!(
+            floor.admits(Some(&stamp(4, 4, false))),
+            Ok(()),
+            "the rival of plan 2 took nothing over"
+        );
     }
 
     #[test]
     fn what_a_learner_tells_says_its_floor_and_that_it_does_not_vote() {
         let none = LearnedFloor::default().record();
-        assert_eq!((none.floor(), none.learns, none.stuck, none.next), (0, true, true, None));
+        assert_eq!(
+            (none.floor(), none.learns, none.stuck, none.next),
+            (0, true, true, None)
+        );
         let record = learned(3).record();
-        assert_eq!((record.floor(), record.learns, record.stuck), (5, true, true));
-        assert_eq!(record.force, Version::default(), "it knows no plan to be in force");
+        assert_eq!(
+            (record.floor(), record.learns, record.stuck),
+            (5, true, true)
+        );
+        assert_eq!(
+            record.force,
+            Version::default(),
+            "it knows no plan to be in force"
+        );
     }
 }
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -39,8 +39,8 @@
 pub use memory::{Declined, Memory, Next, Refusal, Seen};
 pub use pace::Pace;
 pub use reedring_nodeproto::{
-    Ballot, Delta, DeltaStep, Digest, Edit, Introduced, MAX_PLAN, Order, Record, SectionKey, Stamp, Table,
-    Version, level,
+    Ballot, Delta, DeltaStep, Digest, Edit, Introduced, MAX_PLAN, Order, Record, SectionKey, Stamp,
+    Table, Version, level,
 };
 pub use standing::{Acts, Heard, Own, Standing, Use, Why, standing};
 pub use text::{Kept, WrongText};
