--- a/crates/plan/src/maker.rs
+++ b/crates/plan/src/maker.rs
@@ -67,7 +67,10 @@
 impl Maker {
     /// The maker of a placer that has just begun this life.
     pub fn new(life: u64) -> Self {
-        Self { life, running: None }
+        Self {
+            life,
+            running: None,
+        }
     }
 
     /// What to ask of which node now.
@@ -97,17 +100,31 @@
     ) -> (Step, Vec<(u32, Order)>) {
         let mut orders = Vec::new();
         let force = force.max(fleet.force());
-        let records: Vec<(u32, Record)> = fleet.keepers().map(|(node, record)| (node, *record)).collect();
+        let records: Vec<(u32, Record)> = fleet
+            .keepers()
+            .map(|(node, record)| (node, *record))
+            .collect();
         if force.number > 0 {
             for (node, record) in &records {
                 match texts.get(force) {
                     Some(text) if record.force.number < force.number => {
                         let text = text.to_owned();
-                        orders.push((*node, Order::Force { version: force, text, list: fleet.list }));
-                    }
-                    None if record.force == force => {
-                        orders.push((*node, Order::Fetch { version: force, have: None }))
+                        orders.push((
+                            *node,
+                            Order::Force {
+                                version: force,
+                                text,
+                                list: fleet.list,
+                            },
+                        ));
                     }
+                    None if record.force == force => orders.push((
+                        *node,
+                        Order::Fetch {
+                            version: force,
+                            have: None,
+                        },
+                    )),
                     _ => {}
                 }
             }
@@ -120,13 +137,23 @@
                 Step::Joint(next)
             }
             None => {
-                let offered = fleet.votes().any(|(_, record)| here(record) && record.next.is_some());
+                let offered = fleet
+                    .votes()
+                    .any(|(_, record)| here(record) && record.next.is_some());
                 let proposes = proposes.filter(|kept| {
                     kept.version().number > force.number
                         && (force.number == 0 || kept.version().number == force.number + 1)
                 });
                 if offered || proposes.is_some() {
-                    self.run(may_outbid, fleet, &records, force, proposes, texts, &mut orders);
+                    self.run(
+                        may_outbid,
+                        fleet,
+                        &records,
+                        force,
+                        proposes,
+                        texts,
+                        &mut orders,
+                    );
                     Step::Offered
                 } else {
                     Step::Quiet
@@ -149,16 +176,41 @@
         let has = |record: &Record| record.next.is_some_and(|kept| kept.version == next);
         let Some(text) = texts.get(next) else {
             let fetch = records.iter().filter(|(_, record)| has(record));
-            return orders.extend(fetch.map(|(node, _)| (*node, Order::Fetch { version: next, have: None })));
+            return orders.extend(fetch.map(|(node, _)| {
+                (
+                    *node,
+                    Order::Fetch {
+                        version: next,
+                        have: None,
+                    },
+                )
+            }));
         };
         let enough = fleet.joint_at(next) >= fleet.majority();
         for (node, record) in records.iter().filter(|(_, record)| record.force == force) {
-            let joint = record.next.is_some_and(|kept| kept.joint && kept.version == next);
+            let joint = record
+                .next
+                .is_some_and(|kept| kept.joint && kept.version == next);
             let (version, text, list) = (next, text.to_owned(), fleet.list);
             if !joint {
-                orders.push((*node, Order::Joint { follows: force, version, text, list }));
+                orders.push((
+                    *node,
+                    Order::Joint {
+                        follows: force,
+                        version,
+                        text,
+                        list,
+                    },
+                ));
             } else if enough {
-                orders.push((*node, Order::Force { version, text, list }));
+                orders.push((
+                    *node,
+                    Order::Force {
+                        version,
+                        text,
+                        list,
+                    },
+                ));
             }
         }
     }
@@ -176,38 +228,82 @@
         orders: &mut Vec<(u32, Order)>,
     ) {
         let votes = |node: u32| fleet.member(node) == Member::Voter;
-        let here = || records.iter().filter(|(node, record)| votes(*node) && record.force == force);
-        let greatest = here().map(|(_, record)| record.promised).max().unwrap_or_default();
-        let mine = self.running.filter(|running| running.follows == force && running.ballot >= greatest);
+        let here = || {
+            records
+                .iter()
+                .filter(|(node, record)| votes(*node) && record.force == force)
+        };
+        let greatest = here()
+            .map(|(_, record)| record.promised)
+            .max()
+            .unwrap_or_default();
+        let mine = self
+            .running
+            .filter(|running| running.follows == force && running.ballot >= greatest);
         let Some(mut running) = mine else {
             if greatest.round > 0 && !may_outbid {
                 return;
             }
-            let ballot = Ballot { round: greatest.round + 1, by: self.life };
-            self.running = Some(Running { follows: force, ballot, proposes: None });
-            let prepare = Order::Prepare { follows: force, ballot, list: fleet.list };
+            let ballot = Ballot {
+                round: greatest.round + 1,
+                by: self.life,
+            };
+            self.running = Some(Running {
+                follows: force,
+                ballot,
+                proposes: None,
+            });
+            let prepare = Order::Prepare {
+                follows: force,
+                ballot,
+                list: fleet.list,
+            };
             return orders.extend(here().map(|(node, _)| (*node, prepare.clone())));
         };
         let ballot = running.ballot;
         let answered = || here().filter(|(_, record)| record.promised == ballot);
         if running.proposes.is_none() && answered().count() >= fleet.majority() {
-            let kept = answered().filter_map(|(_, record)| record.next).max_by_key(|next| next.ballot);
-            running.proposes = kept.map(|next| next.version).or(proposes.map(Kept::version));
+            let kept = answered()
+                .filter_map(|(_, record)| record.next)
+                .max_by_key(|next| next.ballot);
+            running.proposes = kept
+                .map(|next| next.version)
+                .or(proposes.map(Kept::version));
             self.running = Some(running);
         }
         let Some(version) = running.proposes else {
             let open = here().filter(|(_, record)| record.promised < ballot);
-            let prepare = Order::Prepare { follows: force, ballot, list: fleet.list };
+            let prepare = Order::Prepare {
+                follows: force,
+                ballot,
+                list: fleet.list,
+            };
             return orders.extend(open.map(|(node, _)| (*node, prepare.clone())));
         };
         let Some(text) = texts.get(version) else {
             let kept = records.iter().filter(|(_, record)| record.force == force);
-            let has = kept.filter(|(_, record)| record.next.is_some_and(|next| next.version == version));
-            return orders.extend(has.map(|(node, _)| (*node, Order::Fetch { version, have: None })));
+            let has =
+                kept.filter(|(_, record)| record.next.is_some_and(|next| next.version == version));
+            return orders.extend(has.map(|(node, _)| {
+                (
+                    *node,
+                    Order::Fetch {
+                        version,
+                        have: None,
+                    },
+                )
+            }));
         };
-        let open = here().filter(|(_, record)| record.next.is_none_or(|next| next.ballot != ballot));
+        let open =
+            here().filter(|(_, record)| record.next.is_none_or(|next| next.ballot != ballot));
         let (text, list) = (text.to_owned(), fleet.list);
-        let accept = Order::Accept { follows: force, ballot, version, text, list };
+        let accept = Order::Accept {
+            follows: force,
+            ballot,
+            version,
+            text,
+            list,
+        };
         orders.extend(open.map(|(node, _)| (*node, accept.clone())));
     }
 }
@@ -225,7 +321,9 @@
 
     fn texts() -> Texts {
         let mut texts = Texts::default();
-        [plan(1, "one"), plan(2, "a"), plan(2, "b")].iter().for_each(|kept| texts.add(kept));
+        [plan(1, "one"), plan(2, "a"), plan(2, "b")]
+            .iter()
+            .for_each(|kept| texts.add(kept));
         texts
     }
 
@@ -235,12 +333,24 @@
             version: kept.version(),
             joint,
         };
-        Record { force: plan(1, "one").version(), promised, next: next.map(introduced), ..Record::default() }
+        Record {
+            force: plan(1, "one").version(),
+            promised,
+            next: next.map(introduced),
+            ..Record::default()
+        }
     }
 
     fn fleet(records: &[Record]) -> Fleet {
-        let nodes = records.iter().enumerate().map(|(n, record)| (n as u32, Kin::Told(*record))).collect();
-        Fleet { nodes, ..Fleet::default() }
+        let nodes = records
+            .iter()
+            .enumerate()
+            .map(|(n, record)| (n as u32, Kin::Told(*record)))
+            .collect();
+        Fleet {
+            nodes,
+            ..Fleet::default()
+        }
     }
 
     fn next(maker: &mut Maker, fleet: &Fleet, own: Option<&Kept>) -> (Step, Vec<(u32, Order)>) {
@@ -266,20 +376,36 @@
             let quiet = [record(none, None); 3];
             let (step, orders) = next(&mut maker, &fleet(&quiet), Some(&a));
             assert_eq!((step, orders.len()), (Step::Offered, 3));
+            assert!(orders.iter().all(
+                |(_, order)| matches!(order, Order::Prepare { ballot, .. } if *ballot == FIRST)
+            ));
+            // One answer is none yet.
+            let one = [
+                record(FIRST, kept[0]),
+                record(none, None),
+                record(none, None),
+            ];
+            let (_, orders) = next(&mut maker, &fleet(&one), Some(&a));
             assert!(
                 orders
                     .iter()
-                    .all(|(_, order)| matches!(order, Order::Prepare { ballot, .. } if *ballot == FIRST))
+                    .all(|(_, order)| matches!(order, Order::Prepare { .. })),
+                "{orders:?}"
             );
-            // One answer is none yet.
-            let one = [record(FIRST, kept[0]), record(none, None), record(none, None)];
-            let (_, orders) = next(&mut maker, &fleet(&one), Some(&a));
-            assert!(orders.iter().all(|(_, order)| matches!(order, Order::Prepare { .. })), "{orders:?}");
-            let two = [record(FIRST, kept[0]), record(FIRST, kept[1]), record(none, None)];
+            let two = [
+                record(FIRST, kept[0]),
+                record(FIRST, kept[1]),
+                record(none, None),
+            ];
             let (_, orders) = next(&mut maker, &fleet(&two), Some(&a));
             assert!(!orders.is_empty());
             for (_, order) in &orders {
-                let Order::Accept { ballot, version, .. } = order else { panic!("{order:?}") };
+                let Order::Accept {
+                    ballot, version, ..
+                } = order
+                else {
+                    panic!("{order:?}")
+                };
                 assert_eq!((*ballot, *version), (FIRST, want.version()), "{kept:?}");
             }
             // Another answer that comes later changes nothing of that ballot.
@@ -294,18 +420,35 @@
     fn a_decided_plan_is_made_joint_and_comes_in_force_once_a_majority_has_kept_that() {
         let a = plan(2, "a");
         let at = Ballot { round: 1, by: 5 };
-        let (kept, joint) = (record(at, Some((1, &a, false))), record(at, Some((1, &a, true))));
+        let (kept, joint) = (
+            record(at, Some((1, &a, false))),
+            record(at, Some((1, &a, true))),
+        );
         for (records, joints, forces) in [
             ([kept, kept, kept], vec![0, 1, 2], vec![]),
             ([joint, kept, kept], vec![1, 2], vec![]),
             ([joint, joint, kept], vec![2], vec![0, 1]),
             ([joint, joint, joint], vec![], vec![0, 1, 2]),
-            ([joint, Record { stuck: true, ..joint }, kept], vec![2], vec![]),
+            (
+                [
+                    joint,
+                    Record {
+                        stuck: true,
+                        ..joint
+                    },
+                    kept,
+                ],
+                vec![2],
+                vec![],
+            ),
         ] {
             let (step, orders) = next(&mut Maker::new(9), &fleet(&records), None);
             assert_eq!(step, Step::Joint(a.version()));
             let of = |wanted: fn(&Order) -> bool| {
-                let nodes = orders.iter().filter(|(_, order)| wanted(order)).map(|(node, _)| *node);
+                let nodes = orders
+                    .iter()
+                    .filter(|(_, order)| wanted(order))
+                    .map(|(node, _)| *node);
                 nodes.collect::<Vec<u32>>()
             };
             assert_eq!(of(|order| matches!(order, Order::Joint { .. })), joints);
@@ -324,9 +467,23 @@
             "{orders:?}"
         );
         let none = Texts::default();
-        let (_, orders) =
-            Maker::new(9).next(false, &fleet(&[there, behind]), Version::default(), None, &none);
-        assert_eq!(orders, [(0, Order::Fetch { version: one.version(), have: None })]);
+        let (_, orders) = Maker::new(9).next(
+            false,
+            &fleet(&[there, behind]),
+            Version::default(),
+            None,
+            &none,
+        );
+        assert_eq!(
+            orders,
+            [(
+                0,
+                Order::Fetch {
+                    version: one.version(),
+                    have: None
+                }
+            )]
+        );
     }
 
     /// A ballot of another is left alone until it has had its time, and is then carried on, not undone.
@@ -334,62 +491,128 @@
     fn a_change_whose_maker_died_is_carried_on_by_another() {
         let (a, b) = (plan(2, "a"), plan(2, "b"));
         let other = Ballot { round: 4, by: 5 };
-        let records = [record(other, Some((4, &a, false))), record(other, None), record(other, None)];
+        let records = [
+            record(other, Some((4, &a, false))),
+            record(other, None),
+            record(other, None),
+        ];
         let mut maker = Maker::new(9);
         assert_eq!(next(&mut maker, &fleet(&records), Some(&b)).1, []);
-        let (_, orders) = maker.next(true, &fleet(&records), Version::default(), Some(&b), &texts());
+        let (_, orders) = maker.next(
+            true,
+            &fleet(&records),
+            Version::default(),
+            Some(&b),
+            &texts(),
+        );
         let mine = Ballot { round: 5, by: 9 };
         assert!(
-            orders.iter().all(|(_, order)| matches!(order, Order::Prepare { ballot, .. } if *ballot == mine))
+            orders.iter().all(
+                |(_, order)| matches!(order, Order::Prepare { ballot, .. } if *ballot == mine)
+            )
         );
-        let answered = [record(mine, Some((4, &a, false))), record(mine, None), record(mine, None)];
+        let answered = [
+            record(mine, Some((4, &a, false))),
+            record(mine, None),
+            record(mine, None),
+        ];
         let (_, orders) = next(&mut maker, &fleet(&answered), Some(&b));
         let carries = |(_, order): &(u32, Order)| matches!(order, Order::Accept { version, .. } if *version == a.version());
-        assert!(!orders.is_empty() && orders.iter().all(carries), "{orders:?}");
+        assert!(
+            !orders.is_empty() && orders.iter().all(carries),
+            "{orders:?}"
+        );
     }
 
     /// Voters 0 to 2; what else there is keeps plans and does not vote, or learns.
     fn control(records: &[Record]) -> Fleet {
-        Fleet { membership: Membership::of([0, 1, 2].into()), ..fleet(records) }
+        Fleet {
+            membership: Membership::of([0, 1, 2].into()),
+            ..fleet(records)
+        }
     }
 
     fn asked(orders: &[(u32, Order)], wanted: fn(&Order) -> bool) -> Vec<u32> {
-        orders.iter().filter(|(_, order)| wanted(order)).map(|(node, _)| *node).collect()
+        orders
+            .iter()
+            .filter(|(_, order)| wanted(order))
+            .map(|(node, _)| *node)
+            .collect()
     }
 
     #[test]
     fn ballots_are_asked_of_voters_and_what_is_decided_is_told_to_all_that_keep_plans() {
         let a = plan(2, "a");
         let quiet = record(Ballot::default(), None);
-        let learner = Record { learns: true, stuck: true, ..Record::default() };
+        let learner = Record {
+            learns: true,
+            stuck: true,
+            ..Record::default()
+        };
         let mut maker = Maker::new(9);
-        let (_, orders) = next(&mut maker, &control(&[quiet, quiet, quiet, quiet, learner]), Some(&a));
-        assert_eq!(asked(&orders, |order| matches!(order, Order::Prepare { .. })), [0, 1, 2]);
+        let (_, orders) = next(
+            &mut maker,
+            &control(&[quiet, quiet, quiet, quiet, learner]),
+            Some(&a),
+        );
+        assert_eq!(
+            asked(&orders, |order| matches!(order, Order::Prepare { .. })),
+            [0, 1, 2]
+        );
         assert_eq!(orders.len(), 3, "{orders:?}");
         // Two voters have answered; a node that does not vote changes neither the count nor what is proposed.
         let answered = record(FIRST, None);
         let b = plan(2, "b");
         let other = record(FIRST, Some((1, &b, false)));
-        let (_, orders) = next(&mut maker, &control(&[answered, quiet, quiet, other, learner]), Some(&a));
-        assert_eq!(asked(&orders, |order| matches!(order, Order::Accept { .. })), Vec::<u32>::new());
-        let (_, orders) = next(&mut maker, &control(&[answered, answered, quiet, other, learner]), Some(&a));
+        let (_, orders) = next(
+            &mut maker,
+            &control(&[answered, quiet, quiet, other, learner]),
+            Some(&a),
+        );
+        assert_eq!(
+            asked(&orders, |order| matches!(order, Order::Accept { .. })),
+            Vec::<u32>::new()
+        );
+        let (_, orders) = next(
+            &mut maker,
+            &control(&[answered, answered, quiet, other, learner]),
+            Some(&a),
+        );
         let own = |order: &Order| matches!(order, Order::Accept { version, .. } if version.digest == plan(2, "a").version().digest);
         assert_eq!((asked(&orders, own), orders.len()), (vec![0, 1, 2], 3));
         let kept = record(FIRST, Some((1, &a, false)));
-        let (step, orders) = next(&mut maker, &control(&[kept, kept, quiet, quiet, learner]), Some(&a));
+        let (step, orders) = next(
+            &mut maker,
+            &control(&[kept, kept, quiet, quiet, learner]),
+            Some(&a),
+        );
         assert_eq!(step, Step::Joint(a.version()));
-        assert_eq!(asked(&orders, |order| matches!(order, Order::Joint { .. })), [0, 1, 2, 3]);
+        assert_eq!(
+            asked(&orders, |order| matches!(order, Order::Joint { .. })),
+            [0, 1, 2, 3]
+        );
         assert_eq!(orders.len(), 4, "{orders:?}");
     }
 
     #[test]
     fn a_majority_of_the_voters_is_joint_before_anything_is_in_force() {
         let a = plan(2, "a");
-        let (kept, joint) = (record(FIRST, Some((1, &a, false))), record(FIRST, Some((1, &a, true))));
+        let (kept, joint) = (
+            record(FIRST, Some((1, &a, false))),
+            record(FIRST, Some((1, &a, true))),
+        );
         let force = |order: &Order| matches!(order, Order::Force { .. });
-        let (_, orders) = next(&mut Maker::new(9), &control(&[joint, kept, kept, joint, joint]), None);
+        let (_, orders) = next(
+            &mut Maker::new(9),
+            &control(&[joint, kept, kept, joint, joint]),
+            None,
+        );
         assert_eq!(asked(&orders, force), Vec::<u32>::new());
-        let (_, orders) = next(&mut Maker::new(9), &control(&[joint, joint, kept, joint, kept]), None);
+        let (_, orders) = next(
+            &mut Maker::new(9),
+            &control(&[joint, joint, kept, joint, kept]),
+            None,
+        );
         assert_eq!(asked(&orders, force), [0, 1, 3]);
     }
 
@@ -400,18 +623,31 @@
         let (one, two) = (plan(1, "one"), plan(2, "a"));
         let (empty, there) = (Record::default(), record(Ballot::default(), None));
         let mut maker = Maker::new(9);
-        let (_, orders) = next(&mut maker, &control(&[empty, empty, empty, there, there]), Some(&two));
+        let (_, orders) = next(
+            &mut maker,
+            &control(&[empty, empty, empty, there, there]),
+            Some(&two),
+        );
         assert_eq!(orders.len(), 3, "{orders:?}");
         for (_, order) in &orders {
-            assert!(matches!(order, Order::Force { version, .. } if *version == one.version()), "{order:?}");
+            assert!(
+                matches!(order, Order::Force { version, .. } if *version == one.version()),
+                "{order:?}"
+            );
         }
         // One of three: a ballot may be prepared there, and nothing can be accepted.
         let mut told = [there, empty, empty, there, there];
         let (_, orders) = next(&mut maker, &control(&told), Some(&two));
-        assert_eq!(asked(&orders, |order| matches!(order, Order::Force { .. })), [1, 2]);
+        assert_eq!(
+            asked(&orders, |order| matches!(order, Order::Force { .. })),
+            [1, 2]
+        );
         told[0] = record(FIRST, None);
         let (_, orders) = next(&mut maker, &control(&told), Some(&two));
-        assert_eq!(asked(&orders, |order| matches!(order, Order::Accept { .. })), Vec::<u32>::new());
+        assert_eq!(
+            asked(&orders, |order| matches!(order, Order::Accept { .. })),
+            Vec::<u32>::new()
+        );
     }
 
     /// Nodes that do not vote and learners tell nothing that would have the placer offer a plan.
@@ -419,7 +655,11 @@
     fn what_non_voters_keep_without_a_decision_starts_no_ballot() {
         let quiet = record(Ballot::default(), None);
         let kept = record(FIRST, Some((1, &plan(2, "b"), false)));
-        let (step, orders) = next(&mut Maker::new(9), &control(&[quiet, quiet, quiet, kept, kept]), None);
+        let (step, orders) = next(
+            &mut Maker::new(9),
+            &control(&[quiet, quiet, quiet, kept, kept]),
+            None,
+        );
         assert_eq!((step, orders), (Step::Quiet, Vec::new()));
     }
 }
--- a/crates/plan/src/membership.rs
+++ b/crates/plan/src/membership.rs
@@ -29,7 +29,11 @@
 impl Membership {
     /// Of a list that marks these nodes as control machines.
     pub fn of(control: BTreeSet<u32>) -> Self {
-        if control.is_empty() { Self::All } else { Self::Control(control) }
+        if control.is_empty() {
+            Self::All
+        } else {
+            Self::Control(control)
+        }
     }
 
     /// What this node is.
@@ -48,9 +52,20 @@
     #[test]
     fn every_node_votes_unless_the_list_marks_control_machines() {
         let all = Membership::of(BTreeSet::new());
-        assert_eq!((all.member(0), all.member(9)), (Member::Voter, Member::Voter));
+        assert_eq!(
+            (all.member(0), all.member(9)),
+            (Member::Voter, Member::Voter)
+        );
         let control = Membership::of(BTreeSet::from([1, 3]));
         let members = [0, 1, 2, 3].map(|node| control.member(node));
-        assert_eq!(members, [Member::Learner, Member::Voter, Member::Learner, Member::Voter]);
+        assert_eq!(
+            members,
+            [
+                Member::Learner,
+                Member::Voter,
+                Member::Learner,
+                Member::Voter
+            ]
+        );
     }
 }
--- a/crates/plan/src/memory.rs
+++ b/crates/plan/src/memory.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use reedring_nodeproto::{Ballot, Delta, DeltaStep, Introduced, Order, Record, Stamp, Version, level};
+use reedring_nodeproto::{
+    Ballot, Delta, DeltaStep, Introduced, Order, Record, Stamp, Version, level,
+};
 
 use crate::delta::{self, DeltaError};
 use crate::kept::MAX_PLACERS;
@@ -127,13 +129,18 @@
 
     /// Offers under this level are refused.
     pub fn floor(&self) -> u64 {
-        self.joint().map_or(level(self.force(), false), |next| level(next.kept.version(), true))
+        self.joint().map_or(level(self.force(), false), |next| {
+            level(next.kept.version(), true)
+        })
     }
 
     /// In few words, for placers. How long the floor stands and who is linked the caller knows.
     pub fn record(&self) -> Record {
-        let introduced =
-            |next: &Next| Introduced { ballot: next.ballot, version: next.kept.version(), joint: next.joint };
+        let introduced = |next: &Next| Introduced {
+            ballot: next.ballot,
+            version: next.kept.version(),
+            joint: next.joint,
+        };
         Record {
             force: self.force(),
             next: self.next.as_ref().map(introduced),
@@ -145,21 +152,34 @@
 
     /// The text of a plan that is kept here.
     pub fn text(&self, version: Version) -> Option<&str> {
-        let kept = self.force.iter().chain(self.next.iter().map(|next| &next.kept));
-        kept.filter(|kept| kept.version() == version).map(Kept::text).next()
+        let kept = self
+            .force
+            .iter()
+            .chain(self.next.iter().map(|next| &next.kept));
+        kept.filter(|kept| kept.version() == version)
+            .map(Kept::text)
+            .next()
     }
 
     /// What changed from a plan that somebody has to one that is kept here, where that is known and shorter than the
     /// text.
     pub fn delta(&self, have: Version, wanted: Version) -> Option<Delta> {
         let base = self.force.as_ref().filter(|kept| kept.version() == have)?;
-        let target = self.next.as_ref().map(|next| &next.kept).filter(|kept| kept.version() == wanted)?;
+        let target = self
+            .next
+            .as_ref()
+            .map(|next| &next.kept)
+            .filter(|kept| kept.version() == wanted)?;
         delta::shorter(base, target)
     }
 
     /// The plan that an order is about: of its text, or as it is kept here where the sender left the text out.
     fn told(&self, version: Version, text: &str) -> Result<Kept, WrongText> {
-        let kept = self.next.as_ref().map(|next| &next.kept).filter(|kept| kept.version() == version);
+        let kept = self
+            .next
+            .as_ref()
+            .map(|next| &next.kept)
+            .filter(|kept| kept.version() == version);
         match kept {
             Some(kept) if text.is_empty() => Ok(kept.clone()),
             _ => Kept::checked(version, text),
@@ -168,13 +188,31 @@
 
     /// The order with a text that one with a delta stands for.
     fn with_text(&self, step: DeltaStep, changed: &Delta, list: u64) -> Result<Order, Declined> {
-        let base = self.force.as_ref().filter(|kept| kept.version() == changed.base);
+        let base = self
+            .force
+            .as_ref()
+            .filter(|kept| kept.version() == changed.base);
         let target = delta::apply(base.ok_or(Declined::OtherForce(self.force()))?, changed)?;
         let (follows, version, text) = (changed.base, target.version(), target.text().to_owned());
         Ok(match step {
-            DeltaStep::Accept { ballot } => Order::Accept { follows, ballot, version, text, list },
-            DeltaStep::Joint => Order::Joint { follows, version, text, list },
-            DeltaStep::Force => Order::Force { version, text, list },
+            DeltaStep::Accept { ballot } => Order::Accept {
+                follows,
+                ballot,
+                version,
+                text,
+                list,
+            },
+            DeltaStep::Joint => Order::Joint {
+                follows,
+                version,
+                text,
+                list,
+            },
+            DeltaStep::Force => Order::Force {
+                version,
+                text,
+                list,
+            },
         })
     }
 
@@ -212,7 +250,10 @@
         }
         let (force, mut new) = (self.force(), self.clone());
         let told = match order {
-            Order::Ask { .. } | Order::Fetch { .. } | Order::Raise { .. } | Order::ByDelta { .. } => {
+            Order::Ask { .. }
+            | Order::Fetch { .. }
+            | Order::Raise { .. }
+            | Order::ByDelta { .. } => {
                 return Err(Declined::Same);
             }
             Order::Prepare { list, .. }
@@ -221,21 +262,29 @@
             | Order::Force { list, .. } => *list,
         };
         if told < self.list {
-            return Err(Declined::OldList { told, known: self.list });
+            return Err(Declined::OldList {
+                told,
+                known: self.list,
+            });
         }
         new.list = told;
-        if let Order::Prepare { follows, .. } | Order::Accept { follows, .. } | Order::Joint { follows, .. } =
-            order
+        if let Order::Prepare { follows, .. }
+        | Order::Accept { follows, .. }
+        | Order::Joint { follows, .. } = order
             && *follows != force
         {
             return Err(Declined::OtherForce(force));
         }
-        if matches!(order, Order::Prepare { .. } | Order::Accept { .. }) && self.taught && !settled {
+        if matches!(order, Order::Prepare { .. } | Order::Accept { .. }) && self.taught && !settled
+        {
             return Err(Declined::Fresh);
         }
         let decided = self.joint().map(|next| next.kept.version());
         match order {
-            Order::Ask { .. } | Order::Fetch { .. } | Order::Raise { .. } | Order::ByDelta { .. } => {}
+            Order::Ask { .. }
+            | Order::Fetch { .. }
+            | Order::Raise { .. }
+            | Order::ByDelta { .. } => {}
             Order::Prepare { ballot, .. } => {
                 if let Some(decided) = decided {
                     return Err(Declined::Decided(decided));
@@ -246,7 +295,12 @@
                     std::cmp::Ordering::Greater => new.promised = *ballot,
                 }
             }
-            Order::Accept { ballot, version, text, .. } => {
+            Order::Accept {
+                ballot,
+                version,
+                text,
+                ..
+            } => {
                 if let Some(decided) = decided {
                     return Err(Declined::Decided(decided));
                 }
@@ -256,7 +310,11 @@
                 let kept = Kept::checked(*version, text)?;
                 follows(force, *version)?;
                 new.promised = *ballot;
-                new.next = Some(Next { ballot: *ballot, kept, joint: false });
+                new.next = Some(Next {
+                    ballot: *ballot,
+                    kept,
+                    joint: false,
+                });
             }
             Order::Joint { version, text, .. } => {
                 match decided {
@@ -267,7 +325,11 @@
                 let kept = self.told(*version, text)?;
                 follows(force, *version)?;
                 let ballot = self.next.as_ref().map_or(self.promised, |next| next.ballot);
-                new.next = Some(Next { ballot, kept, joint: true });
+                new.next = Some(Next {
+                    ballot,
+                    kept,
+                    joint: true,
+                });
             }
             Order::Force { version, text, .. } => {
                 if *version == force {
@@ -278,11 +340,15 @@
                 }
                 let kept = self.told(*version, text)?;
                 new.changes = self.changes.saturating_add(u32::from(self.force.is_some()));
-                new.taught = self.force.is_none() && self.next.as_ref().is_none_or(|next| next.kept != kept);
+                new.taught =
+                    self.force.is_none() && self.next.as_ref().is_none_or(|next| next.kept != kept);
                 new.force = Some(kept);
                 // Ballots are for the successor of one plan.
                 new.promised = Ballot::default();
-                new.next = self.next.clone().filter(|next| next.kept.version().number > version.number);
+                new.next = self
+                    .next
+                    .clone()
+                    .filter(|next| next.kept.version().number > version.number);
             }
         }
         Ok(new)
@@ -306,7 +372,11 @@
         let floor = self.floor();
         let Some(stamp) = stamp else {
             let first = self.changes == 0 && (self.force.is_none() || self.joint().is_none());
-            return if first { Ok(()) } else { Err(Refusal::Under { told: 0, floor }) };
+            return if first {
+                Ok(())
+            } else {
+                Err(Refusal::Under { told: 0, floor })
+            };
         };
         let told = stamp.level();
         if self.force.is_none() && self.joint().is_none() {
@@ -318,8 +388,14 @@
         if told > floor + 1 {
             return Err(Refusal::Unknown { told, floor });
         }
-        let known = [Some(self.force()), self.joint().map(|next| next.kept.version())];
-        let other = known.into_iter().flatten().find(|known| known.number == stamp.version.number);
+        let known = [
+            Some(self.force()),
+            self.joint().map(|next| next.kept.version()),
+        ];
+        let other = known
+            .into_iter()
+            .flatten()
+            .find(|known| known.number == stamp.version.number);
         match other.filter(|known| *known != stamp.version) {
             Some(other) => Err(Refusal::Other(other)),
             None => Ok(()),
@@ -330,7 +406,11 @@
     pub fn sees(&mut self, placer: u64, seen: Seen) -> bool {
         let before = self.seen.insert(placer, seen);
         if self.seen.len() > MAX_PLACERS {
-            let oldest = self.seen.iter().min_by_key(|(_, seen)| seen.at_s).map(|(placer, _)| *placer);
+            let oldest = self
+                .seen
+                .iter()
+                .min_by_key(|(_, seen)| seen.at_s)
+                .map(|(placer, _)| *placer);
             oldest.map(|placer| self.seen.remove(&placer));
         }
         before.is_none_or(|before| (before.level, before.build) != (seen.level, seen.build))
@@ -339,7 +419,10 @@
 
 fn follows(force: Version, next: Version) -> Result<(), Declined> {
     if force.number > 0 && next.number != force.number + 1 {
-        return Err(Declined::Skips { told: next.number, force: force.number });
+        return Err(Declined::Skips {
+            told: next.number,
+            force: force.number,
+        });
     }
     Ok(())
 }
@@ -358,15 +441,30 @@
 
     fn accept(after: Version, round: u64, kept: &Kept) -> Order {
         let text = kept.text().to_owned();
-        Order::Accept { follows: after, ballot: ballot(round), version: kept.version(), text, list: 0 }
+        Order::Accept {
+            follows: after,
+            ballot: ballot(round),
+            version: kept.version(),
+            text,
+            list: 0,
+        }
     }
 
     fn joint(after: Version, kept: &Kept) -> Order {
-        Order::Joint { follows: after, version: kept.version(), text: kept.text().to_owned(), list: 0 }
+        Order::Joint {
+            follows: after,
+            version: kept.version(),
+            text: kept.text().to_owned(),
+            list: 0,
+        }
     }
 
     fn force(kept: &Kept) -> Order {
-        Order::Force { version: kept.version(), text: kept.text().to_owned(), list: 0 }
+        Order::Force {
+            version: kept.version(),
+            text: kept.text().to_owned(),
+            list: 0,
+        }
     }
 
     /// Every state that a node can be in between two plans and a rival, by name.
@@ -374,24 +472,54 @@
         let (one, two) = (kept(1, "one"), kept(2, "two"));
         let empty = Memory::default();
         let first = empty.after(&force(&one), true).unwrap();
-        let prepare = Order::Prepare { follows: one.version(), ballot: ballot(3), list: 0 };
+        let prepare = Order::Prepare {
+            follows: one.version(),
+            ballot: ballot(3),
+            list: 0,
+        };
         let promised = first.after(&prepare, true).unwrap();
-        let offered = promised.after(&accept(one.version(), 3, &two), true).unwrap();
+        let offered = promised
+            .after(&accept(one.version(), 3, &two), true)
+            .unwrap();
         let decided = offered.after(&joint(one.version(), &two), true).unwrap();
         let done = decided.after(&force(&two), true).unwrap();
         let names = ["empty", "first", "promised", "offered", "decided", "done"];
-        names.into_iter().zip([empty, first, promised, offered, decided, done]).collect()
+        names
+            .into_iter()
+            .zip([empty, first, promised, offered, decided, done])
+            .collect()
     }
 
     fn orders() -> Vec<Order> {
         let none = Version::default();
-        let (one, two, rival, four) = (kept(1, "one"), kept(2, "two"), kept(2, "rival"), kept(4, "four"));
-        let mut all =
-            vec![Order::Ask { stamp: Stamp::default() }, Order::Fetch { version: two.version(), have: None }];
-        all.push(Order::Raise { stamp: Stamp { version: four.version(), ..Stamp::default() } });
+        let (one, two, rival, four) = (
+            kept(1, "one"),
+            kept(2, "two"),
+            kept(2, "rival"),
+            kept(4, "four"),
+        );
+        let mut all = vec![
+            Order::Ask {
+                stamp: Stamp::default(),
+            },
+            Order::Fetch {
+                version: two.version(),
+                have: None,
+            },
+        ];
+        all.push(Order::Raise {
+            stamp: Stamp {
+                version: four.version(),
+                ..Stamp::default()
+            },
+        });
         for after in [none, one.version(), two.version()] {
             for round in [1, 3, 5] {
-                all.push(Order::Prepare { follows: after, ballot: ballot(round), list: 0 });
+                all.push(Order::Prepare {
+                    follows: after,
+                    ballot: ballot(round),
+                    list: 0,
+                });
                 all.extend([&one, &two, &rival, &four].map(|kept| accept(after, round, kept)));
             }
             all.extend([&one, &two, &rival, &four].map(|kept| joint(after, kept)));
@@ -405,16 +533,27 @@
     fn no_order_lowers_a_floor_or_a_ballot_or_undoes_what_is_decided() {
         for (name, memory) in states() {
             for order in orders() {
-                let Ok(new) = memory.after(&order, true) else { continue };
+                let Ok(new) = memory.after(&order, true) else {
+                    continue;
+                };
                 let case = format!("{name}, {order:?}: {new:?}");
                 assert!(new.floor() >= memory.floor(), "{case}");
                 let same = new.force() == memory.force();
                 assert!(!same || new.promised >= memory.promised, "{case}");
                 assert!(new.force().number >= memory.force().number, "{case}");
-                assert!(same || new.force().number > memory.force().number, "one plan a number: {case}");
+                assert!(
+                    same || new.force().number > memory.force().number,
+                    "one plan a number: {case}"
+                );
                 if let Some(decided) = memory.next.as_ref().filter(|next| next.joint) {
-                    let kept = new.next.as_ref().is_some_and(|next| next.joint && next.kept == decided.kept);
-                    assert!(kept || new.force().number >= decided.kept.version().number, "{case}");
+                    let kept = new
+                        .next
+                        .as_ref()
+                        .is_some_and(|next| next.joint && next.kept == decided.kept);
+                    assert!(
+                        kept || new.force().number >= decided.kept.version().number,
+                        "{case}"
+                    );
                 }
                 if let Some(next) = &new.next {
                     let (next, force) = (next.kept.version().number, new.force().number);
@@ -434,13 +573,23 @@
         let (one, two, four) = (kept(1, "one"), kept(2, "two"), kept(4, "four"));
         let vote = |state: &str, order: Order| states[state].after(&order, true).map(drop);
         assert_eq!(vote("promised", accept(one.version(), 3, &two)), Ok(()));
-        assert_eq!(vote("promised", accept(one.version(), 1, &two)), Err(Declined::Outbid));
+        assert_eq!(
+            vote("promised", accept(one.version(), 1, &two)),
+            Err(Declined::Outbid)
+        );
         let skips = Declined::Skips { told: 4, force: 1 };
         assert_eq!(vote("first", accept(one.version(), 1, &four)), Err(skips));
-        assert_eq!(vote("empty", accept(Version::default(), 1, &four)), Ok(()), "any number begins");
+        assert_eq!(
+            vote("empty", accept(Version::default(), 1, &four)),
+            Ok(()),
+            "any number begins"
+        );
         let other = Declined::OtherForce(two.version());
         assert_eq!(vote("done", accept(one.version(), 9, &two)), Err(other));
-        assert_eq!(vote("decided", accept(one.version(), 9, &two)), Err(Declined::Decided(two.version())));
+        assert_eq!(
+            vote("decided", accept(one.version(), 9, &two)),
+            Err(Declined::Decided(two.version()))
+        );
     }
 
     #[test]
@@ -448,34 +597,76 @@
         let (one, two) = (kept(1, "one"), kept(2, "two"));
         let first = Memory::default().after(&force(&one), true).unwrap();
         let version = two.version();
-        let wrong = Order::Force { version, text: "tow".into(), list: 0 };
+        let wrong = Order::Force {
+            version,
+            text: "tow".into(),
+            list: 0,
+        };
         assert!(
-            first.after(&wrong, true).unwrap_err().to_string().starts_with("plan 2: the text has digest")
+            first
+                .after(&wrong, true)
+                .unwrap_err()
+                .to_string()
+                .starts_with("plan 2: the text has digest")
+        );
+        let long = Order::Force {
+            version,
+            text: "x".repeat(reedring_nodeproto::MAX_PLAN + 1),
+            list: 0,
+        };
+        assert!(
+            first
+                .after(&long, true)
+                .unwrap_err()
+                .to_string()
+                .contains("at most")
         );
-        let long = Order::Force { version, text: "x".repeat(reedring_nodeproto::MAX_PLAN + 1), list: 0 };
-        assert!(first.after(&long, true).unwrap_err().to_string().contains("at most"));
     }
 
     #[test]
     fn a_node_that_lost_its_memory_votes_for_nothing_before_it_has_settled() {
         let (one, two) = (kept(1, "one"), kept(2, "two"));
         let first = Memory::default().after(&force(&one), false).unwrap();
-        let prepare = Order::Prepare { follows: one.version(), ballot: ballot(3), list: 0 };
+        let prepare = Order::Prepare {
+            follows: one.version(),
+            ballot: ballot(3),
+            list: 0,
+        };
         assert_eq!(first.after(&prepare, false), Err(Declined::Fresh));
-        assert_eq!(first.after(&accept(one.version(), 3, &two), false), Err(Declined::Fresh));
+        assert_eq!(
+            first.after(&accept(one.version(), 3, &two), false),
+            Err(Declined::Fresh)
+        );
         assert!(first.after(&prepare, true).is_ok());
-        assert!(first.after(&joint(one.version(), &two), false).is_ok(), "what is decided it takes");
+        assert!(
+            first.after(&joint(one.version(), &two), false).is_ok(),
+            "what is decided it takes"
+        );
         // Where nothing is in force there is nothing that it could have voted after.
-        let begin = Order::Prepare { follows: Version::default(), ballot: ballot(1), list: 0 };
+        let begin = Order::Prepare {
+            follows: Version::default(),
+            ballot: ballot(1),
+            list: 0,
+        };
         assert!(Memory::default().after(&begin, false).is_ok());
     }
 
     #[test]
     fn whoever_goes_by_an_older_list_changes_nothing() {
         let one = kept(1, "one");
-        let order = |list| Order::Force { version: one.version(), text: "one".into(), list };
-        let memory = Memory { list: 5, ..Memory::default() };
-        assert_eq!(memory.after(&order(4), true), Err(Declined::OldList { told: 4, known: 5 }));
+        let order = |list| Order::Force {
+            version: one.version(),
+            text: "one".into(),
+            list,
+        };
+        let memory = Memory {
+            list: 5,
+            ..Memory::default()
+        };
+        assert_eq!(
+            memory.after(&order(4), true),
+            Err(Declined::OldList { told: 4, known: 5 })
+        );
         assert_eq!(memory.after(&order(6), true).unwrap().list, 6);
     }
 
@@ -483,7 +674,11 @@
     #[test]
     fn an_offer_is_admitted_at_the_floor_and_half_a_step_over_it_alone() {
         let (one, two, rival) = (kept(1, "one"), kept(2, "two"), kept(2, "rival"));
-        let stamp = |kept: &Kept, joint| Stamp { version: kept.version(), joint, ..Stamp::default() };
+        let stamp = |kept: &Kept, joint| Stamp {
+            version: kept.version(),
+            joint,
+            ..Stamp::default()
+        };
         // By none, one, joint two, two, joint rival, rival.
         let stamps = [
             None,
@@ -511,13 +706,26 @@
     #[test]
     fn placers_seen_are_bounded_and_the_oldest_goes_first() {
         let mut memory = Memory::default();
-        let seen = |at_s| Seen { level: 2, at_s, build: 1 };
+        let seen = |at_s| Seen {
+            level: 2,
+            at_s,
+            build: 1,
+        };
         for placer in 0..MAX_PLACERS as u64 + 10 {
-            assert!(memory.sees(placer, seen(100 + placer)), "a new one is worth keeping");
+            assert!(
+                memory.sees(placer, seen(100 + placer)),
+                "a new one is worth keeping"
+            );
         }
         assert_eq!(memory.seen.len(), MAX_PLACERS);
         assert!(!memory.seen.contains_key(&9) && memory.seen.contains_key(&10));
         assert!(!memory.sees(10, seen(9_999)), "its time alone is not");
-        assert!(memory.sees(10, Seen { level: 4, ..seen(9_999) }));
+        assert!(memory.sees(
+            10,
+            Seen {
+                level: 4,
+                ..seen(9_999)
+            }
+        ));
     }
 }
--- a/crates/plan/src/pace.rs
+++ b/crates/plan/src/pace.rs
@@ -36,18 +36,34 @@
 fn mark(order: &Order) -> u64 {
     match order {
         Order::Ask { stamp } => 1 + (stamp.level() << KIND_BITS),
-        Order::Fetch { version, have: None } => 2 + (version.number << KIND_BITS),
+        Order::Fetch {
+            version,
+            have: None,
+        } => 2 + (version.number << KIND_BITS),
         Order::Prepare { ballot, .. } => 3 + (ballot.round << KIND_BITS),
-        Order::Accept { ballot, .. } | Order::ByDelta { step: DeltaStep::Accept { ballot }, .. } => {
-            4 + (ballot.round << KIND_BITS)
-        }
-        Order::ByDelta { step: DeltaStep::Joint, delta, .. } => 5 + (delta.target.number << KIND_BITS),
-        Order::ByDelta { step: DeltaStep::Force, delta, .. } => 6 + (delta.target.number << KIND_BITS),
+        Order::Accept { ballot, .. }
+        | Order::ByDelta {
+            step: DeltaStep::Accept { ballot },
+            ..
+        } => 4 + (ballot.round << KIND_BITS),
+        Order::ByDelta {
+            step: DeltaStep::Joint,
+            delta,
+            ..
+        } => 5 + (delta.target.number << KIND_BITS),
+        Order::ByDelta {
+            step: DeltaStep::Force,
+            delta,
+            ..
+        } => 6 + (delta.target.number << KIND_BITS),
         Order::Joint { version, text, .. } if !text.is_empty() => 5 + (version.number << KIND_BITS),
         Order::Force { version, text, .. } if !text.is_empty() => 6 + (version.number << KIND_BITS),
         Order::Raise { stamp } => 7 + (stamp.version.number << KIND_BITS),
         // A node that lacks what was left out is sent the whole at once.
-        Order::Fetch { version, have: Some(_) } => 8 + (version.number << KIND_BITS),
+        Order::Fetch {
+            version,
+            have: Some(_),
+        } => 8 + (version.number << KIND_BITS),
         Order::Joint { version, .. } => 9 + (version.number << KIND_BITS),
         Order::Force { version, .. } => 10 + (version.number << KIND_BITS),
     }
@@ -63,7 +79,10 @@
     pub fn may_outbid(&mut self, now: u64, life: u64, fleet: &Fleet) -> bool {
         let force = fleet.force();
         let records = fleet.votes().filter(|(_, record)| record.force == force);
-        let greatest = records.map(|(_, record)| record.promised).max().unwrap_or_default();
+        let greatest = records
+            .map(|(_, record)| record.promised)
+            .max()
+            .unwrap_or_default();
         // Ballots begin anew after each plan: one that was greater then says nothing now.
         if (force, greatest) != (self.rival.0, self.rival.1) {
             self.rival = (force, greatest, now);
@@ -79,7 +98,9 @@
             self.seen = (force, decided, now);
         }
         let next = fleet.votes().filter_map(|(_, record)| record.next);
-        let own_ballot = next.filter(|next| Some(next.version) == decided).any(|next| next.ballot.by == life);
+        let own_ballot = next
+            .filter(|next| Some(next.version) == decided)
+            .any(|next| next.ballot.by == life);
         own_ballot || now >= self.seen.2 + LEAVE_US + spread(life)
     }
 
@@ -125,7 +146,9 @@
     #[test]
     fn the_same_is_not_asked_again_before_its_time_and_something_else_is() {
         let mut pace = Pace::default();
-        let one = Order::Ask { stamp: reedring_nodeproto::Stamp::default() };
+        let one = Order::Ask {
+            stamp: reedring_nodeproto::Stamp::default(),
+        };
         let ask = || vec![(1, one.clone()), (2, one.clone())];
         assert_eq!(pace.due(0, ask()).len(), 2);
         assert_eq!(pace.due(AGAIN_US - 1, ask()).len(), 0);
@@ -136,15 +159,31 @@
         let both = || {
             vec![
                 (7, one.clone()),
-                (7, Order::Fetch { version: reedring_nodeproto::Version::default(), have: None }),
+                (
+                    7,
+                    Order::Fetch {
+                        version: reedring_nodeproto::Version::default(),
+                        have: None,
+                    },
+                ),
             ]
         };
         assert_eq!(pace.due(AGAIN_US, both()).len(), 2);
         assert_eq!(pace.due(AGAIN_US + 1, both()).len(), 0);
         // One node at a time is asked for a plan; another one once the first has had its time.
-        let fetch = Order::Fetch { version: reedring_nodeproto::Version::default(), have: None };
-        assert_eq!(pace.due(AGAIN_US + FETCH_US - 1, vec![(1, fetch.clone())]), []);
-        assert_eq!(pace.due(AGAIN_US + FETCH_US, vec![(1, fetch.clone())]).len(), 1);
+        let fetch = Order::Fetch {
+            version: reedring_nodeproto::Version::default(),
+            have: None,
+        };
+        assert_eq!(
+            pace.due(AGAIN_US + FETCH_US - 1, vec![(1, fetch.clone())]),
+            []
+        );
+        assert_eq!(
+            pace.due(AGAIN_US + FETCH_US, vec![(1, fetch.clone())])
+                .len(),
+            1
+        );
         assert_eq!(pace.due(AGAIN_US + FETCH_US, vec![(2, fetch.clone())]), []);
         pace.forget(1);
         assert_eq!(pace.due(AGAIN_US + FETCH_US, vec![(2, fetch)]).len(), 1);
@@ -153,27 +192,51 @@
     #[test]
     fn a_ballot_after_another_plan_has_a_time_of_its_own() {
         let told = |number, round| {
-            let force = Version { number, ..Version::default() };
-            let record = Record { force, promised: Ballot { round, by: 9 }, ..Record::default() };
-            Fleet { nodes: [(0, Kin::Told(record))].into(), ..Fleet::default() }
+            let force = Version {
+                number,
+                ..Version::default()
+            };
+            let record = Record {
+                force,
+                promised: Ballot { round, by: 9 },
+                ..Record::default()
+            };
+            Fleet {
+                nodes: [(0, Kin::Told(record))].into(),
+                ..Fleet::default()
+            }
         };
         let mut pace = Pace::default();
         pace.may_outbid(0, 1, &told(1, 7));
-        assert!(!pace.may_outbid(5_000_000, 1, &told(2, 1)), "a smaller one, after the next plan, is new");
+        assert!(
+            !pace.may_outbid(5_000_000, 1, &told(2, 1)),
+            "a smaller one, after the next plan, is new"
+        );
     }
 
     #[test]
     fn a_ballot_is_left_alone_and_two_placers_do_not_wait_for_the_same_time() {
         let told = |round, by| {
-            let record = Record { promised: Ballot { round, by }, ..Record::default() };
-            Fleet { nodes: [(0, Kin::Told(record))].into(), ..Fleet::default() }
+            let record = Record {
+                promised: Ballot { round, by },
+                ..Record::default()
+            };
+            Fleet {
+                nodes: [(0, Kin::Told(record))].into(),
+                ..Fleet::default()
+            }
         };
         let first = |life| {
             let mut pace = Pace::default();
             assert!(pace.may_outbid(0, life, &told(0, 0)), "nothing to outbid");
-            let at = (0..700).find(|ms| pace.may_outbid(ms * 1_000, life, &told(1, 9))).unwrap();
+            let at = (0..700)
+                .find(|ms| pace.may_outbid(ms * 1_000, life, &told(1, 9)))
+                .unwrap();
             assert!((300..=600).contains(&at), "{at}");
-            assert!(!pace.may_outbid(at * 1_000, life, &told(2, 9)), "a new one has its own time");
+            assert!(
+                !pace.may_outbid(at * 1_000, life, &told(2, 9)),
+                "a new one has its own time"
+            );
             at
         };
         assert_ne!(first(1), first(2));
--- a/crates/plan/src/standing.rs
+++ b/crates/plan/src/standing.rs
@@ -166,21 +166,40 @@
     use reedring_nodeproto::{Ballot, Digest, Introduced, Record};
 
     fn version(number: u64, name: u8) -> Version {
-        Version { number, digest: Digest([name; 16]) }
+        Version {
+            number,
+            digest: Digest([name; 16]),
+        }
     }
 
     /// Three nodes that all tell the same.
     fn fleet(force: Version, next: Option<Version>, joint: bool) -> Fleet {
         let ballot = Ballot { round: 1, by: 1 };
-        let next = next.map(|version| Introduced { ballot, version, joint });
-        let record = Record { force, next, ..Record::default() };
-        Fleet { nodes: (0..3).map(|n| (n, Kin::Told(record))).collect(), ..Fleet::default() }
+        let next = next.map(|version| Introduced {
+            ballot,
+            version,
+            joint,
+        });
+        let record = Record {
+            force,
+            next,
+            ..Record::default()
+        };
+        Fleet {
+            nodes: (0..3).map(|n| (n, Kin::Told(record))).collect(),
+            ..Fleet::default()
+        }
     }
 
     /// Every case of the table, against what must hold whatever it says.
     #[test]
     fn a_placer_acts_only_by_plans_that_it_can_use_and_that_a_majority_stands_behind() {
-        let (none, one, two, rival) = (Version::default(), version(1, 1), version(2, 2), version(2, 3));
+        let (none, one, two, rival) = (
+            Version::default(),
+            version(1, 1),
+            version(2, 2),
+            version(2, 3),
+        );
         for force in [none, one] {
             for next in [None, Some(two), Some(rival)] {
                 for own in [one, two, version(5, 5)] {
@@ -189,11 +208,16 @@
                             for first in [Use::Missing, Use::Good, Use::Bad] {
                                 for second in [Use::Missing, Use::Good, Use::Bad] {
                                     let fleet = fleet(force, next, false);
-                                    let can = |v: Version| if v.number == 1 { first } else { second };
-                                    let own = Own { version: own, pinned };
+                                    let can =
+                                        |v: Version| if v.number == 1 { first } else { second };
+                                    let own = Own {
+                                        version: own,
+                                        pinned,
+                                    };
                                     let got = standing(own, &fleet, none, heard, can);
-                                    let case =
-                                        format!("{force} {next:?} {own:?} {heard:?} {first:?} {second:?}");
+                                    let case = format!(
+                                        "{force} {next:?} {own:?} {heard:?} {first:?} {second:?}"
+                                    );
                                     check(got, own, force, next, heard, can, &case);
                                 }
                             }
@@ -220,8 +244,14 @@
                 assert_eq!(acts.force, force, "{case}");
                 assert!(force.number == 0 || can(force) == Use::Good, "{case}");
                 assert!(acts.next.is_none() || acts.next == next, "{case}");
-                assert!(acts.next.is_none_or(|next| can(next) == Use::Good), "{case}");
-                assert!(acts.stamp().0.number > 0, "it always acts by some plan: {case}");
+                assert!(
+                    acts.next.is_none_or(|next| can(next) == Use::Good),
+                    "{case}"
+                );
+                assert!(
+                    acts.stamp().0.number > 0,
+                    "it always acts by some plan: {case}"
+                );
                 let named = acts.stamp().0;
                 assert!(
                     !own.pinned || named == own.version || named.number + 1 == own.version.number,
@@ -245,8 +275,12 @@
     fn most_nodes_of_version_1_leave_each_placer_to_its_own_file() {
         let mut fleet = fleet(version(1, 1), None, false);
         fleet.nodes.insert(0, Kin::Old);
-        let own = Own { version: version(7, 7), pinned: false };
-        let stands = |fleet: &Fleet| standing(own, fleet, Version::default(), Heard::Lately, |_| Use::Good);
+        let own = Own {
+            version: version(7, 7),
+            pinned: false,
+        };
+        let stands =
+            |fleet: &Fleet| standing(own, fleet, Version::default(), Heard::Lately, |_| Use::Good);
         assert!(matches!(stands(&fleet), Standing::Acts(_)), "one of three");
         fleet.nodes.insert(1, Kin::Old);
         assert_eq!(stands(&fleet), Standing::Unkept);
@@ -254,19 +288,41 @@
 
     #[test]
     fn a_plan_that_the_placer_itself_learned_holds_where_all_nodes_have_lost_it() {
-        let own = Own { version: version(1, 1), pinned: false };
+        let own = Own {
+            version: version(1, 1),
+            pinned: false,
+        };
         let empty = fleet(Version::default(), None, false);
         let got = standing(own, &empty, version(2, 2), Heard::Lately, |_| Use::Good);
-        assert!(matches!(got, Standing::Acts(acts) if acts.force == version(2, 2)), "{got:?}");
+        assert!(
+            matches!(got, Standing::Acts(acts) if acts.force == version(2, 2)),
+            "{got:?}"
+        );
     }
 
     #[test]
     fn a_file_with_the_next_plan_is_ahead_until_that_is_joint() {
         let (one, two) = (version(1, 1), version(2, 2));
-        let own = Own { version: two, pinned: true };
-        let stands =
-            |next| standing(own, &fleet(one, next, true), Version::default(), Heard::Lately, |_| Use::Good);
-        let acts = |next, ahead| Standing::Acts(Acts { force: one, next, ahead });
+        let own = Own {
+            version: two,
+            pinned: true,
+        };
+        let stands = |next| {
+            standing(
+                own,
+                &fleet(one, next, true),
+                Version::default(),
+                Heard::Lately,
+                |_| Use::Good,
+            )
+        };
+        let acts = |next, ahead| {
+            Standing::Acts(Acts {
+                force: one,
+                next,
+                ahead,
+            })
+        };
         assert_eq!(stands(None), acts(None, Some(two)));
         assert_eq!(stands(Some(two)), acts(Some(two), None));
     }
--- a/crates/plan/src/text.rs
+++ b/crates/plan/src/text.rs
@@ -52,7 +52,13 @@
     /// # Errors
     /// Where the text is over its bound, or the number is 0.
     pub fn new(number: u64, text: &str) -> Result<Self, WrongText> {
-        Self::checked(Version { number, digest: digest(text) }, text)
+        Self::checked(
+            Version {
+                number,
+                digest: digest(text),
+            },
+            text,
+        )
     }
 
     /// The plan of this version, if the text is its.
@@ -69,9 +75,16 @@
         }
         let found = digest(text);
         if found != version.digest {
-            return Err(WrongText::Digest { number, found, wanted: version.digest });
+            return Err(WrongText::Digest {
+                number,
+                found,
+                wanted: version.digest,
+            });
         }
-        Ok(Self { version, text: text.into() })
+        Ok(Self {
+            version,
+            text: text.into(),
+        })
     }
 
     /// Its version.
--- a/crates/plan/tests/compact.rs
+++ b/crates/plan/tests/compact.rs
@@ -1,15 +1,19 @@
 //! Orders without what their nodes have already, and what a node makes of them.
 
 use reedring_plan::{
-    Ballot, Compactor, Declined, DeltaStep, Edit, Introduced, Kept, Memory, Order, Record, Version, delta,
+    Ballot, Compactor, Declined, DeltaStep, Edit, Introduced, Kept, Memory, Order, Record, Version,
+    delta,
 };
 
 const BALLOT: Ballot = Ballot { round: 3, by: 9 };
 
 fn plan(number: u64, tenants: &[&str]) -> Kept {
-    let mut text = "[site]\nplacers = 3\nyes_when = \"running\"\nreports = \"answers\"\n".to_owned();
+    let mut text =
+        "[site]\nplacers = 3\nyes_when = \"running\"\nreports = \"answers\"\n".to_owned();
     for class in 0..10 {
-        text.push_str(&format!("\n[[class]]\nname = \"c{class}\"\nrepeat = \"safe\"\naim = \"100ms\"\n"));
+        text.push_str(&format!(
+            "\n[[class]]\nname = \"c{class}\"\nrepeat = \"safe\"\naim = \"100ms\"\n"
+        ));
     }
     for tenant in tenants {
         text.push_str(&format!("\n[[tenant]]\nname = \"{tenant}\"\n"));
@@ -27,15 +31,30 @@
 
 fn accept(kept: &Kept) -> Order {
     let (version, text) = (kept.version(), kept.text().to_owned());
-    Order::Accept { follows: one().version(), ballot: BALLOT, version, text, list: 4 }
+    Order::Accept {
+        follows: one().version(),
+        ballot: BALLOT,
+        version,
+        text,
+        list: 4,
+    }
 }
 
 fn joint(kept: &Kept, text: &str) -> Order {
-    Order::Joint { follows: one().version(), version: kept.version(), text: text.to_owned(), list: 4 }
+    Order::Joint {
+        follows: one().version(),
+        version: kept.version(),
+        text: text.to_owned(),
+        list: 4,
+    }
 }
 
 fn force(kept: &Kept, text: &str) -> Order {
-    Order::Force { version: kept.version(), text: text.to_owned(), list: 4 }
+    Order::Force {
+        version: kept.version(),
+        text: text.to_owned(),
+        list: 4,
+    }
 }
 
 fn fetch(version: Version, have: Option<Version>) -> Order {
@@ -44,8 +63,17 @@
 
 /// A node of version 3 that has plan 1 in force, and keeps this one beside it.
 fn record(next: Option<&Kept>) -> Record {
-    let introduced = |kept: &Kept| Introduced { ballot: BALLOT, version: kept.version(), joint: false };
-    Record { force: one().version(), next: next.map(introduced), deltas: true, ..Record::default() }
+    let introduced = |kept: &Kept| Introduced {
+        ballot: BALLOT,
+        version: kept.version(),
+        joint: false,
+    };
+    Record {
+        force: one().version(),
+        next: next.map(introduced),
+        deltas: true,
+        ..Record::default()
+    }
 }
 
 /// The table of `Compactor::compact`.
@@ -54,17 +82,28 @@
     let (one, two, rival, three) = (one(), two(), plan(2, &["a", "d"]), plan(3, &[]));
     let all_new = Kept::new(2, "[site]\nplacers = 9\n").unwrap();
     let delta = delta::between(&one, &two).unwrap();
-    let by_delta = |step| Order::ByDelta { step, delta: delta.clone(), list: 4 };
+    let by_delta = |step| Order::ByDelta {
+        step,
+        delta: delta.clone(),
+        list: 4,
+    };
     let shorter = by_delta(DeltaStep::Accept { ballot: BALLOT });
     let without = record(None);
     let keeps = record(Some(&two));
     let keeps_rival = record(Some(&rival));
-    let elsewhere = Record { force: rival.version(), ..without };
+    let elsewhere = Record {
+        force: rival.version(),
+        ..without
+    };
     let (next, third) = (two.version(), three.version());
     for (order, record, want) in [
         (fetch(next, None), without, fetch(next, Some(one.version()))),
         (fetch(third, None), without, fetch(third, None)),
-        (fetch(one.version(), None), without, fetch(one.version(), None)),
+        (
+            fetch(one.version(), None),
+            without,
+            fetch(one.version(), None),
+        ),
         (accept(&two), without, shorter.clone()),
         (accept(&two), keeps_rival, shorter.clone()),
         (accept(&two), elsewhere, accept(&two)),
@@ -72,18 +111,29 @@
         (joint(&two, two.text()), keeps, joint(&two, "")),
         (joint(&two, two.text()), without, by_delta(DeltaStep::Joint)),
         (joint(&two, two.text()), elsewhere, joint(&two, two.text())),
-        (joint(&two, two.text()), keeps_rival, by_delta(DeltaStep::Joint)),
+        (
+            joint(&two, two.text()),
+            keeps_rival,
+            by_delta(DeltaStep::Joint),
+        ),
         (force(&two, two.text()), keeps, force(&two, "")),
         (force(&two, two.text()), without, by_delta(DeltaStep::Force)),
         (force(&two, two.text()), elsewhere, force(&two, two.text())),
-        (force(&two, two.text()), keeps_rival, by_delta(DeltaStep::Force)),
+        (
+            force(&two, two.text()),
+            keeps_rival,
+            by_delta(DeltaStep::Force),
+        ),
     ] {
         let mut compactor = Compactor::default();
         assert_eq!(compactor.compact(order.clone(), &record, Some(&one)), want);
         // The same for the next node, of what was kept.
         assert_eq!(compactor.compact(order.clone(), &record, Some(&one)), want);
         // One that reads no deltas is asked as it always was.
-        let former = Record { deltas: false, ..record };
+        let former = Record {
+            deltas: false,
+            ..record
+        };
         assert_eq!(compactor.compact(order.clone(), &former, Some(&one)), order);
         // Where the text of no plan is here, nothing is asked by it.
         let without_base = compactor.compact(order.clone(), &record, None);
@@ -98,21 +148,37 @@
 fn an_order_by_delta_does_what_the_one_with_the_text_does() {
     let (one, two) = (one(), two());
     let delta = delta::between(&one, &two).unwrap();
-    let start = Memory::default().after(&force(&one, one.text()), true).unwrap();
-    let prepare = |round| Order::Prepare { follows: one.version(), ballot: Ballot { round, by: 9 }, list: 4 };
+    let start = Memory::default()
+        .after(&force(&one, one.text()), true)
+        .unwrap();
+    let prepare = |round| Order::Prepare {
+        follows: one.version(),
+        ballot: Ballot { round, by: 9 },
+        list: 4,
+    };
     let promised = start.after(&prepare(3), true).unwrap();
     let outbid = start.after(&prepare(4), true).unwrap();
     let decided = promised.after(&joint(&two, two.text()), true).unwrap();
-    let listed = Memory { list: 5, ..start.clone() };
+    let listed = Memory {
+        list: 5,
+        ..start.clone()
+    };
     for (step, with_text) in [
         (DeltaStep::Accept { ballot: BALLOT }, accept(&two)),
         (DeltaStep::Joint, joint(&two, two.text())),
         (DeltaStep::Force, force(&two, two.text())),
     ] {
-        let by_delta = Order::ByDelta { step, delta: delta.clone(), list: 4 };
+        let by_delta = Order::ByDelta {
+            step,
+            delta: delta.clone(),
+            list: 4,
+        };
         for state in [&start, &promised, &outbid, &decided, &listed] {
             for settled in [true, false] {
-                assert_eq!(state.after(&by_delta, settled), state.after(&with_text, settled));
+                assert_eq!(
+                    state.after(&by_delta, settled),
+                    state.after(&with_text, settled)
+                );
             }
         }
         assert!(start.after(&by_delta, true).is_ok());
@@ -123,38 +189,70 @@
 fn a_delta_that_does_not_fit_is_declined_and_changes_nothing() {
     let (one, two, other) = (one(), two(), plan(1, &["x"]));
     let right = delta::between(&one, &two).unwrap();
-    let order = |delta| Order::ByDelta { step: DeltaStep::Accept { ballot: BALLOT }, delta, list: 4 };
+    let order = |delta| Order::ByDelta {
+        step: DeltaStep::Accept { ballot: BALLOT },
+        delta,
+        list: 4,
+    };
     let empty = Memory::default();
-    assert_eq!(empty.after(&order(right.clone()), true), Err(Declined::OtherForce(Version::default())));
+    assert_eq!(
+        empty.after(&order(right.clone()), true),
+        Err(Declined::OtherForce(Version::default()))
+    );
     let elsewhere = empty.after(&force(&other, other.text()), true).unwrap();
-    assert_eq!(elsewhere.after(&order(right.clone()), true), Err(Declined::OtherForce(other.version())));
+    assert_eq!(
+        elsewhere.after(&order(right.clone()), true),
+        Err(Declined::OtherForce(other.version()))
+    );
     let here = empty.after(&force(&one, one.text()), true).unwrap();
     let mut wrong = right.clone();
     wrong.edits.retain(|edit| matches!(edit, Edit::Put { .. }));
-    assert!(matches!(here.after(&order(wrong), true), Err(Declined::Delta(_))));
+    assert!(matches!(
+        here.after(&order(wrong), true),
+        Err(Declined::Delta(_))
+    ));
 }
 
 /// Without its text an order is for those that keep the plan: no other plan, and none at all, comes of it.
 #[test]
 fn an_order_without_its_text_is_of_use_only_where_the_plan_is_kept() {
     let (one, two, rival) = (one(), two(), plan(2, &["a", "d"]));
-    let start = Memory::default().after(&force(&one, one.text()), true).unwrap();
+    let start = Memory::default()
+        .after(&force(&one, one.text()), true)
+        .unwrap();
     let kept = start.after(&accept(&two), true).unwrap();
     for order in [joint as fn(&Kept, &str) -> Order, force] {
-        assert_eq!(kept.after(&order(&two, ""), true), kept.after(&order(&two, two.text()), true));
-        assert!(matches!(start.after(&order(&two, ""), true), Err(Declined::Text(_))));
-        assert!(matches!(kept.after(&order(&rival, ""), true), Err(Declined::Text(_))));
+        assert_eq!(
+            kept.after(&order(&two, ""), true),
+            kept.after(&order(&two, two.text()), true)
+        );
+        assert!(matches!(
+            start.after(&order(&two, ""), true),
+            Err(Declined::Text(_))
+        ));
+        assert!(matches!(
+            kept.after(&order(&rival, ""), true),
+            Err(Declined::Text(_))
+        ));
     }
     let decided = kept.after(&joint(&two, ""), true).unwrap();
-    assert_eq!(decided.after(&force(&two, ""), true).unwrap().force(), two.version());
+    assert_eq!(
+        decided.after(&force(&two, ""), true).unwrap().force(),
+        two.version()
+    );
 }
 
 #[test]
 fn a_node_tells_what_changed_only_from_the_plan_in_force_to_the_next() {
     let (one, two, three) = (one(), two(), plan(3, &["a"]));
-    let start = Memory::default().after(&force(&one, one.text()), true).unwrap();
+    let start = Memory::default()
+        .after(&force(&one, one.text()), true)
+        .unwrap();
     let kept = start.after(&accept(&two), true).unwrap();
-    assert_eq!(kept.delta(one.version(), two.version()), delta::between(&one, &two).ok());
+    assert_eq!(
+        kept.delta(one.version(), two.version()),
+        delta::between(&one, &two).ok()
+    );
     assert_eq!(start.delta(one.version(), two.version()), None);
     assert_eq!(kept.delta(one.version(), three.version()), None);
     assert_eq!(kept.delta(plan(1, &["x"]).version(), two.version()), None);
--- a/crates/plan/tests/delta.rs
+++ b/crates/plan/tests/delta.rs
@@ -25,7 +25,10 @@
 }
 
 fn tenant_key(name: &str) -> SectionKey {
-    SectionKey::Named { table: Table::Tenant, name: format!("\"{name}\"") }
+    SectionKey::Named {
+        table: Table::Tenant,
+        name: format!("\"{name}\""),
+    }
 }
 
 fn class(name: &str, aim: u32) -> String {
@@ -43,22 +46,29 @@
 }
 
 fn names() -> Vec<String> {
-    (0..TEAMS).map(|n| format!("team-{n:03}-of-the-site")).collect()
+    (0..TEAMS)
+        .map(|n| format!("team-{n:03}-of-the-site"))
+        .collect()
 }
 
 /// Sections of random tables and names; values have what is hard to tell from a header.
 fn sections() -> impl Strategy<Value = Vec<String>> {
     let value = prop_oneof![
         "[a-z0-9]{0,8}".prop_map(|value| format!("\"{value}\"")),
-        "[a-z]{0,4}"
-            .prop_map(|value| format!("\"\"\"\n[[tenant]]\nname = \\\"{value}\\\"\n\n[site]\n\"\"\"")),
+        "[a-z]{0,4}".prop_map(|value| format!(
+            "\"\"\"\n[[tenant]]\nname = \\\"{value}\\\"\n\n[site]\n\"\"\""
+        )),
         "[a-z]{0,4}".prop_map(|value| format!("'''\n[[class]]\n\"{value}'''''")),
         "[a-z]{0,4}".prop_map(|value| format!("'{value}\"'")),
         "[a-z]{0,4}".prop_map(|value| format!("'''{value}''''")),
         "[a-z]{0,4}".prop_map(|value| format!("\"\"\"\n{value}\\\"\"\"\n[[tenant]]\n\"\"\"")),
         "[a-z]{0,4}".prop_map(|value| format!("\"{value}\\\\\\\"\" # [[\" kind]]")),
     ];
-    let named = (0..Table::ALL.len(), "[a-e]{1,2}", prop::collection::vec(value, 0..3));
+    let named = (
+        0..Table::ALL.len(),
+        "[a-e]{1,2}",
+        prop::collection::vec(value, 0..3),
+    );
     prop::collection::vec(named, 0..12).prop_map(|all| {
         let mut sections = vec![site(3)];
         let mut known = std::collections::BTreeSet::new();
@@ -121,21 +131,44 @@
     plans.push(kept(2, &teams(&teams_now, 100)));
     teams_now.swap(40, 41);
     plans.push(kept(3, &teams(&teams_now, 200)));
-    let deltas: Vec<Delta> = plans.windows(2).map(|pair| between(&pair[0], &pair[1]).unwrap()).collect();
-    let made = deltas.iter().fold(plans[0].clone(), |base, delta| apply(&base, delta).unwrap());
+    let deltas: Vec<Delta> = plans
+        .windows(2)
+        .map(|pair| between(&pair[0], &pair[1]).unwrap())
+        .collect();
+    let made = deltas
+        .iter()
+        .fold(plans[0].clone(), |base, delta| apply(&base, delta).unwrap());
     assert_eq!(made, plans[2]);
     // One that is left out, or comes twice, is refused.
     let skipped = apply(&plans[0], &deltas[1]).unwrap_err();
-    assert_eq!(skipped, DeltaError::OtherBase { wanted: plans[1].version(), found: plans[0].version() });
+    assert_eq!(
+        skipped,
+        DeltaError::OtherBase {
+            wanted: plans[1].version(),
+            found: plans[0].version()
+        }
+    );
     let again = apply(&made, &deltas[1]).unwrap_err();
-    assert_eq!(again, DeltaError::OtherBase { wanted: plans[1].version(), found: plans[2].version() });
+    assert_eq!(
+        again,
+        DeltaError::OtherBase {
+            wanted: plans[1].version(),
+            found: plans[2].version()
+        }
+    );
 }
 
 /// A delta says what the target is, in whichever order its edits stand.
 #[test]
 fn the_order_of_the_edits_does_not_matter() {
-    let base = kept(1, &text_of(&[site(3), tenant("a"), tenant("b"), tenant("c")]));
-    let target = kept(2, &text_of(&[site(4), tenant("x"), tenant("b"), tenant("y")]));
+    let base = kept(
+        1,
+        &text_of(&[site(3), tenant("a"), tenant("b"), tenant("c")]),
+    );
+    let target = kept(
+        2,
+        &text_of(&[site(4), tenant("x"), tenant("b"), tenant("y")]),
+    );
     let mut delta = between(&base, &target).unwrap();
     assert_eq!(delta.edits.len(), 5);
     delta.edits.reverse();
@@ -145,7 +178,11 @@
 #[test]
 fn only_what_changed_is_named_and_what_moved_is_one_edit() {
     let (mut old, keys) = (names(), |delta: &Delta| -> Vec<String> {
-        delta.edits.iter().map(|edit| edit.key().to_string()).collect()
+        delta
+            .edits
+            .iter()
+            .map(|edit| edit.key().to_string())
+            .collect()
     });
     let base = kept(1, &teams(&old, 100));
     assert_eq!(between(&base, &kept(2, base.text())).unwrap().edits, []);
@@ -168,11 +205,18 @@
     added.insert(300, "team-new-of-the-site".to_owned());
     let mut renamed = old.clone();
     renamed[400] = "team-other-of-the-site".to_owned();
-    let removed: Vec<String> = old.iter().filter(|name| !name.contains("123")).cloned().collect();
+    let removed: Vec<String> = old
+        .iter()
+        .filter(|name| !name.contains("123"))
+        .cloned()
+        .collect();
     for target in [added, renamed, removed] {
         let delta = between(&base, &kept(2, &teams(&target, 100))).unwrap();
         let bytes = encode(&Message::PlanDelta(delta)).len();
-        println!("a delta of {bytes} bytes beside a text of {}", base.text().len());
+        println!(
+            "a delta of {bytes} bytes beside a text of {}",
+            base.text().len()
+        );
         assert!(bytes < 300, "{bytes}");
         assert!(base.text().len() > 50 * bytes);
     }
@@ -181,23 +225,56 @@
 /// Every wrong delta is told with the place, and makes nothing.
 #[test]
 fn a_delta_that_cannot_be_applied_says_where() {
-    let base = kept(1, &text_of(&[site(3), class("web", 100), tenant("a"), tenant("b")]));
-    let target = kept(2, &text_of(&[site(3), class("web", 100), tenant("a"), tenant("c")]));
+    let base = kept(
+        1,
+        &text_of(&[site(3), class("web", 100), tenant("a"), tenant("b")]),
+    );
+    let target = kept(
+        2,
+        &text_of(&[site(3), class("web", 100), tenant("a"), tenant("c")]),
+    );
     let right = between(&base, &target).unwrap();
     assert_eq!(apply(&base, &right).unwrap(), target);
-    let with = |edits: Vec<Edit>| Delta { edits, ..right.clone() };
-    let put =
-        |name: &str, at: u16, text: &str| Edit::Put { key: tenant_key(name), at, text: text.to_owned() };
-    let remove = |name: &str| Edit::Remove { key: tenant_key(name) };
-    let numbered = |number| Delta { target: Version { number, ..right.target }, ..right.clone() };
-    let other = Version { number: 1, digest: Digest([9; 16]) };
-    let section = |name: &str, line, wrong| DeltaError::Section { key: tenant_key(name), line, wrong };
-    let other_base = DeltaError::OtherBase { wanted: other, found: base.version() };
+    let with = |edits: Vec<Edit>| Delta {
+        edits,
+        ..right.clone()
+    };
+    let put = |name: &str, at: u16, text: &str| Edit::Put {
+        key: tenant_key(name),
+        at,
+        text: text.to_owned(),
+    };
+    let remove = |name: &str| Edit::Remove {
+        key: tenant_key(name),
+    };
+    let numbered = |number| Delta {
+        target: Version {
+            number,
+            ..right.target
+        },
+        ..right.clone()
+    };
+    let other = Version {
+        number: 1,
+        digest: Digest([9; 16]),
+    };
+    let section = |name: &str, line, wrong| DeltaError::Section {
+        key: tenant_key(name),
+        line,
+        wrong,
+    };
+    let other_base = DeltaError::OtherBase {
+        wanted: other,
+        found: base.version(),
+    };
     let long = "x".repeat(MAX_PLAN);
     let two = format!("{}\n{}", tenant("c"), tenant("d"));
     let cases = [
         (
-            Delta { base: other, ..right.clone() },
+            Delta {
+                base: other,
+                ..right.clone()
+            },
             other_base,
             "the delta changes plan 1/09090909, not plan 1/",
         ),
@@ -211,31 +288,55 @@
             DeltaError::Number { base: 1, target: 3 },
             "plan 3 can't follow plan 1: the next number is 2",
         ),
-        (numbered(0), DeltaError::Number { base: 1, target: 0 }, "plan 0 can't follow plan 1"),
+        (
+            numbered(0),
+            DeltaError::Number { base: 1, target: 0 },
+            "plan 0 can't follow plan 1",
+        ),
         (
             with(vec![remove("x")]),
-            DeltaError::Missing { key: tenant_key("x") },
+            DeltaError::Missing {
+                key: tenant_key("x"),
+            },
             "tenant \"x\": it is to be removed and is not there",
         ),
         (
             with(vec![remove("b"), put("b", 3, &tenant("b"))]),
-            DeltaError::Twice { key: tenant_key("b") },
+            DeltaError::Twice {
+                key: tenant_key("b"),
+            },
             "tenant \"b\": two edits of one delta change it",
         ),
         (
             with(vec![put("c", 3, &tenant("c")), put("c", 4, &tenant("c"))]),
-            DeltaError::Twice { key: tenant_key("c") },
+            DeltaError::Twice {
+                key: tenant_key("c"),
+            },
             "tenant \"c\": two edits",
         ),
-        (with(vec![remove("b"), remove("b")]), DeltaError::Twice { key: tenant_key("b") }, "tenant \"b\""),
+        (
+            with(vec![remove("b"), remove("b")]),
+            DeltaError::Twice {
+                key: tenant_key("b"),
+            },
+            "tenant \"b\"",
+        ),
         (
             with(vec![put("c", 5, &tenant("c"))]),
-            DeltaError::Place { key: tenant_key("c"), at: 5, sections: 4 },
+            DeltaError::Place {
+                key: tenant_key("c"),
+                at: 5,
+                sections: 4,
+            },
             "tenant \"c\": it is to be section 5, and only 4 stand before it",
         ),
         (
             with(vec![put("c", 2, &tenant("c")), put("d", 2, &tenant("d"))]),
-            DeltaError::Place { key: tenant_key("d"), at: 2, sections: 3 },
+            DeltaError::Place {
+                key: tenant_key("d"),
+                at: 2,
+                sections: 3,
+            },
             "tenant \"d\"",
         ),
         (
@@ -243,13 +344,21 @@
             section("c", 1, SectionError::Header),
             "tenant \"c\", line 1: a section begins",
         ),
-        (with(vec![put("c", 3, "[plan]\nnumber = 3\n")]), section("c", 1, SectionError::Header), "line 1"),
+        (
+            with(vec![put("c", 3, "[plan]\nnumber = 3\n")]),
+            section("c", 1, SectionError::Header),
+            "line 1",
+        ),
         (
             with(vec![put("c", 3, "[[tenant]]\n")]),
             section("c", 2, SectionError::Name),
             "tenant \"c\", line 2",
         ),
-        (with(vec![put("c", 3, &tenant("d"))]), section("c", 2, SectionError::Other), "tenant \"c\", line 2"),
+        (
+            with(vec![put("c", 3, &tenant("d"))]),
+            section("c", 2, SectionError::Other),
+            "tenant \"c\", line 2",
+        ),
         (
             with(vec![put("c", 3, &class("c", 1))]),
             section("c", 2, SectionError::Other),
@@ -270,12 +379,20 @@
             section("c", 1, SectionError::Open),
             "a string does not end",
         ),
-        (with(vec![put("c", 3, &long)]), DeltaError::Long { bytes: MAX_PLAN + 61 }, "at most 49152 fit"),
+        (
+            with(vec![put("c", 3, &long)]),
+            DeltaError::Long {
+                bytes: MAX_PLAN + 61,
+            },
+            "at most 49152 fit",
+        ),
         (
             with(vec![remove("b")]),
             DeltaError::Target(WrongText::Digest {
                 number: 2,
-                found: kept(2, &text_of(&[site(3), class("web", 100), tenant("a")])).version().digest,
+                found: kept(2, &text_of(&[site(3), class("web", 100), tenant("a")]))
+                    .version()
+                    .digest,
                 wanted: right.target.digest,
             }),
             "what comes of the delta: plan 2: the text has digest",
@@ -290,14 +407,41 @@
 
 #[test]
 fn a_text_that_would_grow_over_the_bound_is_refused() {
-    let full = format!("[[constraint]]\nname = \"long\"\ntext = \"{}\"\n", "x".repeat(MAX_PLAN - 300));
+    let full = format!(
+        "[[constraint]]\nname = \"long\"\ntext = \"{}\"\n",
+        "x".repeat(MAX_PLAN - 300)
+    );
     let base = kept(1, &text_of(&[site(3), full]));
-    let more = format!("[[constraint]]\nname = \"more\"\ntext = \"{}\"\n", "x".repeat(300));
-    let key = SectionKey::Named { table: Table::Constraint, name: "\"more\"".to_owned() };
-    let target = Version { number: 2, digest: Digest::default() };
-    let edits = vec![Edit::Put { key, at: 2, text: more }];
-    let error = apply(&base, &Delta { base: base.version(), target, edits }).unwrap_err();
-    assert!(matches!(error, DeltaError::Target(WrongText::Long { number: 2, .. })), "{error}");
+    let more = format!(
+        "[[constraint]]\nname = \"more\"\ntext = \"{}\"\n",
+        "x".repeat(300)
+    );
+    let key = SectionKey::Named {
+        table: Table::Constraint,
+        name: "\"more\"".to_owned(),
+    };
+    let target = Version {
+        number: 2,
+        digest: Digest::default(),
+    };
+    let edits = vec![Edit::Put {
+        key,
+        at: 2,
+        text: more,
+    }];
+    let error = apply(
+        &base,
+        &Delta {
+            base: base.version(),
+            target,
+            edits,
+        },
+    )
+    .unwrap_err();
+    assert!(
+        matches!(error, DeltaError::Target(WrongText::Long { number: 2, .. })),
+        "{error}"
+    );
 }
 
 /// No delta is made of what it could not give back byte for byte; a delta over the bound is none.
@@ -308,33 +452,89 @@
     for (text, line, wrong) in [
         (String::new(), 1, SectionError::Header),
         ("placers = 3\n".to_owned(), 1, SectionError::Header),
-        (format!("{}\n[limits]\nconnections = 3\n", site(3)), 5, SectionError::Header),
-        (format!("{}\n[[tenant]]\nnick = \"a\"\n", site(3)), 6, SectionError::Name),
-        (format!("{}\n[[tenant]]\nname = \"\"\"a\"\"\"\n", site(3)), 6, SectionError::Name),
+        (
+            format!("{}\n[limits]\nconnections = 3\n", site(3)),
+            5,
+            SectionError::Header,
+        ),
+        (
+            format!("{}\n[[tenant]]\nnick = \"a\"\n", site(3)),
+            6,
+            SectionError::Name,
+        ),
+        (
+            format!("{}\n[[tenant]]\nname = \"\"\"a\"\"\"\n", site(3)),
+            6,
+            SectionError::Name,
+        ),
         (text_of(&[site(3), long_name]), 6, SectionError::Name),
-        (text_of(&[site(3), tenant("a"), tenant("a")]), 8, SectionError::Again),
+        (
+            text_of(&[site(3), tenant("a"), tenant("a")]),
+            8,
+            SectionError::Again,
+        ),
         (text_of(&[site(3), site(4)]), 5, SectionError::Again),
-        (format!("{}\n\n{}", site(3), tenant("a")), 1, SectionError::Gap),
+        (
+            format!("{}\n\n{}", site(3), tenant("a")),
+            1,
+            SectionError::Gap,
+        ),
         (format!("{}{}", site(3), tenant("a")), 1, SectionError::Gap),
-        (format!("{}\n[[tenant]]\nname = \"a\"", site(3)), 5, SectionError::Gap),
-        (format!("{}\n[[tenant]]\nname = \"a\n", site(3)), 1, SectionError::Open),
-        (format!("{}\n[[tenant]]\nname = '''a\n", site(3)), 1, SectionError::Open),
+        (
+            format!("{}\n[[tenant]]\nname = \"a\"", site(3)),
+            5,
+            SectionError::Gap,
+        ),
+        (
+            format!("{}\n[[tenant]]\nname = \"a\n", site(3)),
+            1,
+            SectionError::Open,
+        ),
+        (
+            format!("{}\n[[tenant]]\nname = '''a\n", site(3)),
+            1,
+            SectionError::Open,
+        ),
     ] {
         let other = kept(2, &text);
-        let want = DeltaError::Text { version: other.version(), line, wrong };
+        let want = DeltaError::Text {
+            version: other.version(),
+            line,
+            wrong,
+        };
         assert_eq!(between(&good, &other).unwrap_err(), want, "{text:?}");
         let base = kept(1, &text);
         let error = between(&base, &kept(2, good.text())).unwrap_err();
-        assert_eq!(error, DeltaError::Text { version: base.version(), line, wrong }, "{text:?}");
+        assert_eq!(
+            error,
+            DeltaError::Text {
+                version: base.version(),
+                line,
+                wrong
+            },
+            "{text:?}"
+        );
     }
     for number in [0, 1, 3] {
-        let version = Version { number, digest: good.version().digest };
-        let Ok(target) = Kept::checked(version, good.text()) else { continue };
-        assert_eq!(between(&good, &target).unwrap_err(), DeltaError::Number { base: 1, target: number });
+        let version = Version {
+            number,
+            digest: good.version().digest,
+        };
+        let Ok(target) = Kept::checked(version, good.text()) else {
+            continue;
+        };
+        assert_eq!(
+            between(&good, &target).unwrap_err(),
+            DeltaError::Number {
+                base: 1,
+                target: number
+            }
+        );
     }
     // Everything anew: as many bytes as the text, and a key and a place for each section.
-    let (old, new): (Vec<String>, Vec<String>) =
-        (0..1_200).map(|n| (format!("old-{n:04}-team"), format!("new-{n:04}-team"))).unzip();
+    let (old, new): (Vec<String>, Vec<String>) = (0..1_200)
+        .map(|n| (format!("old-{n:04}-team"), format!("new-{n:04}-team")))
+        .unzip();
     let error = between(&kept(1, &teams(&old, 1)), &kept(2, &teams(&new, 1))).unwrap_err();
     assert!(matches!(error, DeltaError::Long { .. }), "{error}");
 }
@@ -342,8 +542,14 @@
 /// The frame: cut at any byte it is no message yet, with any bit flipped it never is one.
 #[test]
 fn a_delta_that_is_cut_or_garbled_is_never_read() {
-    let base = kept(1, &text_of(&[site(3), class("web", 100), tenant("a"), tenant("b")]));
-    let target = kept(2, &text_of(&[site(4), class("web", 100), tenant("c"), tenant("a")]));
+    let base = kept(
+        1,
+        &text_of(&[site(3), class("web", 100), tenant("a"), tenant("b")]),
+    );
+    let target = kept(
+        2,
+        &text_of(&[site(4), class("web", 100), tenant("c"), tenant("a")]),
+    );
     let frame = encode(&Message::PlanDelta(between(&base, &target).unwrap()));
     for cut in 0..frame.len() {
         assert!(decode(&frame[..cut]).is_err(), "cut at {cut}");
--- a/crates/plan/tests/learners.rs
+++ b/crates/plan/tests/learners.rs
@@ -9,8 +9,8 @@
 use std::collections::BTreeSet;
 
 use reedring_plan::{
-    Acts, Ballot, Fleet, Heard, Kept, Kin, LearnedFloor, Maker, Membership, Memory, Order, Own, Stamp,
-    Standing, Texts, Use, Version, hold, must_raise, standing,
+    Acts, Ballot, Fleet, Heard, Kept, Kin, LearnedFloor, Maker, Membership, Memory, Order, Own,
+    Stamp, Standing, Texts, Use, Version, hold, must_raise, standing,
 };
 use stateright::{Checker, Model, Property};
 
@@ -132,12 +132,18 @@
 
 fn texts() -> Texts {
     let mut texts = Texts::default();
-    [plan(1, "one"), plan(2, "a"), plan(2, "b")].iter().for_each(|kept| texts.add(kept));
+    [plan(1, "one"), plan(2, "a"), plan(2, "b")]
+        .iter()
+        .for_each(|kept| texts.add(kept));
     texts
 }
 
 fn stamp((version, joint): (Version, bool)) -> Stamp {
-    Stamp { version, joint, ..Stamp::default() }
+    Stamp {
+        version,
+        joint,
+        ..Stamp::default()
+    }
 }
 
 impl Rules {
@@ -150,16 +156,30 @@
 
     fn fleet(&self, world: &World, placer: usize) -> Fleet {
         let hears = |voter: usize| self.heard[placer][voter];
-        let voter = |n: usize| if hears(n) { Kin::Told(world.voters[n].record()) } else { Kin::Unmet };
+        let voter = |n: usize| {
+            if hears(n) {
+                Kin::Told(world.voters[n].record())
+            } else {
+                Kin::Unmet
+            }
+        };
         let mut nodes: Vec<(u32, Kin)> = (0..VOTERS).map(|n| (n as u32, voter(n))).collect();
         if !self.of_the_voters {
             nodes.retain(|(_, kin)| *kin != Kin::Unmet);
         }
         let membership = Membership::of(nodes.iter().map(|(node, _)| *node).collect());
-        let learner =
-            |n: usize| ((VOTERS + n) as u32, Kin::Told(world.placers[placer].told[n].floor.record()));
+        let learner = |n: usize| {
+            (
+                (VOTERS + n) as u32,
+                Kin::Told(world.placers[placer].told[n].floor.record()),
+            )
+        };
         nodes.extend((0..LEARNERS).map(learner));
-        Fleet { membership, nodes: nodes.into_iter().collect(), ..Fleet::default() }
+        Fleet {
+            membership,
+            nodes: nodes.into_iter().collect(),
+            ..Fleet::default()
+        }
     }
 
     /// What a placer asks next, and what it has become by asking.
@@ -167,17 +187,35 @@
         let fleet = self.fleet(world, placer);
         let mut maker = world.placers[placer].maker.clone();
         let own = self.own(placer);
-        let (_, orders) = maker.next(self.rivals, &fleet, Version::default(), own.as_ref(), &texts());
+        let (_, orders) = maker.next(
+            self.rivals,
+            &fleet,
+            Version::default(),
+            own.as_ref(),
+            &texts(),
+        );
         (maker, orders)
     }
 
     /// By what a placer acts once it has looked; nothing where it hears no majority of the voters.
     fn looks(&self, world: &World, placer: usize) -> Option<(Version, bool)> {
         let fleet = self.fleet(world, placer);
-        let hears = |node: u32| self.heard[placer].get(node as usize).copied().unwrap_or(false);
-        let heard = if fleet.quorum(hears) { Heard::Lately } else { Heard::LongAgo };
+        let hears = |node: u32| {
+            self.heard[placer]
+                .get(node as usize)
+                .copied()
+                .unwrap_or(false)
+        };
+        let heard = if fleet.quorum(hears) {
+            Heard::Lately
+        } else {
+            Heard::LongAgo
+        };
         let version = plan(1, "one").version();
-        let own = Own { version: self.own(placer).map_or(version, |own| own.version()), pinned: false };
+        let own = Own {
+            version: self.own(placer).map_or(version, |own| own.version()),
+            pinned: false,
+        };
         match standing(own, &fleet, Version::default(), heard, |_| Use::Good) {
             Standing::Acts(acts) => Some(acts.stamp()),
             _ => None,
@@ -186,11 +224,23 @@
 
     /// Whether a placer sends this learner offers, and whether it tells it by what it acts.
     fn sends(&self, world: &World, placer: usize, learner: usize) -> (bool, bool) {
-        let Placer { acts: (version, joint), told, .. } = &world.placers[placer];
+        let Placer {
+            acts: (version, joint),
+            told,
+            ..
+        } = &world.placers[placer];
         let acts = if *joint {
-            Acts { force: plan(1, "one").version(), next: Some(*version), ahead: None }
+            Acts {
+                force: plan(1, "one").version(),
+                next: Some(*version),
+                ahead: None,
+            }
         } else {
-            Acts { force: *version, next: None, ahead: None }
+            Acts {
+                force: *version,
+                next: None,
+                ahead: None,
+            }
         };
         let Told { floor, rose } = told[learner];
         let mut record = floor.record();
@@ -227,15 +277,37 @@
 
     fn init_states(&self) -> Vec<World> {
         let one = plan(1, "one");
-        let force = Order::Force { version: one.version(), text: "one".into(), list: 0 };
-        let voter = Memory { taught: false, ..Memory::default().after(&force, true).unwrap() };
+        let force = Order::Force {
+            version: one.version(),
+            text: "one".into(),
+            list: 0,
+        };
+        let voter = Memory {
+            taught: false,
+            ..Memory::default().after(&force, true).unwrap()
+        };
         let two = plan(2, "a");
         let (follows, ballot) = (one.version(), Ballot { round: 1, by: 1 });
         let (version, text) = (two.version(), two.text().to_owned());
-        let accept = Order::Accept { follows, ballot, version, text, list: 0 };
+        let accept = Order::Accept {
+            follows,
+            ballot,
+            version,
+            text,
+            list: 0,
+        };
         let kept = voter.after(&accept, true).unwrap();
-        let first = |n: usize| if self.decided && n < 2 { kept.clone() } else { voter.clone() };
-        let mut now = Told { floor: LearnedFloor::default(), rose: 0 };
+        let first = |n: usize| {
+            if self.decided && n < 2 {
+                kept.clone()
+            } else {
+                voter.clone()
+            }
+        };
+        let mut now = Told {
+            floor: LearnedFloor::default(),
+            rose: 0,
+        };
         if !self.fresh {
             now.floor.raise(&stamp((one.version(), false)));
         }
@@ -245,7 +317,12 @@
             told: [now; LEARNERS],
             late: Vec::new(),
         };
-        let learner = Learner { now, greatest: 0, counted: BTreeSet::new(), went_back: false };
+        let learner = Learner {
+            now,
+            greatest: 0,
+            counted: BTreeSet::new(),
+            went_back: false,
+        };
         vec![World {
             voters: std::array::from_fn(first),
             learners: std::array::from_fn(|_| learner.clone()),
@@ -258,17 +335,31 @@
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
         for (placer, is) in world.placers.iter().enumerate() {
             let (_, orders) = self.orders(world, placer);
-            steps.extend(orders.iter().map(|(node, _)| Step::Ask { placer, voter: *node as usize }));
-            if self.looks(world, placer).is_some_and(|acts| acts != is.acts) {
+            steps.extend(orders.iter().map(|(node, _)| Step::Ask {
+                placer,
+                voter: *node as usize,
+            }));
+            if self
+                .looks(world, placer)
+                .is_some_and(|acts| acts != is.acts)
+            {
                 steps.push(Step::Look { placer });
             }
             for learner in 0..LEARNERS {
                 let (offers, raises) = self.sends(world, placer, learner);
                 if offers {
-                    steps.push(Step::Offer { placer, learner, late: false });
+                    steps.push(Step::Offer {
+                        placer,
+                        learner,
+                        late: false,
+                    });
                 }
                 if offers && world.delays < self.delays {
-                    steps.push(Step::Offer { placer, learner, late: true });
+                    steps.push(Step::Offer {
+                        placer,
+                        learner,
+                        late: true,
+                    });
                 }
                 if raises {
                     steps.push(Step::Raise { placer, learner });
@@ -286,14 +377,20 @@
         match step {
             Step::Ask { placer, voter } => {
                 let (maker, orders) = self.orders(&world, placer);
-                let (_, order) = orders.into_iter().find(|(node, _)| *node as usize == voter)?;
+                let (_, order) = orders
+                    .into_iter()
+                    .find(|(node, _)| *node as usize == voter)?;
                 world.placers[placer].maker = maker;
                 if let Ok(new) = world.voters[voter].after(&order, true) {
                     world.voters[voter] = new;
                 }
             }
             Step::Look { placer } => world.placers[placer].acts = self.looks(&world, placer)?,
-            Step::Offer { placer, learner, late } => {
+            Step::Offer {
+                placer,
+                learner,
+                late,
+            } => {
                 let acts = world.placers[placer].acts;
                 if late {
                     world.delays += 1;
@@ -316,7 +413,10 @@
             }
             Step::Tick => {
                 world.tick += 1;
-                world.learners.iter_mut().for_each(|learner| learner.counted.clear());
+                world
+                    .learners
+                    .iter_mut()
+                    .for_each(|learner| learner.counted.clear());
             }
         }
         (world != *before).then_some(world)
@@ -324,18 +424,27 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("at most one plan of a number is in force", |_, world: &World| {
-                let mut all: Vec<Version> = world.voters.iter().map(|voter| voter.record().force).collect();
-                all.sort();
-                all.dedup();
-                all.windows(2).all(|two| two[0].number != two[1].number)
-            }),
-            Property::always("no learner goes back behind a newer plan", |_, world: &World| {
-                world.learners.iter().all(|learner| !learner.went_back)
-            }),
-            Property::always("a cold learner is counted in one way within a window", |_, world: &World| {
-                world.learners[COLD].counted.len() <= 1
-            }),
+            Property::always(
+                "at most one plan of a number is in force",
+                |_, world: &World| {
+                    let mut all: Vec<Version> = world
+                        .voters
+                        .iter()
+                        .map(|voter| voter.record().force)
+                        .collect();
+                    all.sort();
+                    all.dedup();
+                    all.windows(2).all(|two| two[0].number != two[1].number)
+                },
+            ),
+            Property::always(
+                "no learner goes back behind a newer plan",
+                |_, world: &World| world.learners.iter().all(|learner| !learner.went_back),
+            ),
+            Property::always(
+                "a cold learner is counted in one way within a window",
+                |_, world: &World| world.learners[COLD].counted.len() <= 1,
+            ),
             Property::sometimes(PLAN_TWO, |_, world: &World| {
                 world.learners.iter().all(|learner| learner.greatest == 4)
             }),
@@ -343,7 +452,10 @@
     }
 
     fn within_boundary(&self, world: &World) -> bool {
-        world.voters.iter().all(|voter| voter.promised.round <= ROUNDS)
+        world
+            .voters
+            .iter()
+            .all(|voter| voter.promised.round <= ROUNDS)
     }
 }
 
@@ -354,20 +466,32 @@
 fn explore(rules: Rules) {
     let checker = rules.checker().threads(3).spawn_bfs().join();
     eprintln!("{} states: {rules:?}", checker.unique_state_count());
-    assert_eq!(checker.discoveries().keys().collect::<Vec<_>>(), [&PLAN_TWO]);
+    assert_eq!(
+        checker.discoveries().keys().collect::<Vec<_>>(),
+        [&PLAN_TWO]
+    );
 }
 
 #[test]
 fn learners_keep_plans_apart_whatever_is_late_or_known_too_long_ago() {
     explore(Rules { delays: 0, ..ALL });
-    explore(Rules { fresh: true, delays: 0, ..ALL });
+    explore(Rules {
+        fresh: true,
+        delays: 0,
+        ..ALL
+    });
     explore(ALL);
 }
 
 #[test]
 #[ignore = "minutes; for whoever changes a learner's floor or the hold"]
 fn learners_keep_plans_apart_where_two_plans_of_one_number_are_brought() {
-    explore(Rules { rivals: true, decided: false, delays: 0, ..ALL });
+    explore(Rules {
+        rivals: true,
+        decided: false,
+        delays: 0,
+        ..ALL
+    });
 }
 
 /// The model without a rule finds this harm.
@@ -379,19 +503,47 @@
 
 #[test]
 fn a_floor_that_offers_do_not_raise_does_harm() {
-    harms(Rules { offers_raise: false, delays: 0, ..ALL }, "no learner goes back behind a newer plan");
+    harms(
+        Rules {
+            offers_raise: false,
+            delays: 0,
+            ..ALL
+        },
+        "no learner goes back behind a newer plan",
+    );
 }
 
 #[test]
 fn a_majority_of_the_voters_that_are_heard_is_not_enough() {
-    let rules =
-        Rules { of_the_voters: false, heard: CUT, rivals: true, decided: false, ticks: 0, delays: 0, ..ALL };
+    let rules = Rules {
+        of_the_voters: false,
+        heard: CUT,
+        rivals: true,
+        decided: false,
+        ticks: 0,
+        delays: 0,
+        ..ALL
+    };
     harms(rules, "at most one plan of a number is in force");
 }
 
 #[test]
 fn a_placer_that_does_not_wait_for_a_cold_learners_floor_does_harm() {
     let harm = "a cold learner is counted in one way within a window";
-    harms(Rules { waits_for_floor: false, delays: 0, ..ALL }, harm);
-    harms(Rules { waits_a_window: false, delays: 0, ..ALL }, harm);
+    harms(
+        Rules {
+            waits_for_floor: false,
+            delays: 0,
+            ..ALL
+        },
+        harm,
+    );
+    harms(
+        Rules {
+            waits_a_window: false,
+            delays: 0,
+            ..ALL
+        },
+        harm,
+    );
 }
--- a/crates/plan/tests/model.rs
+++ b/crates/plan/tests/model.rs
@@ -79,8 +79,14 @@
     fills: u8,
 }
 
-const ALL: Rules =
-    Rules { of_the_list: true, promises: true, heard: [[true; NODES]; 2], delays: 1, crashes: 0, fills: 0 };
+const ALL: Rules = Rules {
+    of_the_list: true,
+    promises: true,
+    heard: [[true; NODES]; 2],
+    delays: 1,
+    crashes: 0,
+    fills: 0,
+};
 
 fn plan(number: u64, name: &str) -> Kept {
     Kept::new(number, name).unwrap()
@@ -88,7 +94,9 @@
 
 fn texts() -> Texts {
     let mut texts = Texts::default();
-    [plan(1, "one"), plan(2, "a"), plan(2, "b")].iter().for_each(|kept| texts.add(kept));
+    [plan(1, "one"), plan(2, "a"), plan(2, "b")]
+        .iter()
+        .for_each(|kept| texts.add(kept));
     texts
 }
 
@@ -97,10 +105,17 @@
     fn orders(&self, world: &World, which: usize) -> (Maker, Vec<(u32, Order)>) {
         let placer = &world.placers[which];
         let known = |n: usize| {
-            if !self.heard[which][n] { Kin::Unmet } else { Kin::Told(world.nodes[n].record()) }
+            if !self.heard[which][n] {
+                Kin::Unmet
+            } else {
+                Kin::Told(world.nodes[n].record())
+            }
         };
         let nodes = (0..NODES).map(|n| (n as u32, known(n))).collect();
-        let mut fleet = Fleet { nodes, ..Fleet::default() };
+        let mut fleet = Fleet {
+            nodes,
+            ..Fleet::default()
+        };
         if !self.of_the_list {
             fleet.nodes.retain(|_, kin| *kin != Kin::Unmet);
         }
@@ -113,7 +128,10 @@
     fn order(&self, world: &mut World, placer: usize, node: usize) -> Option<Order> {
         let (maker, orders) = self.orders(world, placer);
         world.placers[placer].maker = maker;
-        orders.into_iter().find(|(to, _)| *to as usize == node).map(|(_, order)| order)
+        orders
+            .into_iter()
+            .find(|(to, _)| *to as usize == node)
+            .map(|(_, order)| order)
     }
 
     fn arrive(&self, world: &mut World, node: usize, order: &Order) {
@@ -134,9 +152,19 @@
 
     fn init_states(&self) -> Vec<World> {
         let one = plan(1, "one");
-        let force = Order::Force { version: one.version(), text: "one".into(), list: 0 };
-        let node = Memory { taught: false, ..Memory::default().after(&force, true).unwrap() };
-        let placer = |life| Placer { maker: Maker::new(life), late: Vec::new() };
+        let force = Order::Force {
+            version: one.version(),
+            text: "one".into(),
+            list: 0,
+        };
+        let node = Memory {
+            taught: false,
+            ..Memory::default().after(&force, true).unwrap()
+        };
+        let placer = |life| Placer {
+            maker: Maker::new(life),
+            late: Vec::new(),
+        };
         vec![World {
             floors: [node.floor(); NODES],
             nodes: std::array::from_fn(|_| node.clone()),
@@ -198,30 +226,49 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         fn versions(world: &World, of: impl Fn(&Record) -> Option<Version>) -> Vec<Version> {
-            let mut all: Vec<Version> = world.nodes.iter().filter_map(|node| of(&node.record())).collect();
+            let mut all: Vec<Version> = world
+                .nodes
+                .iter()
+                .filter_map(|node| of(&node.record()))
+                .collect();
             all.sort();
             all.dedup();
             all
         }
         vec![
-            Property::always("at most one plan of a number is in force", |_, world: &World| {
-                let all = versions(world, |record| Some(record.force));
-                all.windows(2).all(|two| two[0].number != two[1].number)
-            }),
+            Property::always(
+                "at most one plan of a number is in force",
+                |_, world: &World| {
+                    let all = versions(world, |record| Some(record.force));
+                    all.windows(2).all(|two| two[0].number != two[1].number)
+                },
+            ),
             Property::always("at most one is decided", |_, world: &World| {
-                let joint = |record: &Record| record.next.filter(|next| next.joint).map(|next| next.version);
+                let joint = |record: &Record| {
+                    record
+                        .next
+                        .filter(|next| next.joint)
+                        .map(|next| next.version)
+                };
                 versions(world, joint).len() <= 1
             }),
             Property::always(
                 "no node takes offers by two plans without the joint form",
                 |_, world: &World| {
                     let plans = [plan(1, "one"), plan(2, "a"), plan(2, "b")];
-                    let stamp =
-                        |kept: &Kept, joint| Stamp { version: kept.version(), joint, ..Stamp::default() };
-                    let stamps: Vec<Stamp> =
-                        plans.iter().flat_map(|kept| [stamp(kept, false), stamp(kept, true)]).collect();
+                    let stamp = |kept: &Kept, joint| Stamp {
+                        version: kept.version(),
+                        joint,
+                        ..Stamp::default()
+                    };
+                    let stamps: Vec<Stamp> = plans
+                        .iter()
+                        .flat_map(|kept| [stamp(kept, false), stamp(kept, true)])
+                        .collect();
                     world.nodes.iter().all(|node| {
-                        let taken = stamps.iter().filter(|stamp| node.admits(Some(stamp)).is_ok());
+                        let taken = stamps
+                            .iter()
+                            .filter(|stamp| node.admits(Some(stamp)).is_ok());
                         let levels: Vec<u64> = taken.map(Stamp::level).collect();
                         levels
                             .iter()
@@ -232,10 +279,17 @@
                 },
             ),
             Property::always("no floor falls", |_, world: &World| {
-                world.nodes.iter().zip(world.floors).all(|(node, floor)| node.floor() >= floor)
+                world
+                    .nodes
+                    .iter()
+                    .zip(world.floors)
+                    .all(|(node, floor)| node.floor() >= floor)
             }),
             Property::sometimes("a plan comes in force", |_, world: &World| {
-                world.nodes.iter().any(|node| node.record().force.number == 2)
+                world
+                    .nodes
+                    .iter()
+                    .any(|node| node.record().force.number == 2)
             }),
         ]
     }
@@ -251,7 +305,10 @@
 fn explore(rules: Rules) {
     let checker = rules.checker().threads(4).spawn_bfs().join();
     eprintln!("{} states: {rules:?}", checker.unique_state_count());
-    assert_eq!(checker.discoveries().keys().collect::<Vec<_>>(), [&"a plan comes in force"]);
+    assert_eq!(
+        checker.discoveries().keys().collect::<Vec<_>>(),
+        [&"a plan comes in force"]
+    );
 }
 
 #[test]
@@ -272,17 +329,32 @@
 fn harms(rules: Rules) {
     let checker = rules.checker().threads(4).spawn_bfs().join();
     let found = checker.discoveries();
-    let harm = found.keys().filter(|name| **name != "a plan comes in force").count();
-    assert!(harm > 0, "{rules:?} does no harm in {} states", checker.unique_state_count());
+    let harm = found
+        .keys()
+        .filter(|name| **name != "a plan comes in force")
+        .count();
+    assert!(
+        harm > 0,
+        "{rules:?} does no harm in {} states",
+        checker.unique_state_count()
+    );
 }
 
 #[test]
 fn a_majority_of_the_nodes_that_are_heard_is_not_enough() {
-    harms(Rules { of_the_list: false, heard: CUT, ..ALL });
+    harms(Rules {
+        of_the_list: false,
+        heard: CUT,
+        ..ALL
+    });
 }
 
 #[test]
 #[ignore = "a minute; for whoever changes the maker or the memory"]
 fn nodes_that_answer_smaller_ballots_do_harm() {
-    harms(Rules { promises: false, delays: 2, ..ALL });
+    harms(Rules {
+        promises: false,
+        delays: 2,
+        ..ALL
+    });
 }
--- a/crates/platform/src/attempts.rs
+++ b/crates/platform/src/attempts.rs
@@ -27,23 +27,43 @@
             return self.ended(request, number, machine, Outcome::Unsent, None, Vec::new());
         }
         let until = within_us.map_or(entry.deadline, |within| (now + within).min(entry.deadline));
-        entry.out = Some(Out { number, machine, link: 0, position: 0, sent: now, until, resent: 0 });
-        self.timers.set(until, Timer::Attempt(AttemptId { request, number }));
+        entry.out = Some(Out {
+            number,
+            machine,
+            link: 0,
+            position: 0,
+            sent: now,
+            until,
+            resent: 0,
+        });
+        self.timers
+            .set(until, Timer::Attempt(AttemptId { request, number }));
         self.send_setup(now, request);
     }
 
     /// Sends the attempt that is out on the connection that suits it.
     pub(crate) fn send_setup(&mut self, now: Micros, request: RequestId) {
-        let Some(entry) = self.requests.get(&request) else { return };
+        let Some(entry) = self.requests.get(&request) else {
+            return;
+        };
         let Some(out) = entry.out else { return };
         let (number, machine, id) = (out.number, out.machine, entry.setup.id);
         let Some(link) = self.link_for(now, machine) else {
             if let Some(entry) = self.requests.get_mut(&request) {
                 entry.out = None;
             }
-            return self.ended(request, number, machine, Outcome::Unconnected, None, Vec::new());
+            return self.ended(
+                request,
+                number,
+                machine,
+                Outcome::Unconnected,
+                None,
+                Vec::new(),
+            );
+        };
+        let Some(setup) = self.requests.get(&request).map(|entry| &entry.setup) else {
+            return;
         };
-        let Some(setup) = self.requests.get(&request).map(|entry| &entry.setup) else { return };
         let message = ToHost::Setup {
             id,
             class: setup.class.clone(),
@@ -57,7 +77,11 @@
             link.open.insert(id, AttemptId { request, number });
             link.used = now;
         }
-        if let Some(out) = self.requests.get_mut(&request).and_then(|entry| entry.out.as_mut()) {
+        if let Some(out) = self
+            .requests
+            .get_mut(&request)
+            .and_then(|entry| entry.out.as_mut())
+        {
             (out.link, out.position) = (link, position);
         }
     }
@@ -72,9 +96,19 @@
         reason: Option<Reason>,
         report: Vec<f64>,
     ) {
-        let closed = self.requests.get(&request).is_none_or(|entry| entry.phase != Phase::Open);
+        let closed = self
+            .requests
+            .get(&request)
+            .is_none_or(|entry| entry.phase != Phase::Open);
         let attempt = AttemptId { request, number };
-        self.events.push(Event::Ended(Ended { attempt, machine, outcome, reason, closed, report }));
+        self.events.push(Event::Ended(Ended {
+            attempt,
+            machine,
+            outcome,
+            reason,
+            closed,
+            report,
+        }));
     }
 
     /// Takes the attempt that is out back, and tells the module how it ended. What its host may still say to it
@@ -103,20 +137,37 @@
     /// whatever kept the answer from coming may hold up the next one too. What waits for a connection that does not
     /// stand never left.
     pub(crate) fn give_up(&mut self, request: RequestId, outcome: Outcome) {
-        let Some(entry) = self.requests.get(&request) else { return };
-        let (id, Some(out)) = (entry.setup.id, entry.out) else { return };
+        let Some(entry) = self.requests.get(&request) else {
+            return;
+        };
+        let (id, Some(out)) = (entry.setup.id, entry.out) else {
+            return;
+        };
         let unsent = self.unsend(out.link, id);
-        let outcome = if unsent { Outcome::Unconnected } else { outcome };
+        let outcome = if unsent {
+            Outcome::Unconnected
+        } else {
+            outcome
+        };
         self.take_back(request, outcome, None, Vec::new());
         if !unsent {
-            self.send_host(out.link, ToHost::Release { id, cause: GIVEN_UP });
+            self.send_host(
+                out.link,
+                ToHost::Release {
+                    id,
+                    cause: GIVEN_UP,
+                },
+            );
         }
         self.doubt(out.link);
     }
 
     /// The attempt, if it is the one that is out.
     pub(crate) fn out(&self, attempt: AttemptId) -> Option<Out> {
-        let out = self.requests.get(&attempt.request).and_then(|entry| entry.out);
+        let out = self
+            .requests
+            .get(&attempt.request)
+            .and_then(|entry| entry.out);
         out.filter(|out| out.number == attempt.number)
     }
 
@@ -143,16 +194,26 @@
         };
         self.last_probe += 1;
         let (id, report) = (self.last_probe, !self.settings.report.is_empty());
-        self.probes.insert(id, Probe { machine, link, sent: now });
+        self.probes.insert(
+            id,
+            Probe {
+                machine,
+                link,
+                sent: now,
+            },
+        );
         if let Some(link) = self.links.get_mut(&link) {
             link.probes += 1;
         }
         self.send_host(link, ToHost::Test { id, report });
-        self.timers.set(now + connect_us(&self.settings), Timer::Probe(id));
+        self.timers
+            .set(now + connect_us(&self.settings), Timer::Probe(id));
     }
 
     pub(crate) fn probe_over(&mut self, now: Micros, id: u64, answered: bool, figures: &Figures) {
-        let Some(probe) = self.probes.remove(&id) else { return };
+        let Some(probe) = self.probes.remove(&id) else {
+            return;
+        };
         if let Some(link) = self.links.get_mut(&probe.link) {
             link.probes -= 1;
         }
@@ -161,13 +222,22 @@
         }
         let took_us = now.saturating_sub(probe.sent);
         let report = self.report(figures);
-        self.events.push(Event::Probed { machine: probe.machine, answered, took_us, report });
+        self.events.push(Event::Probed {
+            machine: probe.machine,
+            answered,
+            took_us,
+            report,
+        });
     }
 
     /// A load report in the order of the settings; none unless all of it was told.
     pub(crate) fn report(&self, figures: &Figures) -> Vec<f64> {
-        let report: Option<Vec<f64>> =
-            self.settings.report.iter().map(|name| figures.get(name).copied()).collect();
+        let report: Option<Vec<f64>> = self
+            .settings
+            .report
+            .iter()
+            .map(|name| figures.get(name).copied())
+            .collect();
         report.unwrap_or_default()
     }
 }
--- a/crates/platform/src/bounds.rs
+++ b/crates/platform/src/bounds.rs
@@ -28,7 +28,14 @@
         let (all, clients, overflow) = (sockets - OWN_SOCKETS, sockets / 2, sockets / 16);
         // An eighth of the memory; outboxes may hold another.
         let waiting = (limits.memory_mb as usize * 1024 * 1024 / 8).max(64 * 1024);
-        Self { all, clients, overflow, reserved, links_each: LINKS_EACH, waiting }
+        Self {
+            all,
+            clients,
+            overflow,
+            reserved,
+            links_each: LINKS_EACH,
+            waiting,
+        }
     }
 
     /// Connections to hosts, beside so many of clients.
--- a/crates/platform/src/clients/arrivals.rs
+++ b/crates/platform/src/clients/arrivals.rs
@@ -22,11 +22,24 @@
 
     /// Submits an arrival to the module; one whose client has gone so that it is answered at once.
     pub(super) fn submit(&mut self, now: Micros, request: RequestId, client_left: bool) {
-        let Some(entry) = self.requests.get_mut(&request) else { return };
+        let Some(entry) = self.requests.get_mut(&request) else {
+            return;
+        };
         (entry.submitted, entry.client_left) = (true, client_left);
-        let grace_us = if client_left { 0 } else { entry.deadline.saturating_sub(now) };
-        if let Some(Ok(task)) = self.requests.get(&request).map(|entry| self.task(&entry.setup)) {
-            self.events.push(Event::Arrived { task: Task { request, ..task }, grace_us });
+        let grace_us = if client_left {
+            0
+        } else {
+            entry.deadline.saturating_sub(now)
+        };
+        if let Some(Ok(task)) = self
+            .requests
+            .get(&request)
+            .map(|entry| self.task(&entry.setup))
+        {
+            self.events.push(Event::Arrived {
+                task: Task { request, ..task },
+                grace_us,
+            });
         }
     }
 
@@ -51,19 +64,24 @@
     pub(crate) fn submit_next(&mut self, now: Micros, most: usize) {
         let (mut submitted, mut passed) = (0, 0);
         while submitted < most && passed < self.turns.len() {
-            let Some(conn) = self.turns.pop_front() else { return };
+            let Some(conn) = self.turns.pop_front() else {
+                return;
+            };
             let Some(due) = self.turn(conn) else { continue };
             if due > now {
                 self.turns.push_back(conn);
                 passed += 1;
                 continue;
             }
-            let Some(entry) = self.conns.get_mut(&conn) else { continue };
+            let Some(entry) = self.conns.get_mut(&conn) else {
+                continue;
+            };
             let next = entry.fresh.pop_front();
             if !entry.fresh.is_empty() {
                 self.turns.push_back(conn);
             }
-            let fresh = |request: &RequestId| self.requests.get(request).is_some_and(Request::is_fresh);
+            let fresh =
+                |request: &RequestId| self.requests.get(request).is_some_and(Request::is_fresh);
             if let Some(request) = next.filter(fresh) {
                 (submitted, passed) = (submitted + 1, 0);
                 self.submit(now, request, false);
@@ -77,7 +95,9 @@
             Ok(task) => task,
             Err(why) => return self.unusable(now, conn, id, &why),
         };
-        let known = self.request_of(id).map(|(_, entry)| (entry.phase, entry.conn));
+        let known = self
+            .request_of(id)
+            .map(|(_, entry)| (entry.phase, entry.conn));
         if let Some(host) = &setup.at {
             let machine = machine_id(host);
             if let Some(conn) = self.conns.get_mut(&conn) {
@@ -88,9 +108,16 @@
             if known.is_some_and(|(phase, _)| phase != Phase::Closed) || held {
                 return self.tell_owed(now);
             }
-            let phase = Phase::Standing { machine, number: 0, since: now };
+            let phase = Phase::Standing {
+                machine,
+                number: 0,
+                since: now,
+            };
             let request = self.new_request(now, setup, conn, phase);
-            self.events.push(Event::Adopted { task: Task { request, ..task }, machine });
+            self.events.push(Event::Adopted {
+                task: Task { request, ..task },
+                machine,
+            });
             self.stands(now, machine, request);
             return self.tell_owed(now);
         }
@@ -107,12 +134,16 @@
             return self.close_client(conn);
         }
         if self.waiting + setup.description.len() > self.bounds.waiting {
-            self.log(format!("client {conn}: turned away: set-ups hold {} bytes", self.waiting));
+            self.log(format!(
+                "client {conn}: turned away: set-ups hold {} bytes",
+                self.waiting
+            ));
             return self.send_client(conn, ToOwner::failure(id, CUT));
         }
         let request = self.new_request(now, setup, conn, Phase::Open);
         if self.has_backlog() {
-            self.timers.set(self.requests[&request].deadline, Timer::Overdue(request));
+            self.timers
+                .set(self.requests[&request].deadline, Timer::Overdue(request));
         }
         if let Some(entry) = self.conns.get_mut(&conn) {
             entry.open.insert(id);
@@ -139,14 +170,21 @@
         let kinds = &self.settings.module.kinds;
         let most = |size: fn(&reedring::Kind) -> Option<f64>, times: Option<f64>| {
             let largest = kinds.iter().filter_map(size).fold(0.0, f64::max);
-            if largest > 0.0 { largest * times.unwrap_or(1.0).max(1.0) } else { f64::INFINITY }
+            if largest > 0.0 {
+                largest * times.unwrap_or(1.0).max(1.0)
+            } else {
+                f64::INFINITY
+            }
         };
         // No machine could ever take more.
         if setup.cores > most(|kind| kind.cores, self.settings.module.accepts_cores)
             || setup.memory > most(|kind| kind.memory, self.settings.module.accepts_memory)
             || setup.cores + setup.memory <= 0.0
         {
-            return Err(format!("no machine has {} cores and {} of memory", setup.cores, setup.memory));
+            return Err(format!(
+                "no machine has {} cores and {} of memory",
+                setup.cores, setup.memory
+            ));
         }
         Ok(Task {
             request: RequestId(0),
--- a/crates/platform/src/clients/ends.rs
+++ b/crates/platform/src/clients/ends.rs
@@ -15,14 +15,23 @@
 impl Engine {
     /// Tells a client that a task is over.
     pub(crate) fn end_task(&mut self, now: Micros, home: ConnId, id: u64, cause: u8) {
-        self.tell_end(now, End { at: now, home, id, cause });
+        self.tell_end(
+            now,
+            End {
+                at: now,
+                home,
+                id,
+                cause,
+            },
+        );
     }
 
     fn tell_end(&mut self, now: Micros, end: End) {
         match self.route(end.home) {
             Some(conn) => {
                 self.send_client(conn, ToOwner::failure(end.id, end.cause));
-                self.sent_ends.insert(end.id, (conn, End { at: now, ..end }));
+                self.sent_ends
+                    .insert(end.id, (conn, End { at: now, ..end }));
             }
             None => self.unsent_ends.push(end),
         }
@@ -30,12 +39,26 @@
 
     /// The connection on which an end is told.
     pub(crate) fn route(&self, home: ConnId) -> Option<ConnId> {
-        if self.conns.get(&home).is_some_and(|conn| !conn.closing && !conn.leaving) {
+        if self
+            .conns
+            .get(&home)
+            .is_some_and(|conn| !conn.closing && !conn.leaving)
+        {
             return Some(home);
         }
-        let routes =
-            self.conns.iter().filter(|(_, conn)| !conn.closing && !conn.leaving).map(|(id, conn)| {
-                (*id, Route { answered: conn.answered, good: conn.good, heard_at: conn.heard_at })
+        let routes = self
+            .conns
+            .iter()
+            .filter(|(_, conn)| !conn.closing && !conn.leaving)
+            .map(|(id, conn)| {
+                (
+                    *id,
+                    Route {
+                        answered: conn.answered,
+                        good: conn.good,
+                        heard_at: conn.heard_at,
+                    },
+                )
             });
         decide::which_route(routes)
     }
@@ -49,8 +72,12 @@
 
     /// An end that was just written may have crossed the close.
     pub(super) fn resend_crossed_ends(&mut self, now: Micros, conn: ConnId) {
-        let crossed: Vec<u64> =
-            self.sent_ends.iter().filter(|(_, (to, _))| *to == conn).map(|(id, _)| *id).collect();
+        let crossed: Vec<u64> = self
+            .sent_ends
+            .iter()
+            .filter(|(_, (to, _))| *to == conn)
+            .map(|(id, _)| *id)
+            .collect();
         for id in crossed {
             if let Some((_, end)) = self.sent_ends.remove(&id) {
                 self.tell_end(now, end);
@@ -61,6 +88,7 @@
     /// Forgets ends that were heard or concern nobody any more.
     pub(super) fn forget_old_ends(&mut self, now: Micros) {
         self.unsent_ends.retain(|end| now < end.at + OWED_US);
-        self.sent_ends.retain(|_, (_, end)| now < end.at + RESEND_END_US);
+        self.sent_ends
+            .retain(|_, (_, end)| now < end.at + RESEND_END_US);
     }
 }
--- a/crates/platform/src/clients/leaving.rs
+++ b/crates/platform/src/clients/leaving.rs
@@ -23,7 +23,9 @@
 
     /// What becomes of a request whose client leaves, and that it comes to be.
     pub(super) fn part(&mut self, now: Micros, id: u64, leaving: Leaving) -> Parting {
-        let Some((request, stage)) = self.request_of(id).map(|(request, entry)| (request, self.stage(entry)))
+        let Some((request, stage)) = self
+            .request_of(id)
+            .map(|(request, entry)| (request, self.stage(entry)))
         else {
             return Parting::Nothing;
         };
@@ -49,8 +51,12 @@
 
     /// Takes an attempt back that waits for a connection.
     fn recall(&mut self, request: RequestId) {
-        let Some(entry) = self.requests.get(&request) else { return };
-        let (id, Some(out)) = (entry.setup.id, entry.out) else { return };
+        let Some(entry) = self.requests.get(&request) else {
+            return;
+        };
+        let (id, Some(out)) = (entry.setup.id, entry.out) else {
+            return;
+        };
         if self.unsend(out.link, id) {
             self.take_back(request, Outcome::Unsent, None, Vec::new());
         }
@@ -58,9 +64,17 @@
 
     /// No attempt begins any more: the module gives the final answer as soon as none is out.
     fn stop_attempts(&mut self, now: Micros, request: RequestId) {
-        if self.requests.get(&request).is_some_and(|entry| !entry.submitted) {
+        if self
+            .requests
+            .get(&request)
+            .is_some_and(|entry| !entry.submitted)
+        {
             self.submit(now, request, true);
-        } else if let Some(entry) = self.requests.get_mut(&request).filter(|entry| !entry.client_left) {
+        } else if let Some(entry) = self
+            .requests
+            .get_mut(&request)
+            .filter(|entry| !entry.client_left)
+        {
             entry.client_left = true;
             self.events.push(Event::Last(request));
         }
--- a/crates/platform/src/clients/mod.rs
+++ b/crates/platform/src/clients/mod.rs
@@ -44,10 +44,14 @@
 
     /// A client that said all it has to say has gone, or waits for its answers.
     pub(crate) fn client_ended(&mut self, now: Micros, conn: ConnId) {
-        let Some(entry) = self.conns.get_mut(&conn) else { return };
+        let Some(entry) = self.conns.get_mut(&conn) else {
+            return;
+        };
         (entry.ended, entry.more) = (true, false);
         let open: Vec<u64> = entry.open.iter().copied().collect();
-        let moments = open.into_iter().filter(|id| self.part(now, *id, Leaving::Ended) == Parting::Moment);
+        let moments = open
+            .into_iter()
+            .filter(|id| self.part(now, *id, Leaving::Ended) == Parting::Moment);
         if moments.count() > 0 {
             self.timers.set(now + MOMENT_US, Timer::Gone(conn));
         }
@@ -55,14 +59,23 @@
     }
 
     pub(crate) fn client_ended_long(&mut self, now: Micros, conn: ConnId) {
-        let open: Vec<u64> = self.conns.get(&conn).into_iter().flat_map(|entry| entry.open.clone()).collect();
+        let open: Vec<u64> = self
+            .conns
+            .get(&conn)
+            .into_iter()
+            .flat_map(|entry| entry.open.clone())
+            .collect();
         for id in open {
             self.part(now, id, Leaving::EndedLong);
         }
     }
 
     fn close_ended(&mut self, conn: ConnId) {
-        if self.conns.get(&conn).is_some_and(|entry| entry.ended && entry.open.is_empty()) {
+        if self
+            .conns
+            .get(&conn)
+            .is_some_and(|entry| entry.ended && entry.open.is_empty())
+        {
             self.close_client(conn);
         }
     }
@@ -70,7 +83,9 @@
     /// Whoever can't be read is closed on; what it had asked for ends with that.
     pub(crate) fn client_spoilt(&mut self, now: Micros, conn: ConnId, why: &str) {
         self.log(format!("client {conn}: closed: {why}"));
-        let Some(entry) = self.conns.get_mut(&conn) else { return };
+        let Some(entry) = self.conns.get_mut(&conn) else {
+            return;
+        };
         for id in std::mem::take(&mut entry.open) {
             self.send_client(conn, ToOwner::failure(id, CUT));
             self.part(now, id, Leaving::Reset);
@@ -80,18 +95,33 @@
 
     pub(crate) fn client_came(&mut self, now: Micros, conn: ConnId) {
         let mut in_overflow = false;
-        let leaving = self.conns.values().filter(|conn| conn.leaving && !conn.closing).count();
+        let leaving = self
+            .conns
+            .values()
+            .filter(|conn| conn.leaving && !conn.closing)
+            .count();
         if self.conns.len() - leaving >= self.bounds.clients {
             let idle = |conn: &Conn| conn.is_idle() && !conn.in_overflow;
             let idle = self.conns.iter().filter(|(_, conn)| idle(conn));
-            let oldest = idle.min_by_key(|(_, conn)| (conn.answered, conn.heard_at)).map(|(id, _)| *id);
+            let oldest = idle
+                .min_by_key(|(_, conn)| (conn.answered, conn.heard_at))
+                .map(|(id, _)| *id);
             match oldest {
                 Some(oldest) => self.close_idle_client(oldest),
-                None if self.conns.len() < self.bounds.clients + self.bounds.overflow => in_overflow = true,
+                None if self.conns.len() < self.bounds.clients + self.bounds.overflow => {
+                    in_overflow = true
+                }
                 None => return self.outputs.push_back(Output::CloseClient(conn)),
             }
         }
-        self.conns.insert(conn, Conn { heard_at: now, in_overflow, ..Conn::default() });
+        self.conns.insert(
+            conn,
+            Conn {
+                heard_at: now,
+                in_overflow,
+                ..Conn::default()
+            },
+        );
         self.yield_links(now);
     }
 
@@ -104,22 +134,35 @@
 
     /// Closes on a client that is idle, unless it says something before it learns of that.
     fn close_idle_client(&mut self, conn: ConnId) {
-        if let Some(entry) = self.conns.get_mut(&conn).filter(|entry| !entry.closing && !entry.leaving) {
+        if let Some(entry) = self
+            .conns
+            .get_mut(&conn)
+            .filter(|entry| !entry.closing && !entry.leaving)
+        {
             entry.leaving = true;
             self.outputs.push_back(Output::CloseIdleClient(conn));
         }
     }
 
     pub(crate) fn client_gone(&mut self, now: Micros, conn: ConnId) {
-        let Some(gone) = self.conns.remove(&conn) else { return };
+        let Some(gone) = self.conns.remove(&conn) else {
+            return;
+        };
         for id in gone.open {
             self.part(now, id, Leaving::Reset);
         }
         self.resend_crossed_ends(now, conn);
     }
 
-    pub(crate) fn client_says(&mut self, now: Micros, conn: ConnId, message: Result<FromOwner, Unusable>) {
-        let Some(entry) = self.conns.get_mut(&conn).filter(|entry| !entry.closing) else { return };
+    pub(crate) fn client_says(
+        &mut self,
+        now: Micros,
+        conn: ConnId,
+        message: Result<FromOwner, Unusable>,
+    ) {
+        let Some(entry) = self.conns.get_mut(&conn).filter(|entry| !entry.closing) else {
+            return;
+        };
         entry.leaving = false;
         match message {
             Ok(FromOwner::Setup(setup)) => self.setup(now, conn, *setup),
@@ -136,13 +179,21 @@
     }
 
     fn unusable(&mut self, now: Micros, conn: ConnId, id: u64, why: &str) {
-        self.log(format!("client {conn}: turned away: message on {id:016x}: {why}"));
+        self.log(format!(
+            "client {conn}: turned away: message on {id:016x}: {why}"
+        ));
         // One whole answer at most for one id on one connection: what is open under it ends with this.
-        if self.conns.get_mut(&conn).is_some_and(|entry| entry.open.remove(&id)) {
+        if self
+            .conns
+            .get_mut(&conn)
+            .is_some_and(|entry| entry.open.remove(&id))
+        {
             self.part(now, id, Leaving::Cancelled);
         }
         self.send_client(conn, ToOwner::failure(id, ERROR));
-        let Some(entry) = self.conns.get_mut(&conn) else { return };
+        let Some(entry) = self.conns.get_mut(&conn) else {
+            return;
+        };
         entry.unusable += 1;
         if entry.unusable >= MOST_UNUSABLE {
             self.close_client(conn);
@@ -150,7 +201,10 @@
     }
 
     fn client_releases(&mut self, now: Micros, conn: ConnId, id: u64) {
-        let Some((phase, home)) = self.request_of(id).map(|(_, entry)| (entry.phase, entry.conn)) else {
+        let Some((phase, home)) = self
+            .request_of(id)
+            .map(|(_, entry)| (entry.phase, entry.conn))
+        else {
             return;
         };
         // Only who asked may take back what is open; a task that stands belongs to no connection.
@@ -170,7 +224,8 @@
             conn.is_idle() && !conn.answered && conn.heard_at + SILENCE_US <= now
         };
         let idle: Vec<ConnId> = self.conns.iter().filter(over).map(|(id, _)| *id).collect();
-        idle.into_iter().for_each(|conn| self.close_idle_client(conn));
+        idle.into_iter()
+            .for_each(|conn| self.close_idle_client(conn));
         self.forget_old_ends(now);
     }
 }
--- a/crates/platform/src/decide/clients.rs
+++ b/crates/platform/src/decide/clients.rs
@@ -89,5 +89,7 @@
 /// set-up, the last heard of each; else on the next one that does.
 pub fn which_route<T>(routes: impl Iterator<Item = (T, Route)>) -> Option<T> {
     let usable = routes.filter(|(_, route)| route.answered || route.good);
-    usable.max_by_key(|(_, route)| (route.answered, route.heard_at)).map(|(id, _)| id)
+    usable
+        .max_by_key(|(_, route)| (route.answered, route.heard_at))
+        .map(|(id, _)| id)
 }
--- a/crates/platform/src/decide/links.rs
+++ b/crates/platform/src/decide/links.rs
@@ -25,7 +25,10 @@
 /// has; else one that is being made for nobody, or a new one while `room` for it is left. None is used beyond
 /// `streams` set-ups, and a doubtful one never.
 pub fn which_link(candidates: &[Candidate], room: bool, streams: usize) -> Option<Choice> {
-    let usable = candidates.iter().enumerate().filter(|(_, link)| !link.doubtful && link.open < streams);
+    let usable = candidates
+        .iter()
+        .enumerate()
+        .filter(|(_, link)| !link.doubtful && link.open < streams);
     match usable.min_by_key(|(_, link)| (!link.up, link.open)) {
         Some((at, link)) if link.up || link.open == 0 || !room => Some(Choice::Use(at)),
         _ if room => Some(Choice::Make),
@@ -64,7 +67,11 @@
     let needed = |link: &Spent| link.only || link.check && !link.up;
     let may = |link: &Spent| !(visit && needed(link)) || link.up && link.since <= until;
     let key = |link: &Spent| {
-        let turn = if visit && needed(link) { link.since } else { link.used };
+        let turn = if visit && needed(link) {
+            link.since
+        } else {
+            link.used
+        };
         (needed(link), !link.up, turn)
     };
     let links = links.iter().enumerate().filter(|(_, link)| may(link));
--- a/crates/platform/src/decide/tests.rs
+++ b/crates/platform/src/decide/tests.rs
@@ -4,12 +4,26 @@
 
 #[test]
 fn only_what_left_on_a_connection_that_stood_may_have_run() {
-    for down in [Down::Refused, Down::Unmade, Down::Closed, Down::Broke, Down::Spoilt] {
+    for down in [
+        Down::Refused,
+        Down::Unmade,
+        Down::Closed,
+        Down::Broke,
+        Down::Spoilt,
+    ] {
         for begun in [false, true] {
             let stood = matches!(down, Down::Closed | Down::Broke | Down::Spoilt);
             let execution = did_it_run(down, begun);
-            assert_eq!(execution == Execution::MayHaveRun, stood && begun, "{down:?} {begun}");
-            assert_eq!(execution == Execution::Unsent, stood && !begun, "{down:?} {begun}");
+            assert_eq!(
+                execution == Execution::MayHaveRun,
+                stood && begun,
+                "{down:?} {begun}"
+            );
+            assert_eq!(
+                execution == Execution::Unsent,
+                stood && !begun,
+                "{down:?} {begun}"
+            );
         }
     }
 }
@@ -17,7 +31,11 @@
 #[test]
 fn a_set_up_goes_alone_where_it_can() {
     let link = |up, open, doubtful| Candidate { up, open, doubtful };
-    let (idle, coming, busy) = (link(true, 0, false), link(false, 0, false), link(true, 2, false));
+    let (idle, coming, busy) = (
+        link(true, 0, false),
+        link(false, 0, false),
+        link(true, 2, false),
+    );
     let cases = [
         (vec![], true, Some(Choice::Make)),
         (vec![], false, None),
@@ -27,19 +45,31 @@
         (vec![coming], true, Some(Choice::Use(0))),
         (vec![link(false, 1, false)], true, Some(Choice::Make)),
         (vec![link(false, 1, false)], false, Some(Choice::Use(0))),
-        (vec![busy, link(true, 1, false)], false, Some(Choice::Use(1))),
+        (
+            vec![busy, link(true, 1, false)],
+            false,
+            Some(Choice::Use(1)),
+        ),
         (vec![link(true, 0, true)], true, Some(Choice::Make)),
         (vec![link(true, 0, true)], false, None),
         (vec![link(true, 3, false)], false, None),
     ];
     for (candidates, room, choice) in cases {
-        assert_eq!(which_link(&candidates, room, 3), choice, "{candidates:?} {room}");
+        assert_eq!(
+            which_link(&candidates, room, 3),
+            choice,
+            "{candidates:?} {room}"
+        );
     }
 }
 
 #[test]
 fn one_connection_is_kept_ahead() {
-    let link = |open, doubtful| Candidate { up: true, open, doubtful };
+    let link = |open, doubtful| Candidate {
+        up: true,
+        open,
+        doubtful,
+    };
     for (candidates, spare) in [
         (vec![link(0, false)], true),
         (vec![link(0, false), link(1, false)], true),
@@ -53,11 +83,23 @@
 
 #[test]
 fn who_is_needed_least_makes_room() {
-    let link = |up, check, only, used| Spent { up, check, only, used, since: 10 - used };
-    let (spare, older, made) =
-        (link(true, false, false, 9), link(true, false, false, 8), link(false, false, false, 1));
-    let (alone, fresh, coming) =
-        (link(true, true, true, 3), link(true, false, true, 7), link(false, true, false, 2));
+    let link = |up, check, only, used| Spent {
+        up,
+        check,
+        only,
+        used,
+        since: 10 - used,
+    };
+    let (spare, older, made) = (
+        link(true, false, false, 9),
+        link(true, false, false, 8),
+        link(false, false, false, 1),
+    );
+    let (alone, fresh, coming) = (
+        link(true, true, true, 3),
+        link(true, false, true, 7),
+        link(false, true, false, 2),
+    );
     let cases = [
         (vec![], false, None),
         (vec![alone, spare, older], false, Some(2)),
@@ -71,7 +113,11 @@
         (vec![coming], false, Some(0)),
     ];
     for (links, visit, chosen) in cases {
-        assert_eq!(which_makes_room(&links, visit, 5), chosen, "{links:?} {visit}");
+        assert_eq!(
+            which_makes_room(&links, visit, 5),
+            chosen,
+            "{links:?} {visit}"
+        );
     }
 }
 
@@ -86,7 +132,11 @@
         (99, 50, 10, true),
         (100, 50, 10, false),
     ] {
-        assert_eq!(may_add(links, extra, listed, 100), may, "{links} {extra} {listed}");
+        assert_eq!(
+            may_add(links, extra, listed, 100),
+            may,
+            "{links} {extra} {listed}"
+        );
     }
 }
 
@@ -95,8 +145,17 @@
     for (listed, links_up) in [(false, 0), (false, 1), (true, 0), (true, 1)] {
         for (refused, unreachable) in [(0, 0), (1, 2), (2, 0), (0, 3), (3, 4)] {
             for quiet_us in [0, 5_900_000, 6_000_000] {
-                for (leaving, broke) in [(false, false), (false, true), (true, true), (true, false)] {
-                    let seen = Seen { listed, leaving, broke, links_up, refused, unreachable, quiet_us };
+                for (leaving, broke) in [(false, false), (false, true), (true, true), (true, false)]
+                {
+                    let seen = Seen {
+                        listed,
+                        leaving,
+                        broke,
+                        links_up,
+                        refused,
+                        unreachable,
+                        quiet_us,
+                    };
                     let quiet = quiet_us >= 6_000_000;
                     let want = match (listed, leaving, broke) {
                         (false, _, _) => true,
@@ -104,7 +163,8 @@
                         // It refuses whoever is new, and holds its tasks.
                         (true, true, false) => quiet && (refused >= 3 || unreachable >= 3),
                         (true, false, false) => {
-                            refused >= 2 && links_up == 0 || quiet && (refused >= 3 || unreachable >= 3)
+                            refused >= 2 && links_up == 0
+                                || quiet && (refused >= 3 || unreachable >= 3)
                         }
                     };
                     let lost = lost_all(seen);
@@ -118,8 +178,17 @@
 
 #[test]
 fn an_end_goes_to_who_was_answered_last() {
-    let route = |answered, good, heard_at| Route { answered, good, heard_at };
-    let routes = [route(false, true, 9), route(true, true, 5), route(true, true, 7), route(false, false, 99)];
+    let route = |answered, good, heard_at| Route {
+        answered,
+        good,
+        heard_at,
+    };
+    let routes = [
+        route(false, true, 9),
+        route(true, true, 5),
+        route(true, true, 7),
+        route(false, false, 99),
+    ];
     let which = |routes: &[Route]| which_route(routes.iter().copied().enumerate());
     assert_eq!(which(&routes), Some(2));
     assert_eq!(which(&routes[..1]), Some(0));
@@ -129,7 +198,12 @@
 #[test]
 fn nothing_begins_for_a_client_that_left() {
     use Parting::{Answer, End, GiveUp, LastAttempt, Moment, Nothing, Recall};
-    let leavings = [Leaving::Ended, Leaving::EndedLong, Leaving::Reset, Leaving::Cancelled];
+    let leavings = [
+        Leaving::Ended,
+        Leaving::EndedLong,
+        Leaving::Reset,
+        Leaving::Cancelled,
+    ];
     for (stage, wants) in [
         (Stage::Fresh, [Moment, Answer, GiveUp, GiveUp]),
         (Stage::Held, [Answer, Answer, GiveUp, GiveUp]),
@@ -138,6 +212,10 @@
         (Stage::Standing, [Nothing, Nothing, Nothing, End]),
         (Stage::Over, [Nothing; 4]),
     ] {
-        assert_eq!(leavings.map(|leaving| parting(stage, leaving)), wants, "{stage:?}");
+        assert_eq!(
+            leavings.map(|leaving| parting(stage, leaving)),
+            wants,
+            "{stage:?}"
+        );
     }
 }
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -34,14 +34,23 @@
 impl Spare {
     /// Makes one where there is none; without a descriptor left it is tried again later.
     fn prepare(&mut self, address: SocketAddr) {
-        let new = || if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() };
+        let new = || {
+            if address.is_ipv4() {
+                TcpSocket::new_v4()
+            } else {
+                TcpSocket::new_v6()
+            }
+        };
         self.0 = self.0.take().or_else(|| new().ok());
     }
 
     async fn connect(&mut self, address: SocketAddr) -> Result<TcpStream, String> {
         self.prepare(address);
         let socket = self.0.take().ok_or("no descriptor is left")?;
-        socket.connect(address).await.map_err(|error| format!("{address}: {error}"))
+        socket
+            .connect(address)
+            .await
+            .map_err(|error| format!("{address}: {error}"))
     }
 }
 
@@ -112,7 +121,9 @@
         }
         Ok(update)
     });
-    asked.await.unwrap_or_else(|_| Err(format!("no answer within {} ms", most.as_millis())))
+    asked
+        .await
+        .unwrap_or_else(|_| Err(format!("no answer within {} ms", most.as_millis())))
 }
 
 async fn connect(address: SocketAddr, spare: &mut Spare) -> Result<Sender, String> {
@@ -120,8 +131,9 @@
     // The next one, while this one still holds its own.
     spare.prepare(address);
     let _ = stream.set_nodelay(true);
-    let (sender, connection) =
-        http1::handshake(TokioIo::new(stream)).await.map_err(|error| format!("{address}: {error}"))?;
+    let (sender, connection) = http1::handshake(TokioIo::new(stream))
+        .await
+        .map_err(|error| format!("{address}: {error}"))?;
     // It ends with the connection, or as soon as nobody holds the sender.
     tokio::spawn(async move {
         let _ = connection.await;
@@ -136,16 +148,25 @@
     rev: u64,
     names: &Names,
 ) -> Result<(Told, bool), String> {
-    let request = Request::get(format!("/board/poll?watch={rev}&linger={}", LINGER.as_millis()))
-        .header(header::HOST, address.to_string())
-        .body(Empty::new())
-        .map_err(|error| error.to_string())?;
+    let request = Request::get(format!(
+        "/board/poll?watch={rev}&linger={}",
+        LINGER.as_millis()
+    ))
+    .header(header::HOST, address.to_string())
+    .body(Empty::new())
+    .map_err(|error| error.to_string())?;
     sender.ready().await.map_err(|error| error.to_string())?;
-    let response = sender.send_request(request).await.map_err(|error| error.to_string())?;
+    let response = sender
+        .send_request(request)
+        .await
+        .map_err(|error| error.to_string())?;
     if response.status() != StatusCode::OK {
         return Err(format!("status {}", response.status()));
     }
-    let body = Limited::new(response.into_body(), MOST).collect().await.map_err(|error| error.to_string())?;
+    let body = Limited::new(response.into_body(), MOST)
+        .collect()
+        .await
+        .map_err(|error| error.to_string())?;
     let update = Told::read(&body.to_bytes(), names).map_err(|error| error.to_string())?;
     Ok((update, !sender.is_closed()))
 }
--- a/crates/platform/src/engine.rs
+++ b/crates/platform/src/engine.rs
@@ -102,7 +102,11 @@
 
     /// When [`Engine::flush`] must be called at the latest, if no input comes before.
     pub fn next_wake(&self) -> Option<Micros> {
-        let due = if self.events.is_empty() { self.next_turn() } else { Some(0) };
+        let due = if self.events.is_empty() {
+            self.next_turn()
+        } else {
+            Some(0)
+        };
         due.into_iter().chain(self.timers.next()).min()
     }
 
@@ -180,11 +184,14 @@
     fn terminate(&mut self, now: Micros) {
         if self.ending.is_none() {
             self.ending = Some(now);
-            let count =
-                |of: fn(&Request) -> bool| self.requests.values().filter(|request| of(request)).count();
+            let count = |of: fn(&Request) -> bool| {
+                self.requests.values().filter(|request| of(request)).count()
+            };
             let open = count(|request| request.phase == Phase::Open);
             let standing = count(|request| matches!(request.phase, Phase::Standing { .. }));
-            self.log(format!("asked to end: {open} requests are open, {standing} tasks stand"));
+            self.log(format!(
+                "asked to end: {open} requests are open, {standing} tasks stand"
+            ));
         }
     }
 
@@ -196,9 +203,19 @@
             self.outputs.push_back(Output::StopListening);
         }
         let longest = self.settings.longest_wait_us.unwrap_or(0).min(STAY_US);
-        let standing = self.requests.values().any(|request| matches!(request.phase, Phase::Standing { .. }));
-        let stays = if standing { ASKED_US.max(longest + STAY_MORE_US) } else { ASKED_US };
-        let owes = self.requests.values().any(|request| request.phase == Phase::Open);
+        let standing = self
+            .requests
+            .values()
+            .any(|request| matches!(request.phase, Phase::Standing { .. }));
+        let stays = if standing {
+            ASKED_US.max(longest + STAY_MORE_US)
+        } else {
+            ASKED_US
+        };
+        let owes = self
+            .requests
+            .values()
+            .any(|request| request.phase == Phase::Open);
         if now >= asked + stays && !owes && !self.finished {
             self.finished = true;
             self.outputs.push_back(Output::Finished);
@@ -207,19 +224,32 @@
 
     fn carry_out(&mut self, now: Micros, action: Action) {
         match action {
-            Action::Offer { request, machine, within_us } => self.offer(now, request, machine, within_us),
+            Action::Offer {
+                request,
+                machine,
+                within_us,
+            } => self.offer(now, request, machine, within_us),
             Action::Stop(attempt) => self.stop(attempt),
-            Action::Refuse { request, stay_away_us } => {
-                self.answer(request, |id| ToOwner::refusal(id, stay_away_us.map(|us| us.div_ceil(1_000))));
+            Action::Refuse {
+                request,
+                stay_away_us,
+            } => {
+                self.answer(request, |id| {
+                    ToOwner::refusal(id, stay_away_us.map(|us| us.div_ceil(1_000)))
+                });
             }
             Action::Fail(request) => self.answer(request, |id| ToOwner::failure(id, CUT)),
             Action::Move(request) => self.move_away(now, request),
             Action::Probe(machine) => self.probe(now, machine),
             Action::CloseIdle(machine) => self.close_idle(machine),
-            Action::Tell { .. } => self.log("the platform carries no messages between placers".to_owned()),
+            Action::Tell { .. } => {
+                self.log("the platform carries no messages between placers".to_owned())
+            }
             Action::Watch(on) => self.asked_list = on,
             Action::Fetch => self.fetch(),
-            Action::Timer { token, after_us } => self.timers.set(now + after_us, Timer::Module(token)),
+            Action::Timer { token, after_us } => {
+                self.timers.set(now + after_us, Timer::Module(token))
+            }
             Action::Log(line) => self.log(line),
         }
     }
@@ -234,8 +264,12 @@
 
     /// Ends the placed task, so that its client comes again.
     fn move_away(&mut self, now: Micros, request: RequestId) {
-        let Some(entry) = self.requests.get(&request) else { return };
-        let (Phase::Standing { .. }, id, conn) = (entry.phase, entry.setup.id, entry.conn) else { return };
+        let Some(entry) = self.requests.get(&request) else {
+            return;
+        };
+        let (Phase::Standing { .. }, id, conn) = (entry.phase, entry.setup.id, entry.conn) else {
+            return;
+        };
         self.cut(now, request, CANCELLED);
         if let Some(conn) = self.route(conn) {
             self.send_client(conn, ToOwner::Moved(id));
@@ -244,9 +278,20 @@
 
     /// Tells a host to end what stands there.
     pub(crate) fn cut(&mut self, now: Micros, request: RequestId, cause: u8) {
-        let Some(entry) = self.requests.get_mut(&request) else { return };
-        let Phase::Standing { machine, number, .. } = entry.phase else { return };
-        entry.phase = Phase::Ending { machine, number, since: now };
+        let Some(entry) = self.requests.get_mut(&request) else {
+            return;
+        };
+        let Phase::Standing {
+            machine, number, ..
+        } = entry.phase
+        else {
+            return;
+        };
+        entry.phase = Phase::Ending {
+            machine,
+            number,
+            since: now,
+        };
         let id = entry.setup.id;
         if let Some(link) = self.any_link(now, machine) {
             self.send_host(link, ToHost::Release { id, cause });
--- a/crates/platform/src/follow.rs
+++ b/crates/platform/src/follow.rs
@@ -17,29 +17,51 @@
         Input::Client(conn, Ok(message)) => match message {
             FromOwner::Setup(setup) => {
                 let (class, left) = (&setup.class, setup.left_ms);
-                let held = setup.at.as_ref().map_or(String::new(), |host| format!(", held by {host}"));
-                format!("client {conn} asks {:016x}: {class}, {left} ms{held}", setup.id)
+                let held = setup
+                    .at
+                    .as_ref()
+                    .map_or(String::new(), |host| format!(", held by {host}"));
+                format!(
+                    "client {conn} asks {:016x}: {class}, {left} ms{held}",
+                    setup.id
+                )
+            }
+            FromOwner::Release { id, cause } => {
+                format!("client {conn} ends {id:016x}: cause {cause}")
             }
-            FromOwner::Release { id, cause } => format!("client {conn} ends {id:016x}: cause {cause}"),
             FromOwner::Test(id) => format!("client {conn} tests {id:016x}"),
             FromOwner::Released(id) => format!("client {conn} heard {id:016x}"),
             FromOwner::Free => return None,
         },
-        Input::Client(conn, Err(unusable)) => format!("client {conn} says what can't be used: {unusable}"),
+        Input::Client(conn, Err(unusable)) => {
+            format!("client {conn} says what can't be used: {unusable}")
+        }
         Input::LinkUp(link) => format!("link {link} up"),
-        Input::LinkDown { link, down, begun } => format!("link {link} down: {down:?}, {begun} written"),
+        Input::LinkDown { link, down, begun } => {
+            format!("link {link} down: {down:?}, {begun} written")
+        }
         Input::Host(link, message) => match message {
             FromHost::Answer { id, .. } => format!("link {link} answers {id:016x}"),
-            FromHost::Release { id, cause, reason, .. } => {
+            FromHost::Release {
+                id, cause, reason, ..
+            } => {
                 format!("link {link} ends {id:016x}: cause {cause}, {reason:?}")
             }
-            FromHost::Tested { id, passed, figures } => {
+            FromHost::Tested {
+                id,
+                passed,
+                figures,
+            } => {
                 format!("link {link} tested {id:016x}: {passed}, {figures:?}")
             }
             FromHost::Note { .. } | FromHost::Free => return None,
         },
         Input::Discovery(update) => {
-            format!("discovery at {}: {} notices", update.rev, update.notices.len())
+            format!(
+                "discovery at {}: {} notices",
+                update.rev,
+                update.notices.len()
+            )
         }
         Input::DiscoveryLost(why) => format!("discovery lost: {why}"),
         Input::Terminate => "asked to end".to_owned(),
@@ -55,14 +77,20 @@
                 format!("to client {conn}: release {id:016x}: cause {cause}")
             }
             ToOwner::Moved(id) => format!("to client {conn}: move {id:016x}"),
-            ToOwner::Tested { id, passed } => format!("to client {conn}: tested {id:016x}: {passed}"),
+            ToOwner::Tested { id, passed } => {
+                format!("to client {conn}: tested {id:016x}: {passed}")
+            }
         },
         Output::CloseClient(conn) => format!("close client {conn}"),
         Output::CloseIdleClient(conn) => format!("close client {conn} if it says nothing"),
         Output::Connect(link, address) => format!("link {link} to {address}"),
         Output::ToHost(link, message) => match message {
-            ToHost::Setup { id, left_ms, .. } => format!("to link {link}: set-up {id:016x}: {left_ms} ms"),
-            ToHost::Release { id, cause } => format!("to link {link}: release {id:016x}: cause {cause}"),
+            ToHost::Setup { id, left_ms, .. } => {
+                format!("to link {link}: set-up {id:016x}: {left_ms} ms")
+            }
+            ToHost::Release { id, cause } => {
+                format!("to link {link}: release {id:016x}: cause {cause}")
+            }
             ToHost::Test { id, .. } => format!("to link {link}: test {id:016x}"),
         },
         Output::CloseLink(link) => format!("close link {link}"),
--- a/crates/platform/src/hosts/links.rs
+++ b/crates/platform/src/hosts/links.rs
@@ -6,7 +6,11 @@
     /// The connection for a set-up or probe.
     pub(crate) fn link_for(&mut self, now: Micros, machine: MachineId) -> Option<LinkId> {
         let host = self.hosts.get(&machine)?;
-        let (address, links, bound) = (host.address(), self.links.len(), self.bounds.links(self.conns.len()));
+        let (address, links, bound) = (
+            host.address(),
+            self.links.len(),
+            self.bounds.links(self.conns.len()),
+        );
         let room = match host.links.len() {
             0 => links < bound,
             some => {
@@ -19,7 +23,14 @@
             .map(|(id, link)| {
                 let open = link.open.len() + link.probes as usize;
                 let doubtful = link.doubtful || Some(link.address) != address;
-                (id, Candidate { up: link.up, open, doubtful })
+                (
+                    id,
+                    Candidate {
+                        up: link.up,
+                        open,
+                        doubtful,
+                    },
+                )
             })
             .unzip();
         let streams = self.settings.per_connection.unwrap_or(usize::MAX).max(1);
@@ -38,15 +49,28 @@
     /// Any connection that reaches a host, for what concerns standing tasks. With none, it is told when it is next
     /// connected to.
     pub(crate) fn any_link(&mut self, now: Micros, machine: MachineId) -> Option<LinkId> {
-        let up = self.links_of(machine).filter(|(_, link)| !link.doubtful).max_by_key(|(_, link)| link.up);
-        up.map(|(id, _)| id).or_else(|| self.place_link(now, machine, false))
+        let up = self
+            .links_of(machine)
+            .filter(|(_, link)| !link.doubtful)
+            .max_by_key(|(_, link)| link.up);
+        up.map(|(id, _)| id)
+            .or_else(|| self.place_link(now, machine, false))
     }
 
     /// A new connection, once there is room for it.
-    pub(crate) fn place_link(&mut self, now: Micros, machine: MachineId, visit: bool) -> Option<LinkId> {
+    pub(crate) fn place_link(
+        &mut self,
+        now: Micros,
+        machine: MachineId,
+        visit: bool,
+    ) -> Option<LinkId> {
         // Nobody makes room for one to a host with no address.
         self.hosts.get(&machine)?.address()?;
-        if self.make_room(now, visit) { self.make_link(machine) } else { None }
+        if self.make_room(now, visit) {
+            self.make_link(machine)
+        } else {
+            None
+        }
     }
 
     /// Room for one more connection: one that is needed less goes, if it has to. `visit`: the new one is only to hear
@@ -60,16 +84,34 @@
             .map(|(id, link)| {
                 let only = self.hosts.get(&link.machine).is_some_and(|host| {
                     !host.standing.is_empty()
-                        && !host.links.iter().any(|other| other != id && self.links[other].up)
+                        && !host
+                            .links
+                            .iter()
+                            .any(|other| other != id && self.links[other].up)
                 });
-                (*id, Spent { up: link.up, check: link.check, only, used: link.used, since: link.since })
+                (
+                    *id,
+                    Spent {
+                        up: link.up,
+                        check: link.check,
+                        only,
+                        used: link.used,
+                        since: link.since,
+                    },
+                )
             })
             .unzip();
         let until = now.saturating_sub(connect_us(&self.settings));
-        let Some(at) = decide::which_makes_room(&spent, visit, until) else { return false };
+        let Some(at) = decide::which_makes_room(&spent, visit, until) else {
+            return false;
+        };
         let machine = self.links[&ids[at]].machine;
         self.close_link(ids[at]);
-        if let Some(host) = self.hosts.get_mut(&machine).filter(|host| host.is_asked() && !host.waiting) {
+        if let Some(host) = self
+            .hosts
+            .get_mut(&machine)
+            .filter(|host| host.is_asked() && !host.waiting)
+        {
             let at = now + REVISIT_US;
             host.parked = Some(at);
             self.timers.set(at, Timer::Reconnect(machine));
@@ -79,7 +121,10 @@
 
     /// A client came: connections to hosts leave its place.
     pub(crate) fn yield_links(&mut self, now: Micros) {
-        let over = self.links.len().saturating_sub(self.bounds.links(self.conns.len()));
+        let over = self
+            .links
+            .len()
+            .saturating_sub(self.bounds.links(self.conns.len()));
         for _ in 0..over {
             self.make_room(now, false);
         }
@@ -123,13 +168,17 @@
 
     /// Connects once more to a host that holds tasks, if there is room: it is closed again if others stand.
     pub(crate) fn check(&mut self, now: Micros, machine: MachineId) -> bool {
-        let link = self.place_link(now, machine, true).and_then(|link| self.links.get_mut(&link));
+        let link = self
+            .place_link(now, machine, true)
+            .and_then(|link| self.links.get_mut(&link));
         link.map(|link| link.check = true).is_some()
     }
 
     /// Writes to a connection, if it still is one, as soon as it stands; answers which message of it this is.
     pub(crate) fn send_host(&mut self, id: LinkId, message: ToHost) -> u64 {
-        let Some(link) = self.links.get_mut(&id) else { return 0 };
+        let Some(link) = self.links.get_mut(&id) else {
+            return 0;
+        };
         if !link.up {
             link.queue.push(message);
             return link.queue.len() as u64 - 1;
@@ -141,25 +190,39 @@
 
     /// Takes a set-up back that was not written yet; whether it could be.
     pub(crate) fn unsend(&mut self, link: LinkId, id: u64) -> bool {
-        let Some(link) = self.links.get_mut(&link).filter(|link| !link.up) else { return false };
-        link.queue.retain(|message| !matches!(message, ToHost::Setup { id: other, .. } if *other == id));
+        let Some(link) = self.links.get_mut(&link).filter(|link| !link.up) else {
+            return false;
+        };
+        link.queue
+            .retain(|message| !matches!(message, ToHost::Setup { id: other, .. } if *other == id));
         true
     }
 
     /// Writes what waited for the connection to stand. A set-up is judged once more: its host may drain by now, its
     /// client have gone, or its window be over.
     pub(crate) fn send_queue(&mut self, now: Micros, id: LinkId) {
-        let queue = self.links.get_mut(&id).map(|link| std::mem::take(&mut link.queue));
+        let queue = self
+            .links
+            .get_mut(&id)
+            .map(|link| std::mem::take(&mut link.queue));
         for mut message in queue.unwrap_or_default() {
-            let ToHost::Setup { id: task, left_ms, .. } = &mut message else {
+            let ToHost::Setup {
+                id: task, left_ms, ..
+            } = &mut message
+            else {
                 self.send_host(id, message);
                 continue;
             };
             let found = self.by_id.get(task).copied();
             let entry = found.and_then(|request| Some((request, self.requests.get(&request)?)));
             let out = entry.and_then(|(request, entry)| Some((request, entry, entry.out?)));
-            let Some((request, entry, out)) = out.filter(|(_, _, out)| out.link == id) else { continue };
-            let attempt = AttemptId { request, number: out.number };
+            let Some((request, entry, out)) = out.filter(|(_, _, out)| out.link == id) else {
+                continue;
+            };
+            let attempt = AttemptId {
+                request,
+                number: out.number,
+            };
             let wanted = entry.phase == Phase::Open && !entry.client_left && now < out.until;
             if !wanted || !self.placer.may_leave(now, attempt) {
                 self.take_back(request, Outcome::Unsent, None, Vec::new());
@@ -167,7 +230,11 @@
             }
             *left_ms = (out.until.saturating_sub(now) / 1_000).max(1);
             let position = self.send_host(id, message);
-            if let Some(out) = self.requests.get_mut(&request).and_then(|entry| entry.out.as_mut()) {
+            if let Some(out) = self
+                .requests
+                .get_mut(&request)
+                .and_then(|entry| entry.out.as_mut())
+            {
                 out.position = position;
             }
         }
@@ -175,7 +242,9 @@
 
     /// Uses a connection no more: it is closed once nothing is open on it.
     pub(crate) fn doubt(&mut self, id: LinkId) {
-        let Some(link) = self.links.get_mut(&id) else { return };
+        let Some(link) = self.links.get_mut(&id) else {
+            return;
+        };
         link.doubtful = true;
         if link.is_idle() {
             self.close_link(id);
@@ -195,19 +264,29 @@
     }
 
     pub(crate) fn link_up(&mut self, now: Micros, id: LinkId) {
-        let Some(link) = self.links.get_mut(&id) else { return };
+        let Some(link) = self.links.get_mut(&id) else {
+            return;
+        };
         (link.up, link.used, link.since) = (true, now, now);
         let (machine, check) = (link.machine, link.check);
         self.send_queue(now, id);
-        let Some(host) = self.hosts.get_mut(&machine) else { return };
+        let Some(host) = self.hosts.get_mut(&machine) else {
+            return;
+        };
         host.refused = 0;
         host.waits.reset();
         host.heard(now);
-        if check && self.links_of(machine).any(|(other, link)| other != id && link.up && !link.doubtful) {
+        if check
+            && self
+                .links_of(machine)
+                .any(|(other, link)| other != id && link.up && !link.doubtful)
+        {
             // It is there, and what stands is enough.
             return self.doubt(id);
         }
-        let Some(host) = self.hosts.get(&machine) else { return };
+        let Some(host) = self.hosts.get(&machine) else {
+            return;
+        };
         // An end that was told on a connection that broke may not have been heard.
         let ending: Vec<u64> = host
             .standing
@@ -217,12 +296,20 @@
             .map(|entry| entry.setup.id)
             .collect();
         for id_of_task in ending {
-            self.send_host(id, ToHost::Release { id: id_of_task, cause: CANCELLED });
+            self.send_host(
+                id,
+                ToHost::Release {
+                    id: id_of_task,
+                    cause: CANCELLED,
+                },
+            );
         }
     }
 
     pub(crate) fn link_down(&mut self, now: Micros, id: LinkId, down: Down, begun: u64) {
-        let Some(link) = self.drop_link(id) else { return };
+        let Some(link) = self.drop_link(id) else {
+            return;
+        };
         let machine = link.machine;
         if let Some(host) = self.hosts.get_mut(&machine) {
             match down {
@@ -232,7 +319,11 @@
                 Down::Closed | Down::Spoilt => {}
             }
         }
-        let probes = self.probes.iter().filter(|(_, probe)| probe.link == id).map(|(id, _)| *id);
+        let probes = self
+            .probes
+            .iter()
+            .filter(|(_, probe)| probe.link == id)
+            .map(|(id, _)| *id);
         for probe in probes.collect::<Vec<_>>() {
             self.probe_over(now, probe, false, &Default::default());
         }
@@ -245,18 +336,34 @@
     /// The connection of an attempt that is out ended.
     pub(crate) fn broken(&mut self, now: Micros, attempt: AttemptId, down: Down, begun: u64) {
         let request = attempt.request;
-        let Some(entry) = self.requests.get_mut(&request) else { return };
+        let Some(entry) = self.requests.get_mut(&request) else {
+            return;
+        };
         // Sent once more it would begin after its client went.
         let no_more = entry.client_left || entry.phase != Phase::Open;
-        let Some(out) = entry.out.as_mut().filter(|out| out.number == attempt.number) else { return };
+        let Some(out) = entry
+            .out
+            .as_mut()
+            .filter(|out| out.number == attempt.number)
+        else {
+            return;
+        };
         let execution = decide::did_it_run(down, out.position < begun);
         let active = self.hosts.get(&out.machine).and_then(Host::health) == Some(State::Active);
-        if execution == Execution::Unsent && out.resent < MOST_RESENT && now < out.until && active && !no_more
+        if execution == Execution::Unsent
+            && out.resent < MOST_RESENT
+            && now < out.until
+            && active
+            && !no_more
         {
             out.resent += 1;
             return self.send_setup(now, request);
         }
-        let outcome = if execution == Execution::MayHaveRun { Outcome::Reset } else { Outcome::Unconnected };
+        let outcome = if execution == Execution::MayHaveRun {
+            Outcome::Reset
+        } else {
+            Outcome::Unconnected
+        };
         self.take_back(request, outcome, None, Vec::new());
     }
 }
--- a/crates/platform/src/hosts/list.rs
+++ b/crates/platform/src/hosts/list.rs
@@ -11,7 +11,8 @@
         }
         self.rev = self.rev.max(rev);
         self.events.clear();
-        self.events.push(Event::Listed(Listing::Cached(self.lines())));
+        self.events
+            .push(Event::Listed(Listing::Cached(self.lines())));
     }
 
     pub(crate) fn discovery_update(&mut self, now: Micros, update: Told) {
@@ -21,7 +22,8 @@
         }
         self.rev = self.rev.max(update.rev);
         if std::mem::take(&mut self.asked_list) && self.events.len() == before {
-            self.events.push(Event::Listed(Listing::Changes(Vec::new())));
+            self.events
+                .push(Event::Listed(Listing::Changes(Vec::new())));
         }
     }
 
@@ -36,7 +38,8 @@
     }
 
     pub(crate) fn fetch(&mut self) {
-        self.events.push(Event::Listed(Listing::Whole(self.lines())));
+        self.events
+            .push(Event::Listed(Listing::Whole(self.lines())));
     }
 
     /// The whole list.
@@ -51,21 +54,38 @@
             return;
         }
         self.rev = rev;
-        let Some(Pool { whole, hosts }) = pool else { return };
+        let Some(Pool { whole, hosts }) = pool else {
+            return;
+        };
         let lines: Vec<Machine> = hosts.iter().filter_map(|entry| self.line(entry)).collect();
         if whole {
             let named: BTreeSet<MachineId> = lines.iter().map(|line| line.id).collect();
-            let gone: Vec<MachineId> = self.hosts.keys().filter(|id| !named.contains(id)).copied().collect();
+            let gone: Vec<MachineId> = self
+                .hosts
+                .keys()
+                .filter(|id| !named.contains(id))
+                .copied()
+                .collect();
             for machine in gone {
                 if let Some(entry) = self.hosts.get(&machine).and_then(|host| host.entry.clone()) {
-                    self.listed(now, Entry { health: State::Left, ..entry });
+                    self.listed(
+                        now,
+                        Entry {
+                            health: State::Left,
+                            ..entry
+                        },
+                    );
                 }
             }
         }
         for entry in hosts {
             self.listed(now, entry);
         }
-        let listing = if whole { Listing::Whole(lines) } else { Listing::Changes(lines) };
+        let listing = if whole {
+            Listing::Whole(lines)
+        } else {
+            Listing::Changes(lines)
+        };
         self.events.push(Event::Listed(listing));
     }
 
@@ -95,7 +115,9 @@
         let before = host.entry.replace(entry.clone());
         self.on_list += usize::from(host.is_listed());
         host.left_at = (entry.health == State::Left).then(|| host.left_at.unwrap_or(now));
-        let moved = before.as_ref().is_some_and(|before| before.dial != entry.dial);
+        let moved = before
+            .as_ref()
+            .is_some_and(|before| before.dial != entry.dial);
         // A process that started later than a task was placed is another one than that which held it.
         let born = entry.born_ms * 1_000;
         let reborn = before.is_some_and(|before| before.born_ms != entry.born_ms);
@@ -119,8 +141,11 @@
     /// the time in which it still could.
     pub(crate) fn recall_unsent(&mut self, machine: MachineId) {
         let coming = self.links_of(machine).filter(|(_, link)| !link.up);
-        let unsent =
-            coming.flat_map(|(link, of)| of.open.iter().map(move |(id, attempt)| (link, *id, *attempt)));
+        let unsent = coming.flat_map(|(link, of)| {
+            of.open
+                .iter()
+                .map(move |(id, attempt)| (link, *id, *attempt))
+        });
         for (link, id, attempt) in unsent.collect::<Vec<_>>() {
             self.unsend(link, id);
             self.take_back(attempt.request, Outcome::Unconnected, None, Vec::new());
--- a/crates/platform/src/hosts/messages.rs
+++ b/crates/platform/src/hosts/messages.rs
@@ -4,21 +4,36 @@
 
 impl Engine {
     pub(crate) fn host_says(&mut self, now: Micros, id: LinkId, message: FromHost) {
-        let Some(link) = self.links.get_mut(&id) else { return };
+        let Some(link) = self.links.get_mut(&id) else {
+            return;
+        };
         link.used = now;
         let machine = link.machine;
         if let Some(host) = self.hosts.get_mut(&machine) {
             host.heard(now);
         }
         match message {
-            FromHost::Answer { id: task, description } => {
+            FromHost::Answer {
+                id: task,
+                description,
+            } => {
                 if let Some(attempt) = link.open.remove(&task) {
                     self.placed(now, id, attempt, description);
                 }
             }
-            FromHost::Release { id: task, cause, reason, figures } => {
+            FromHost::Release {
+                id: task,
+                cause,
+                reason,
+                figures,
+            } => {
                 let report = self.report(&figures);
-                if let Some(attempt) = self.links.get(&id).and_then(|link| link.open.get(&task)).copied() {
+                if let Some(attempt) = self
+                    .links
+                    .get(&id)
+                    .and_then(|link| link.open.get(&task))
+                    .copied()
+                {
                     let outcome = match cause {
                         FULL => Outcome::Refused,
                         ERROR => Outcome::Error,
@@ -41,10 +56,18 @@
                 let phase = request.and_then(|request| Some(self.requests.get(&request)?.phase));
                 if let (Some(request), Some(Phase::Standing { number, .. })) = (request, phase) {
                     let attempt = AttemptId { request, number };
-                    self.events.push(Event::Noted { attempt, machine, note });
+                    self.events.push(Event::Noted {
+                        attempt,
+                        machine,
+                        note,
+                    });
                 }
             }
-            FromHost::Tested { id, passed, figures } => self.probe_over(now, id, passed, &figures),
+            FromHost::Tested {
+                id,
+                passed,
+                figures,
+            } => self.probe_over(now, id, passed, &figures),
             FromHost::Free => {}
         }
     }
@@ -62,7 +85,9 @@
     /// Whether a task of this name stands at a host.
     pub(crate) fn by_key(&self, machine: MachineId, key: u64) -> bool {
         let range = (key, RequestId(0))..=(key, RequestId(u64::MAX));
-        self.hosts.get(&machine).is_some_and(|host| host.standing.range(range).next().is_some())
+        self.hosts
+            .get(&machine)
+            .is_some_and(|host| host.standing.range(range).next().is_some())
     }
 
     /// A task that a client handed over stands at a host: its end is to be heard.
@@ -77,24 +102,46 @@
         self.look_at(now, machine);
     }
 
-    pub(crate) fn placed(&mut self, now: Micros, link: LinkId, attempt: AttemptId, description: String) {
+    pub(crate) fn placed(
+        &mut self,
+        now: Micros,
+        link: LinkId,
+        attempt: AttemptId,
+        description: String,
+    ) {
         let AttemptId { request, number } = attempt;
         let Some(out) = self.out(attempt) else { return };
-        let Some(entry) = self.requests.get_mut(&request) else { return };
+        let Some(entry) = self.requests.get_mut(&request) else {
+            return;
+        };
         let (machine, id, conn) = (out.machine, entry.setup.id, entry.conn);
         if entry.phase != Phase::Open {
             // Nobody wants it any more: it is cut, and its end belongs to the attempt.
-            self.send_host(link, ToHost::Release { id, cause: GIVEN_UP });
+            self.send_host(
+                link,
+                ToHost::Release {
+                    id,
+                    cause: GIVEN_UP,
+                },
+            );
             self.take_back(request, Outcome::Stopped, None, Vec::new());
             return;
         }
         entry.out = None;
-        entry.phase = Phase::Standing { machine, number, since: now };
+        entry.phase = Phase::Standing {
+            machine,
+            number,
+            since: now,
+        };
         // A standing task needs no description any more.
         entry.setup.description = String::new();
         self.waiting -= std::mem::take(&mut entry.weight);
         let took_us = now.saturating_sub(out.sent);
-        self.events.push(Event::Placed { attempt, machine, took_us });
+        self.events.push(Event::Placed {
+            attempt,
+            machine,
+            took_us,
+        });
         self.send_client(conn, ToOwner::Answer { id, description });
         self.closed_on(conn, id);
         if let Some(conn) = self.conns.get_mut(&conn) {
@@ -114,11 +161,17 @@
         cause: u8,
         report: Vec<f64>,
     ) {
-        let Some(entry) = self.requests.get(&request) else { return };
+        let Some(entry) = self.requests.get(&request) else {
+            return;
+        };
         let (id, key, home) = (entry.setup.id, entry.setup.key, entry.conn);
         let (machine, number, owed) = match entry.phase {
-            Phase::Standing { machine, number, .. } => (machine, number, true),
-            Phase::Ending { machine, number, .. } => (machine, number, false),
+            Phase::Standing {
+                machine, number, ..
+            } => (machine, number, true),
+            Phase::Ending {
+                machine, number, ..
+            } => (machine, number, false),
             Phase::Open | Phase::Closed => return,
         };
         if let Some(host) = self.hosts.get_mut(&machine) {
--- a/crates/platform/src/outbox.rs
+++ b/crates/platform/src/outbox.rs
@@ -86,7 +86,9 @@
 
     /// Writes what the other end takes now.
     fn write(&self) -> io::Result<()> {
-        let Some((stream, _)) = self.stream.get() else { return Ok(()) };
+        let Some((stream, _)) = self.stream.get() else {
+            return Ok(());
+        };
         let mut waiting = self.waiting();
         while waiting.len() > 0 && !waiting.cut {
             match stream.try_write(&waiting.bytes[waiting.left..]) {
@@ -121,7 +123,12 @@
 pub(crate) fn outbox(budget: &Budget) -> (Sender, Outbox) {
     let waiting = Mutex::new(Waiting::default());
     let stream = OnceLock::new();
-    let shared = Arc::new(Shared { stream, waiting, news: Notify::new(), budget: budget.clone() });
+    let shared = Arc::new(Shared {
+        stream,
+        waiting,
+        news: Notify::new(),
+        budget: budget.clone(),
+    });
     (Sender(shared.clone()), Outbox(shared))
 }
 
--- a/crates/platform/src/outbox/tests.rs
+++ b/crates/platform/src/outbox/tests.rs
@@ -26,7 +26,9 @@
 async fn what_waits_is_written_after_its_sender_went_and_not_once_it_is_cut() {
     let budget = Budget::default();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let stream = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
+    let stream = TcpStream::connect(listener.local_addr().unwrap())
+        .await
+        .unwrap();
     stream.writable().await.unwrap();
     let stream = Arc::new(stream);
     let (sender, waits) = outbox(&budget);
@@ -41,7 +43,10 @@
     sender.send(b"whole");
     sender.cut();
     waits.write().unwrap();
-    assert_eq!((waits.is_over(), waits.begun(), budget.held()), (true, 0, 0));
+    assert_eq!(
+        (waits.is_over(), waits.begun(), budget.held()),
+        (true, 0, 0)
+    );
     drop(waits);
     sender.send(b"nobody writes it");
     assert_eq!(budget.held(), 0);
--- a/crates/platform/src/run.rs
+++ b/crates/platform/src/run.rs
@@ -77,8 +77,14 @@
 
 fn read(path: &Path) -> Result<Config, RunError> {
     let text = std::fs::read_to_string(path);
-    let text = text.map_err(|error| RunError::Read { path: path.to_owned(), error })?;
-    Config::read(&text).map_err(|error| RunError::Config { path: path.to_owned(), error })
+    let text = text.map_err(|error| RunError::Read {
+        path: path.to_owned(),
+        error,
+    })?;
+    Config::read(&text).map_err(|error| RunError::Config {
+        path: path.to_owned(),
+        error,
+    })
 }
 
 /// Serves until it is asked to end.
@@ -88,15 +94,18 @@
 pub fn run(path: &Path, listen: Option<SocketAddr>) -> Result<(), RunError> {
     let mut config = read(path)?;
     config.listen = listen.unwrap_or(config.listen);
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     let served = runtime.block_on(async {
         // They stand before the listener does: who can connect can also ask for the end.
         let mut signals = Signals::new()?;
         let (ask, asked) = mpsc::channel(4);
         tokio::spawn(async move { while ask.send(signals.next().await).await.is_ok() {} });
         let address = config.listen;
-        let listener =
-            TcpListener::bind(address).await.map_err(|error| RunError::Listen { address, error })?;
+        let listener = TcpListener::bind(address)
+            .await
+            .map_err(|error| RunError::Listen { address, error })?;
         serve(path, config, listener, asked).await;
         Ok(())
     });
@@ -105,15 +114,27 @@
 }
 
 /// Serves on a listener until it is asked to end, by `asked` in place of signals.
-pub async fn serve(path: &Path, config: Config, listener: TcpListener, asked: mpsc::Receiver<Asked>) {
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+pub async fn serve(
+    path: &Path,
+    config: Config,
+    listener: TcpListener,
+    asked: mpsc::Receiver<Asked>,
+) {
+    let unix = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     let (began, unix_us) = (Instant::now(), unix.as_micros() as u64);
     let now = || unix_us + began.elapsed().as_micros() as u64;
     let (names, rev) = (Names::from(&config.settings), config.known.rev);
     let connect = connect_us(&config.settings);
     let bounds = Bounds::of(&config.limits);
-    let start =
-        Start { now: unix_us, seed: config.seed, settings: config.settings, known: config.known, bounds };
+    let start = Start {
+        now: unix_us,
+        seed: config.seed,
+        settings: config.settings,
+        known: config.known,
+        bounds,
+    };
     let mut engine = Engine::new(start);
     let (came, mut coming) = mpsc::channel(INPUTS);
     let (move_discovery, addresses) = watch::channel(config.board);
@@ -124,7 +145,13 @@
     let budget = Budget::default();
     let (stop, stopped) = oneshot::channel();
     let places = Places::new(&bounds);
-    tokio::spawn(sockets::accept(listener, places.clone(), budget.clone(), came.clone(), stopped));
+    tokio::spawn(sockets::accept(
+        listener,
+        places.clone(),
+        budget.clone(),
+        came.clone(),
+        stopped,
+    ));
     let mut shell = Shell {
         clients: BTreeMap::new(),
         links: BTreeMap::new(),
@@ -149,7 +176,9 @@
             shell.carry_out(now(), output);
         }
         shell.write();
-        let wake = engine.next_wake().map(|at| Duration::from_micros(at.saturating_sub(now())));
+        let wake = engine
+            .next_wake()
+            .map(|at| Duration::from_micros(at.saturating_sub(now())));
         let updates = next(&mut listed, &mut coming, &mut batch, wake).await;
         let mut taken = 0;
         for input in updates {
@@ -157,7 +186,10 @@
         }
         // All that there is to read goes before the module's next draws: what ends or is taken back is among it.
         for round in 0..ROUNDS {
-            taken += batch.drain(..).map(|news| shell.take_in(&mut engine, now(), news)).sum::<usize>();
+            taken += batch
+                .drain(..)
+                .map(|news| shell.take_in(&mut engine, now(), news))
+                .sum::<usize>();
             let behind = engine.has_backlog() || taken >= BUSY;
             if taken >= MOST || round + 1 == ROUNDS || !behind {
                 break;
@@ -183,7 +215,10 @@
         _ = coming.recv_many(batch, BATCH) => None,
         () = tokio::time::sleep(wake.unwrap_or(Duration::MAX)), if wake.is_some() => None,
     };
-    first.into_iter().chain(std::iter::from_fn(|| listed.try_recv().ok())).collect()
+    first
+        .into_iter()
+        .chain(std::iter::from_fn(|| listed.try_recv().ok()))
+        .collect()
 }
 
 fn follow(line: impl FnOnce() -> Option<String>) {
@@ -256,7 +291,10 @@
                 self.tell(engine, now, Input::ClientCame(conn))
             }
             Incoming::Input(input) => self.tell(engine, now, input),
-            Incoming::Said(inputs) => inputs.into_iter().map(|input| self.tell(engine, now, input)).sum(),
+            Incoming::Said(inputs) => inputs
+                .into_iter()
+                .map(|input| self.tell(engine, now, input))
+                .sum(),
             Incoming::Log(line) => {
                 self.log(now, &line);
                 0
@@ -297,12 +335,25 @@
                 let (out, messages) = outbox(&self.budget);
                 self.links.insert(link, out);
                 let (places, came) = (self.places.clone(), self.came.clone());
-                tokio::spawn(sockets::link(link, address, self.connect, places, messages, came));
+                tokio::spawn(sockets::link(
+                    link,
+                    address,
+                    self.connect,
+                    places,
+                    messages,
+                    came,
+                ));
             }
             Output::ToHost(link, message) => {
                 if let Some(out) = self.links.get(&link) {
                     out.send(&message.encode());
-                    if !matches!(message, ToHost::Release { cause: GIVEN_UP, .. }) {
+                    if !matches!(
+                        message,
+                        ToHost::Release {
+                            cause: GIVEN_UP,
+                            ..
+                        }
+                    ) {
                         self.touched_links.push(link);
                     } else if !out.flush() {
                         // It is to be given up before it is sent elsewhere: a host that takes nothing any more sees
@@ -342,9 +393,15 @@
         }
         let client = self.clients.iter().max_by_key(|(_, out)| out.len());
         let link = self.links.iter().max_by_key(|(_, out)| out.len());
-        let (client, link) =
-            (client.map(|(id, out)| (out, "client", id)), link.map(|(id, out)| (out, "link", id)));
-        if let Some((out, what, id)) = client.into_iter().chain(link).max_by_key(|(out, _, _)| out.len()) {
+        let (client, link) = (
+            client.map(|(id, out)| (out, "client", id)),
+            link.map(|(id, out)| (out, "link", id)),
+        );
+        if let Some((out, what, id)) = client
+            .into_iter()
+            .chain(link)
+            .max_by_key(|(out, _, _)| out.len())
+        {
             let line = format!("{what} {id}: closed: {} bytes wait for it", out.len());
             out.cut();
             self.log(now, &line);
