--- a/crates/platform/src/run/tests.rs
+++ b/crates/platform/src/run/tests.rs
@@ -13,7 +13,9 @@
         let (list, mut listed) = mpsc::channel(LISTED);
         let (came, mut coming) = mpsc::channel(INPUTS);
         for conn in 0..INPUTS as u64 {
-            came.try_send(Incoming::Input(Input::ClientGone(conn))).ok().unwrap();
+            came.try_send(Incoming::Input(Input::ClientGone(conn)))
+                .ok()
+                .unwrap();
         }
         list.try_send(Input::DiscoveryLost("a".to_owned())).unwrap();
         let told = next(&mut listed, &mut coming, &mut Vec::new(), None).await;
@@ -32,7 +34,11 @@
         clients: BTreeMap::new(),
         links: BTreeMap::new(),
         connect: Duration::from_secs(1),
-        places: Places::new(&Bounds::of(&Limits { cores: 1.0, memory_mb: 32, sockets: 64 })),
+        places: Places::new(&Bounds::of(&Limits {
+            cores: 1.0,
+            memory_mb: 32,
+            sockets: 64,
+        })),
         budget: Budget::default(),
         most: 1 << 20,
         touched_clients: Vec::new(),
@@ -59,16 +65,46 @@
         description: "x".to_owned(),
     };
     // Both in one turn, whatever else was meant for the second before.
-    shell.carry_out(0, Output::ToHost(2, ToHost::Test { id: 1, report: false }));
-    shell.carry_out(0, Output::ToHost(1, ToHost::Release { id: 7, cause: GIVEN_UP }));
+    shell.carry_out(
+        0,
+        Output::ToHost(
+            2,
+            ToHost::Test {
+                id: 1,
+                report: false,
+            },
+        ),
+    );
+    shell.carry_out(
+        0,
+        Output::ToHost(
+            1,
+            ToHost::Release {
+                id: 7,
+                cause: GIVEN_UP,
+            },
+        ),
+    );
     shell.carry_out(0, Output::ToHost(2, setup));
     let mut bytes = [0; 256];
     let count = ends[0].0.read(&mut bytes).await.unwrap();
-    assert!(std::str::from_utf8(&bytes[..count]).unwrap().contains("release"));
-    assert_eq!(ends[1].1.begun(), 0, "the set-up waits for the end of the turn");
+    assert!(
+        std::str::from_utf8(&bytes[..count])
+            .unwrap()
+            .contains("release")
+    );
+    assert_eq!(
+        ends[1].1.begun(),
+        0,
+        "the set-up waits for the end of the turn"
+    );
     shell.write();
     let count = ends[1].0.read(&mut bytes).await.unwrap();
-    assert!(std::str::from_utf8(&bytes[..count]).unwrap().contains("setup"));
+    assert!(
+        std::str::from_utf8(&bytes[..count])
+            .unwrap()
+            .contains("setup")
+    );
     // A connection that is closed has ended for its host before anything else is done.
     shell.carry_out(0, Output::CloseLink(2));
     assert_eq!(ends[1].0.read(&mut bytes).await.unwrap(), 0);
--- a/crates/platform/src/sockets.rs
+++ b/crates/platform/src/sockets.rs
@@ -84,7 +84,10 @@
     pub fn new(bounds: &Bounds) -> Self {
         let clients = bounds.clients + bounds.overflow + TURNED_AWAY;
         let all = bounds.all + TURNED_AWAY;
-        Self { all: Arc::new(Semaphore::new(all)), clients: Arc::new(Semaphore::new(clients)) }
+        Self {
+            all: Arc::new(Semaphore::new(all)),
+            clients: Arc::new(Semaphore::new(clients)),
+        }
     }
 
     /// A place for one more connection to a host.
@@ -112,7 +115,9 @@
 ) {
     let mut last: ConnId = 0;
     loop {
-        let Some(place) = places.client().await else { return };
+        let Some(place) = places.client().await else {
+            return;
+        };
         let accepted = tokio::select! {
             biased;
             accepted = listener.accept() => accepted,
@@ -283,7 +288,9 @@
         () = closed(&messages) => return,
     };
     let begun = messages.begun();
-    let _ = came.send(Incoming::Input(Input::LinkDown { link, down, begun })).await;
+    let _ = came
+        .send(Incoming::Input(Input::LinkDown { link, down, begun }))
+        .await;
 }
 
 async fn closed(messages: &Outbox) {
@@ -307,7 +314,12 @@
     matches!(error.raw_os_error(), Some(23 | 24))
 }
 
-async fn carry(link: LinkId, stream: &TcpStream, messages: &Outbox, came: &mpsc::Sender<Incoming>) -> Down {
+async fn carry(
+    link: LinkId,
+    stream: &TcpStream,
+    messages: &Outbox,
+    came: &mpsc::Sender<Incoming>,
+) -> Down {
     let _ = stream.set_nodelay(true);
     let mut reader = host::Reader::default();
     let mut waits: Option<Instant> = None;
--- a/crates/platform/src/state/host.rs
+++ b/crates/platform/src/state/host.rs
@@ -81,7 +81,10 @@
     }
 
     pub fn address(&self) -> Option<SocketAddr> {
-        self.entry.as_ref().filter(|_| self.is_listed()).map(|entry| entry.dial)
+        self.entry
+            .as_ref()
+            .filter(|_| self.is_listed())
+            .map(|entry| entry.dial)
     }
 }
 
--- a/crates/platform/src/state/mod.rs
+++ b/crates/platform/src/state/mod.rs
@@ -21,7 +21,11 @@
 
 /// How long a connection may take, and so a probe too; a visit to a host lasts no less.
 pub(crate) fn connect_us(settings: &Deployment) -> Micros {
-    settings.module.rules.connect_timeout_us.unwrap_or(CONNECT_US)
+    settings
+        .module
+        .rules
+        .connect_timeout_us
+        .unwrap_or(CONNECT_US)
 }
 
 /// What a timer is for. None is ever withdrawn: what it asks is checked when it comes due.
--- a/crates/platform/src/state/request.rs
+++ b/crates/platform/src/state/request.rs
@@ -31,9 +31,17 @@
     /// Nothing is owed any more, and an attempt may still be out.
     Closed,
     /// It was accepted there by this attempt.
-    Standing { machine: MachineId, number: u16, since: Micros },
+    Standing {
+        machine: MachineId,
+        number: u16,
+        since: Micros,
+    },
     /// It stands there still, and was told to end.
-    Ending { machine: MachineId, number: u16, since: Micros },
+    Ending {
+        machine: MachineId,
+        number: u16,
+        since: Micros,
+    },
 }
 
 pub(crate) struct Request {
@@ -61,11 +69,20 @@
 }
 
 impl Engine {
-    pub(crate) fn new_request(&mut self, now: Micros, setup: Setup, conn: ConnId, phase: Phase) -> RequestId {
+    pub(crate) fn new_request(
+        &mut self,
+        now: Micros,
+        setup: Setup,
+        conn: ConnId,
+        phase: Phase,
+    ) -> RequestId {
         self.last_request += 1;
         let (request, id) = (RequestId(self.last_request), setup.id);
         let deadline = now + (setup.left_ms * 1_000).saturating_sub(ANSWER_US);
-        let (open, weight) = (phase == Phase::Open, setup.description.len() + std::mem::size_of::<Request>());
+        let (open, weight) = (
+            phase == Phase::Open,
+            setup.description.len() + std::mem::size_of::<Request>(),
+        );
         let (attempts, weight) = (u16::from(!open), if open { weight } else { 0 });
         self.waiting += weight;
         self.by_id.insert(id, request);
@@ -88,7 +105,9 @@
 
     /// Forgets a request of which nothing is left.
     pub(crate) fn forget(&mut self, request: RequestId) {
-        let Some(gone) = self.requests.remove(&request) else { return };
+        let Some(gone) = self.requests.remove(&request) else {
+            return;
+        };
         self.waiting -= gone.weight;
         if self.by_id.get(&gone.setup.id) == Some(&request) {
             self.by_id.remove(&gone.setup.id);
@@ -103,7 +122,10 @@
 
     /// Owes an open request nothing any more; on which connection it came, and its id.
     pub(crate) fn close(&mut self, request: RequestId) -> Option<(ConnId, u64)> {
-        let entry = self.requests.get_mut(&request).filter(|entry| entry.phase == Phase::Open)?;
+        let entry = self
+            .requests
+            .get_mut(&request)
+            .filter(|entry| entry.phase == Phase::Open)?;
         entry.phase = Phase::Closed;
         let (whose, out) = ((entry.conn, entry.setup.id), entry.out.is_some());
         if !out {
--- a/crates/platform/tests/clients.rs
+++ b/crates/platform/tests/clients.rs
@@ -35,7 +35,12 @@
     world.tell(Input::Host(link, end(1)));
     let told = |world: &World, id: u64| {
         let tells = |m: &ToOwner| matches!(m, ToOwner::Release { id: told, .. } if *told == id);
-        world.to_clients.iter().filter(|(_, m)| tells(m)).map(|(conn, _)| *conn).collect::<Vec<_>>()
+        world
+            .to_clients
+            .iter()
+            .filter(|(_, m)| tells(m))
+            .map(|(conn, _)| *conn)
+            .collect::<Vec<_>>()
     };
     assert_eq!(told(&world, 1), [other], "and not to who never asked");
     // It crossed the close: it is told again, to the next that shows itself a client.
@@ -45,7 +50,10 @@
     assert!(told(&world, 2).is_empty());
     let next = world.connect();
     world.ask(next, setup(4, "play", 1_000));
-    assert_eq!((told(&world, 1), told(&world, 2)), (vec![other, next], vec![next]));
+    assert_eq!(
+        (told(&world, 1), told(&world, 2)),
+        (vec![other, next], vec![next])
+    );
 }
 
 #[test]
@@ -69,11 +77,24 @@
     let (client, offender) = (world.connect(), world.connect());
     world.ask(client, setup(1, "play", 1_000));
     world.run(2 * MS);
-    world.tell(Input::Client(offender, Ok(FromOwner::Setup(Box::new(setup(1, "print", 1_000))))));
+    world.tell(Input::Client(
+        offender,
+        Ok(FromOwner::Setup(Box::new(setup(1, "print", 1_000)))),
+    ));
     world.run(SECOND);
-    let got =
-        |conn| world.to_clients.iter().filter(move |(to, _)| *to == conn).map(|(_, m)| m).collect::<Vec<_>>();
-    assert!(matches!(got(client)[0], ToOwner::Answer { id: 1, .. }), "{:?}", got(client));
+    let got = |conn| {
+        world
+            .to_clients
+            .iter()
+            .filter(move |(to, _)| *to == conn)
+            .map(|(_, m)| m)
+            .collect::<Vec<_>>()
+    };
+    assert!(
+        matches!(got(client)[0], ToOwner::Answer { id: 1, .. }),
+        "{:?}",
+        got(client)
+    );
     assert!(matches!(got(offender)[..], [ToOwner::Release { id: 1, cause, .. }] if *cause != FULL));
 }
 
@@ -86,7 +107,11 @@
         world.engine.handle(world.now, Input::Client(conn, twice));
     }
     world.run(SECOND);
-    let finals = world.to_clients.iter().filter(|(to, _)| *to == conn).count();
+    let finals = world
+        .to_clients
+        .iter()
+        .filter(|(to, _)| *to == conn)
+        .count();
     assert_eq!(finals, 1, "{:?}", world.to_clients);
 }
 
@@ -94,12 +119,21 @@
 fn bad_messages_are_turned_away_and_their_sender_closed_on() {
     let mut world = World::new(6, &hosts(2));
     let (bad, good) = (world.connect(), world.connect());
-    let wrong = || Err(Unusable { id: 77, why: "no such type".to_owned() });
+    let wrong = || {
+        Err(Unusable {
+            id: 77,
+            why: "no such type".to_owned(),
+        })
+    };
     world.tell(Input::Client(bad, wrong()));
     assert!(
         matches!(world.to_clients[..], [(to, ToOwner::Release { id: 77, cause, .. })] if to == bad && cause != FULL)
     );
-    for mut odd in [setup(78, "sing", 1_000), setup(79, "play", 1_000), setup(80, "play", 1_000)] {
+    for mut odd in [
+        setup(78, "sing", 1_000),
+        setup(79, "play", 1_000),
+        setup(80, "play", 1_000),
+    ] {
         match odd.id {
             79 => odd.tenant = Some("nobody".to_owned()),
             80 => odd.cores = 1e12,
@@ -115,7 +149,10 @@
     world.ask(good, setup(1, "play", 1_000));
     world.run(SECOND);
     assert!(
-        world.to_hosts.iter().all(|(_, m)| matches!(m, ToHost::Setup { id: 1, .. })),
+        world
+            .to_hosts
+            .iter()
+            .all(|(_, m)| matches!(m, ToHost::Setup { id: 1, .. })),
         "{:?}",
         world.to_hosts
     );
@@ -137,7 +174,10 @@
         world.run(MS);
     }
     assert!(world.engine.sizes().conns <= 16);
-    assert!(world.clients.contains(&answered), "who said nothing goes first");
+    assert!(
+        world.clients.contains(&answered),
+        "who said nothing goes first"
+    );
     assert!(world.clients.contains(&idle[39]));
 }
 
@@ -153,7 +193,10 @@
     let late = world.connect();
     world.ask(late, setup(17, "play", 3_000));
     assert_eq!(world.heard[&17].failures, 1);
-    assert!(!world.clients.contains(&late), "and closed on, for the next one's sake");
+    assert!(
+        !world.clients.contains(&late),
+        "and closed on, for the next one's sake"
+    );
     assert_eq!(world.clients.len(), 16, "and costs the others nothing");
     world.run(4 * SECOND);
     for id in 1..=16 {
--- a/crates/platform/tests/ending.rs
+++ b/crates/platform/tests/ending.rs
@@ -47,7 +47,10 @@
     // Tests without end.
     let sends = tokio::spawn(async move {
         let test = message(52, 2, &[(194, &[0])]);
-        while tokio::io::AsyncWriteExt::write_all(&mut write, &test).await.is_ok() {
+        while tokio::io::AsyncWriteExt::write_all(&mut write, &test)
+            .await
+            .is_ok()
+        {
             tokio::time::sleep(std::time::Duration::from_millis(1)).await;
         }
     });
@@ -73,7 +76,10 @@
     client.send(&setup(1, "print", 8_000, "")).await;
     let mut link = host.link().await;
     let line = link.line().await.unwrap();
-    let answer = format!("{}\n", json!({"type": "answer", "id": line["id"], "fields": {}, "sdp": "slow"}));
+    let answer = format!(
+        "{}\n",
+        json!({"type": "answer", "id": line["id"], "fields": {}, "sdp": "slow"})
+    );
     for byte in answer.bytes() {
         link.raw(&[byte]).await;
         // The placer has read that before the next one comes: it answers a test.
@@ -89,7 +95,10 @@
     let next = link.line().await.unwrap();
     link.answer(&next["id"], "next").await;
     let mut answers = Vec::new();
-    while answers.last().is_none_or(|answer: &Vec<u8>| answer != b"next") {
+    while answers
+        .last()
+        .is_none_or(|answer: &Vec<u8>| answer != b"next")
+    {
         let got = client.got().await.unwrap();
         if got.kind == ANSWER {
             answers.push(got.description());
@@ -106,13 +115,17 @@
         client.send(&setup(1, "print", 8_000, "")).await;
         let mut link = host.link().await;
         let line = link.line().await.unwrap();
-        link.raw(format!("{{\"type\":\"answer\",\"id\":{}", line["id"]).as_bytes()).await;
+        link.raw(format!("{{\"type\":\"answer\",\"id\":{}", line["id"]).as_bytes())
+            .await;
         if resets {
             link.reset();
         } else {
             drop(link);
         }
         let failed = client.got().await.unwrap();
-        assert!((failed.kind, failed.id) == (RELEASE, 1) && failed.cause() != Some(FULL), "{failed:?}");
+        assert!(
+            (failed.kind, failed.id) == (RELEASE, 1) && failed.cause() != Some(FULL),
+            "{failed:?}"
+        );
     }
 }
--- a/crates/platform/tests/engine.rs
+++ b/crates/platform/tests/engine.rs
@@ -121,7 +121,13 @@
     world.ask(conn, setup(1, "play", 1_000));
     world.tell(Input::Terminate);
     world.tell(Input::Client(conn, Ok(FromOwner::Test(5))));
-    assert!(world.to_clients.contains(&(conn, ToOwner::Tested { id: 5, passed: false })));
+    assert!(world.to_clients.contains(&(
+        conn,
+        ToOwner::Tested {
+            id: 5,
+            passed: false
+        }
+    )));
     world.run(600 * MS);
     // Requests keep coming for a while, on new connections too.
     let late = world.connect();
@@ -139,7 +145,11 @@
     for n in 1..600_u64 {
         let (old, new) = (format!("h-{}", n - 1), format!("h-{n}"));
         let address = |n: u64| 1 + (n % 7) as u16;
-        world.tell(Input::Discovery(told(2 * n, false, &[line(&new, address(n), "east", "active", 1)])));
+        world.tell(Input::Discovery(told(
+            2 * n,
+            false,
+            &[line(&new, address(n), "east", "active", 1)],
+        )));
         world.tell(Input::Discovery(told(
             2 * n + 1,
             false,
@@ -155,9 +165,15 @@
     }
     world.run(60 * SECOND);
     let sizes = world.engine.sizes();
-    assert!(sizes.hosts <= 3 && sizes.requests <= 3 && sizes.ends == 0, "{sizes:?}");
+    assert!(
+        sizes.hosts <= 3 && sizes.requests <= 3 && sizes.ends == 0,
+        "{sizes:?}"
+    );
     assert!(sizes.module.iter().all(|size| *size < 20), "{sizes:?}");
-    assert!(sizes.timers <= largest.timers + 4, "{sizes:?}, {largest:?} before");
+    assert!(
+        sizes.timers <= largest.timers + 4,
+        "{sizes:?}, {largest:?} before"
+    );
     assert!(world.engine.poll().is_none());
 }
 
@@ -174,5 +190,12 @@
     assert!(!world.finished);
     world.run(SECOND);
     world.tell(Input::Host(world.to_hosts[0].0, end(1)));
-    assert_eq!((world.heard[&1].answers, world.heard[&1].ends, world.finished), (1, 1, true));
+    assert_eq!(
+        (
+            world.heard[&1].answers,
+            world.heard[&1].ends,
+            world.finished
+        ),
+        (1, 1, true)
+    );
 }
--- a/crates/platform/tests/gone.rs
+++ b/crates/platform/tests/gone.rs
@@ -24,9 +24,16 @@
     let began = Instant::now();
     client.stream.shutdown().await.unwrap();
     let answer = client.got().await.expect("an answer");
-    assert_eq!((answer.kind, answer.id, answer.cause()), (RELEASE, 1, Some(FULL)));
+    assert_eq!(
+        (answer.kind, answer.id, answer.cause()),
+        (RELEASE, 1, Some(FULL))
+    );
     assert_eq!(client.got().await, None, "and its close");
-    assert!(began.elapsed() < Duration::from_secs(10), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_secs(10),
+        "{:?}",
+        began.elapsed()
+    );
 }
 
 /// Its attempt breaks after it said all: another would begin for somebody who may have gone.
@@ -72,7 +79,10 @@
     loop {
         let said = link.line().await.expect("a release before the close");
         if said["type"] == "release" {
-            assert_eq!((&said["id"], &said["cause"]), (&line["id"], &serde_json::json!(16)));
+            assert_eq!(
+                (&said["id"], &said["cause"]),
+                (&line["id"], &serde_json::json!(16))
+            );
             break;
         }
     }
--- a/crates/platform/tests/hosts.rs
+++ b/crates/platform/tests/hosts.rs
@@ -16,9 +16,23 @@
     world.run(50 * MS);
     let born = world.now / 1_000 + 5;
     world.run(20 * MS);
-    world.tell(Input::Discovery(told(2, false, &[line("h-1", 1, "east", "active", born)])));
+    world.tell(Input::Discovery(told(
+        2,
+        false,
+        &[line("h-1", 1, "east", "active", born)],
+    )));
     assert_eq!(world.heard[&1].ends, 1);
-    assert!(matches!(world.to_clients.last(), Some((_, ToOwner::Release { id: 1, cause: CUT, .. }))));
+    assert!(matches!(
+        world.to_clients.last(),
+        Some((
+            _,
+            ToOwner::Release {
+                id: 1,
+                cause: CUT,
+                ..
+            }
+        ))
+    ));
 }
 
 /// A world in which two tasks stand at h-1, whose connections are `links`.
@@ -41,17 +55,29 @@
 fn a_host_that_leaves_refuses_connections_and_holds_its_tasks() {
     let (mut world, links) = standing();
     world.connects = Some(Down::Refused);
-    world.tell(Input::Discovery(told(2, false, &[line("h-1", 1, "east", "leaving", 0)])));
+    world.tell(Input::Discovery(told(
+        2,
+        false,
+        &[line("h-1", 1, "east", "leaving", 0)],
+    )));
     world.run(5 * SECOND);
     assert_eq!(ends(&world), 0, "refusals alone are no sign");
     world.tell(Input::Host(links[0], end(1)));
     assert_eq!(ends(&world), 1);
     // It closes those that are idle; that is no sign either.
-    world.tell(Input::LinkDown { link: links[1], down: Down::Closed, begun: 1 });
+    world.tell(Input::LinkDown {
+        link: links[1],
+        down: Down::Closed,
+        begun: 1,
+    });
     world.run(SECOND);
     assert_eq!(ends(&world), 1);
     // Once one is reset, its process is gone; others may stay open and silent.
-    world.tell(Input::LinkDown { link: links[0], down: Down::Broke, begun: 1 });
+    world.tell(Input::LinkDown {
+        link: links[0],
+        down: Down::Broke,
+        begun: 1,
+    });
     world.run(SECOND);
     assert_eq!(ends(&world), 2);
 }
@@ -62,9 +88,17 @@
     for left in [false, true] {
         let (mut world, _) = standing();
         world.connects = Some(Down::Refused);
-        world.tell(Input::Discovery(told(2, false, &[line("h-1", 1, "east", "leaving", 0)])));
+        world.tell(Input::Discovery(told(
+            2,
+            false,
+            &[line("h-1", 1, "east", "leaving", 0)],
+        )));
         if left {
-            world.tell(Input::Discovery(told(3, false, &[line("h-1", 1, "east", "left", 0)])));
+            world.tell(Input::Discovery(told(
+                3,
+                false,
+                &[line("h-1", 1, "east", "left", 0)],
+            )));
         } else {
             world.run(7_500 * MS);
         }
@@ -86,7 +120,11 @@
 fn a_connection_that_broke_is_no_end_where_the_host_answers() {
     let (mut world, links) = standing();
     for link in links {
-        world.tell(Input::LinkDown { link, down: Down::Broke, begun: 1 });
+        world.tell(Input::LinkDown {
+            link,
+            down: Down::Broke,
+            begun: 1,
+        });
     }
     world.run(20 * SECOND);
     assert_eq!(ends(&world), 0);
@@ -97,12 +135,31 @@
 fn a_task_at_a_host_that_no_list_names_is_over_in_time() {
     let mut world = World::new(21, &hosts(1));
     let conn = world.connect();
-    world.ask(conn, Setup { at: Some("h-9".to_owned()), ..setup(5, "print", 4_294_967) });
+    world.ask(
+        conn,
+        Setup {
+            at: Some("h-9".to_owned()),
+            ..setup(5, "print", 4_294_967)
+        },
+    );
     world.run(5 * SECOND);
     assert!(world.to_clients.is_empty(), "the list may lag");
     world.run(2_800 * MS);
-    assert!(matches!(world.to_clients[..], [(_, ToOwner::Release { id: 5, cause: CUT, .. })]));
-    assert_eq!((world.engine.sizes().requests, world.engine.sizes().hosts), (0, 1));
+    assert!(matches!(
+        world.to_clients[..],
+        [(
+            _,
+            ToOwner::Release {
+                id: 5,
+                cause: CUT,
+                ..
+            }
+        )]
+    ));
+    assert_eq!(
+        (world.engine.sizes().requests, world.engine.sizes().hosts),
+        (0, 1)
+    );
 }
 
 #[test]
@@ -110,7 +167,13 @@
     let (mut world, _) = standing();
     let conn = *world.clients.first().unwrap();
     world.deaf = true;
-    world.tell(Input::Client(conn, Ok(FromOwner::Release { id: 1, cause: GIVEN_UP })));
+    world.tell(Input::Client(
+        conn,
+        Ok(FromOwner::Release {
+            id: 1,
+            cause: GIVEN_UP,
+        }),
+    ));
     world.run(6 * SECOND);
     assert_eq!(world.engine.sizes().requests, 1);
     assert_eq!(ends(&world), 0, "who ended it is owed nothing");
@@ -121,10 +184,18 @@
     let (mut world, _) = standing();
     let line = |id, port| line(id, port, "east", "active", 0);
     world.tell(Input::Discovery(told(5, true, &[line("h-2", 2)])));
-    assert_eq!((ends(&world), world.engine.rev()), (2, 5), "h-1 is gone with all that it held");
+    assert_eq!(
+        (ends(&world), world.engine.rev()),
+        (2, 5),
+        "h-1 is gone with all that it held"
+    );
     world.tell(Input::Discovery(told(4, false, &[line("h-3", 3)])));
     world.run(4 * SECOND);
-    assert_eq!((world.engine.rev(), world.engine.sizes().hosts), (5, 1), "h-3 was told of before");
+    assert_eq!(
+        (world.engine.rev(), world.engine.sizes().hosts),
+        (5, 1),
+        "h-3 was told of before"
+    );
 }
 
 #[test]
--- a/crates/platform/tests/layers.rs
+++ b/crates/platform/tests/layers.rs
@@ -32,7 +32,11 @@
 
 /// The first name of each path that begins at the crate's root; a list in braces has none, and so stands in no layer.
 fn imports(text: &str) -> Vec<String> {
-    let name = |rest: &str| rest.chars().take_while(|c| c.is_alphanumeric() || *c == '_').collect::<String>();
+    let name = |rest: &str| {
+        rest.chars()
+            .take_while(|c| c.is_alphanumeric() || *c == '_')
+            .collect::<String>()
+    };
     text.split("crate::").skip(1).map(name).collect()
 }
 
@@ -50,12 +54,19 @@
         }
         for import in imports(&std::fs::read_to_string(&file).unwrap()) {
             let inside = import == module;
-            assert!(inside || layer(&import) > layer(&module), "{} imports {import}", file.display());
+            assert!(
+                inside || layer(&import) > layer(&module),
+                "{} imports {import}",
+                file.display()
+            );
             seen += 1;
         }
         modules.insert(module);
     }
     // Every layer's module was looked at, and what is counted is not nothing.
-    assert_eq!(modules.len(), LAYERS.iter().map(|layer| layer.len()).sum::<usize>());
+    assert_eq!(
+        modules.len(),
+        LAYERS.iter().map(|layer| layer.len()).sum::<usize>()
+    );
     assert!(seen > modules.len(), "{seen}");
 }
--- a/crates/platform/tests/leaving.rs
+++ b/crates/platform/tests/leaving.rs
@@ -10,15 +10,28 @@
 use world::{MS, SECOND, World, line, setup, told};
 
 /// How a client leaves: it ends, closes, or takes its one set-up back.
-const WAYS: [fn(&mut World, u64); 3] =
-    [|world, conn| world.end(conn), |world, conn| world.close(conn), |world, conn| world.cancel(conn, 1)];
+const WAYS: [fn(&mut World, u64); 3] = [
+    |world, conn| world.end(conn),
+    |world, conn| world.close(conn),
+    |world, conn| world.cancel(conn, 1),
+];
 
 fn world(health: &str) -> World {
-    World::new(5, &[line("h-1", 1, "east", health, 0), line("h-2", 2, "east", health, 0)])
+    World::new(
+        5,
+        &[
+            line("h-1", 1, "east", health, 0),
+            line("h-2", 2, "east", health, 0),
+        ],
+    )
 }
 
 fn setups(world: &World) -> usize {
-    world.to_hosts.iter().filter(|(_, message)| matches!(message, ToHost::Setup { .. })).count()
+    world
+        .to_hosts
+        .iter()
+        .filter(|(_, message)| matches!(message, ToHost::Setup { .. }))
+        .count()
 }
 
 fn causes(world: &World) -> Vec<u8> {
@@ -26,7 +39,11 @@
         ToOwner::Release { cause, .. } => Some(*cause),
         _ => None,
     };
-    world.to_clients.iter().filter_map(|(_, message)| cause(message)).collect()
+    world
+        .to_clients
+        .iter()
+        .filter_map(|(_, message)| cause(message))
+        .collect()
 }
 
 /// Held, as no host takes anything: a client that ended has its answer at once, and what may be placed later is not.
@@ -60,7 +77,11 @@
         assert!(!world.asked_links().is_empty());
         way(&mut world, conn);
         world.run(90 * MS);
-        assert_eq!(causes(&world), vec![FULL; answers], "answered within the 0.1 s");
+        assert_eq!(
+            causes(&world),
+            vec![FULL; answers],
+            "answered within the 0.1 s"
+        );
         world.run(5 * SECOND);
         assert_eq!(setups(&world), 0);
     }
@@ -81,13 +102,22 @@
             }
             let (link, _) = world.to_hosts[0];
             way(&mut world, conn);
-            let given_up = world
-                .to_hosts
-                .iter()
-                .any(|(_, message)| matches!(message, ToHost::Release { id: 1, cause: GIVEN_UP }));
+            let given_up = world.to_hosts.iter().any(|(_, message)| {
+                matches!(
+                    message,
+                    ToHost::Release {
+                        id: 1,
+                        cause: GIVEN_UP
+                    }
+                )
+            });
             assert_eq!(given_up, !ends);
             if breaks {
-                world.tell(Input::LinkDown { link, down: Down::Broke, begun: u64::MAX });
+                world.tell(Input::LinkDown {
+                    link,
+                    down: Down::Broke,
+                    begun: u64::MAX,
+                });
             }
             world.run(6 * SECOND);
             assert_eq!(setups(&world), 1, "none follows");
@@ -118,11 +148,20 @@
         let (link, _) = world.to_hosts[0];
         way(&mut world, conn);
         world.run(50 * MS);
-        world.tell(Input::LinkDown { link, down: Down::Broke, begun: 0 });
+        world.tell(Input::LinkDown {
+            link,
+            down: Down::Broke,
+            begun: 0,
+        });
         world.run(6 * SECOND);
         let sent = |id: u64| {
-            let of = |message: &ToHost| matches!(message, ToHost::Setup { id: of, .. } if *of == id);
-            world.to_hosts.iter().filter(|(_, message)| of(message)).count()
+            let of =
+                |message: &ToHost| matches!(message, ToHost::Setup { id: of, .. } if *of == id);
+            world
+                .to_hosts
+                .iter()
+                .filter(|(_, message)| of(message))
+                .count()
         };
         assert_eq!((sent(1), world.heard[&1].finals()), (1, finals));
         assert_eq!(sent(2), 2, "who stays has it sent once more");
@@ -151,7 +190,10 @@
     for (slow, sent) in [(100 * MS, 2), (400 * MS, 1)] {
         let hosts = [line("h-1", 1, "east", "active", 0)];
         let mut world = World::with(5, &hosts, |settings| {
-            (settings.module.rules.may_stop, settings.module.rules.may_probe) = (false, false);
+            (
+                settings.module.rules.may_stop,
+                settings.module.rules.may_probe,
+            ) = (false, false);
         });
         world.mute = true;
         let conn = world.connect();
@@ -160,9 +202,16 @@
         let (link, _) = world.to_hosts[0];
         world.slow = Some(slow);
         // Its window of 5 s ends in 0.2 s. No connection that was made ahead stands.
-        let ahead = world.asked_links().into_iter().filter(|other| *other != link);
+        let ahead = world
+            .asked_links()
+            .into_iter()
+            .filter(|other| *other != link);
         for link in ahead.chain([link]).collect::<Vec<_>>() {
-            world.tell(Input::LinkDown { link, down: Down::Broke, begun: u64::MAX });
+            world.tell(Input::LinkDown {
+                link,
+                down: Down::Broke,
+                begun: u64::MAX,
+            });
         }
         assert_eq!(setups(&world), 1);
         world.run(9 * SECOND);
@@ -177,12 +226,18 @@
     let conn = world.connect();
     for id in 1..=3 {
         world.heard.entry(id).or_default().class = "play".to_owned();
-        let asks = Ok(reedring_platproto::owner::FromOwner::Setup(Box::new(setup(id, "play", 5_000))));
+        let asks = Ok(reedring_platproto::owner::FromOwner::Setup(Box::new(
+            setup(id, "play", 5_000),
+        )));
         world.engine.handle(world.now, Input::Client(conn, asks));
     }
     world.engine.handle(world.now, Input::ClientEnded(conn));
     world.run(SECOND);
-    assert!((1..=3).all(|id| world.heard[&id].answers == 1), "{:?}", world.to_clients);
+    assert!(
+        (1..=3).all(|id| world.heard[&id].answers == 1),
+        "{:?}",
+        world.to_clients
+    );
     assert!(!world.clients.contains(&conn), "and closed on");
 }
 
@@ -194,24 +249,53 @@
     let (flood, usual) = (world.connect(), world.connect());
     let setups_of = |world: &World, most: u64| {
         let of = |message: &ToHost| matches!(message, ToHost::Setup { id, .. } if *id <= most);
-        world.to_hosts.iter().filter(|(_, message)| of(message)).count()
+        world
+            .to_hosts
+            .iter()
+            .filter(|(_, message)| of(message))
+            .count()
     };
     let count = 600;
     for id in 1..=count {
         let asks = FromOwner::Setup(Box::new(setup(id, "play", 5_000)));
-        world.engine.handle(world.now, Input::Client(flood, Ok(asks)));
+        world
+            .engine
+            .handle(world.now, Input::Client(flood, Ok(asks)));
     }
-    world.engine.handle(world.now, Input::ClientRead { conn: flood, more: true });
+    world.engine.handle(
+        world.now,
+        Input::ClientRead {
+            conn: flood,
+            more: true,
+        },
+    );
     world.heard.entry(9_000).or_default().class = "play".to_owned();
     let asks = FromOwner::Setup(Box::new(setup(9_000, "play", 5_000)));
-    world.engine.handle(world.now, Input::Client(usual, Ok(asks)));
+    world
+        .engine
+        .handle(world.now, Input::Client(usual, Ok(asks)));
     world.run(20 * MS);
     assert_eq!(setups_of(&world, count), 0, "more is to be read");
     assert_eq!(setups(&world), 1, "others don't wait for it");
     for id in 1..=count {
-        world.engine.handle(world.now, Input::Client(flood, Ok(FromOwner::Release { id, cause: GIVEN_UP })));
+        world.engine.handle(
+            world.now,
+            Input::Client(
+                flood,
+                Ok(FromOwner::Release {
+                    id,
+                    cause: GIVEN_UP,
+                }),
+            ),
+        );
     }
-    world.engine.handle(world.now, Input::ClientRead { conn: flood, more: false });
+    world.engine.handle(
+        world.now,
+        Input::ClientRead {
+            conn: flood,
+            more: false,
+        },
+    );
     world.run(SECOND);
     assert_eq!(setups_of(&world, count), 0);
     assert_eq!(world.heard[&9_000].answers, 1);
@@ -226,7 +310,9 @@
     let (flood, usual) = (world.connect(), world.connect());
     let tell = |world: &mut World, conn, id| {
         let asks = FromOwner::Setup(Box::new(setup(id, "play", 5_000)));
-        world.engine.handle(world.now, Input::Client(conn, Ok(asks)));
+        world
+            .engine
+            .handle(world.now, Input::Client(conn, Ok(asks)));
     };
     let count = 6_000;
     (1..=count).for_each(|id| tell(&mut world, flood, id));
@@ -237,13 +323,19 @@
         first.push(output);
     }
     let turned = first.iter().filter(|output| {
-        matches!(output, reedring_platform::Output::ToClient(_, ToOwner::Release { cause: CUT, .. }))
+        matches!(
+            output,
+            reedring_platform::Output::ToClient(_, ToOwner::Release { cause: CUT, .. })
+        )
     });
     assert!(turned.count() > 1_000, "a bound of 1 MiB is reached");
     assert!(world.engine.has_backlog());
     let held = world.engine.sizes();
     assert!(held.requests < 5_000, "{held:?}");
-    assert!(held.module[1] <= 32, "the module was told of a turn's worth: {held:?}");
+    assert!(
+        held.module[1] <= 32,
+        "the module was told of a turn's worth: {held:?}"
+    );
 }
 
 /// How long the placer waits is told as of when the set-up leaves, not as of when it was decided.
@@ -254,10 +346,13 @@
     let conn = world.connect();
     world.ask(conn, setup(1, "play", 5_000));
     world.run(SECOND);
-    let left = world.to_hosts.iter().find_map(|(_, message)| match message {
-        ToHost::Setup { left_ms, .. } => Some(*left_ms),
-        _ => None,
-    });
+    let left = world
+        .to_hosts
+        .iter()
+        .find_map(|(_, message)| match message {
+            ToHost::Setup { left_ms, .. } => Some(*left_ms),
+            _ => None,
+        });
     assert!(left.is_some_and(|left| left <= 4_600), "{left:?}");
 }
 
@@ -271,17 +366,32 @@
     for id in 1..=1_000 {
         let left = if id == 1_000 { 30 } else { 5_000 };
         let asks = FromOwner::Setup(Box::new(setup(id, "print", left)));
-        world.engine.handle(world.now, Input::Client(conn, Ok(asks)));
+        world
+            .engine
+            .handle(world.now, Input::Client(conn, Ok(asks)));
     }
     // One turn takes this long.
     let mut answered = false;
     for turn in 0..3 {
         world.engine.flush(world.now + turn * 10 * MS);
         while let Some(output) = world.engine.poll() {
-            let of = |message: &ToOwner| matches!(message, ToOwner::Release { id: 1_000, cause: FULL, .. });
-            answered |= matches!(&output, Output::ToClient(to, message) if *to == conn && of(message));
+            let of = |message: &ToOwner| {
+                matches!(
+                    message,
+                    ToOwner::Release {
+                        id: 1_000,
+                        cause: FULL,
+                        ..
+                    }
+                )
+            };
+            answered |=
+                matches!(&output, Output::ToClient(to, message) if *to == conn && of(message));
         }
     }
-    assert!(answered, "its client waits for 30 ms, and the last turn is at 20");
+    assert!(
+        answered,
+        "its client waits for 30 ms, and the last turn is at 20"
+    );
     assert!(world.engine.has_backlog());
 }
--- a/crates/platform/tests/links.rs
+++ b/crates/platform/tests/links.rs
@@ -20,10 +20,17 @@
     world.tell(Input::Discovery(told(
         2,
         false,
-        &[line("h-1", 1, "east", "left", 0), line("h-2", 1, "east", "active", 5)],
+        &[
+            line("h-1", 1, "east", "left", 0),
+            line("h-2", 1, "east", "active", 5),
+        ],
     )));
     let down = Down::Broke;
-    world.tell(Input::LinkDown { link, down, begun: 1 });
+    world.tell(Input::LinkDown {
+        link,
+        down,
+        begun: 1,
+    });
     assert_eq!(world.heard[&1].ends, 1, "its tasks are over with it");
     let made = world.engine.sizes().links;
     assert_eq!(made, 0, "nothing is at h-1's address that concerns it");
@@ -35,7 +42,13 @@
 /// Tasks that stand at these hosts are handed over.
 fn hand_over(world: &mut World, conn: u64, hosts: std::ops::RangeInclusive<u16>) {
     for n in hosts {
-        world.ask(conn, Setup { at: Some(format!("h-{n}")), ..setup(u64::from(n), "play", 4_294_967) });
+        world.ask(
+            conn,
+            Setup {
+                at: Some(format!("h-{n}")),
+                ..setup(u64::from(n), "play", 4_294_967)
+            },
+        );
     }
     world.run(SECOND);
 }
@@ -43,7 +56,10 @@
 /// Whether a client was told the ends of all of these tasks.
 fn told_all(world: &World, count: u16) -> bool {
     let told = |id: u64| {
-        world.to_clients.iter().any(|(_, m)| matches!(m, ToOwner::Release { id: told, .. } if *told == id))
+        world
+            .to_clients
+            .iter()
+            .any(|(_, m)| matches!(m, ToOwner::Release { id: told, .. } if *told == id))
     };
     (1..=u64::from(count)).all(told)
 }
@@ -77,8 +93,15 @@
         world.run(500 * MS);
         assert!(world.engine.sizes().links <= world.most_links());
     }
-    assert!(told_all(&world, 100), "{} are open", world.engine.sizes().requests);
-    assert!((200..216).all(|id| world.heard[&id].answers == 1), "and no offer ended for want of a place");
+    assert!(
+        told_all(&world, 100),
+        "{} are open",
+        world.engine.sizes().requests
+    );
+    assert!(
+        (200..216).all(|id| world.heard[&id].answers == 1),
+        "and no offer ended for want of a place"
+    );
 }
 
 /// A set-up that waits for a connection to stand is taken back with its attempt: it must not reach its host while the
@@ -92,12 +115,30 @@
     let asked = world.asked_links();
     assert_eq!(asked.len(), 1);
     // Its client does not wait for it, and neither does a second one whose time ends.
-    world.tell(Input::Client(conn, Ok(FromOwner::Release { id: 1, cause: GIVEN_UP })));
+    world.tell(Input::Client(
+        conn,
+        Ok(FromOwner::Release {
+            id: 1,
+            cause: GIVEN_UP,
+        }),
+    ));
     world.ask(conn, setup(2, "print", 300));
     world.run(3 * SECOND);
-    let setups = world.to_hosts.iter().filter(|(_, m)| matches!(m, ToHost::Setup { .. })).count();
-    assert_eq!((setups, world.to_hosts.len()), (0, 0), "{:?}", world.to_hosts);
-    assert_eq!(world.heard[&2].refusals, 1, "it never left, so asking again is harmless");
+    let setups = world
+        .to_hosts
+        .iter()
+        .filter(|(_, m)| matches!(m, ToHost::Setup { .. }))
+        .count();
+    assert_eq!(
+        (setups, world.to_hosts.len()),
+        (0, 0),
+        "{:?}",
+        world.to_hosts
+    );
+    assert_eq!(
+        world.heard[&2].refusals, 1,
+        "it never left, so asking again is harmless"
+    );
     assert_eq!(world.engine.sizes().requests, 0);
 }
 
@@ -116,14 +157,25 @@
             world.ask(conn, setup(2, "print", 3_000));
             world.connects = Some(Down::Closed);
         }
-        world.tell(Input::Discovery(told(2, false, &[line("h-1", 1, "west", "leaving", 0)])));
+        world.tell(Input::Discovery(told(
+            2,
+            false,
+            &[line("h-1", 1, "west", "leaving", 0)],
+        )));
         let before = world.to_hosts.len();
         for link in world.links_up() {
-            world.tell(Input::LinkDown { link, down: Down::Closed, begun: 0 });
+            world.tell(Input::LinkDown {
+                link,
+                down: Down::Closed,
+                begun: 0,
+            });
         }
         world.run(2 * SECOND);
         let after = &world.to_hosts[before..];
-        assert!(!after.iter().any(|(_, m)| matches!(m, ToHost::Setup { .. })), "{again}: {after:?}");
+        assert!(
+            !after.iter().any(|(_, m)| matches!(m, ToHost::Setup { .. })),
+            "{again}: {after:?}"
+        );
     }
 }
 
@@ -135,7 +187,19 @@
     hand_over(&mut world, conn, 1..=24);
     let up = world.links_up();
     assert_eq!(up.len(), world.most_links());
-    world.ask(conn, Setup { at: Some("h-nowhere".to_owned()), ..setup(30, "play", 4_294_967) });
-    world.tell(Input::Client(conn, Ok(FromOwner::Release { id: 30, cause: GIVEN_UP })));
+    world.ask(
+        conn,
+        Setup {
+            at: Some("h-nowhere".to_owned()),
+            ..setup(30, "play", 4_294_967)
+        },
+    );
+    world.tell(Input::Client(
+        conn,
+        Ok(FromOwner::Release {
+            id: 30,
+            cause: GIVEN_UP,
+        }),
+    ));
     assert_eq!(world.links_up(), up);
 }
--- a/crates/platform/tests/loopback.rs
+++ b/crates/platform/tests/loopback.rs
@@ -19,12 +19,19 @@
     client.send(&message(52, 3, &[(194, &[0])])).await;
     assert_eq!(
         client.got().await.unwrap(),
-        standins::Got { kind: 53, id: 3, parameters: vec![(194, vec![1])] }
+        standins::Got {
+            kind: 53,
+            id: 3,
+            parameters: vec![(194, vec![1])]
+        }
     );
     client.send(&setup(0x51, "take", 1_500, "")).await;
     let mut link = host.link().await;
     let line = link.line().await.unwrap();
-    assert_eq!((&line["type"], &line["id"]), (&json!("setup"), &json!("0000000000000051")));
+    assert_eq!(
+        (&line["type"], &line["id"]),
+        (&json!("setup"), &json!("0000000000000051"))
+    );
     assert_eq!(line["fields"]["class"], "take");
     assert_eq!(line["fields"]["key"], format!("{:016x}", 0x51 ^ 0xabc));
     assert_eq!(line["fields"]["idem"], "5c0f6e1a");
@@ -73,7 +80,17 @@
             (185, figures),
             (195, b"x"),
         ];
-        message(1, id, &all.map(|(code, value)| if code == change.0 { change } else { (code, value) }))
+        message(
+            1,
+            id,
+            &all.map(|(code, value)| {
+                if code == change.0 {
+                    change
+                } else {
+                    (code, value)
+                }
+            }),
+        )
     };
     let bad: Vec<Vec<u8>> = vec![
         vec![],
@@ -101,18 +118,28 @@
             // It may be closed on before all of it is written.
             let _ = client.stream.write_all(&bytes).await;
             if let Some(got) = client.got().await {
-                assert!(got.kind == RELEASE && got.cause() != Some(FULL), "{got:?} for {bytes:?}");
+                assert!(
+                    got.kind == RELEASE && got.cause() != Some(FULL),
+                    "{got:?} for {bytes:?}"
+                );
             }
         })
     });
     for one in each.collect::<Vec<_>>() {
         one.await.unwrap();
     }
-    assert!(began.elapsed() < Duration::from_secs(10), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_secs(10),
+        "{:?}",
+        began.elapsed()
+    );
     let mut good = Client::connect(placer.address).await;
     good.send(&setup(7, "play", 1_500, "")).await;
     assert_eq!(good.got().await.unwrap().kind, ANSWER);
-    assert_eq!(soon("the good one", reached.recv()).await.unwrap()["id"], "0000000000000007");
+    assert_eq!(
+        soon("the good one", reached.recv()).await.unwrap()["id"],
+        "0000000000000007"
+    );
     assert!(reached.try_recv().is_err());
 }
 
@@ -135,7 +162,11 @@
 /// An attempt on a connection that breaks is sent again where its class allows it, and failed where not.
 #[tokio::test]
 async fn a_connection_reset_under_a_set_up_is_what_its_class_allows() {
-    for (class, again, read) in [("play", true, true), ("print", false, true), ("play", true, false)] {
+    for (class, again, read) in [
+        ("play", true, true),
+        ("print", false, true),
+        ("play", true, false),
+    ] {
         let (host, _placer, mut client) = alone().await;
         client.send(&setup(1, class, 3_000, "")).await;
         let mut link = host.link().await;
@@ -151,7 +182,10 @@
             assert_eq!(client.got().await.unwrap().description(), b"second");
         } else {
             let failed = client.got().await.unwrap();
-            assert!(failed.kind == RELEASE && failed.cause() != Some(FULL), "{failed:?}");
+            assert!(
+                failed.kind == RELEASE && failed.cause() != Some(FULL),
+                "{failed:?}"
+            );
         }
     }
 }
@@ -199,7 +233,10 @@
     link.answer(&line["id"], "good").await;
     link.answer(&line["id"], "once more").await;
     let answer = client.got().await.unwrap();
-    assert_eq!((answer.kind, answer.description()), (ANSWER, b"good".to_vec()));
+    assert_eq!(
+        (answer.kind, answer.description()),
+        (ANSWER, b"good".to_vec())
+    );
     client.send(&message(52, 9, &[(194, &[0])])).await;
     assert_eq!(client.got().await.unwrap().kind, 53, "no second answer");
 }
@@ -212,7 +249,10 @@
     let line = link.line().await.unwrap();
     let began = Instant::now();
     let failed = client.got().await.unwrap();
-    assert!(failed.kind == RELEASE && failed.cause() != Some(FULL), "{failed:?}");
+    assert!(
+        failed.kind == RELEASE && failed.cause() != Some(FULL),
+        "{failed:?}"
+    );
     assert!(began.elapsed() < Duration::from_secs(5));
     // The host is told that nobody waits any more.
     loop {
@@ -232,15 +272,27 @@
     let line = old.line().await.unwrap();
     old.answer(&line["id"], "old").await;
     client.got().await.unwrap();
-    placer.discovery.tell(false, vec![host.line("h-1", "east", "left"), host.line("h-2", "east", "active")]);
+    placer.discovery.tell(
+        false,
+        vec![
+            host.line("h-1", "east", "left"),
+            host.line("h-2", "east", "active"),
+        ],
+    );
     old.reset();
     let end = client.got().await.unwrap();
     assert_eq!((end.kind, end.id), (RELEASE, 1), "it is over with its host");
     // What was connected to for the old host before its end was told carries nothing of the new one.
     let mut told = host.obliging();
     client.send(&setup(2, "play", 3_000, "")).await;
-    assert_eq!(client.got().await.unwrap().description(), b"here \"0000000000000002\"");
-    assert_eq!(soon("the set-up", told.recv()).await.unwrap()["id"], "0000000000000002");
+    assert_eq!(
+        client.got().await.unwrap().description(),
+        b"here \"0000000000000002\""
+    );
+    assert_eq!(
+        soon("the set-up", told.recv()).await.unwrap()["id"],
+        "0000000000000002"
+    );
 }
 
 /// Whatever discovery does, what it told before holds, and what it tells then comes through.
@@ -248,16 +300,24 @@
 async fn a_board_that_breaks_or_falls_silent_is_asked_again() {
     for mood in [Mood::Breaks, Mood::Silent, Mood::Errs] {
         let (first, second) = (Host::new().await, Host::new().await);
-        let (line, drained) = (first.line("h-1", "east", "active"), first.line("h-1", "east", "leaving"));
+        let (line, drained) = (
+            first.line("h-1", "east", "active"),
+            first.line("h-1", "east", "leaving"),
+        );
         let mut at_first = first.obliging();
         let placer = placer(vec![line]).await;
         placer.discovery.set(mood);
         let mut client = Client::connect(placer.address).await;
         client.send(&setup(1, "play", 3_000, "")).await;
         assert_eq!(client.got().await.unwrap().kind, ANSWER, "{mood:?}");
-        placer.discovery.tell(false, vec![drained, second.line("h-2", "east", "active")]);
+        placer
+            .discovery
+            .tell(false, vec![drained, second.line("h-2", "east", "active")]);
         let asked = placer.discovery.asked.lock().unwrap().len();
-        placer.discovery.until_asked(|asks| asks.len() >= asked + 2).await;
+        placer
+            .discovery
+            .until_asked(|asks| asks.len() >= asked + 2)
+            .await;
         placer.discovery.set(Mood::Well);
         let mut at_second = second.obliging();
         // Until the event came through, tasks go where it was told before.
@@ -273,7 +333,10 @@
         while at_first.try_recv().is_ok() {}
         client.send(&setup(9, "play", 3_000, "")).await;
         assert_eq!(client.got().await.unwrap().kind, ANSWER);
-        assert!(at_first.try_recv().is_err(), "{mood:?}: nothing new to a host that drains");
+        assert!(
+            at_first.try_recv().is_err(),
+            "{mood:?}: nothing new to a host that drains"
+        );
     }
 }
 
@@ -283,7 +346,13 @@
     let mut placer = placer(vec![first.line("h-1", "east", "active")]).await;
     let discovery = Discovery::new().await;
     discovery.continues(&placer.discovery);
-    discovery.tell(false, vec![first.line("h-1", "east", "left"), second.line("h-2", "east", "active")]);
+    discovery.tell(
+        false,
+        vec![
+            first.line("h-1", "east", "left"),
+            second.line("h-2", "east", "active"),
+        ],
+    );
     // One that can't be read leaves the old in force, and is read again.
     std::fs::write(&placer.path, "{").unwrap();
     placer.ask.send(Asked::Reload).await.unwrap();
@@ -331,14 +400,21 @@
     let placer = placer(vec![host.line("h-1", "east", "active")]).await;
     let mut client = Client::connect(placer.address).await;
     let count = 2_000;
-    let held: Vec<u8> = (1..=count).flat_map(|id| setup(id, "play", 4_294_967, ";at:h-1")).collect();
+    let held: Vec<u8> = (1..=count)
+        .flat_map(|id| setup(id, "play", 4_294_967, ";at:h-1"))
+        .collect();
     client.send(&held).await;
     // Its test is passed once all of that was taken in.
     client.send(&message(52, 9, &[(194, &[0])])).await;
     assert_eq!(client.got().await.unwrap().kind, 53);
-    placer.discovery.tell(false, vec![host.line("h-1", "east", "left")]);
+    placer
+        .discovery
+        .tell(false, vec![host.line("h-1", "east", "left")]);
     for _ in 0..count {
-        assert_eq!(client.got().await.expect("it is not closed on").kind, RELEASE);
+        assert_eq!(
+            client.got().await.expect("it is not closed on").kind,
+            RELEASE
+        );
     }
 }
 
@@ -346,7 +422,9 @@
 async fn an_client_that_said_all_it_has_to_say_gets_its_answers_and_its_close() {
     let (_told, placer) = obliged().await;
     let mut client = Client::connect(placer.address).await;
-    let asks: Vec<u8> = (1..=3).flat_map(|id| setup(id, "play", 5_000, "")).collect();
+    let asks: Vec<u8> = (1..=3)
+        .flat_map(|id| setup(id, "play", 5_000, ""))
+        .collect();
     client.send(&asks).await;
     client.stream.shutdown().await.unwrap();
     for _ in 1..=3 {
@@ -362,7 +440,10 @@
     client.send(&setup(1, "play", 5_000, "")).await;
     client.send(&[0, 3, 1, 2, 3]).await;
     let end = client.got().await.expect("an answer");
-    assert!((end.kind, end.id) == (RELEASE, 1) && end.cause() != Some(FULL), "{end:?}");
+    assert!(
+        (end.kind, end.id) == (RELEASE, 1) && end.cause() != Some(FULL),
+        "{end:?}"
+    );
     assert_eq!(client.got().await, None);
 }
 
@@ -371,7 +452,10 @@
     let (_told, placer) = obliged().await;
     let mut deaf = Client::connect(placer.address).await;
     let test = message(52, 2, &[(194, &[0])]).repeat(1_000);
-    soon("the cut", async { while deaf.stream.write_all(&test).await.is_ok() {} }).await;
+    soon("the cut", async {
+        while deaf.stream.write_all(&test).await.is_ok() {}
+    })
+    .await;
     let mut good = Client::connect(placer.address).await;
     good.send(&setup(7, "play", 1_500, "")).await;
     assert_eq!(good.got().await.unwrap().kind, ANSWER);
--- a/crates/platform/tests/standins/mod.rs
+++ b/crates/platform/tests/standins/mod.rs
@@ -23,7 +23,9 @@
 pub const LONG: Duration = Duration::from_secs(20);
 
 pub async fn soon<T>(what: &str, wait: impl Future<Output = T>) -> T {
-    timeout(LONG, wait).await.unwrap_or_else(|_| panic!("{what}: not within {LONG:?}"))
+    timeout(LONG, wait)
+        .await
+        .unwrap_or_else(|_| panic!("{what}: not within {LONG:?}"))
 }
 
 // ---- Client ----
@@ -42,7 +44,10 @@
 
 impl Got {
     pub fn cause(&self) -> Option<u8> {
-        self.parameters.iter().find(|(code, _)| *code == 194).map(|(_, value)| value[0])
+        self.parameters
+            .iter()
+            .find(|(code, _)| *code == 194)
+            .map(|(_, value)| value[0])
     }
     pub fn description(&self) -> Vec<u8> {
         let found = self.parameters.iter().find(|(code, _)| *code == 195);
@@ -71,11 +76,18 @@
 
 impl Client {
     pub async fn connect(address: SocketAddr) -> Self {
-        Self { stream: soon("connecting", TcpStream::connect(address)).await.expect("the placer listens") }
+        Self {
+            stream: soon("connecting", TcpStream::connect(address))
+                .await
+                .expect("the placer listens"),
+        }
     }
 
     pub async fn send(&mut self, bytes: &[u8]) {
-        self.stream.write_all(bytes).await.expect("the placer reads");
+        self.stream
+            .write_all(bytes)
+            .await
+            .expect("the placer reads");
     }
 
     /// Asks for its test until the placer fails it, as one that is to end does.
@@ -104,7 +116,11 @@
                 parameters.push((body[at], body[at + 3..at + 3 + length].to_vec()));
                 at += 3 + length;
             }
-            Some(Got { kind: body[0], id, parameters })
+            Some(Got {
+                kind: body[0],
+                id,
+                parameters,
+            })
         })
         .await
     }
@@ -121,7 +137,10 @@
 impl Link {
     /// The next line; `None` once the placer closed.
     pub async fn line(&mut self) -> Option<Value> {
-        let line = soon("a line", self.lines.next_line()).await.ok().flatten()?;
+        let line = soon("a line", self.lines.next_line())
+            .await
+            .ok()
+            .flatten()?;
         Some(serde_json::from_str(&line).expect("the placer writes JSON"))
     }
 
@@ -134,16 +153,23 @@
     }
 
     pub async fn answer(&mut self, id: &Value, description: &str) {
-        self.say(&json!({"type": "answer", "id": id, "fields": {}, "sdp": description})).await;
+        self.say(&json!({"type": "answer", "id": id, "fields": {}, "sdp": description}))
+            .await;
     }
 
     pub async fn release(&mut self, id: &Value, cause: u8) {
-        self.say(&json!({"type": "release", "id": id, "fields": {}, "cause": cause})).await;
+        self.say(&json!({"type": "release", "id": id, "fields": {}, "cause": cause}))
+            .await;
     }
 
     /// Resets the connection.
     pub fn reset(self) {
-        let stream = self.lines.into_inner().into_inner().reunite(self.write).expect("two halves of one");
+        let stream = self
+            .lines
+            .into_inner()
+            .into_inner()
+            .reunite(self.write)
+            .expect("two halves of one");
         let _ = stream.set_zero_linger();
     }
 }
@@ -161,9 +187,14 @@
     }
 
     pub async fn link(&self) -> Link {
-        let (stream, _) = soon("a connection", self.listener.accept()).await.expect("it listens");
+        let (stream, _) = soon("a connection", self.listener.accept())
+            .await
+            .expect("it listens");
         let (read, write) = stream.into_split();
-        Link { lines: BufReader::new(read).lines(), write }
+        Link {
+            lines: BufReader::new(read).lines(),
+            write,
+        }
     }
 
     /// A line of the list.
@@ -183,7 +214,8 @@
                     while let Ok(Some(line)) = link.lines.next_line().await {
                         let line: Value = serde_json::from_str(&line).expect("JSON");
                         if line["type"] == "setup" {
-                            link.answer(&line["id"], &format!("here {}", line["id"])).await;
+                            link.answer(&line["id"], &format!("here {}", line["id"]))
+                                .await;
                         }
                         let _ = tell.send(line);
                     }
@@ -196,7 +228,10 @@
     async fn link_for_ever(&self) -> Link {
         let (stream, _) = self.listener.accept().await.expect("it listens");
         let (read, write) = stream.into_split();
-        Link { lines: BufReader::new(read).lines(), write }
+        Link {
+            lines: BufReader::new(read).lines(),
+            write,
+        }
     }
 }
 
@@ -232,7 +267,11 @@
         let listener = TcpListener::bind(address).await.expect("a free port");
         let address = listener.local_addr().expect("it is bound");
         let (state, _) = watch::channel((Mood::Well, Vec::new()));
-        let discovery = Self { address, state: Arc::new(state), asked: Arc::default() };
+        let discovery = Self {
+            address,
+            state: Arc::new(state),
+            asked: Arc::default(),
+        };
         let serve = discovery.clone();
         tokio::spawn(async move {
             loop {
@@ -247,29 +286,50 @@
         let (read, mut write) = stream.into_split();
         let mut lines = BufReader::new(read).lines();
         while let Ok(Some(line)) = lines.next_line().await {
-            let Some(path) = line.strip_prefix("GET ").and_then(|rest| rest.split(' ').next()) else {
+            let Some(path) = line
+                .strip_prefix("GET ")
+                .and_then(|rest| rest.split(' ').next())
+            else {
                 continue;
             };
             let path = path.to_owned();
-            while lines.next_line().await.is_ok_and(|line| line.is_some_and(|line| !line.is_empty())) {}
+            while lines
+                .next_line()
+                .await
+                .is_ok_and(|line| line.is_some_and(|line| !line.is_empty()))
+            {}
             let query = path.split('?').nth(1).unwrap_or_default().to_owned();
             let number = |name: &str| -> u64 {
-                let of = query.split('&').find_map(|pair| pair.strip_prefix(name)).expect("it is asked for");
+                let of = query
+                    .split('&')
+                    .find_map(|pair| pair.strip_prefix(name))
+                    .expect("it is asked for");
                 of.parse().expect("a number")
             };
             let (after, linger) = (number("watch="), number("linger="));
             self.asked.lock().expect("no panic").push(path);
             let mut news = self.state.subscribe();
-            let fresh = |state: &(Mood, Vec<Value>)| state.0 != Mood::Well || state.1.len() as u64 > after;
+            let fresh =
+                |state: &(Mood, Vec<Value>)| state.0 != Mood::Well || state.1.len() as u64 > after;
             let _ = timeout(Duration::from_millis(linger), news.wait_for(fresh)).await;
             let (mood, all) = news.borrow().clone();
             let body =
-                json!({"rev": all.len(), "notices": &all[(after as usize).min(all.len())..]}).to_string();
-            let status = if mood == Mood::Errs { "500 Oops" } else { "200 OK" };
-            let text = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+                json!({"rev": all.len(), "notices": &all[(after as usize).min(all.len())..]})
+                    .to_string();
+            let status = if mood == Mood::Errs {
+                "500 Oops"
+            } else {
+                "200 OK"
+            };
+            let text = format!(
+                "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}",
+                body.len()
+            );
             match mood {
                 Mood::Silent => return std::future::pending().await,
-                Mood::Breaks => return drop(write.write_all(&text.as_bytes()[..text.len() - 9]).await),
+                Mood::Breaks => {
+                    return drop(write.write_all(&text.as_bytes()[..text.len() - 9]).await);
+                }
                 Mood::Well | Mood::Errs => drop(write.write_all(text.as_bytes()).await),
             }
         }
@@ -291,7 +351,8 @@
 
     /// Tells one more event.
     pub fn tell(&self, whole: bool, hosts: Vec<Value>) {
-        self.state.send_modify(|state| state.1.push(notice(state.1.len() + 1, whole, hosts)));
+        self.state
+            .send_modify(|state| state.1.push(notice(state.1.len() + 1, whole, hosts)));
     }
 
     /// Goes on where another left off.
@@ -325,7 +386,12 @@
 }
 
 /// One of a placer with so many descriptors, with discovery at this address.
-pub fn config_at(address: SocketAddr, discovery: SocketAddr, sockets: usize, hosts: Vec<Value>) -> Value {
+pub fn config_at(
+    address: SocketAddr,
+    discovery: SocketAddr,
+    sockets: usize,
+    hosts: Vec<Value>,
+) -> Value {
     json!({"name": "n1", "listen": address, "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 32, "sockets": sockets}, "board": discovery,
         "known": {"rev": 1, "notices": [notice(1, true, hosts)]},
@@ -345,8 +411,19 @@
     let read = Config::read(&config.to_string()).expect("it is whole");
     let (ask, asked) = mpsc::channel(4);
     let serving = path.clone();
-    let served = tokio::spawn(async move { reedring_platform::serve(&serving, read, listener, asked).await });
-    Running { address, discovery, path, ask, served, config, _folder: folder }
+    let served =
+        tokio::spawn(
+            async move { reedring_platform::serve(&serving, read, listener, asked).await },
+        );
+    Running {
+        address,
+        discovery,
+        path,
+        ask,
+        served,
+        config,
+        _folder: folder,
+    }
 }
 
 impl Running {
--- a/crates/platform/tests/world/mod.rs
+++ b/crates/platform/tests/world/mod.rs
@@ -26,7 +26,10 @@
 }
 
 pub fn told(rev: u64, whole: bool, lines: &[String]) -> Told {
-    let names = Names { zones: vec!["east".into(), "west".into()], kinds: vec!["std".into()] };
+    let names = Names {
+        zones: vec!["east".into(), "west".into()],
+        kinds: vec!["std".into()],
+    };
     let lines = lines.join(",");
     let text = format!(
         r#"{{"rev":{rev},"notices":[{{"rev":{rev},"pool":{{"whole":{whole},"hosts":[{lines}]}}}}]}}"#
@@ -52,7 +55,12 @@
 }
 
 fn release(id: u64, cause: u8) -> FromHost {
-    FromHost::Release { id, cause, reason: None, figures: BTreeMap::new() }
+    FromHost::Release {
+        id,
+        cause,
+        reason: None,
+        figures: BTreeMap::new(),
+    }
 }
 
 /// A host's word that a task came to its end.
@@ -135,11 +143,23 @@
     pub fn with(seed: u64, hosts: &[String], change: impl FnOnce(&mut Deployment)) -> Self {
         let mut settings = reedring::settings::read(SETTINGS).expect("the settings are whole");
         change(&mut settings);
-        let bounds =
-            Bounds { all: 40, clients: 16, overflow: 2, reserved: 16, links_each: 4, waiting: 1 << 20 };
+        let bounds = Bounds {
+            all: 40,
+            clients: 16,
+            overflow: 2,
+            reserved: 16,
+            links_each: 4,
+            waiting: 1 << 20,
+        };
         let now = 1_700_000_000 * SECOND;
         let known = told(1, true, hosts);
-        let engine = Engine::new(Start { now, seed, settings, known, bounds });
+        let engine = Engine::new(Start {
+            now,
+            seed,
+            settings,
+            known,
+            bounds,
+        });
         let mut world = Self {
             engine,
             now,
@@ -183,12 +203,21 @@
 
     /// Connections to hosts that stand.
     pub fn links_up(&self) -> Vec<LinkId> {
-        self.links.iter().filter(|(_, (_, up))| *up).map(|(link, _)| *link).collect()
+        self.links
+            .iter()
+            .filter(|(_, (_, up))| *up)
+            .map(|(link, _)| *link)
+            .collect()
     }
 
     /// A task comes to its end at a host, which says so on a connection or on the next that is made to it.
     pub fn finish(&mut self, id: u64, port: u16) {
-        match self.links.iter().find(|(_, link)| **link == (port, true)).map(|(link, _)| *link) {
+        match self
+            .links
+            .iter()
+            .find(|(_, link)| **link == (port, true))
+            .map(|(link, _)| *link)
+        {
             Some(link) => self.tell(Input::Host(link, end(id))),
             None => self.unsaid.entry(port).or_default().push(id),
         }
@@ -232,7 +261,13 @@
         if let Some(heard) = self.heard.get_mut(&id).filter(|heard| heard.conn == conn) {
             heard.left = heard.left.or(Some(self.now));
         }
-        self.tell(Input::Client(conn, Ok(FromOwner::Release { id, cause: GIVEN_UP })));
+        self.tell(Input::Client(
+            conn,
+            Ok(FromOwner::Release {
+                id,
+                cause: GIVEN_UP,
+            }),
+        ));
     }
 
     /// The client closes.
@@ -252,9 +287,13 @@
                     known.1 = true;
                     known.0
                 });
-                let unsaid = port.and_then(|port| self.unsaid.remove(&port)).unwrap_or_default();
+                let unsaid = port
+                    .and_then(|port| self.unsaid.remove(&port))
+                    .unwrap_or_default();
                 let link = *link;
-                unsaid.into_iter().for_each(|id| self.later(MS, Input::Host(link, end(id))));
+                unsaid
+                    .into_iter()
+                    .for_each(|id| self.later(MS, Input::Host(link, end(id))));
                 port.is_some()
             }
             Input::Host(link, message) => {
@@ -267,10 +306,19 @@
             Input::LinkDown { link, .. } => {
                 let link = *link;
                 // Attempts open on a connection that ends are given up; whether they ran nobody knows.
-                let gone: Vec<u64> =
-                    self.live.iter().filter(|(_, live)| live.link == link).map(|(id, _)| *id).collect();
+                let gone: Vec<u64> = self
+                    .live
+                    .iter()
+                    .filter(|(_, live)| live.link == link)
+                    .map(|(id, _)| *id)
+                    .collect();
                 self.live.retain(|id, _| !gone.contains(id));
-                if let Input::LinkDown { down: Down::Broke | Down::Spoilt, begun, .. } = &input {
+                if let Input::LinkDown {
+                    down: Down::Broke | Down::Spoilt,
+                    begun,
+                    ..
+                } = &input
+                {
                     let begun = *begun;
                     for id in gone {
                         // The world breaks connections only before or after all that was written.
@@ -344,7 +392,14 @@
                     _ => None,
                 };
                 match down {
-                    Some((down, after)) => self.later(after, Input::LinkDown { link, down, begun: 0 }),
+                    Some((down, after)) => self.later(
+                        after,
+                        Input::LinkDown {
+                            link,
+                            down,
+                            begun: 0,
+                        },
+                    ),
                     None => self.later(after, Input::LinkUp(link)),
                 }
             }
@@ -364,15 +419,24 @@
     }
 
     fn hear(&mut self, conn: ConnId, message: &ToOwner) {
-        assert!(self.clients.contains(&conn), "written to a connection that was closed");
+        assert!(
+            self.clients.contains(&conn),
+            "written to a connection that was closed"
+        );
         match message {
             ToOwner::Answer { id, description } => {
                 let heard = self.heard.entry(*id).or_default();
                 heard.answers += 1;
-                assert_eq!(description, &format!("host's for {id}"), "not what the host gave");
+                assert_eq!(
+                    description,
+                    &format!("host's for {id}"),
+                    "not what the host gave"
+                );
             }
             ToOwner::Release { id, cause, .. } => {
-                let Some(heard) = self.heard.get_mut(id) else { return };
+                let Some(heard) = self.heard.get_mut(id) else {
+                    return;
+                };
                 match (heard.answers, *cause) {
                     (0, FULL) => heard.refusals += 1,
                     (0, _) => heard.failures += 1,
@@ -380,7 +444,10 @@
                 }
                 if heard.answers == 0 && *cause == FULL {
                     // A refusal promises that asking again is harmless.
-                    assert!(heard.class == "play" || !heard.ran, "refused {id}, which may have run");
+                    assert!(
+                        heard.class == "play" || !heard.ran,
+                        "refused {id}, which may have run"
+                    );
                 }
             }
             ToOwner::Moved(_) | ToOwner::Tested { .. } => {}
@@ -389,12 +456,17 @@
 
     /// What a host does with a message.
     fn host(&mut self, link: LinkId, message: &ToHost) {
-        let Some((port, _)) = self.links.get(&link).copied() else { return };
+        let Some((port, _)) = self.links.get(&link).copied() else {
+            return;
+        };
         match message {
             ToHost::Setup { id, class, .. } => {
                 let id = *id;
                 let heard = self.heard.entry(id).or_default();
-                assert!(!heard.ran || class != "print", "{id} may have run and is sent again");
+                assert!(
+                    !heard.ran || class != "print",
+                    "{id} may have run and is sent again"
+                );
                 assert!(heard.finals() == 0, "{id} is sent after its answer");
                 assert!(!heard.withdrawn, "{id} is sent after its client went");
                 let late = heard.left.is_some_and(|left| self.now > left + 100 * MS);
@@ -416,7 +488,11 @@
                 }
             }
             ToHost::Test { id, .. } => {
-                let passed = FromHost::Tested { id: *id, passed: true, figures: BTreeMap::new() };
+                let passed = FromHost::Tested {
+                    id: *id,
+                    passed: true,
+                    figures: BTreeMap::new(),
+                };
                 if !self.unruly || self.below(3) > 0 {
                     self.later(MS, Input::Host(link, passed));
                 }
@@ -425,7 +501,10 @@
     }
 
     fn answer(&mut self, link: LinkId, id: u64) {
-        let answer = FromHost::Answer { id, description: format!("host's for {id}") };
+        let answer = FromHost::Answer {
+            id,
+            description: format!("host's for {id}"),
+        };
         let after = u64::from(1 + self.below(40)) * MS;
         let chance = if self.unruly { self.below(100) } else { 0 };
         match chance {
@@ -434,7 +513,10 @@
                 if chance > 35 {
                     // A second copy, and one under an id that nobody knows.
                     self.later(after, Input::Host(link, answer));
-                    let unknown = FromHost::Answer { id: id ^ 1 << 60, description: "?".to_owned() };
+                    let unknown = FromHost::Answer {
+                        id: id ^ 1 << 60,
+                        description: "?".to_owned(),
+                    };
                     self.later(after, Input::Host(link, unknown));
                 }
                 let life = u64::from(1 + self.below(5_000)) * MS;
@@ -446,10 +528,28 @@
             60..67 => self.later(after, Input::Host(link, release(id, ERROR))),
             67..74 => self.later(after, Input::Host(link, release(id, CUT))),
             74..84 => {
-                let down = if chance % 2 == 0 { Down::Broke } else { Down::Spoilt };
-                self.later(after, Input::LinkDown { link, down, begun: u64::MAX });
+                let down = if chance % 2 == 0 {
+                    Down::Broke
+                } else {
+                    Down::Spoilt
+                };
+                self.later(
+                    after,
+                    Input::LinkDown {
+                        link,
+                        down,
+                        begun: u64::MAX,
+                    },
+                );
             }
-            84..90 => self.later(0, Input::LinkDown { link, down: Down::Broke, begun: 0 }),
+            84..90 => self.later(
+                0,
+                Input::LinkDown {
+                    link,
+                    down: Down::Broke,
+                    begun: 0,
+                },
+            ),
             // It says nothing.
             _ => {}
         }
@@ -461,10 +561,18 @@
         loop {
             let planned = self.later.keys().next().map(|(at, _)| *at);
             let wake = self.engine.next_wake().map(|at| at.max(self.now));
-            let next = planned.into_iter().chain(wake).min().filter(|at| *at <= until);
+            let next = planned
+                .into_iter()
+                .chain(wake)
+                .min()
+                .filter(|at| *at <= until);
             let Some(next) = next else { break };
             self.now = next;
-            match self.later.first_entry().filter(|first| first.key().0 <= next) {
+            match self
+                .later
+                .first_entry()
+                .filter(|first| first.key().0 <= next)
+            {
                 Some(first) => {
                     let input = first.remove();
                     self.tell(input);
@@ -483,6 +591,14 @@
 /// The lines of so many hosts, in two zones by turns.
 pub fn hosts(count: u16) -> Vec<String> {
     (1..=count)
-        .map(|n| line(&format!("h-{n}"), n, if n % 2 == 0 { "east" } else { "west" }, "active", 0))
+        .map(|n| {
+            line(
+                &format!("h-{n}"),
+                n,
+                if n % 2 == 0 { "east" } else { "west" },
+                "active",
+                0,
+            )
+        })
         .collect()
 }
--- a/crates/platproto/src/board.rs
+++ b/crates/platproto/src/board.rs
@@ -77,7 +77,10 @@
 
 impl From<&Settings> for Names {
     fn from(settings: &Settings) -> Self {
-        Self { zones: settings.zones.clone(), kinds: settings.kinds.clone() }
+        Self {
+            zones: settings.zones.clone(),
+            kinds: settings.kinds.clone(),
+        }
     }
 }
 
@@ -95,7 +98,10 @@
 
 /// The position of a name in its list.
 pub fn number(names: &[String], name: &str) -> Option<u16> {
-    names.iter().position(|other| other == name).and_then(|at| u16::try_from(at).ok())
+    names
+        .iter()
+        .position(|other| other == name)
+        .and_then(|at| u16::try_from(at).ok())
 }
 
 /// What can't be used of the board's answer; nothing of it is.
@@ -132,7 +138,10 @@
     pub fn check(&self, names: &Names) -> Result<(), Error> {
         let mut last = 0;
         for notice in &self.notices {
-            let wrong = |what: String| Error::Event { rev: notice.rev, what };
+            let wrong = |what: String| Error::Event {
+                rev: notice.rev,
+                what,
+            };
             if notice.rev <= last || notice.rev > self.rev {
                 return Err(wrong("its number is out of order".to_owned()));
             }
@@ -144,7 +153,10 @@
                 if names.kind(&entry.class).is_none() {
                     return Err(wrong(format!("{}: no class {:?}", entry.host, entry.class)));
                 }
-                if entry.room.is_some_and(|room| !room.iter().all(|left| left.is_finite())) {
+                if entry
+                    .room
+                    .is_some_and(|room| !room.iter().all(|left| left.is_finite()))
+                {
                     return Err(wrong(format!("{}: room is no figure", entry.host)));
                 }
             }
--- a/crates/platproto/src/config.rs
+++ b/crates/platproto/src/config.rs
@@ -80,7 +80,8 @@
     /// # Errors
     /// Where any part of it can't be used.
     pub fn read(text: &str) -> Result<Self, Error> {
-        let file: File = serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_str(text))?;
+        let file: File =
+            serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_str(text))?;
         let settings = settings::read(file.settings.get()).map_err(Error::Settings)?;
         file.known.check(&Names::from(&settings))?;
         if file.limits.sockets < LEAST_SOCKETS {
--- a/crates/platproto/src/host.rs
+++ b/crates/platproto/src/host.rs
@@ -85,7 +85,11 @@
         let end = rest[self.searched..].iter().position(|byte| *byte == b'\n');
         let Some(end) = end.map(|end| end + self.searched) else {
             self.searched = rest.len();
-            return if rest.len() >= MAX { Err(Unreadable::TooLong) } else { Ok(None) };
+            return if rest.len() >= MAX {
+                Err(Unreadable::TooLong)
+            } else {
+                Ok(None)
+            };
         };
         if end >= MAX {
             return Err(Unreadable::TooLong);
@@ -114,23 +118,43 @@
         let cause = line.cause.ok_or("cause: missing")?;
         u8::try_from(cause).map_err(|_| format!("cause: {cause} is none"))
     };
-    let figures = || line.fields.iter().flat_map(|(name, value)| figures(name, value));
+    let figures = || {
+        line.fields
+            .iter()
+            .flat_map(|(name, value)| figures(name, value))
+    };
     match line.r#type.as_str() {
         "answer" => {
             let description = line.sdp.ok_or("sdp: missing")?;
             Ok(FromHost::Answer { id, description })
         }
         "release" => {
-            let reason = line.fields.get("note").and_then(Value::as_str).and_then(reason);
-            Ok(FromHost::Release { id, cause: cause()?, reason, figures: figures().collect() })
+            let reason = line
+                .fields
+                .get("note")
+                .and_then(Value::as_str)
+                .and_then(reason);
+            Ok(FromHost::Release {
+                id,
+                cause: cause()?,
+                reason,
+                figures: figures().collect(),
+            })
         }
         "note" => {
-            let (name, value) = (line.fields.get("note").and_then(Value::as_str), line.fields.get("value"));
+            let (name, value) = (
+                line.fields.get("note").and_then(Value::as_str),
+                line.fields.get("value"),
+            );
             let value = value.and_then(number);
             let note = note(name.ok_or("note: missing")?, value)?;
             Ok(note.map_or(FromHost::Free, |note| FromHost::Note { id, note }))
         }
-        "pong" => Ok(FromHost::Tested { id, passed: cause()? == 1, figures: figures().collect() }),
+        "pong" => Ok(FromHost::Tested {
+            id,
+            passed: cause()? == 1,
+            figures: figures().collect(),
+        }),
         "progress" | "released" | "ping" | "move" => Ok(FromHost::Free),
         other => Err(format!("type: {other:?} is none")),
     }
@@ -144,7 +168,11 @@
     let parts = value.as_str().into_iter().flat_map(|text| text.split(';'));
     let figure = |part: &str| {
         let (name, value) = part.split_once(':')?;
-        let value = value.trim().parse().ok().filter(|value: &f64| value.is_finite())?;
+        let value = value
+            .trim()
+            .parse()
+            .ok()
+            .filter(|value: &f64| value.is_finite())?;
         Some((name.trim().to_owned(), value))
     };
     parts.filter_map(figure).collect()
@@ -235,7 +263,14 @@
     pub fn encode(&self) -> Vec<u8> {
         let mut fields = BTreeMap::new();
         let (r#type, id, cause, sdp) = match self {
-            Self::Setup { id, class, key, idem, left_ms, description } => {
+            Self::Setup {
+                id,
+                class,
+                key,
+                idem,
+                left_ms,
+                description,
+            } => {
                 fields.insert("class", class.clone());
                 fields.insert("key", format!("{key:016x}"));
                 fields.insert("left", left_ms.to_string());
@@ -247,7 +282,13 @@
             Self::Release { id, cause } => ("release", id, Some(*cause), None),
             Self::Test { id, report } => ("ping", id, Some(u8::from(*report)), None),
         };
-        let sent = Sent { r#type, id: format!("{id:016x}"), fields, cause, sdp };
+        let sent = Sent {
+            r#type,
+            id: format!("{id:016x}"),
+            fields,
+            cause,
+            sdp,
+        };
         let mut line = serde_json::to_vec(&sent).unwrap_or_default();
         line.push(b'\n');
         line
--- a/crates/platproto/src/owner.rs
+++ b/crates/platproto/src/owner.rs
@@ -124,12 +124,16 @@
     /// [`Unreadable`] where the length can't be one; the connection is of no further use.
     pub fn next_message(&mut self) -> Result<Option<Result<FromOwner, Unusable>>, Unreadable> {
         let rest = self.0.rest();
-        let Some(length) = rest.first_chunk::<2>() else { return Ok(None) };
+        let Some(length) = rest.first_chunk::<2>() else {
+            return Ok(None);
+        };
         let length = usize::from(u16::from_be_bytes(*length));
         if !(LEAST..=MAX - 2).contains(&length) {
             return Err(Unreadable(length));
         }
-        let Some(body) = rest.get(2..2 + length) else { return Ok(None) };
+        let Some(body) = rest.get(2..2 + length) else {
+            return Ok(None);
+        };
         let message = read(body);
         self.0.take(2 + length);
         Ok(Some(message))
@@ -137,14 +141,21 @@
 }
 
 fn read(body: &[u8]) -> Result<FromOwner, Unusable> {
-    let (kind, id) = (body[0], body[1..LEAST].iter().fold(0, |id, byte| id << 8 | u64::from(*byte)));
+    let (kind, id) = (
+        body[0],
+        body[1..LEAST]
+            .iter()
+            .fold(0, |id, byte| id << 8 | u64::from(*byte)),
+    );
     let unusable = |why: String| Unusable { id, why };
     let parameters = parameters(&body[LEAST..]).map_err(unusable)?;
     if id == 0 && kind == SETUP {
         return Err(unusable("a set-up without an id".to_owned()));
     }
     match kind {
-        SETUP => setup(id, &parameters).map(|setup| FromOwner::Setup(Box::new(setup))).map_err(unusable),
+        SETUP => setup(id, &parameters)
+            .map(|setup| FromOwner::Setup(Box::new(setup)))
+            .map_err(unusable),
         RELEASE => {
             let cause = match parameters.get(&CAUSE) {
                 Some([cause]) => *cause,
@@ -164,9 +175,10 @@
 type Parameters<'a> = BTreeMap<u8, &'a [u8]>;
 
 fn parameters(body: &[u8]) -> Result<Parameters<'_>, String> {
-    let list: Result<Vec<(u8, &[u8])>, _> = repeat(0.., (be_u8::<&[u8], ContextError>, length_take(be_u16)))
-        .parse(body)
-        .map_err(|fault| fault.offset());
+    let list: Result<Vec<(u8, &[u8])>, _> =
+        repeat(0.., (be_u8::<&[u8], ContextError>, length_take(be_u16)))
+            .parse(body)
+            .map_err(|fault| fault.offset());
     let list = list.map_err(|at| format!("parameters do not fit the message, from byte {at}"))?;
     let mut all = Parameters::new();
     for (code, value) in list {
@@ -182,13 +194,17 @@
 
 fn setup(id: u64, parameters: &Parameters) -> Result<Setup, String> {
     let text = |code: u8| -> Result<Option<&str>, String> {
-        let text = parameters.get(&code).map(|value| std::str::from_utf8(value));
-        text.transpose().map_err(|_| format!("parameter {code}: not UTF-8"))
+        let text = parameters
+            .get(&code)
+            .map(|value| std::str::from_utf8(value));
+        text.transpose()
+            .map_err(|_| format!("parameter {code}: not UTF-8"))
     };
     let due = |code: u8| text(code)?.ok_or_else(|| format!("parameter {code} is missing"));
     let left = due(LEFT)?;
     let left_ms = whole(left).filter(|left| (1..=MOST_LEFT_MS).contains(left));
-    let left_ms = left_ms.ok_or_else(|| format!("parameter {LEFT}: {left:?} is no time to wait"))?;
+    let left_ms =
+        left_ms.ok_or_else(|| format!("parameter {LEFT}: {left:?} is no time to wait"))?;
     let retry = match text(RETRY)? {
         None => false,
         Some("1") => true,
@@ -225,7 +241,9 @@
         let wrong = |what: &str| format!("parameter {EXTRAS}: {what}: {text:?}");
         let mut all: BTreeMap<&str, &str> = BTreeMap::new();
         for part in text.split(';') {
-            let (name, value) = part.split_once(':').ok_or_else(|| wrong("a figure without a name"))?;
+            let (name, value) = part
+                .split_once(':')
+                .ok_or_else(|| wrong("a figure without a name"))?;
             if all.insert(name, value).is_some() {
                 return Err(wrong("a figure comes twice"));
             }
@@ -246,12 +264,17 @@
 
 /// A whole number in digits alone: no sign, no space.
 fn whole(text: &str) -> Option<u64> {
-    text.bytes().all(|byte| byte.is_ascii_digit()).then(|| text.parse().ok()).flatten()
+    text.bytes()
+        .all(|byte| byte.is_ascii_digit())
+        .then(|| text.parse().ok())
+        .flatten()
 }
 
 /// A finite figure of at least 0.
 fn figure(text: &str) -> Option<f64> {
-    let plain = text.bytes().all(|byte| byte.is_ascii_digit() || matches!(byte, b'.' | b'e' | b'-'));
+    let plain = text
+        .bytes()
+        .all(|byte| byte.is_ascii_digit() || matches!(byte, b'.' | b'e' | b'-'));
     let value: f64 = plain.then(|| text.parse().ok()).flatten()?;
     (value.is_finite() && value >= 0.0).then_some(value)
 }
@@ -289,12 +312,20 @@
 impl ToOwner {
     /// A refusal, which promises that asking again is harmless.
     pub fn refusal(id: u64, stay_away_ms: Option<u64>) -> Self {
-        Self::Release { id, cause: FULL, stay_away_ms }
+        Self::Release {
+            id,
+            cause: FULL,
+            stay_away_ms,
+        }
     }
 
     /// A failure, which promises nothing; after an answer, the end of the task.
     pub fn failure(id: u64, cause: u8) -> Self {
-        Self::Release { id, cause, stay_away_ms: None }
+        Self::Release {
+            id,
+            cause,
+            stay_away_ms: None,
+        }
     }
 
     /// Its bytes.
@@ -314,7 +345,11 @@
         };
         match self {
             Self::Answer { description, .. } => parameter(DESCRIPTION, description.as_bytes()),
-            Self::Release { cause, stay_away_ms, .. } => {
+            Self::Release {
+                cause,
+                stay_away_ms,
+                ..
+            } => {
                 if let Some(wait) = stay_away_ms {
                     parameter(STAY_AWAY, wait.to_string().as_bytes());
                 }
--- a/crates/platproto/tests/messages.rs
+++ b/crates/platproto/tests/messages.rs
@@ -20,7 +20,10 @@
 
 /// A good set-up in which one parameter is another; `None` leaves it out.
 fn with(code: u8, value: Option<&[u8]>) -> Vec<u8> {
-    let mut parameters: Vec<(u8, &[u8])> = SETUP.into_iter().filter(|(other, _)| *other != code).collect();
+    let mut parameters: Vec<(u8, &[u8])> = SETUP
+        .into_iter()
+        .filter(|(other, _)| *other != code)
+        .collect();
     parameters.extend(value.map(|value| (code, value)));
     message(1, 5, &parameters)
 }
@@ -28,20 +31,39 @@
 fn one(bytes: &[u8]) -> Result<FromOwner, Unusable> {
     let mut reader = owner::Reader::default();
     reader.push(bytes);
-    let message = reader.next_message().expect("it can be told apart").expect("it is whole");
+    let message = reader
+        .next_message()
+        .expect("it can be told apart")
+        .expect("it is whole");
     assert!(!reader.is_partial());
     message
 }
 
 #[test]
 fn a_set_up_is_read_whole() {
-    let Ok(FromOwner::Setup(setup)) = one(&message(1, 5, &SETUP)) else { panic!("no set-up") };
-    assert_eq!((setup.id, setup.class.as_str(), setup.left_ms), (5, "play", 1_500));
-    assert_eq!((setup.cores, setup.memory, setup.service), (1.0, 2.5, 0xb4d6_5521));
-    assert_eq!((setup.key, setup.retry, setup.at), (0x7f3a_9c21_e0b4_d655, false, None));
+    let Ok(FromOwner::Setup(setup)) = one(&message(1, 5, &SETUP)) else {
+        panic!("no set-up")
+    };
+    assert_eq!(
+        (setup.id, setup.class.as_str(), setup.left_ms),
+        (5, "play", 1_500)
+    );
+    assert_eq!(
+        (setup.cores, setup.memory, setup.service),
+        (1.0, 2.5, 0xb4d6_5521)
+    );
+    assert_eq!(
+        (setup.key, setup.retry, setup.at),
+        (0x7f3a_9c21_e0b4_d655, false, None)
+    );
     assert_eq!(setup.description, "v=0\r\nm=audio 9\r\n");
-    let handed = with(185, Some(b"cores:1;memory:2;service:00000000b4d65521;at:h-1"));
-    let Ok(FromOwner::Setup(setup)) = one(&handed) else { panic!("no set-up") };
+    let handed = with(
+        185,
+        Some(b"cores:1;memory:2;service:00000000b4d65521;at:h-1"),
+    );
+    let Ok(FromOwner::Setup(setup)) = one(&handed) else {
+        panic!("no set-up")
+    };
     assert_eq!(setup.at.as_deref(), Some("h-1"));
     // A task that stands already is handed over with the longest time there is.
     assert!(one(&with(181, Some(b"4294967"))).is_ok());
@@ -61,8 +83,17 @@
         b"cores:1;cores:1;memory:1;service:00000000b4d65521",
         b"\xff\xfe",
     ];
-    let times: &[&[u8]] =
-        &[b"", b"0", b"-5", b"soon", b"+5", b"1e3", b" 5", b"99999999999999999999", b"4294968"];
+    let times: &[&[u8]] = &[
+        b"",
+        b"0",
+        b"-5",
+        b"soon",
+        b"+5",
+        b"1e3",
+        b" 5",
+        b"99999999999999999999",
+        b"4294968",
+    ];
     let mut wrong: Vec<Vec<u8>> = figures.iter().map(|value| with(185, Some(value))).collect();
     wrong.extend(times.iter().map(|value| with(181, Some(value))));
     wrong.extend([180, 181, 184, 185, 195].map(|code| with(code, None)));
@@ -70,7 +101,11 @@
     wrong.push(with(184, Some(b"7f3a9c21e0b4d65")));
     wrong.push(with(183, Some(b"yes")));
     wrong.push(with(99, Some(b"?")));
-    wrong.push(message(1, 5, &[SETUP.as_slice(), &[(180, b"play")]].concat()));
+    wrong.push(message(
+        1,
+        5,
+        &[SETUP.as_slice(), &[(180, b"play")]].concat(),
+    ));
     wrong.push(message(123, 5, &[]));
     wrong.push(message(9, 5, &SETUP));
     wrong.push(message(12, 5, &[(194, b"16")]));
@@ -82,7 +117,10 @@
     cut.truncate(cut.len() - 1);
     let length = (cut.len() - 2) as u16;
     cut[..2].copy_from_slice(&length.to_be_bytes());
-    assert!(one(&cut).is_err(), "its last parameter is longer than the message");
+    assert!(
+        one(&cut).is_err(),
+        "its last parameter is longer than the message"
+    );
     assert!(one(&message(1, 0, &SETUP)).is_err(), "it has no id");
 }
 
@@ -99,9 +137,20 @@
 fn what_owners_are_told_has_the_platforms_numbers() {
     let refusal = ToOwner::refusal(5, Some(250)).encode();
     assert_eq!(refusal, message(12, 5, &[(186, b"250"), (194, &[FULL])]));
-    let answer = ToOwner::Answer { id: 5, description: "a\r\nb".to_owned() }.encode();
+    let answer = ToOwner::Answer {
+        id: 5,
+        description: "a\r\nb".to_owned(),
+    }
+    .encode();
     assert_eq!(answer, message(9, 5, &[(195, b"a\r\nb")]));
-    assert_eq!(ToOwner::Tested { id: 7, passed: true }.encode(), message(53, 7, &[(194, &[1])]));
+    assert_eq!(
+        ToOwner::Tested {
+            id: 7,
+            passed: true
+        }
+        .encode(),
+        message(53, 7, &[(194, &[1])])
+    );
     assert_eq!(ToOwner::Moved(7).encode(), message(51, 7, &[]));
 }
 
@@ -116,32 +165,69 @@
 fn hosts_are_understood() {
     let answer = line(r#"{"type":"answer","id":"9b1f03aa5c7e2d41","fields":{},"sdp":"x\r\n"}"#);
     let description = "x\r\n".to_owned();
-    assert_eq!(answer, Ok(Some(FromHost::Answer { id: 0x9b1f_03aa_5c7e_2d41, description })));
+    assert_eq!(
+        answer,
+        Ok(Some(FromHost::Answer {
+            id: 0x9b1f_03aa_5c7e_2d41,
+            description
+        }))
+    );
     let full = line(
         r#"{"type":"release","id":"9b1f03aa5c7e2d41","fields":{"note":"lack_ram","x0":"1.5"},"cause":34}"#,
     );
-    let Ok(Some(FromHost::Release { cause: FULL, reason, figures, .. })) = full else { panic!("{full:?}") };
+    let Ok(Some(FromHost::Release {
+        cause: FULL,
+        reason,
+        figures,
+        ..
+    })) = full
+    else {
+        panic!("{full:?}")
+    };
     assert_eq!(reason, Some(reedring::Reason::NoMemory));
     assert_eq!(figures.get("x0"), Some(&1.5));
-    let note = line(r#"{"type":"note","id":"9b1f03aa5c7e2d41","fields":{"note":"use_cpu","value":0.5}}"#);
-    assert!(matches!(note, Ok(Some(FromHost::Note { note: reedring::Note::Cores(0.5), .. }))));
+    let note =
+        line(r#"{"type":"note","id":"9b1f03aa5c7e2d41","fields":{"note":"use_cpu","value":0.5}}"#);
+    assert!(matches!(
+        note,
+        Ok(Some(FromHost::Note {
+            note: reedring::Note::Cores(0.5),
+            ..
+        }))
+    ));
     let pong = line(r#"{"type":"pong","id":"0000000000000001","fields":{},"cause":1}"#);
-    assert!(matches!(pong, Ok(Some(FromHost::Tested { id: 1, passed: true, .. }))));
+    assert!(matches!(
+        pong,
+        Ok(Some(FromHost::Tested {
+            id: 1,
+            passed: true,
+            ..
+        }))
+    ));
 }
 
 /// Seen on palermo-cluster-later: a load report is one text that lists its figures.
 #[test]
 fn a_load_report_is_read_from_one_text() {
     let pong = r#"{"type":"pong","id":"0000000000000001","fields":{"load":"x0:12.157;x1:-1.399;x2:nan;x3"},"cause":1}"#;
-    let Ok(Some(FromHost::Tested { figures, .. })) = line(pong) else { panic!("{:?}", line(pong)) };
+    let Ok(Some(FromHost::Tested { figures, .. })) = line(pong) else {
+        panic!("{:?}", line(pong))
+    };
     assert_eq!(
         figures.into_iter().collect::<Vec<_>>(),
         [("x0".to_owned(), 12.157), ("x1".to_owned(), -1.399)]
     );
-    let full =
-        r#"{"type":"release","id":"0000000000000001","fields":{"note":"backlog","load":"x0:3"},"cause":34}"#;
-    let Ok(Some(FromHost::Release { reason, figures, .. })) = line(full) else { panic!("{:?}", line(full)) };
-    assert_eq!((reason, figures.get("x0")), (Some(reedring::Reason::Crowded), Some(&3.0)));
+    let full = r#"{"type":"release","id":"0000000000000001","fields":{"note":"backlog","load":"x0:3"},"cause":34}"#;
+    let Ok(Some(FromHost::Release {
+        reason, figures, ..
+    })) = line(full)
+    else {
+        panic!("{:?}", line(full))
+    };
+    assert_eq!(
+        (reason, figures.get("x0")),
+        (Some(reedring::Reason::Crowded), Some(&3.0))
+    );
 }
 
 #[test]
@@ -178,13 +264,19 @@
     let line: serde_json::Value = serde_json::from_slice(&setup.encode()).unwrap();
     assert_eq!(line["id"], "0000000000009b1f");
     assert_eq!(line["fields"]["key"], "000000000000007f");
-    assert_eq!((&line["fields"]["idem"], &line["fields"]["left"]), (&"5c0f".into(), &"1200".into()));
+    assert_eq!(
+        (&line["fields"]["idem"], &line["fields"]["left"]),
+        (&"5c0f".into(), &"1200".into())
+    );
     assert_eq!(line["sdp"], "v=0\r\n\u{e9}");
     assert!(setup.encode().ends_with(b"\n"));
 }
 
 fn names() -> Names {
-    Names { zones: vec!["east".to_owned()], kinds: vec!["std".to_owned()] }
+    Names {
+        zones: vec!["east".to_owned()],
+        kinds: vec!["std".to_owned()],
+    }
 }
 
 fn notice(rev: u64, what: &str) -> String {
@@ -197,13 +289,25 @@
 #[test]
 fn the_board_is_read_whole_or_not_at_all() {
     let read = |rev: u64, notices: &str| {
-        Told::read(format!(r#"{{"rev":{rev},"notices":[{notices}]}}"#).as_bytes(), &names())
+        Told::read(
+            format!(r#"{{"rev":{rev},"notices":[{notices}]}}"#).as_bytes(),
+            &names(),
+        )
     };
     let told = read(4, &format!("{},{}", notice(3, ""), notice(4, ""))).unwrap();
-    assert_eq!(told.notices[1].pool.as_ref().unwrap().hosts[0].room, Some([1.5, 2.0]));
+    assert_eq!(
+        told.notices[1].pool.as_ref().unwrap().hosts[0].room,
+        Some([1.5, 2.0])
+    );
     assert!(read(4, "").is_ok());
-    assert!(read(3, &notice(4, "")).is_err(), "an event after the last one");
-    assert!(read(4, &format!("{},{}", notice(4, ""), notice(3, ""))).is_err(), "out of order");
+    assert!(
+        read(3, &notice(4, "")).is_err(),
+        "an event after the last one"
+    );
+    assert!(
+        read(4, &format!("{},{}", notice(4, ""), notice(3, ""))).is_err(),
+        "out of order"
+    );
     for (good, bad) in [
         ("east", "west"),
         ("std", "huge"),
@@ -214,7 +318,10 @@
     ] {
         let text = notice(4, "").replace(good, bad);
         assert_ne!(text, notice(4, ""));
-        assert!(read(4, &format!("{},{text}", notice(3, ""))).is_err(), "{bad}");
+        assert!(
+            read(4, &format!("{},{text}", notice(3, ""))).is_err(),
+            "{bad}"
+        );
     }
     let whole = format!(r#"{{"rev":4,"notices":[{}]}}"#, notice(4, ""));
     for cut in 0..whole.len() {
@@ -224,10 +331,14 @@
 
 #[test]
 fn a_wrong_configuration_is_told_with_its_place() {
-    for (text, place) in
-        [("", "line 1"), ("{}", "name"), (r#"{"name":"n1","listen":"here"}"#, "socket address")]
-    {
-        let error = config::Config::read(text).expect_err("it was taken").to_string();
+    for (text, place) in [
+        ("", "line 1"),
+        ("{}", "name"),
+        (r#"{"name":"n1","listen":"here"}"#, "socket address"),
+    ] {
+        let error = config::Config::read(text)
+            .expect_err("it was taken")
+            .to_string();
         assert!(error.contains(place), "{error}");
         assert!(!error.contains('\n'), "one line: {error}");
     }
--- a/crates/processes/src/address.rs
+++ b/crates/processes/src/address.rs
@@ -14,7 +14,12 @@
     let process = std::process::id();
     for _ in 0..1_000 {
         let n = LAST.fetch_add(1, Ordering::Relaxed);
-        let host = [127, 64 + (process % 128) as u8, (n / 250 + process / 128) as u8, 1 + (n % 250) as u8];
+        let host = [
+            127,
+            64 + (process % 128) as u8,
+            (n / 250 + process / 128) as u8,
+            1 + (n % 250) as u8,
+        ];
         let address = SocketAddr::from((host, 4_710));
         match TcpListener::bind(address) {
             Ok(_) => return Ok(address),
--- a/crates/processes/src/program.rs
+++ b/crates/processes/src/program.rs
@@ -110,7 +110,10 @@
             None => Command::new(program),
             Some(limit) => {
                 let mut command = Command::new("sh");
-                command.arg("-c").arg(format!("{limit}; exec \"$0\" \"$@\"")).arg(program);
+                command
+                    .arg("-c")
+                    .arg(format!("{limit}; exec \"$0\" \"$@\""))
+                    .arg(program);
                 command
             }
         };
@@ -123,19 +126,39 @@
     ///
     /// # Errors
     /// Where the process can't be made.
-    pub fn start_with_input(program: &Path, name: &str, arguments: &[&str]) -> Result<Self, ProcessError> {
+    pub fn start_with_input(
+        program: &Path,
+        name: &str,
+        arguments: &[&str],
+    ) -> Result<Self, ProcessError> {
         let mut command = Command::new(program);
         command.args(arguments).stdin(Stdio::piped());
         Self::spawn(name, command)
     }
 
     fn spawn(name: &str, mut command: Command) -> Result<Self, ProcessError> {
-        let mut child = command.stdout(Stdio::piped()).stderr(Stdio::piped()).spawn()?;
+        let mut child = command
+            .stdout(Stdio::piped())
+            .stderr(Stdio::piped())
+            .spawn()?;
         let lines = Shared::default();
-        child.stdout.take().into_iter().for_each(|out| gather(&lines, out));
-        child.stderr.take().into_iter().for_each(|err| gather(&lines, err));
+        child
+            .stdout
+            .take()
+            .into_iter()
+            .for_each(|out| gather(&lines, out));
+        child
+            .stderr
+            .take()
+            .into_iter()
+            .for_each(|err| gather(&lines, err));
         let input = child.stdin.take();
-        Ok(Self { name: name.to_owned(), child, input, lines })
+        Ok(Self {
+            name: name.to_owned(),
+            child,
+            input,
+            lines,
+        })
     }
 
     /// Writes a line to its standard input.
@@ -194,9 +217,18 @@
                 let telling = lines.all.iter().filter(|line| !line.contains("holding"));
                 let telling: Vec<String> = telling.cloned().collect();
                 let last = &telling[telling.len().saturating_sub(16)..];
-                return Err(ProcessError::Silent(self.name.clone(), what.to_owned(), last.join("\n")));
+                return Err(ProcessError::Silent(
+                    self.name.clone(),
+                    what.to_owned(),
+                    last.join("\n"),
+                ));
             }
-            lines = self.lines.1.wait_timeout(lines, left).unwrap_or_else(PoisonError::into_inner).0;
+            lines = self
+                .lines
+                .1
+                .wait_timeout(lines, left)
+                .unwrap_or_else(PoisonError::into_inner)
+                .0;
         }
     }
 
@@ -235,9 +267,18 @@
         while lines.open > 0 {
             let left = until.saturating_duration_since(Instant::now());
             if left.is_zero() {
-                return Err(ProcessError::Silent(self.name.clone(), "its end".to_owned(), String::new()));
+                return Err(ProcessError::Silent(
+                    self.name.clone(),
+                    "its end".to_owned(),
+                    String::new(),
+                ));
             }
-            lines = self.lines.1.wait_timeout(lines, left).unwrap_or_else(PoisonError::into_inner).0;
+            lines = self
+                .lines
+                .1
+                .wait_timeout(lines, left)
+                .unwrap_or_else(PoisonError::into_inner)
+                .0;
         }
         Ok(())
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -12,6 +12,6 @@
 pub use nodes::{Health, NodeEntry, NodeList};
 pub use problem::{Problem, Problems};
 pub use settings::{
-    Address, Category, Class, ComesAgain, DISK_WAIT_US, Kind, Limits, Links, OWN_TABLES, PLAN_TABLES,
-    PlanOwn, Reports, Settings, Site, Spread, State, WhenLost, whose_tables,
+    Address, Category, Class, ComesAgain, DISK_WAIT_US, Kind, Limits, Links, OWN_TABLES,
+    PLAN_TABLES, PlanOwn, Reports, Settings, Site, Spread, State, WhenLost, whose_tables,
 };
--- a/crates/settings/src/nodes.rs
+++ b/crates/settings/src/nodes.rs
@@ -121,9 +121,11 @@
         toml::Value::Integer(number) => Attr::Number(*number as f64),
         toml::Value::Float(number) if number.is_finite() => Attr::Number(*number),
         toml::Value::Boolean(yes) => Attr::Text(yes.to_string()),
-        toml::Value::Array(all) => {
-            Attr::Set(all.iter().map(|one| one.as_str().map(str::to_owned)).collect::<Option<_>>()?)
-        }
+        toml::Value::Array(all) => Attr::Set(
+            all.iter()
+                .map(|one| one.as_str().map(str::to_owned))
+                .collect::<Option<_>>()?,
+        ),
         _ => return None,
     })
 }
@@ -136,10 +138,17 @@
     });
     let marked: Vec<_> = marked.collect();
     if let Some((n, _, span)) = marked.first()
-        && marked.iter().all(|(_, node, _)| node.health == Health::Gone)
+        && marked
+            .iter()
+            .all(|(_, node, _)| node.health == Health::Gone)
     {
-        let message = "every control machine is gone, and no plan could be voted on; mark one that is up";
-        check.wrong(span.clone(), format!("node[{n}].control"), message.to_owned());
+        let message =
+            "every control machine is gone, and no plan could be voted on; mark one that is up";
+        check.wrong(
+            span.clone(),
+            format!("node[{n}].control"),
+            message.to_owned(),
+        );
     }
 }
 
@@ -157,7 +166,11 @@
         let mut check = Checker::new(file, text);
         let read: File = check.read()?;
         check.names(read.node.iter().map(|node| &node.name), "node");
-        let kinds: Vec<&str> = settings.kinds.iter().map(|kind| kind.name.as_str()).collect();
+        let kinds: Vec<&str> = settings
+            .kinds
+            .iter()
+            .map(|kind| kind.name.as_str())
+            .collect();
         let mut nodes: Vec<NodeEntry> = Vec::new();
         for (n, node) in read.node.iter().enumerate() {
             let key = |field: &str| format!("node[{n}].{field}");
@@ -175,7 +188,10 @@
                 Some(kind) => check.find(kind, &kinds, &key("kind"), "kind"),
                 None if kinds.len() <= 1 => Some(0),
                 None => {
-                    let fix = format!("the settings name several kinds; write one of {}", kinds.join(", "));
+                    let fix = format!(
+                        "the settings name several kinds; write one of {}",
+                        kinds.join(", ")
+                    );
                     check.wrong(node.name.span(), key("kind"), fix);
                     None
                 }
@@ -198,12 +214,18 @@
                 hall: node.hall.clone(),
                 attrs,
                 health: node.health,
-                control: node.control.as_ref().is_some_and(|control| *control.get_ref()),
+                control: node
+                    .control
+                    .as_ref()
+                    .is_some_and(|control| *control.get_ref()),
                 free_cores: node.free_cores,
                 free_memory: node.free_memory,
             });
         }
         check_control(&mut check, &read.node);
-        check.finish(Self { revision: read.revision, nodes })
+        check.finish(Self {
+            revision: read.revision,
+            nodes,
+        })
     }
 }
--- a/crates/settings/src/settings/mod.rs
+++ b/crates/settings/src/settings/mod.rs
@@ -19,8 +19,8 @@
 pub use self::plan::{OWN_TABLES, PLAN_TABLES, whose_tables};
 use self::tables::{ClassTable, File, KindTable};
 pub use self::types::{
-    Address, Category, Class, ComesAgain, Kind, Limits, Links, PlanOwn, Reports, Settings, Site, Spread,
-    State, WhenLost,
+    Address, Category, Class, ComesAgain, Kind, Limits, Links, PlanOwn, Reports, Settings, Site,
+    Spread, State, WhenLost,
 };
 use crate::problem::{Checker, Problems};
 
@@ -43,10 +43,17 @@
         check.names(read.class.iter().map(|class| &class.name), "class");
         check.names(read.kind.iter().map(|kind| &kind.name), "kind");
         check.names(read.tenant.iter().map(|tenant| &tenant.name), "tenant");
-        check.names(read.category.iter().map(|category| &category.name), "category");
+        check.names(
+            read.category.iter().map(|category| &category.name),
+            "category",
+        );
         let listen = address(&read.placer.listen, &mut check);
         let site = read.site.check(&mut check);
-        let kinds: Vec<&str> = read.kind.iter().map(|kind| kind.name.get_ref().as_str()).collect();
+        let kinds: Vec<&str> = read
+            .kind
+            .iter()
+            .map(|kind| kind.name.get_ref().as_str())
+            .collect();
         let class = |(n, class): (usize, &ClassTable)| class.check(n, &kinds, &site, &mut check);
         let classes: Vec<Class> = read.class.iter().enumerate().map(class).collect();
         if classes.is_empty() {
@@ -61,18 +68,32 @@
             check.positive(Some(&kind.memory), &format!("kind[{n}].memory"));
         }
         let class_names: Vec<&str> = classes.iter().map(|class| class.name.as_str()).collect();
-        let mut tenants: Vec<String> = read.tenant.iter().map(|t| t.name.get_ref().clone()).collect();
+        let mut tenants: Vec<String> = read
+            .tenant
+            .iter()
+            .map(|t| t.name.get_ref().clone())
+            .collect();
         if tenants.is_empty() {
             tenants.push("default".to_owned());
         }
         let tenant_names: Vec<&str> = tenants.iter().map(String::as_str).collect();
-        check.names(read.constraint.iter().map(|constraint| &constraint.name), "constraint");
+        check.names(
+            read.constraint.iter().map(|constraint| &constraint.name),
+            "constraint",
+        );
         let mut constraints = BTreeMap::new();
         for (n, constraint) in read.constraint.iter().enumerate() {
             if let Err(mistake) = Constraint::parse(constraint.text.get_ref()) {
-                check.wrong(constraint.text.span(), format!("constraint[{n}].text"), mistake.to_string());
+                check.wrong(
+                    constraint.text.span(),
+                    format!("constraint[{n}].text"),
+                    mistake.to_string(),
+                );
             }
-            constraints.insert(constraint.name.get_ref().clone(), constraint.text.get_ref().clone());
+            constraints.insert(
+                constraint.name.get_ref().clone(),
+                constraint.text.get_ref().clone(),
+            );
         }
         let mut categories = Vec::new();
         for (n, category) in read.category.iter().enumerate() {
@@ -85,19 +106,27 @@
                 }
             };
             let used = |name: &str| constraints.get(name).map(String::as_str);
-            if let Some(Err(mistake)) =
-                native.constraint.as_deref().map(|text| Constraint::parse_with(text, used))
+            if let Some(Err(mistake)) = native
+                .constraint
+                .as_deref()
+                .map(|text| Constraint::parse_with(text, used))
             {
                 check.wrong(category.native.span(), key.clone(), mistake.to_string());
             }
-            let named = |name: &Option<String>| name.clone().map(|n| Spanned::new(category.native.span(), n));
+            let named = |name: &Option<String>| {
+                name.clone()
+                    .map(|n| Spanned::new(category.native.span(), n))
+            };
             if let Some(name) = named(&native.class) {
                 check.find(&name, &class_names, &key, "class");
             }
             if let Some(name) = named(&native.tenant) {
                 check.find(&name, &tenant_names, &key, "tenant");
             }
-            let (name, text) = (category.name.get_ref().clone(), category.native.get_ref().clone());
+            let (name, text) = (
+                category.name.get_ref().clone(),
+                category.native.get_ref().clone(),
+            );
             categories.push(Category { name, native, text });
         }
         let kind = |kind: &KindTable| Kind {
@@ -154,7 +183,11 @@
         Ok(address) => Address::Tcp(address),
         Err(_) => {
             let fix = "write `127.0.0.1:4710`, `[::1]:4710` or `unix:/path/to/socket`";
-            check.wrong(listen.span(), "placer.listen", format!("`{text}` is no address; {fix}"));
+            check.wrong(
+                listen.span(),
+                "placer.listen",
+                format!("`{text}` is no address; {fix}"),
+            );
             Address::Tcp(loopback)
         }
     }
--- a/crates/settings/src/settings/module.rs
+++ b/crates/settings/src/settings/module.rs
@@ -29,7 +29,10 @@
             spread: class.spread.map(|spread| (spread.over, spread.most)),
             calm: class.calm,
         };
-        let kind = |kind: &Kind| module::Kind { cores: Some(kind.cores), memory: Some(kind.memory) };
+        let kind = |kind: &Kind| module::Kind {
+            cores: Some(kind.cores),
+            memory: Some(kind.memory),
+        };
         let site = &self.site;
         let jitter = self.jitter_us();
         module::Settings {
@@ -58,7 +61,10 @@
                 cold_offers: site.cold_offers,
                 must_ask_us: None,
             },
-            prices: module::Prices { fleet: site.price_fleet, cross_zone: site.price_cross_hall },
+            prices: module::Prices {
+                fleet: site.price_fleet,
+                cross_zone: site.price_cross_hall,
+            },
         }
     }
 }
--- a/crates/settings/src/settings/plan.rs
+++ b/crates/settings/src/settings/plan.rs
@@ -44,9 +44,20 @@
         line("placers", site.placers.to_string());
         line("accepts_cores", format!("{:?}", site.accepts_cores));
         line("accepts_memory", format!("{:?}", site.accepts_memory));
-        site.mean_cores.iter().for_each(|mean| line("mean_cores", format!("{mean:?}")));
-        site.mean_memory.iter().for_each(|mean| line("mean_memory", format!("{mean:?}")));
-        line("yes_when", text(if site.yes_when_running { "running" } else { "accepted" }));
+        site.mean_cores
+            .iter()
+            .for_each(|mean| line("mean_cores", format!("{mean:?}")));
+        site.mean_memory
+            .iter()
+            .for_each(|mean| line("mean_memory", format!("{mean:?}")));
+        line(
+            "yes_when",
+            text(if site.yes_when_running {
+                "running"
+            } else {
+                "accepted"
+            }),
+        );
         let reports = match site.reports.style {
             ReportStyle::Never => "never",
             ReportStyle::Answers => "answers",
@@ -60,20 +71,39 @@
         };
         let fields: Vec<&str> = site.reports.fields.iter().map(field).collect();
         line("report_fields", format!("[{}]", fields.join(", ")));
-        line("report_counts", text(if site.reports.counts_asks { "asked" } else { "used" }));
+        line(
+            "report_counts",
+            text(if site.reports.counts_asks {
+                "asked"
+            } else {
+                "used"
+            }),
+        );
         line("max_attempts", site.max_attempts.to_string());
         line("may_probe", site.may_probe.to_string());
         line("drain_grace", time(site.drain_grace_us));
-        site.warm_after_us.iter().for_each(|us| line("warm_after", time(*us)));
-        site.cold_window_us.iter().for_each(|us| line("cold_window", time(*us)));
-        site.cold_offers.iter().for_each(|offers| line("cold_offers", format!("{offers:?}")));
-        site.price_fleet.iter().for_each(|price| line("price_fleet", format!("{price:?}")));
-        site.price_cross_hall.iter().for_each(|price| line("price_cross_hall", format!("{price:?}")));
+        site.warm_after_us
+            .iter()
+            .for_each(|us| line("warm_after", time(*us)));
+        site.cold_window_us
+            .iter()
+            .for_each(|us| line("cold_window", time(*us)));
+        site.cold_offers
+            .iter()
+            .for_each(|offers| line("cold_offers", format!("{offers:?}")));
+        site.price_fleet
+            .iter()
+            .for_each(|price| line("price_fleet", format!("{price:?}")));
+        site.price_cross_hall
+            .iter()
+            .for_each(|price| line("price_cross_hall", format!("{price:?}")));
         for kind in &self.kinds {
             let _ = writeln!(out, "\n[[kind]]\nname = {}", text(&kind.name));
             let _ = writeln!(out, "cores = {:?}\nmemory = {:?}", kind.cores, kind.memory);
         }
-        self.classes.iter().for_each(|class| class_text(class, &self.kinds, &mut out));
+        self.classes
+            .iter()
+            .for_each(|class| class_text(class, &self.kinds, &mut out));
         for tenant in &self.tenants {
             let _ = writeln!(out, "\n[[tenant]]\nname = {}", text(tenant));
         }
@@ -82,7 +112,12 @@
             let _ = writeln!(out, "\n[[category]]\nname = {name}\nnative = {native}");
         }
         for (name, constraint) in &self.constraints {
-            let _ = writeln!(out, "\n[[constraint]]\nname = {}\ntext = {}", text(name), text(constraint));
+            let _ = writeln!(
+                out,
+                "\n[[constraint]]\nname = {}\ntext = {}",
+                text(name),
+                text(constraint)
+            );
         }
         out
     }
@@ -92,7 +127,9 @@
     /// # Errors
     /// Where its text is over the bound.
     pub fn plan(&self) -> Result<Option<Kept>, Problems> {
-        let Some(plan) = &self.plan else { return Ok(None) };
+        let Some(plan) = &self.plan else {
+            return Ok(None);
+        };
         let kept = Kept::new(plan.number, &self.plan_text());
         let wrong = |message: String| Problems(vec![Problem::of("plan", "plan.number", message)]);
         kept.map(Some).map_err(|error| wrong(error.to_string()))
@@ -105,13 +142,23 @@
     pub fn with_plan(&self, plan: &str, from: &str) -> Result<Self, Problems> {
         let tables: toml::Table = toml::from_str(plan)
             .map_err(|error| Problems(vec![Problem::of(from, "", error.message().to_owned())]))?;
-        if let Some(name) = tables.keys().find(|name| !PLAN_TABLES.contains(&name.as_str())) {
-            let message = format!("a plan has no table `{name}`; it has {}", PLAN_TABLES.join(", "));
+        if let Some(name) = tables
+            .keys()
+            .find(|name| !PLAN_TABLES.contains(&name.as_str()))
+        {
+            let message = format!(
+                "a plan has no table `{name}`; it has {}",
+                PLAN_TABLES.join(", ")
+            );
             return Err(Problems(vec![Problem::of(from, name, message)]));
         }
         // The plan stands first, so that its lines are those of the error.
         let new = Self::parse(&format!("{plan}\n{}", self.own), from)?;
-        Ok(Self { own: self.own.clone(), state: self.state.clone(), ..new })
+        Ok(Self {
+            own: self.own.clone(),
+            state: self.state.clone(),
+            ..new
+        })
     }
 
     /// The own tables that another reading of the file has otherwise, apart from the plan's number: they are taken up
@@ -125,13 +172,18 @@
             tables
         };
         let (own, other) = (own(self), own(other));
-        OWN_TABLES.into_iter().filter(|name| own.get(*name) != other.get(*name)).collect()
+        OWN_TABLES
+            .into_iter()
+            .filter(|name| own.get(*name) != other.get(*name))
+            .collect()
     }
 
     /// What the plan binds.
     pub fn bounds(&self) -> Bounds {
         let class = |class: &Class| {
-            let kind = class.kind.and_then(|kind| self.kinds.get(usize::from(kind)));
+            let kind = class
+                .kind
+                .and_then(|kind| self.kinds.get(usize::from(kind)));
             let bounds = ClassBounds {
                 repeat: match class.effect {
                     Effect::Safe => wire::Repeat::Safe,
@@ -163,7 +215,11 @@
             cold_offers: site.cold_offers,
             yes_when_running: site.yes_when_running,
             classes: self.classes.iter().map(class).collect(),
-            kinds: self.kinds.iter().map(|kind| (kind.name.clone(), (kind.cores, kind.memory))).collect(),
+            kinds: self
+                .kinds
+                .iter()
+                .map(|kind| (kind.name.clone(), (kind.cores, kind.memory)))
+                .collect(),
         }
     }
 
@@ -177,7 +233,9 @@
         }
         let kinds: Vec<String> = new.kinds.iter().map(|kind| kind.name.clone()).collect();
         for class in &mut new.classes {
-            let Some(bound) = bounds.classes.get(&class.name) else { continue };
+            let Some(bound) = bounds.classes.get(&class.name) else {
+                continue;
+            };
             class.effect = match bound.repeat {
                 wire::Repeat::Safe => Effect::Safe,
                 wire::Repeat::Keyed => Effect::Keyed,
@@ -185,9 +243,15 @@
             };
             (class.group, class.drops) = (ungroup(bound.resend), ungroup(bound.drops));
             class.window_us = bound.window_us;
-            let kind = bound.kind.as_ref().and_then(|name| kinds.iter().position(|kind| kind == name));
+            let kind = bound
+                .kind
+                .as_ref()
+                .and_then(|name| kinds.iter().position(|kind| kind == name));
             class.kind = kind.map(|kind| kind as u16);
-            class.spread = bound.spread.map(|(over, most)| Spread { over: unover(over), most });
+            class.spread = bound.spread.map(|(over, most)| Spread {
+                over: unover(over),
+                most,
+            });
             class.comes_again = match bound.again {
                 Again::Always => ComesAgain::Always,
                 Again::Ended => ComesAgain::Ended,
@@ -217,19 +281,36 @@
         }
         let number = |kind: u16| {
             let name = &self.kinds[usize::from(kind)].name;
-            kinds.iter().position(|kind| kind.name == *name).unwrap_or(0) as u16
+            kinds
+                .iter()
+                .position(|kind| kind.name == *name)
+                .unwrap_or(0) as u16
         };
-        let mut classes: Vec<Class> =
-            used.classes.iter().map(|class| Class { closed: true, ..class.clone() }).collect();
+        let mut classes: Vec<Class> = used
+            .classes
+            .iter()
+            .map(|class| Class {
+                closed: true,
+                ..class.clone()
+            })
+            .collect();
         for class in &self.classes {
-            let class = Class { kind: class.kind.map(number), ..class.clone() };
+            let class = Class {
+                kind: class.kind.map(number),
+                ..class.clone()
+            };
             match classes.iter_mut().find(|old| old.name == class.name) {
                 Some(old) => *old = class,
                 None => classes.push(class),
             }
         }
         let mut tenants = used.tenants.clone();
-        tenants.extend(self.tenants.iter().filter(|tenant| !used.tenants.contains(tenant)).cloned());
+        tenants.extend(
+            self.tenants
+                .iter()
+                .filter(|tenant| !used.tenants.contains(tenant))
+                .cloned(),
+        );
         (new.kinds, new.classes, new.tenants) = (kinds, classes, tenants);
         new
     }
@@ -253,21 +334,31 @@
             Group::Cell => "rack",
         };
         line("group", text(group));
-        class.window_us.iter().for_each(|us| line("window", time(*us)));
+        class
+            .window_us
+            .iter()
+            .for_each(|us| line("window", time(*us)));
     }
     line("aim", time(class.aim_us));
     line("give_up", time(class.give_up_us));
     let kind = class.kind.and_then(|kind| kinds.get(usize::from(kind)));
-    kind.into_iter().for_each(|kind| line("kind", text(&kind.name)));
+    kind.into_iter()
+        .for_each(|kind| line("kind", text(&kind.name)));
     if let Some(spread) = class.spread {
         let over = match spread.over {
             Place::Machine => "machine",
             Place::Cell => "rack",
             Place::Zone => "hall",
         };
-        line("spread", format!("{{ over = {}, most = {} }}", text(over), spread.most));
+        line(
+            "spread",
+            format!("{{ over = {}, most = {} }}", text(over), spread.most),
+        );
     }
-    class.calm.iter().for_each(|calm| line("calm", format!("{calm:?}")));
+    class
+        .calm
+        .iter()
+        .for_each(|calm| line("calm", format!("{calm:?}")));
     let again = match class.comes_again {
         ComesAgain::Always => "always",
         ComesAgain::Ended => "ended",
@@ -314,6 +405,15 @@
 /// The names of the tables and whose they are, for whoever checks a file.
 pub fn whose_tables(file: &str) -> BTreeMap<String, &'static str> {
     let tables: toml::Table = toml::from_str(file).unwrap_or_default();
-    let whose = |name: &str| if PLAN_TABLES.contains(&name) { "the plan" } else { "the placer's own" };
-    tables.keys().map(|name| (name.clone(), whose(name))).collect()
+    let whose = |name: &str| {
+        if PLAN_TABLES.contains(&name) {
+            "the plan"
+        } else {
+            "the placer's own"
+        }
+    };
+    tables
+        .keys()
+        .map(|name| (name.clone(), whose(name)))
+        .collect()
 }
--- a/crates/settings/src/settings/types.rs
+++ b/crates/settings/src/settings/types.rs
@@ -200,7 +200,12 @@
 impl State {
     /// The usual, in this folder.
     pub fn in_folder(folder: PathBuf) -> Self {
-        Self { folder, when_lost: WhenLost::Warn, learn_us: 10_000_000, retry_us: 5_000_000 }
+        Self {
+            folder,
+            when_lost: WhenLost::Warn,
+            learn_us: 10_000_000,
+            retry_us: 5_000_000,
+        }
     }
 }
 
--- a/crates/settings/tests/plan.rs
+++ b/crates/settings/tests/plan.rs
@@ -17,7 +17,11 @@
     assert_eq!(back, settings);
     assert_eq!(back.plan().unwrap().unwrap(), plan);
     assert_eq!(back.bounds(), settings.bounds());
-    assert_eq!(settings.bound_by(&settings.bounds()), settings, "its own bounds change nothing");
+    assert_eq!(
+        settings.bound_by(&settings.bounds()),
+        settings,
+        "its own bounds change nothing"
+    );
 }
 
 #[test]
@@ -42,7 +46,10 @@
     ];
     for text in other {
         assert_ne!(text, EXAMPLE);
-        assert_ne!(parse(&text).plan().unwrap().unwrap().version().digest, base.digest);
+        assert_ne!(
+            parse(&text).plan().unwrap().unwrap().version().digest,
+            base.digest
+        );
     }
 }
 
@@ -65,10 +72,18 @@
     let settings = parse(EXAMPLE);
     let text = settings.plan_text();
     let wrong = |text: &str| settings.with_plan(text, "plan 2").unwrap_err().to_string();
-    assert!(wrong(&format!("{text}\n[limits]\nconnections = 1\n")).contains("a plan has no table `limits`"));
+    assert!(
+        wrong(&format!("{text}\n[limits]\nconnections = 1\n"))
+            .contains("a plan has no table `limits`")
+    );
     assert!(wrong(&text.replace("placers = 1", "placers = 0")).contains("plan 2:2: site.placers"));
-    assert!(wrong(&text.replace("placers = 1", "placers = 1\nnew_figure = 3")).contains("new_figure"));
-    for cut in (0..text.len()).step_by(7).filter(|cut| text.is_char_boundary(*cut)) {
+    assert!(
+        wrong(&text.replace("placers = 1", "placers = 1\nnew_figure = 3")).contains("new_figure")
+    );
+    for cut in (0..text.len())
+        .step_by(7)
+        .filter(|cut| text.is_char_boundary(*cut))
+    {
         let _ = settings.with_plan(&text[..cut], "plan 2");
     }
 }
@@ -82,16 +97,31 @@
     let (play, tail) = rest.split_once("[[class]]").unwrap();
     let (classes, tenants) = tail.split_once("[[tenant]]").unwrap();
     let renamed = play.replace("aim = \"700ms\"", "aim = \"650ms\"");
-    let new = format!("{head}[[class]]{classes}[[class]]\nname = \"listen\"{renamed}[[tenant]]{tenants}");
+    let new =
+        format!("{head}[[class]]{classes}[[class]]\nname = \"listen\"{renamed}[[tenant]]{tenants}");
     let new = used.with_plan(&new, "plan 2").unwrap();
     assert_eq!(
-        new.classes.iter().map(|class| &class.name[..]).collect::<Vec<_>>(),
+        new.classes
+            .iter()
+            .map(|class| &class.name[..])
+            .collect::<Vec<_>>(),
         ["capture", "edition", "listen"]
     );
     let told = new.in_numbers_of(&used);
-    let names: Vec<(&str, bool)> =
-        told.classes.iter().map(|Class { name, closed, .. }| (&name[..], *closed)).collect();
-    assert_eq!(names, [("play", true), ("capture", false), ("edition", false), ("listen", false)]);
+    let names: Vec<(&str, bool)> = told
+        .classes
+        .iter()
+        .map(|Class { name, closed, .. }| (&name[..], *closed))
+        .collect();
+    assert_eq!(
+        names,
+        [
+            ("play", true),
+            ("capture", false),
+            ("edition", false),
+            ("listen", false)
+        ]
+    );
     assert_eq!(told.classes[2].kind, used.classes[2].kind);
     assert_eq!((&told.kinds, &told.tenants), (&used.kinds, &used.tenants));
 }
@@ -114,12 +144,20 @@
 \\\\'
 """
 "#####;
-    let number = |number: u64, text: &str| text.replace("number = 1", &format!("number = {number}"));
+    let number =
+        |number: u64, text: &str| text.replace("number = 1", &format!("number = {number}"));
     let plan = |text: &str| parse(text).plan().unwrap().unwrap();
     let first = plan(EXAMPLE);
     let second = plan(&number(2, &format!("{EXAMPLE}{ODD}")));
-    let third = plan(&number(3, &EXAMPLE.replace("cold_offers = 40.0", "cold_offers = 41.0")));
-    assert!(second.text().contains("\n\n[[tenant]]\nname = \"y\"\n"), "{}", second.text());
+    let third = plan(&number(
+        3,
+        &EXAMPLE.replace("cold_offers = 40.0", "cold_offers = 41.0"),
+    ));
+    assert!(
+        second.text().contains("\n\n[[tenant]]\nname = \"y\"\n"),
+        "{}",
+        second.text()
+    );
     for (base, target, edits) in [(&first, &second, 2), (&second, &third, 3)] {
         let delta = between(base, target).unwrap();
         assert_eq!(delta.edits.len(), edits, "{:?}", delta.edits);
--- a/crates/site/src/badday.rs
+++ b/crates/site/src/badday.rs
@@ -144,7 +144,11 @@
 enum Step {
     Kill(String),
     Start(String),
-    List { node: String, health: Option<&'static str>, quiet: bool },
+    List {
+        node: String,
+        health: Option<&'static str>,
+        quiet: bool,
+    },
     Hand(String, bool),
     Fault(String, Verb, Option<Trouble>),
     Pause(String, bool),
@@ -182,7 +186,9 @@
 fn span(text: &str, key: &str) -> Result<Duration, BadDayError> {
     let us = duration_us(text);
     us.map(Duration::from_micros).ok_or_else(|| {
-        BadDayError::Script(format!("{key}: `{text}` is not a time such as \"250ms\" or \"20s\""))
+        BadDayError::Script(format!(
+            "{key}: `{text}` is not a time such as \"250ms\" or \"20s\""
+        ))
     })
 }
 
@@ -203,7 +209,10 @@
         // The same checks as for a fleet's own file.
         let names: Vec<&str> = script.node.iter().map(|node| node.name.as_str()).collect();
         if let Some(n) = (1..names.len()).find(|n| names[..*n].contains(&names[*n])) {
-            return Err(BadDayError::Script(format!("{file}: node `{}` stands twice", names[n])));
+            return Err(BadDayError::Script(format!(
+                "{file}: node `{}` stands twice",
+                names[n]
+            )));
         }
         Ok(script)
     }
@@ -211,7 +220,10 @@
     fn picked(&self, event: &Event, draw: &mut Pcg32) -> Result<Vec<String>, BadDayError> {
         let all: Vec<String> = self.node.iter().map(|node| node.name.clone()).collect();
         if let Some(odd) = event.nodes.iter().find(|name| !all.contains(name)) {
-            return Err(BadDayError::Script(format!("event at {}: there is no node `{odd}`", event.at)));
+            return Err(BadDayError::Script(format!(
+                "event at {}: there is no node `{odd}`",
+                event.at
+            )));
         }
         if !event.nodes.is_empty() {
             return Ok(event.nodes.clone());
@@ -229,7 +241,9 @@
         }
         let mut left = all;
         let count = event.count.unwrap_or(1).min(left.len());
-        Ok((0..count).map(|_| left.remove(draw.next_u32() as usize % left.len())).collect())
+        Ok((0..count)
+            .map(|_| left.remove(draw.next_u32() as usize % left.len()))
+            .collect())
     }
 
     /// The events as single steps, by the time at which they are made.
@@ -237,16 +251,24 @@
         let mut steps: Vec<(Duration, Step)> = Vec::new();
         for event in &self.event {
             let at = span(&event.at, "at")?;
-            let lasts =
-                event.r#for.as_deref().map_or(Ok(Duration::from_secs(1)), |text| span(text, "for"))?;
+            let lasts = event
+                .r#for
+                .as_deref()
+                .map_or(Ok(Duration::from_secs(1)), |text| span(text, "for"))?;
             let end = at + lasts;
             let factor = event.factor.unwrap_or(2.0);
-            let listed =
-                |node: &str, health| Step::List { node: node.to_owned(), health, quiet: event.quiet };
+            let listed = |node: &str, health| Step::List {
+                node: node.to_owned(),
+                health,
+                quiet: event.quiet,
+            };
             let nodes = self.picked(event, draw)?;
             let placer = match &event.placer {
                 Some(name) => name.clone(),
-                None => format!("placer-{}", 1 + draw.next_u32() as usize % self.placers.max(1)),
+                None => format!(
+                    "placer-{}",
+                    1 + draw.next_u32() as usize % self.placers.max(1)
+                ),
             };
             match event.r#do {
                 Verb::Crash => nodes.into_iter().for_each(|node| {
@@ -274,13 +296,19 @@
                     steps.push((at, Step::Hand(node.clone(), true)));
                     steps.push((end, Step::Hand(node, false)));
                 }),
-                Verb::Hang | Verb::Deaf | Verb::Throttle | Verb::Slow => nodes.into_iter().for_each(|node| {
-                    let class = event.class.clone().unwrap_or_default();
-                    let tenant = event.tenant.clone().unwrap_or_default();
-                    let trouble = Some(Trouble { class, tenant, factor });
-                    steps.push((at, Step::Fault(node.clone(), event.r#do, trouble)));
-                    steps.push((end, Step::Fault(node, event.r#do, None)));
-                }),
+                Verb::Hang | Verb::Deaf | Verb::Throttle | Verb::Slow => {
+                    nodes.into_iter().for_each(|node| {
+                        let class = event.class.clone().unwrap_or_default();
+                        let tenant = event.tenant.clone().unwrap_or_default();
+                        let trouble = Some(Trouble {
+                            class,
+                            tenant,
+                            factor,
+                        });
+                        steps.push((at, Step::Fault(node.clone(), event.r#do, trouble)));
+                        steps.push((end, Step::Fault(node, event.r#do, None)));
+                    })
+                }
                 Verb::Pause => nodes.into_iter().for_each(|node| {
                     steps.push((at, Step::Pause(node.clone(), true)));
                     steps.push((end, Step::Pause(node, false)));
@@ -358,7 +386,11 @@
         })?;
         let mut owners = Owners::open(&site, &self.demand, seed)?;
         let lasts = span(&self.lasts, "lasts")?;
-        let mut player = Player { troubles: BTreeMap::new(), draw: Pcg32::new(seed, 3), stays: Vec::new() };
+        let mut player = Player {
+            troubles: BTreeMap::new(),
+            draw: Pcg32::new(seed, 3),
+            stays: Vec::new(),
+        };
         let start = Instant::now();
         for (at, step) in self.steps(&mut Pcg32::new(seed, 2))? {
             sleep(at.saturating_sub(start.elapsed()));
@@ -374,7 +406,12 @@
         };
         let frames = reedring_audit::read(&bytes)?;
         let report = reedring_audit::audit(&frames);
-        Ok(Day { report, tally, took: began.elapsed(), frames: frames.len() })
+        Ok(Day {
+            report,
+            tally,
+            took: began.elapsed(),
+            frames: frames.len(),
+        })
     }
 }
 
@@ -387,7 +424,12 @@
 }
 
 impl Player {
-    fn make(&mut self, site: &mut Site, owners: &mut Owners, step: Step) -> Result<(), BadDayError> {
+    fn make(
+        &mut self,
+        site: &mut Site,
+        owners: &mut Owners,
+        step: Step,
+    ) -> Result<(), BadDayError> {
         let note = |site: &Site, words: String| {
             if let Some(recorder) = site.recorder() {
                 recorder.record(Record::Script, "", "", 0, words.as_bytes());
@@ -405,8 +447,15 @@
                 self.troubles.remove(&node);
                 site.start_node(&node)?;
             }
-            Step::List { node, health, quiet } => {
-                note(site, format!("{node} is listed {}", health.unwrap_or("no more")));
+            Step::List {
+                node,
+                health,
+                quiet,
+            } => {
+                note(
+                    site,
+                    format!("{node} is listed {}", health.unwrap_or("no more")),
+                );
                 if let Some(handle) = site.node(&node).filter(|_| !quiet) {
                     handle.drain(health != Some("ready"));
                 }
@@ -420,15 +469,21 @@
                     .collect();
                 for contact in contacts {
                     // A placer that is down just now is not told; its successor knows of no hand.
-                    let told =
-                        Operator::connect(&contact).and_then(|mut operator| operator.drain(&node, drain));
+                    let told = Operator::connect(&contact)
+                        .and_then(|mut operator| operator.drain(&node, drain));
                     if let Err(error) = told {
                         tracing::warn!(%error, "the drain was not told");
                     }
                 }
             }
             Step::Fault(node, verb, trouble) => {
-                note(site, format!("{node}: {verb:?} {}", if trouble.is_some() { "on" } else { "off" }));
+                note(
+                    site,
+                    format!(
+                        "{node}: {verb:?} {}",
+                        if trouble.is_some() { "on" } else { "off" }
+                    ),
+                );
                 let fault = self.troubles.entry(node.clone()).or_default();
                 match (verb, trouble) {
                     (Verb::Hang, on) => fault.hangs = on.is_some(),
@@ -465,7 +520,10 @@
                 owners.factor(placer.as_deref(), factor);
             }
             Step::Resubmit(share) => {
-                note(site, format!("owners ask again for {share} of their services"));
+                note(
+                    site,
+                    format!("owners ask again for {share} of their services"),
+                );
                 owners.resubmit(share);
             }
             Step::KillPlacer(name) => {
@@ -483,16 +541,20 @@
             Step::Noise => {
                 note(site, "noise on every port".to_owned());
                 for address in ports(site) {
-                    let noise: Vec<u8> = (0..64 * 1024).map(|_| self.draw.next_u32() as u8).collect();
+                    let noise: Vec<u8> =
+                        (0..64 * 1024).map(|_| self.draw.next_u32() as u8).collect();
                     // A port that closes on it has understood.
-                    let _ = TcpStream::connect(&address).and_then(|mut stream| stream.write_all(&noise));
+                    let _ = TcpStream::connect(&address)
+                        .and_then(|mut stream| stream.write_all(&noise));
                 }
             }
             Step::Idle(count, time) => {
                 note(site, format!("{count} idle connections to each placer"));
                 let contacts = placer_ports(site);
                 let open = |address: &String| TcpStream::connect(address).ok();
-                let idle = contacts.iter().flat_map(|address| (0..count).filter_map(move |_| open(address)));
+                let idle = contacts
+                    .iter()
+                    .flat_map(|address| (0..count).filter_map(move |_| open(address)));
                 self.stays.push((Instant::now() + time, idle.collect()));
             }
             Step::Unread(time) => {
@@ -501,7 +563,9 @@
                     br#"{"jsonrpc":"2.0","id":1,"method":"reedring_jobs","params":{"limit":1000}}"#,
                 );
                 for address in placer_ports(site) {
-                    let Ok(mut stream) = TcpStream::connect(address) else { continue };
+                    let Ok(mut stream) = TcpStream::connect(address) else {
+                        continue;
+                    };
                     let _ = stream.set_write_timeout(Some(Duration::from_millis(20)));
                     for _ in 0..1_000 {
                         if stream.write_all(&ask).is_err() {
@@ -517,12 +581,18 @@
 }
 
 fn placer_ports(site: &Site) -> Vec<String> {
-    let contacts = site.placers().filter_map(|placer| site.contact(placer).ok());
-    contacts.filter_map(|contact| contact.strip_prefix("tcp:").map(str::to_owned)).collect()
+    let contacts = site
+        .placers()
+        .filter_map(|placer| site.contact(placer).ok());
+    contacts
+        .filter_map(|contact| contact.strip_prefix("tcp:").map(str::to_owned))
+        .collect()
 }
 
 fn ports(site: &Site) -> Vec<String> {
-    let nodes = site.nodes().filter_map(|node| site.node(node).map(|handle| handle.address().to_string()));
+    let nodes = site
+        .nodes()
+        .filter_map(|node| site.node(node).map(|handle| handle.address().to_string()));
     placer_ports(site).into_iter().chain(nodes).collect()
 }
 
--- a/crates/site/src/kills.rs
+++ b/crates/site/src/kills.rs
@@ -75,7 +75,9 @@
     let arguments = ["--log", "error", "serve", "--config", &config];
     let placer = Program::start(program, "the placer", &arguments, None);
     let ready = placer.and_then(|placer| {
-        placer.wait_line(0, "its contact", READY, |line| line.starts_with("contact: "))?;
+        placer.wait_line(0, "its contact", READY, |line| {
+            line.starts_with("contact: ")
+        })?;
         Ok(placer)
     });
     ready.map_err(|error| BadDayError::Script(error.to_string()))
@@ -96,15 +98,27 @@
 type Client = std::thread::JoinHandle<Result<(), reedring_client::drmaa::Error>>;
 
 /// One client submits small batches of all classes, ...
-fn submits(session: Arc<Session>, told: Arc<Told>, mut draw: Pcg32, done: Arc<AtomicBool>) -> Client {
+fn submits(
+    session: Arc<Session>,
+    told: Arc<Told>,
+    mut draw: Pcg32,
+    done: Arc<AtomicBool>,
+) -> Client {
     std::thread::spawn(move || {
         while !told.over.load(Ordering::Relaxed) {
             let class = ["play", "capture", "edition"][draw.next_u32() as usize % 3];
             let mut template = JobTemplate::new();
             template.set("drmaa_remote_command", "work")?;
             let life = 5 + draw.next_u32() % 120;
-            template.set("drmaa_native_specification", &format!("class={class} life={life}ms cores=0.1"))?;
-            let range = Range { first: 1, last: 1 + u64::from(draw.next_u32() % 6), step: 1 };
+            template.set(
+                "drmaa_native_specification",
+                &format!("class={class} life={life}ms cores=0.1"),
+            )?;
+            let range = Range {
+                first: 1,
+                last: 1 + u64::from(draw.next_u32() % 6),
+                step: 1,
+            };
             let jobs = session.run_bulk_jobs(&template, range)?;
             lock(&told.taken).extend(jobs);
             std::thread::sleep(Duration::from_millis(u64::from(draw.next_u32() % 10)));
@@ -156,7 +170,10 @@
         let config = site.dir().join("placer.toml");
         let folder = site.dir().join("state");
         let listen = format!("[placer]\nname = \"placer-1\"\nlisten = \"{address}\"\n");
-        std::fs::write(&config, format!("{listen}nodes = \"nodes.toml\"\n{SETTINGS}"))?;
+        std::fs::write(
+            &config,
+            format!("{listen}nodes = \"nodes.toml\"\n{SETTINGS}"),
+        )?;
         let mut found = Killed::default();
         let mut draw = Pcg32::new(self.seed, 1);
         let began = Instant::now();
@@ -169,8 +186,16 @@
         let mut sessions = Vec::new();
         for n in 0..3 {
             let session = Arc::new(Session::open(&contact).map_err(client)?);
-            let (draw, done) = (Pcg32::new(self.seed, 10 + n), Arc::new(AtomicBool::new(false)));
-            clients.push(submits(Arc::clone(&session), Arc::clone(&told), draw, Arc::clone(&done)));
+            let (draw, done) = (
+                Pcg32::new(self.seed, 10 + n),
+                Arc::new(AtomicBool::new(false)),
+            );
+            clients.push(submits(
+                Arc::clone(&session),
+                Arc::clone(&told),
+                draw,
+                Arc::clone(&done),
+            ));
             clients.push(waits(Arc::clone(&session), Arc::clone(&told), done));
             sessions.push(session);
         }
@@ -180,10 +205,14 @@
             )));
             drop(placer);
             found.kills += 1;
-            match Export::read(Disk::lock(&folder).map_err(|error| BadDayError::Script(error.to_string()))?) {
+            match Export::read(
+                Disk::lock(&folder).map_err(|error| BadDayError::Script(error.to_string()))?,
+            ) {
                 Ok((export, passed_by)) => {
                     found.damaged.extend(export.ledger.check());
-                    found.damaged.extend(passed_by.iter().map(ToString::to_string));
+                    found
+                        .damaged
+                        .extend(passed_by.iter().map(ToString::to_string));
                 }
                 Err(error) => found.damaged.push(error.to_string()),
             }
@@ -209,7 +238,10 @@
         drop(site);
         let (taken, outcomes) = (lock(&told.taken).clone(), lock(&told.outcomes).clone());
         found.taken = taken.len();
-        found.untold = taken.into_iter().filter(|job| !outcomes.contains_key(job)).collect();
+        found.untold = taken
+            .into_iter()
+            .filter(|job| !outcomes.contains_key(job))
+            .collect();
         for outcome in outcomes.into_values() {
             *found.outcomes.entry(outcome).or_default() += 1;
         }
--- a/crates/site/src/load.rs
+++ b/crates/site/src/load.rs
@@ -42,8 +42,12 @@
 
 fn template(native: &str) -> JobTemplate {
     let mut template = JobTemplate::new();
-    let set = [("drmaa_remote_command", "work"), ("drmaa_native_specification", native)];
-    set.into_iter().for_each(|(name, value)| template.set(name, value).unwrap_or_default());
+    let set = [
+        ("drmaa_remote_command", "work"),
+        ("drmaa_native_specification", native),
+    ];
+    set.into_iter()
+        .for_each(|(name, value)| template.set(name, value).unwrap_or_default());
     template
 }
 
@@ -80,35 +84,46 @@
     let began = Instant::now();
     let waiter = {
         let session = Arc::clone(&session);
-        std::thread::spawn(move || -> Result<([u64; 3], Histogram<u64>), reedring_client::drmaa::Error> {
-            let (mut outcomes, mut times) = ([0; 3], Histogram::new(3).unwrap_or_else(|_| unreachable!()));
-            let mut left = jobs;
-            while left > 0 {
-                let info = match session.wait(None, Some(Duration::from_secs(60))) {
-                    Ok(info) => info,
-                    // Nothing was submitted yet, or all that was is told.
-                    Err(error) if error.code == reedring_client::drmaa::ErrorCode::InvalidJob => {
-                        std::thread::yield_now();
-                        continue;
+        std::thread::spawn(
+            move || -> Result<([u64; 3], Histogram<u64>), reedring_client::drmaa::Error> {
+                let (mut outcomes, mut times) =
+                    ([0; 3], Histogram::new(3).unwrap_or_else(|_| unreachable!()));
+                let mut left = jobs;
+                while left > 0 {
+                    let info = match session.wait(None, Some(Duration::from_secs(60))) {
+                        Ok(info) => info,
+                        // Nothing was submitted yet, or all that was is told.
+                        Err(error)
+                            if error.code == reedring_client::drmaa::ErrorCode::InvalidJob =>
+                        {
+                            std::thread::yield_now();
+                            continue;
+                        }
+                        Err(error) => return Err(error),
+                    };
+                    left -= 1;
+                    let time =
+                        |name: &str| info.usage(name).and_then(|text| text.parse::<f64>().ok());
+                    match info.usage("reedring.outcome") {
+                        Some("placed") => outcomes[0] += 1,
+                        Some("refused") => outcomes[1] += 1,
+                        _ => outcomes[2] += 1,
+                    }
+                    if let Some((from, to)) =
+                        time("submission_time").zip(time("reedring.placed_time"))
+                    {
+                        times
+                            .record(((to - from) * 1e6).max(1.0) as u64)
+                            .unwrap_or_default();
                     }
-                    Err(error) => return Err(error),
-                };
-                left -= 1;
-                let time = |name: &str| info.usage(name).and_then(|text| text.parse::<f64>().ok());
-                match info.usage("reedring.outcome") {
-                    Some("placed") => outcomes[0] += 1,
-                    Some("refused") => outcomes[1] += 1,
-                    _ => outcomes[2] += 1,
-                }
-                if let Some((from, to)) = time("submission_time").zip(time("reedring.placed_time")) {
-                    times.record(((to - from) * 1e6).max(1.0) as u64).unwrap_or_default();
                 }
-            }
-            Ok((outcomes, times))
-        })
+                Ok((outcomes, times))
+            },
+        )
     };
-    let templates: Vec<JobTemplate> =
-        (0..SERVICES).map(|n| template(&format!("{SMALL} service=s{n}"))).collect();
+    let templates: Vec<JobTemplate> = (0..SERVICES)
+        .map(|n| template(&format!("{SMALL} service=s{n}")))
+        .collect();
     let (mut sent, mut beat) = (0, 0);
     while sent < jobs {
         let due = match rate {
@@ -117,8 +132,14 @@
         };
         let count = due.min(jobs).saturating_sub(sent);
         if count > 0 {
-            let range = Range { first: 1, last: count, step: 1 };
-            session.run_bulk_jobs(&templates[beat % templates.len()], range).map_err(client)?;
+            let range = Range {
+                first: 1,
+                last: count,
+                step: 1,
+            };
+            session
+                .run_bulk_jobs(&templates[beat % templates.len()], range)
+                .map_err(client)?;
             sent += count;
             beat += 1;
         }
@@ -126,7 +147,9 @@
             std::thread::sleep(BEAT);
         }
     }
-    let ended = waiter.join().map_err(|_| io::Error::other("the waiting thread ended"))?;
+    let ended = waiter
+        .join()
+        .map_err(|_| io::Error::other("the waiting thread ended"))?;
     let (outcomes, placed) = ended.map_err(client)?;
     let after = stats(contact)?;
     Ok(Run {
@@ -145,7 +168,10 @@
 /// Where the site could not be run.
 pub fn bench(size: &Size, out: &mut impl Write) -> Result<bool, BadDayError> {
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
-    writeln!(out, "{cores} cores; stand-in nodes on loopback, in one process with the placer\n")?;
+    writeln!(
+        out,
+        "{cores} cores; stand-in nodes on loopback, in one process with the placer\n"
+    )?;
     let clean = audited(size, out)?;
     for nodes in &size.nodes {
         loads(*nodes, size.seconds, out)?;
@@ -171,7 +197,10 @@
         run.seconds,
         report.breaches.len()
     )?;
-    report.breaches.iter().try_for_each(|breach| writeln!(out, "  {}", breach.text))?;
+    report
+        .breaches
+        .iter()
+        .try_for_each(|breach| writeln!(out, "  {}", breach.text))?;
     Ok(report.breaches.is_empty() && placed + refused + failed == run.jobs)
 }
 
@@ -206,25 +235,33 @@
 fn submissions(contact: &str) -> Result<Histogram<u64>, BadDayError> {
     let client = |error| BadDayError::Site(crate::SiteError::Client(error));
     let submit = |contact: String| {
-        std::thread::spawn(move || -> Result<Histogram<u64>, reedring_client::drmaa::Error> {
-            let mut times = Histogram::new(3).unwrap_or_else(|_| unreachable!());
-            let session = Session::open(&contact)?;
-            let mut held = template(SMALL);
-            held.set("drmaa_js_state", "drmaa_hold")?;
-            let began = Instant::now();
-            while began.elapsed() < SUBMITTING {
-                let sent = Instant::now();
-                session.run_job(&held)?;
-                times.record(sent.elapsed().as_micros() as u64).unwrap_or_default();
-            }
-            Ok(times)
-        })
+        std::thread::spawn(
+            move || -> Result<Histogram<u64>, reedring_client::drmaa::Error> {
+                let mut times = Histogram::new(3).unwrap_or_else(|_| unreachable!());
+                let session = Session::open(&contact)?;
+                let mut held = template(SMALL);
+                held.set("drmaa_js_state", "drmaa_hold")?;
+                let began = Instant::now();
+                while began.elapsed() < SUBMITTING {
+                    let sent = Instant::now();
+                    session.run_job(&held)?;
+                    times
+                        .record(sent.elapsed().as_micros() as u64)
+                        .unwrap_or_default();
+                }
+                Ok(times)
+            },
+        )
     };
-    let threads: Vec<_> = (0..SUBMITTERS).map(|_| submit(contact.to_owned())).collect();
+    let threads: Vec<_> = (0..SUBMITTERS)
+        .map(|_| submit(contact.to_owned()))
+        .collect();
     let mut all = Histogram::new(3).unwrap_or_else(|_| unreachable!());
     for thread in threads {
-        let times =
-            thread.join().map_err(|_| io::Error::other("a submitting thread ended"))?.map_err(client)?;
+        let times = thread
+            .join()
+            .map_err(|_| io::Error::other("a submitting thread ended"))?
+            .map_err(client)?;
         all += &times;
     }
     Ok(all)
@@ -301,23 +338,45 @@
     let table = "[placer]\nname = \"bench\"\nlisten = \"127.0.0.1:0\"\nnodes = \"nodes.toml\"\n\n";
     std::fs::write(&config, format!("{table}{shared}"))?;
     let mut child = Command::new(&size.program);
-    child.arg("serve").arg("--config").arg(&config).stdout(Stdio::piped());
+    child
+        .arg("serve")
+        .arg("--config")
+        .arg(&config)
+        .stdout(Stdio::piped());
     let mut child = Ended(child.spawn()?);
-    let stdout = child.0.stdout.take().ok_or_else(|| io::Error::other("no output"))?;
+    let stdout = child
+        .0
+        .stdout
+        .take()
+        .ok_or_else(|| io::Error::other("no output"))?;
     let mut line = String::new();
     io::BufRead::read_line(&mut io::BufReader::new(stdout), &mut line)?;
-    let contact = line.trim().strip_prefix("contact: ").ok_or_else(|| io::Error::other("no contact"))?;
+    let contact = line
+        .trim()
+        .strip_prefix("contact: ")
+        .ok_or_else(|| io::Error::other("no contact"))?;
     let client = |error| BadDayError::Site(crate::SiteError::Client(error));
     let session = Session::open(contact).map_err(client)?;
     // Its links stand once a first job has run.
     let first = session.run_job(&template(SMALL)).map_err(client)?;
-    session.wait(Some(&first), Some(Duration::from_secs(20))).map_err(client)?;
+    session
+        .wait(Some(&first), Some(Duration::from_secs(20)))
+        .map_err(client)?;
     let before = resident(child.0.id());
     let long = template("class=play cores=0.0001 memory=0.0001 life=1h");
     let began = Instant::now();
     let step = 1_000;
     for _ in 0..size.live.div_ceil(step) {
-        session.run_bulk_jobs(&long, Range { first: 1, last: step, step: 1 }).map_err(client)?;
+        session
+            .run_bulk_jobs(
+                &long,
+                Range {
+                    first: 1,
+                    last: step,
+                    step: 1,
+                },
+            )
+            .map_err(client)?;
         // No faster than they are placed: a job that waits costs more than one that runs.
         while stats(contact)?.placed + step < stats(contact)?.submitted {
             std::thread::sleep(Duration::from_millis(5));
@@ -335,6 +394,8 @@
             began.elapsed().as_secs_f64()
         )?;
     }
-    session.control(Jobs::All, Control::Terminate).map_err(client)?;
+    session
+        .control(Jobs::All, Control::Terminate)
+        .map_err(client)?;
     Ok(())
 }
--- a/crates/site/src/owners.rs
+++ b/crates/site/src/owners.rs
@@ -108,12 +108,19 @@
             threads.push(std::thread::spawn(move || waiter.wait()));
             all.insert(placer.to_owned(), shared);
         }
-        Ok(Self { all, threads, draw: Pcg32::new(seed, 99) })
+        Ok(Self {
+            all,
+            threads,
+            draw: Pcg32::new(seed, 99),
+        })
     }
 
     /// Asks for so many times the usual, at one placer or at all.
     pub fn factor(&self, placer: Option<&str>, factor: f64) {
-        let these = self.all.iter().filter(|(name, _)| placer.is_none_or(|placer| placer == *name));
+        let these = self
+            .all
+            .iter()
+            .filter(|(name, _)| placer.is_none_or(|placer| placer == *name));
         these.for_each(|(_, owner)| owner.factor.store((factor * 1e3) as u64, Ordering::Relaxed));
     }
 
@@ -129,7 +136,9 @@
             for (template, jobs) in services {
                 for job in &jobs {
                     // Most are over by now, and that is fine.
-                    let _ = owner.session.control(Jobs::These(vec![job.clone()]), Control::Terminate);
+                    let _ = owner
+                        .session
+                        .control(Jobs::These(vec![job.clone()]), Control::Terminate);
                 }
                 owner.run(&template, jobs.len() as u64, None);
             }
@@ -138,8 +147,12 @@
 
     /// Ends all submissions and waits for what was submitted.
     pub fn finish(self, site: &Site) -> Tally {
-        self.all.values().for_each(|owner| owner.ends.store(true, Ordering::Relaxed));
-        self.threads.into_iter().for_each(|thread| drop(thread.join()));
+        self.all
+            .values()
+            .for_each(|owner| owner.ends.store(true, Ordering::Relaxed));
+        self.threads
+            .into_iter()
+            .for_each(|thread| drop(thread.join()));
         let mut sum = Tally::default();
         for (placer, owner) in &self.all {
             let tally = lock(&owner.tally);
@@ -148,8 +161,14 @@
                 sum.unfinished += tally.unfinished;
                 sum.left.extend(left(site, placer));
             }
-            tally.ended.iter().for_each(|(k, n)| *sum.ended.entry(k.clone()).or_default() += n);
-            tally.denied.iter().for_each(|(k, n)| *sum.denied.entry(k.clone()).or_default() += n);
+            tally
+                .ended
+                .iter()
+                .for_each(|(k, n)| *sum.ended.entry(k.clone()).or_default() += n);
+            tally
+                .denied
+                .iter()
+                .for_each(|(k, n)| *sum.denied.entry(k.clone()).or_default() += n);
         }
         sum
     }
@@ -158,10 +177,17 @@
 /// Jobs that are not over, in words, as their placer tells them.
 fn left(site: &Site, placer: &str) -> Vec<String> {
     let contact = site.contact(placer).unwrap_or_default();
-    let Ok(mut operator) = Operator::connect(contact) else { return Vec::new() };
+    let Ok(mut operator) = Operator::connect(contact) else {
+        return Vec::new();
+    };
     let page = operator.jobs(None, 1_000).unwrap_or_default();
-    let live: Vec<String> =
-        page.jobs.into_iter().filter(|j| !j.state.is_final()).map(|j| j.job).take(5).collect();
+    let live: Vec<String> = page
+        .jobs
+        .into_iter()
+        .filter(|j| !j.state.is_final())
+        .map(|j| j.job)
+        .take(5)
+        .collect();
     let detail = |job: &String| operator.job(job).ok().map(|job| format!("{job:?}"));
     live.iter().filter_map(detail).collect()
 }
@@ -179,7 +205,11 @@
                 }
                 let count = owed.floor();
                 *owed -= count;
-                let service = format!("{}-{}", demand.class, draw.next_u32() % demand.services.max(1));
+                let service = format!(
+                    "{}-{}",
+                    demand.class,
+                    draw.next_u32() % demand.services.max(1)
+                );
                 let template = demand.template(&service, draw.next_u32());
                 self.run(&template, count as u64, Some(service));
             }
@@ -190,7 +220,11 @@
     }
 
     fn run(&self, template: &JobTemplate, count: u64, service: Option<String>) {
-        let range = Range { first: 1, last: count.max(1), step: 1 };
+        let range = Range {
+            first: 1,
+            last: count.max(1),
+            step: 1,
+        };
         let result = self.session.run_bulk_jobs(template, range);
         let mut tally = lock(&self.tally);
         match result {
@@ -198,7 +232,9 @@
                 tally.submitted += jobs.len() as u64;
                 if let Some(service) = service {
                     let mut live = lock(&self.live);
-                    let (_, all) = live.entry(service).or_insert_with(|| (template.clone(), Vec::new()));
+                    let (_, all) = live
+                        .entry(service)
+                        .or_insert_with(|| (template.clone(), Vec::new()));
                     all.extend(jobs);
                     // Only the youngest may still be live.
                     let old = all.len().saturating_sub(64);
@@ -255,9 +291,13 @@
             "class={}{tenant} service={service} cores={} memory={} life={}{more}",
             self.class, self.cores, self.memory, self.life
         );
-        let set = [("drmaa_remote_command", "work"), ("drmaa_native_specification", native.as_str())];
+        let set = [
+            ("drmaa_remote_command", "work"),
+            ("drmaa_native_specification", native.as_str()),
+        ];
         // Both names are the specification's own.
-        set.into_iter().for_each(|(name, value)| template.set(name, value).unwrap_or_default());
+        set.into_iter()
+            .for_each(|(name, value)| template.set(name, value).unwrap_or_default());
         template
     }
 }
--- a/crates/site/src/restart.rs
+++ b/crates/site/src/restart.rs
@@ -71,13 +71,20 @@
 
 fn template(native: &str) -> Result<JobTemplate, BadDayError> {
     let mut template = JobTemplate::new();
-    template.set("drmaa_remote_command", "work").map_err(client)?;
-    template.set("drmaa_native_specification", native).map_err(client)?;
+    template
+        .set("drmaa_remote_command", "work")
+        .map_err(client)?;
+    template
+        .set("drmaa_native_specification", native)
+        .map_err(client)?;
     Ok(template)
 }
 
 fn unix_us() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_micros() as u64
 }
 
 /// The middle of a bad day: two nodes are dead, three never answer one class, three another.
@@ -88,9 +95,18 @@
         plan.settings += STATE;
     }
     let mut site = Site::start(plan)?;
-    for (n, class) in [(1, "play"), (2, "play"), (3, "play"), (4, "capture"), (5, "capture"), (6, "capture")]
-    {
-        let fault = Fault { deaf_to: [class.to_owned()].into(), ..Fault::default() };
+    for (n, class) in [
+        (1, "play"),
+        (2, "play"),
+        (3, "play"),
+        (4, "capture"),
+        (5, "capture"),
+        (6, "capture"),
+    ] {
+        let fault = Fault {
+            deaf_to: [class.to_owned()].into(),
+            ..Fault::default()
+        };
         if let Some(node) = site.node(&format!("node-{n}")) {
             node.fault(fault);
         }
@@ -101,7 +117,10 @@
     Ok(site)
 }
 
-fn submits(session: Arc<Session>, lasts: Duration) -> std::thread::JoinHandle<Result<(), BadDayError>> {
+fn submits(
+    session: Arc<Session>,
+    lasts: Duration,
+) -> std::thread::JoinHandle<Result<(), BadDayError>> {
     std::thread::spawn(move || {
         let (began, mut beat) = (Instant::now(), 0);
         let templates = [
@@ -109,8 +128,14 @@
             template("class=capture cores=0.05 memory=0.05 life=1s")?,
         ];
         while began.elapsed() < lasts {
-            let range = Range { first: 1, last: 3, step: 1 };
-            session.run_bulk_jobs(&templates[beat % 2], range).map_err(client)?;
+            let range = Range {
+                first: 1,
+                last: 3,
+                step: 1,
+            };
+            session
+                .run_bulk_jobs(&templates[beat % 2], range)
+                .map_err(client)?;
             beat += 1;
             std::thread::sleep((BEAT * beat as u32).saturating_sub(began.elapsed()));
         }
@@ -131,7 +156,9 @@
             match session.wait(None, Some(Duration::from_secs(20))) {
                 Ok(info) => {
                     let time = |name: &str| {
-                        info.usage(name).and_then(|text| text.parse::<f64>().ok()).map(|at| (at * 1e6) as u64)
+                        info.usage(name)
+                            .and_then(|text| text.parse::<f64>().ok())
+                            .map(|at| (at * 1e6) as u64)
                     };
                     if let Some(submitted) = time("submission_time") {
                         let placed = info.usage("reedring.outcome") == Some("placed");
@@ -159,7 +186,9 @@
         bin.0 += 1;
         bin.1 += usize::from(placed.is_some_and(|at| at <= submitted + 600_000));
     }
-    bins.into_iter().map(|(bin, (all, good))| (bin, good as f64 / all as f64)).collect()
+    bins.into_iter()
+        .map(|(bin, (all, good))| (bin, good as f64 / all as f64))
+        .collect()
 }
 
 fn rewrite(folder: &Path, found: Found) -> Result<(), BadDayError> {
@@ -172,8 +201,10 @@
             }
         }
         Found::WeekOld => {
-            let wrong = |error: reedring_state::LearnedError| BadDayError::Script(error.to_string());
-            let mut learned = Learned::decode(&std::fs::read(&path)?, "learned", PLACER).map_err(wrong)?;
+            let wrong =
+                |error: reedring_state::LearnedError| BadDayError::Script(error.to_string());
+            let mut learned =
+                Learned::decode(&std::fs::read(&path)?, "learned", PLACER).map_err(wrong)?;
             learned.at -= WEEK_US;
             std::fs::write(&path, learned.encode(PLACER))?;
         }
@@ -203,20 +234,35 @@
     over.store(true, Ordering::Relaxed);
     let times = waiting.join().map_err(ended)??;
     drop(site);
-    let before: Vec<f64> = service(&times, began + 3_000_000, killed - 700_000).into_values().collect();
+    let before: Vec<f64> = service(&times, began + 3_000_000, killed - 700_000)
+        .into_values()
+        .collect();
     let usual = before.iter().sum::<f64>() / before.len().max(1) as f64;
     let after = service(&times, back, back + AFTER.as_micros() as u64 - 1_000_000);
     let bins: Vec<(u64, f64)> = after.into_iter().collect();
     let good = |run: &[(u64, f64)]| run.iter().all(|(_, part)| *part >= 0.95 * usual);
-    let back_at = bins.windows(BINS).find(|run| good(run)).map(|run| run[0].0 * BIN_US / 1_000);
+    let back_at = bins
+        .windows(BINS)
+        .find(|run| good(run))
+        .map(|run| run[0].0 * BIN_US / 1_000);
     let in_time = bins.iter().map(|(_, part)| part).sum::<f64>() / bins.len().max(1) as f64;
-    let mut told = Restart { back_ms: back_at, in_time, ..Restart::default() };
+    let mut told = Restart {
+        back_ms: back_at,
+        in_time,
+        ..Restart::default()
+    };
     // The second life's offers, and what came of them, for as long as it was measured.
     let frames = reedring_audit::read(&recorder.finish()?)?;
-    let second = frames.iter().rposition(|frame| frame.event == Event::PlacerStarted).unwrap_or(0);
+    let second = frames
+        .iter()
+        .rposition(|frame| frame.event == Event::PlacerStarted)
+        .unwrap_or(0);
     let until = frames[second].time_us + AFTER.as_micros() as u64;
     let mut answers = 0;
-    for frame in frames[second..].iter().filter(|frame| frame.time_us < until) {
+    for frame in frames[second..]
+        .iter()
+        .filter(|frame| frame.time_us < until)
+    {
         match (frame.event, decode(&frame.bytes)) {
             (Event::ToNode, Ok(Message::Offer { .. })) => told.offers += 1,
             (Event::FromNode, Ok(Message::Refused { .. })) => {
@@ -236,7 +282,10 @@
 /// Where the site could not be run.
 pub fn bench(seeds: u64, live: u64, out: &mut impl Write) -> Result<(), BadDayError> {
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
-    writeln!(out, "{cores} cores; stand-in nodes on loopback, in one process with the placer")?;
+    writeln!(
+        out,
+        "{cores} cores; stand-in nodes on loopback, in one process with the placer"
+    )?;
     writeln!(
         out,
         "\na restart among two dead nodes of twelve and six that are deaf to a class, 300 jobs a second, the first \
@@ -248,7 +297,9 @@
         "found", "offers", "refused", "unanswered", "in time", "95% back, ms"
     )?;
     for found in Found::ALL {
-        let runs: Vec<Restart> = (1..=seeds).map(|seed| restart(found, seed)).collect::<Result<_, _>>()?;
+        let runs: Vec<Restart> = (1..=seeds)
+            .map(|seed| restart(found, seed))
+            .collect::<Result<_, _>>()?;
         let median = |of: fn(&Restart) -> f64| {
             let mut all: Vec<f64> = runs.iter().map(of).collect();
             all.sort_by(f64::total_cmp);
@@ -282,15 +333,25 @@
     let mut held = template("class=play service=one")?;
     held.set("drmaa_js_state", "drmaa_hold").map_err(client)?;
     for _ in 0..live.div_ceil(1_000) {
-        session.run_bulk_jobs(&held, Range { first: 1, last: 1_000, step: 1 }).map_err(client)?;
+        session
+            .run_bulk_jobs(
+                &held,
+                Range {
+                    first: 1,
+                    last: 1_000,
+                    step: 1,
+                },
+            )
+            .map_err(client)?;
     }
     site.kill_placer(PLACER);
     let bytes = std::fs::metadata(site.state_folder(PLACER, "state").join("ledger"))?.len();
     let began = Instant::now();
     site.start_placer(PLACER)?;
     let open = began.elapsed();
-    let stats =
-        Operator::connect(site.contact(PLACER)?).and_then(|mut operator| operator.stats()).map_err(client)?;
+    let stats = Operator::connect(site.contact(PLACER)?)
+        .and_then(|mut operator| operator.stats())
+        .map_err(client)?;
     writeln!(
         out,
         "\n{} live jobs: {:.0} bytes a job on the disk; killed, the placer answers again after {:.0} ms, of which \
--- a/crates/site/src/site.rs
+++ b/crates/site/src/site.rs
@@ -66,7 +66,9 @@
                 while let Some(update) = lists.recv().await {
                     let update = match update {
                         Update::List(mut list, text) => {
-                            list.nodes.iter_mut().for_each(|node| node.health = Health::Ready);
+                            list.nodes
+                                .iter_mut()
+                                .for_each(|node| node.health = Health::Ready);
                             Update::List(list, text)
                         }
                         failed => failed,
@@ -177,11 +179,15 @@
     /// # Errors
     /// See [`SiteError`].
     pub fn start(plan: Plan) -> Result<Self, SiteError> {
-        let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
+        let runtime = tokio::runtime::Builder::new_multi_thread()
+            .worker_threads(2)
+            .enable_all()
+            .build()?;
         let dir = tempfile::Builder::new().prefix("reedring-").tempdir()?;
         let kind = |config: &Config| {
-            let sizes =
-                |kind: &reedring_settings::Kind| (kind.cores, kind.memory) == (config.cores, config.memory);
+            let sizes = |kind: &reedring_settings::Kind| {
+                (kind.cores, kind.memory) == (config.cores, config.memory)
+            };
             let text = placer_text("any", "127.0.0.1:0", None, &plan.settings);
             let settings = Settings::parse(&text, "site")?;
             let kinds = &settings.kinds;
@@ -191,15 +197,32 @@
         let mut nodes = BTreeMap::new();
         for config in &plan.nodes {
             let (kind, config) = (kind(config)?, config.clone());
-            let place = NodePlace { kind, handle: None, health: "ready", listed: true, config };
+            let place = NodePlace {
+                kind,
+                handle: None,
+                health: "ready",
+                listed: true,
+                config,
+            };
             nodes.insert(place.config.name.clone(), place);
         }
         let mut placers = BTreeMap::new();
         for n in 1..=plan.placers {
             let name = format!("placer-{n}");
-            let listen = plan.listen.clone().filter(|_| n == 1).unwrap_or_else(|| "127.0.0.1:0".to_owned());
+            let listen = plan
+                .listen
+                .clone()
+                .filter(|_| n == 1)
+                .unwrap_or_else(|| "127.0.0.1:0".to_owned());
             let settings = placer_text(&name, &listen, Some(plan.seed + n as u64), &plan.settings);
-            placers.insert(name, PlacerPlace { settings, placer: None, contact: String::new() });
+            placers.insert(
+                name,
+                PlacerPlace {
+                    settings,
+                    placer: None,
+                    contact: String::new(),
+                },
+            );
         }
         let mut site = Self {
             nodes,
@@ -259,7 +282,10 @@
     /// # Errors
     /// Where there is no such placer.
     pub fn contact(&self, placer: &str) -> Result<&str, SiteError> {
-        let place = self.placers.get(placer).ok_or_else(|| SiteError::Unknown(placer.to_owned()))?;
+        let place = self
+            .placers
+            .get(placer)
+            .ok_or_else(|| SiteError::Unknown(placer.to_owned()))?;
         Ok(&place.contact)
     }
 
@@ -270,7 +296,10 @@
     pub fn start_node(&mut self, name: &str) -> Result<(), SiteError> {
         self.last_life += 1;
         let (life, seed) = (self.last_life, self.seed);
-        let place = self.nodes.get_mut(name).ok_or_else(|| SiteError::Unknown(name.to_owned()))?;
+        let place = self
+            .nodes
+            .get_mut(name)
+            .ok_or_else(|| SiteError::Unknown(name.to_owned()))?;
         let served = serve(
             place.config.clone(),
             life,
@@ -279,7 +308,10 @@
             self.recorder.clone(),
             self.clock,
         );
-        let runtime = self.runtime.as_ref().expect("the runtime lives as long as the site");
+        let runtime = self
+            .runtime
+            .as_ref()
+            .expect("the runtime lives as long as the site");
         let handle = runtime.block_on(served)?;
         place.config.listen = handle.address();
         place.handle = Some(handle);
@@ -291,9 +323,15 @@
     /// # Errors
     /// Where there is no such node.
     pub fn kill_node(&mut self, name: &str) -> Result<(), SiteError> {
-        let place = self.nodes.get_mut(name).ok_or_else(|| SiteError::Unknown(name.to_owned()))?;
+        let place = self
+            .nodes
+            .get_mut(name)
+            .ok_or_else(|| SiteError::Unknown(name.to_owned()))?;
         if let Some(handle) = place.handle.take() {
-            self.runtime.as_ref().expect("the runtime lives as long as the site").block_on(handle.die());
+            self.runtime
+                .as_ref()
+                .expect("the runtime lives as long as the site")
+                .block_on(handle.die());
         }
         Ok(())
     }
@@ -314,7 +352,10 @@
     /// # Errors
     /// Where there is no such node or the list can't be written.
     pub fn list_node(&mut self, name: &str, health: Option<&'static str>) -> Result<(), SiteError> {
-        let place = self.nodes.get_mut(name).ok_or_else(|| SiteError::Unknown(name.to_owned()))?;
+        let place = self
+            .nodes
+            .get_mut(name)
+            .ok_or_else(|| SiteError::Unknown(name.to_owned()))?;
         place.listed = health.is_some();
         place.health = health.unwrap_or("gone");
         Ok(self.write_list()?)
@@ -327,11 +368,27 @@
     fn write_list(&self) -> io::Result<()> {
         let mut text = String::new();
         for node in self.nodes.values().filter(|node| node.listed) {
-            let NodePlace { config, kind, health, .. } = node;
-            let (name, address, rack, hall) = (&config.name, config.listen, &config.rack, &config.hall);
-            let _ = writeln!(text, "[[node]]\nname = {name:?}\naddress = \"{address}\"\nkind = {kind:?}");
-            let _ = writeln!(text, "rack = {rack:?}\nhall = {hall:?}\nhealth = {health:?}");
-            let _ = writeln!(text, "attrs = {}\n", toml::Value::Table(config.attrs.clone()));
+            let NodePlace {
+                config,
+                kind,
+                health,
+                ..
+            } = node;
+            let (name, address, rack, hall) =
+                (&config.name, config.listen, &config.rack, &config.hall);
+            let _ = writeln!(
+                text,
+                "[[node]]\nname = {name:?}\naddress = \"{address}\"\nkind = {kind:?}"
+            );
+            let _ = writeln!(
+                text,
+                "rack = {rack:?}\nhall = {hall:?}\nhealth = {health:?}"
+            );
+            let _ = writeln!(
+                text,
+                "attrs = {}\n",
+                toml::Value::Table(config.attrs.clone())
+            );
         }
         // Renamed into place, so that no placer reads half a list.
         let draft = self.dir.path().join("nodes.toml.new");
@@ -345,19 +402,38 @@
     /// Where its settings are wrong or its address is taken.
     pub fn start_placer(&mut self, name: &str) -> Result<(), SiteError> {
         let (list, threads, recorder) = (self.list_path(), self.threads, self.recorder.clone());
-        let place = self.placers.get_mut(name).ok_or_else(|| SiteError::Unknown(name.to_owned()))?;
+        let place = self
+            .placers
+            .get_mut(name)
+            .ok_or_else(|| SiteError::Unknown(name.to_owned()))?;
         let replaced = |text: String, (from, to): &(&str, &str)| text.replace(from, to);
-        let told = self.sabotage.settings.iter().fold(place.settings.clone(), replaced);
+        let told = self
+            .sabotage
+            .settings
+            .iter()
+            .fold(place.settings.clone(), replaced);
         let mut settings = Settings::parse(&told, name)?;
         if let Some(state) = &mut settings.state {
             // Placers share the settings, not a folder.
-            state.folder = self.state_dir.join(format!("{name}.{}", state.folder.display()));
+            state.folder = self
+                .state_dir
+                .join(format!("{name}.{}", state.folder.display()));
         }
         let file = FileSource::new(list, settings.clone());
-        let source: Box<dyn NodeSource> =
-            if self.sabotage.blind_to_drains { Box::new(Blind(file)) } else { Box::new(file) };
+        let source: Box<dyn NodeSource> = if self.sabotage.blind_to_drains {
+            Box::new(Blind(file))
+        } else {
+            Box::new(file)
+        };
         let (settings_text, settings_file) = (place.settings.clone(), None);
-        let options = Options { source, recorder, traffic: None, settings_file, settings_text, threads };
+        let options = Options {
+            source,
+            recorder,
+            traffic: None,
+            settings_file,
+            settings_text,
+            threads,
+        };
         let placer = Placer::start(settings, options)?;
         place.contact = placer.contact().to_owned();
         if let Some(address) = placer.contact().strip_prefix("tcp:") {
@@ -369,7 +445,11 @@
 
     /// Ends a placer in order: what it promised and learned is kept first.
     pub fn stop_placer(&mut self, name: &str) {
-        if let Some(placer) = self.placers.get_mut(name).and_then(|place| place.placer.take()) {
+        if let Some(placer) = self
+            .placers
+            .get_mut(name)
+            .and_then(|place| place.placer.take())
+        {
             placer.stop();
         }
     }
@@ -381,14 +461,22 @@
 
     /// Kills a placer outright.
     pub fn kill_placer(&mut self, name: &str) {
-        if let Some(placer) = self.placers.get_mut(name).and_then(|place| place.placer.take()) {
+        if let Some(placer) = self
+            .placers
+            .get_mut(name)
+            .and_then(|place| place.placer.take())
+        {
             placer.kill();
         }
     }
 
     /// Makes a placer stand still.
     pub fn stall_placer(&self, name: &str, time: Duration) {
-        if let Some(placer) = self.placers.get(name).and_then(|place| place.placer.as_ref()) {
+        if let Some(placer) = self
+            .placers
+            .get(name)
+            .and_then(|place| place.placer.as_ref())
+        {
             placer.stall(time);
         }
     }
@@ -408,7 +496,10 @@
         let began = Instant::now();
         loop {
             let nodes = operator.nodes()?;
-            let met = nodes.iter().filter(|line| line.linked && up.contains(&line.node.as_str())).count();
+            let met = nodes
+                .iter()
+                .filter(|line| line.linked && up.contains(&line.node.as_str()))
+                .count();
             if met == up.len() {
                 return Ok(());
             }
@@ -422,6 +513,10 @@
 
 /// A placer's settings: its own table before what all share.
 fn placer_text(name: &str, listen: &str, seed: Option<u64>, shared: &str) -> String {
-    let seed = seed.map(|seed| format!("seed = {seed}\n")).unwrap_or_default();
-    format!("[placer]\nname = {name:?}\nlisten = {listen:?}\nnodes = \"nodes.toml\"\n{seed}\n{shared}")
+    let seed = seed
+        .map(|seed| format!("seed = {seed}\n"))
+        .unwrap_or_default();
+    format!(
+        "[placer]\nname = {name:?}\nlisten = {listen:?}\nnodes = \"nodes.toml\"\n{seed}\n{shared}"
+    )
 }
--- a/crates/site/tests/badday.rs
+++ b/crates/site/tests/badday.rs
@@ -11,11 +11,18 @@
     let _alone = ONE_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
     let script = Script::parse(DEFAULT, "badday.toml").unwrap();
     let day = script.play(Some(seed), None).unwrap();
-    eprintln!("seed {seed}: {:?}\n{:?} in {:?}, {} frames", day.report, day.tally, day.took, day.frames);
+    eprintln!(
+        "seed {seed}: {:?}\n{:?} in {:?}, {} frames",
+        day.report, day.tally, day.took, day.frames
+    );
     assert_eq!(day.report.breaches, []);
     assert_eq!(day.tally.unfinished, 0, "{:?}", day.tally);
     // The audit had something to judge.
-    assert!(day.report.placed > 500 && day.report.cold_offers > 0, "{:?}", day.report);
+    assert!(
+        day.report.placed > 500 && day.report.cold_offers > 0,
+        "{:?}",
+        day.report
+    );
 }
 
 #[test]
--- a/crates/site/tests/constraints.rs
+++ b/crates/site/tests/constraints.rs
@@ -16,13 +16,18 @@
     let recorder = Arc::new(Recorder::in_memory());
     let mut plan = Plan::local(nodes);
     plan.recorder = Some(Arc::clone(&recorder));
-    plan.settings = plan.settings.replace("give_up = \"8s\"", "give_up = \"2s\"");
+    plan.settings = plan
+        .settings
+        .replace("give_up = \"8s\"", "give_up = \"2s\"");
     (Site::start(plan).unwrap(), recorder)
 }
 
 fn clean(site: Site, recorder: &Recorder) {
     drop(site);
-    assert_eq!(audit(&read(&recorder.finish().unwrap()).unwrap()).breaches, []);
+    assert_eq!(
+        audit(&read(&recorder.finish().unwrap()).unwrap()).breaches,
+        []
+    );
 }
 
 fn template(command: &str, native: &str) -> JobTemplate {
@@ -33,9 +38,17 @@
 }
 
 fn bulk(session: &Session, native: &str, count: u64) -> Vec<JobInfo> {
-    let range = Range { first: 1, last: count, step: 1 };
-    session.run_bulk_jobs(&template("work", native), range).unwrap();
-    (0..count).map(|_| session.wait(None, SOON).unwrap()).collect()
+    let range = Range {
+        first: 1,
+        last: count,
+        step: 1,
+    };
+    session
+        .run_bulk_jobs(&template("work", native), range)
+        .unwrap();
+    (0..count)
+        .map(|_| session.wait(None, SOON).unwrap())
+        .collect()
 }
 
 fn nodes(infos: &[JobInfo]) -> Vec<&str> {
@@ -50,14 +63,23 @@
 fn copies_that_must_stand_apart_do_and_the_rest_is_refused_with_the_clause() {
     let (site, recorder) = traced(4);
     let session = Session::open(site.contact("placer-1").unwrap()).unwrap();
-    let infos = bulk(&session, "life=4s service=s constraint='require apart from copies by machine'", 6);
+    let infos = bulk(
+        &session,
+        "life=4s service=s constraint='require apart from copies by machine'",
+        6,
+    );
     let mut placed = nodes(&infos);
     placed.sort_unstable();
     assert_eq!(placed, ["node-1", "node-2", "node-3", "node-4"]);
-    let refused: Vec<&str> = infos.iter().filter_map(|info| info.usage("reedring.reason")).collect();
+    let refused: Vec<&str> = infos
+        .iter()
+        .filter_map(|info| info.usage("reedring.reason"))
+        .collect();
     assert_eq!(refused.len(), 2);
     assert!(
-        refused.iter().all(|reason| reason.contains("`require apart from copies by machine` removes 4 of 4"))
+        refused
+            .iter()
+            .all(|reason| reason.contains("`require apart from copies by machine` removes 4 of 4"))
     );
     clean(site, &recorder);
 }
@@ -82,12 +104,23 @@
 fn mistakes_are_shown_at_the_door() {
     let (site, recorder) = traced(1);
     let session = Session::open(site.contact("placer-1").unwrap()).unwrap();
-    let error = session.run_job(&template("x", "constraint='require hal = a'")).unwrap_err().message;
-    assert!(error.contains("^^^") && error.contains("did you mean `hall`?"), "{error}");
-    let error =
-        session.run_job(&template("x", "constraint='require hall = a and hall = b'")).unwrap_err().message;
+    let error = session
+        .run_job(&template("x", "constraint='require hal = a'"))
+        .unwrap_err()
+        .message;
+    assert!(
+        error.contains("^^^") && error.contains("did you mean `hall`?"),
+        "{error}"
+    );
+    let error = session
+        .run_job(&template("x", "constraint='require hall = a and hall = b'"))
+        .unwrap_err()
+        .message;
     assert!(error.contains("can't both hold"), "{error}");
-    let error = session.run_job(&template("x", "constraint='require kind = stand-im'")).unwrap_err().message;
+    let error = session
+        .run_job(&template("x", "constraint='require kind = stand-im'"))
+        .unwrap_err()
+        .message;
     assert!(error.contains("did you mean `stand-in`?"), "{error}");
     clean(site, &recorder);
 }
@@ -97,7 +130,16 @@
     let (mut site, recorder) = traced(4);
     let session = Session::open(site.contact("placer-1").unwrap()).unwrap();
     let long = "life=60s service=s constraint='require spread by hall at least 2'";
-    let jobs = session.run_bulk_jobs(&template("work", long), Range { first: 1, last: 2, step: 1 }).unwrap();
+    let jobs = session
+        .run_bulk_jobs(
+            &template("work", long),
+            Range {
+                first: 1,
+                last: 2,
+                step: 1,
+            },
+        )
+        .unwrap();
     let mut operator = Operator::connect(site.contact("placer-1").unwrap()).unwrap();
     let mut until =
         |what: &str, done: &mut dyn FnMut(Vec<reedring_client::drmaa::rpc::JobDetail>) -> bool| {
@@ -112,16 +154,32 @@
             }
         };
     let broken = |detail: &reedring_client::drmaa::rpc::JobDetail| {
-        detail.stands.iter().any(|line| line.contains("does not hold"))
+        detail
+            .stands
+            .iter()
+            .any(|line| line.contains("does not hold"))
     };
     let mut at = Vec::new();
     until("placed", &mut |details| {
-        at = details.iter().filter_map(|detail| detail.line.node.clone()).collect();
-        details.iter().all(|detail| detail.line.outcome.as_deref() == Some("placed"))
+        at = details
+            .iter()
+            .filter_map(|detail| detail.line.node.clone())
+            .collect();
+        details
+            .iter()
+            .all(|detail| detail.line.outcome.as_deref() == Some("placed"))
     });
-    assert_ne!(site.hall("hall-a").contains(&at[0]), site.hall("hall-a").contains(&at[1]), "{at:?}");
+    assert_ne!(
+        site.hall("hall-a").contains(&at[0]),
+        site.hall("hall-a").contains(&at[1]),
+        "{at:?}"
+    );
     // The second job's hall goes dark by the list; its nodes die.
-    let hall = if site.hall("hall-a").contains(&at[1]) { "hall-a" } else { "hall-b" };
+    let hall = if site.hall("hall-a").contains(&at[1]) {
+        "hall-a"
+    } else {
+        "hall-b"
+    };
     for node in site.hall(hall) {
         site.list_node(&node, Some("gone")).unwrap();
     }
@@ -129,7 +187,9 @@
     for node in site.hall(hall) {
         site.list_node(&node, Some("ready")).unwrap();
     }
-    until("mended", &mut |details| !broken(&details[0]) && !broken(&details[1]));
+    until("mended", &mut |details| {
+        !broken(&details[0]) && !broken(&details[1])
+    });
     clean(site, &recorder);
 }
 
@@ -168,7 +228,16 @@
     let day = script.play(Some(7), None).unwrap();
     assert_eq!(day.report.breaches, [], "{:?}", day.tally);
     assert_eq!(day.tally.unfinished, 0, "{:?}", day.tally);
-    assert_eq!(day.tally.denied.keys().filter(|code| *code != "TryLater").count(), 0, "{:?}", day.tally);
+    assert_eq!(
+        day.tally
+            .denied
+            .keys()
+            .filter(|code| *code != "TryLater")
+            .count(),
+        0,
+        "{:?}",
+        day.tally
+    );
 }
 
 #[test]
@@ -176,7 +245,8 @@
     let recorder = Arc::new(Recorder::in_memory());
     let mut plan = Plan::local(3);
     plan.recorder = Some(Arc::clone(&recorder));
-    let cold = "drain_grace = \"500ms\"\nwarm_after = \"1m\"\ncold_window = \"300ms\"\ncold_offers = 2.0";
+    let cold =
+        "drain_grace = \"500ms\"\nwarm_after = \"1m\"\ncold_window = \"300ms\"\ncold_offers = 2.0";
     plan.settings = plan.settings.replace("drain_grace = \"500ms\"", cold);
     let site = Site::start(plan).unwrap();
     let session = Session::open(site.contact("placer-1").unwrap()).unwrap();
--- a/crates/site/tests/guards.rs
+++ b/crates/site/tests/guards.rs
@@ -46,7 +46,8 @@
 fn script(lasts: &str, demand: &[(&str, f64, &str, f64)], events: &str) -> Script {
     let mut text = SETTINGS.replacen("LASTS", lasts, 1);
     for n in 1..=4 {
-        text += &format!("[[node]]\nname = \"node-{n}\"\ncores = 8.0\nmemory = 24.0\nlook_ms = 1.0\n");
+        text +=
+            &format!("[[node]]\nname = \"node-{n}\"\ncores = 8.0\nmemory = 24.0\nlook_ms = 1.0\n");
     }
     for (class, rate, life, cores) in demand {
         text += &format!(
@@ -60,7 +61,12 @@
 /// The rules broken on a day, each once.
 fn broken(script: &Script, sabotage: Sabotage) -> Vec<Rule> {
     let day = script.play_sabotaged(Some(1), None, sabotage).unwrap();
-    let mut rules: Vec<Rule> = day.report.breaches.iter().map(|breach| breach.rule).collect();
+    let mut rules: Vec<Rule> = day
+        .report
+        .breaches
+        .iter()
+        .map(|breach| breach.rule)
+        .collect();
     rules.sort();
     rules.dedup();
     eprintln!("{:?} {:?}", day.report, day.tally);
@@ -73,33 +79,56 @@
 }
 
 fn told(from: &'static str, to: &'static str) -> Sabotage {
-    Sabotage { settings: vec![(from, to)], blind_to_drains: false }
+    Sabotage {
+        settings: vec![(from, to)],
+        blind_to_drains: false,
+    }
 }
 
 #[test]
 fn without_the_deadline_owners_are_answered_too_late() {
     let full = script("2s", &[("play", 20.0, "4s", 2.0)], "");
-    only(&full, told("give_up = \"1.5s\"", "give_up = \"4s\""), Rule::OneOutcome);
+    only(
+        &full,
+        told("give_up = \"1.5s\"", "give_up = \"4s\""),
+        Rule::OneOutcome,
+    );
 }
 
 #[test]
 fn without_its_class_an_unsafe_task_is_sent_again() {
     let events = "[[event]]\nat = \"800ms\"\ndo = \"hang\"\ncount = 2\nfor = \"2s\"\n";
     let day = script("2s", &[("edition", 20.0, "100ms", 0.1)], events);
-    only(&day, told("repeat = \"unsafe\"", "repeat = \"safe\""), Rule::NoSecondRun);
+    only(
+        &day,
+        told("repeat = \"unsafe\"", "repeat = \"safe\""),
+        Rule::NoSecondRun,
+    );
 }
 
 #[test]
 fn without_the_list_a_drained_node_gets_work() {
-    let events = "[[event]]\nat = \"800ms\"\ndo = \"drain\"\ncount = 2\nfor = \"2s\"\nquiet = true\n";
+    let events =
+        "[[event]]\nat = \"800ms\"\ndo = \"drain\"\ncount = 2\nfor = \"2s\"\nquiet = true\n";
     let day = script("2s", &[("play", 40.0, "100ms", 0.1)], events);
-    only(&day, Sabotage { blind_to_drains: true, ..Sabotage::default() }, Rule::DrainsKept);
+    only(
+        &day,
+        Sabotage {
+            blind_to_drains: true,
+            ..Sabotage::default()
+        },
+        Rule::DrainsKept,
+    );
 }
 
 #[test]
 fn without_the_budget_a_cold_node_is_pushed_over() {
     let day = script("2s", &[("play", 60.0, "100ms", 0.1)], "");
-    only(&day, told("cold_offers = 8.0", "cold_offers = 8000.0"), Rule::ColdNodes);
+    only(
+        &day,
+        told("cold_offers = 8.0", "cold_offers = 8000.0"),
+        Rule::ColdNodes,
+    );
 }
 
 #[test]
