--- a/crates/site/tests/hard.rs
+++ b/crates/site/tests/hard.rs
@@ -22,10 +22,20 @@
 
 impl Raw {
     fn connect(site: &Site) -> Self {
-        let address = site.contact("placer-1").unwrap().strip_prefix("tcp:").unwrap().to_owned();
+        let address = site
+            .contact("placer-1")
+            .unwrap()
+            .strip_prefix("tcp:")
+            .unwrap()
+            .to_owned();
         let stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
-        Self { stream, reader: Reader::new(MAX_RESPONSE) }
+        stream
+            .set_read_timeout(Some(Duration::from_secs(20)))
+            .unwrap();
+        Self {
+            stream,
+            reader: Reader::new(MAX_RESPONSE),
+        }
     }
 
     fn send(&mut self, id: u64, call: Call) {
@@ -49,11 +59,18 @@
         self.send(id, call);
         let response = self.read();
         assert_eq!(response.id, Some(id));
-        response.result.unwrap_or_else(|| panic!("{:?}", response.error))
+        response
+            .result
+            .unwrap_or_else(|| panic!("{:?}", response.error))
     }
 
     fn init(&mut self) -> u64 {
-        match self.ask(0, Call::Init { session: "rude".into() }) {
+        match self.ask(
+            0,
+            Call::Init {
+                session: "rude".into(),
+            },
+        ) {
             Answer::Session { life } => life,
             other => panic!("{other:?}"),
         }
@@ -65,13 +82,35 @@
     template.set("drmaa_remote_command", "true").unwrap();
     template.set("drmaa_native_specification", native).unwrap();
     let job = Box::new(template.spec(&jiff::Zoned::now()).unwrap());
-    let key = CallKey { session: "rude".into(), call, settled: 0, sent_to: life };
-    Call::RunBulkJobs { key, job, range: Range { first: 1, last: count, step: 1 } }
+    let key = CallKey {
+        session: "rude".into(),
+        call,
+        settled: 0,
+        sent_to: life,
+    };
+    Call::RunBulkJobs {
+        key,
+        job,
+        range: Range {
+            first: 1,
+            last: count,
+            step: 1,
+        },
+    }
 }
 
 fn wait(life: u64, call: u64) -> Call {
-    let key = CallKey { session: "rude".into(), call, settled: 0, sent_to: life };
-    Call::Wait { key, job: None, timeout_s: 20 }
+    let key = CallKey {
+        session: "rude".into(),
+        call,
+        settled: 0,
+        sent_to: life,
+    };
+    Call::Wait {
+        key,
+        job: None,
+        timeout_s: 20,
+    }
 }
 
 fn traced() -> (Site, Arc<Recorder>) {
@@ -101,12 +140,12 @@
     let one = again.ask(1, bulk(life, 7, "class=edition cores=0.1 memory=0.1", 50));
     let two = again.ask(2, bulk(life, 7, "class=edition cores=0.1 memory=0.1", 50));
     assert_eq!(one, two);
-    let ends: Vec<Answer> = (0..50).map(|n| again.ask(10 + n, wait(life, 100 + n))).collect();
-    assert!(
-        ends.iter().all(
-            |end| matches!(end, Answer::Ended(info) if info.usage("reedring.outcome") == Some("placed"))
-        )
-    );
+    let ends: Vec<Answer> = (0..50)
+        .map(|n| again.ask(10 + n, wait(life, 100 + n)))
+        .collect();
+    assert!(ends.iter().all(
+        |end| matches!(end, Answer::Ended(info) if info.usage("reedring.outcome") == Some("placed"))
+    ));
     // A wait whose answer was lost is answered again, and takes no second job.
     assert_eq!(again.ask(90, wait(life, 149)), ends[49]);
     let report = clean(site, &recorder);
@@ -127,12 +166,18 @@
     again.ask(1, bulk(life, 8, native, 20));
     let mut ran = std::collections::BTreeMap::<String, u32>::new();
     for n in 0..40 {
-        let Answer::Ended(info) = again.ask(10 + n, wait(life, 100 + n)) else { panic!("no end") };
+        let Answer::Ended(info) = again.ask(10 + n, wait(life, 100 + n)) else {
+            panic!("no end")
+        };
         let index = info.job.rsplit('.').next().unwrap().to_owned();
-        *ran.entry(index).or_default() += u32::from(info.usage("reedring.outcome") == Some("placed"));
+        *ran.entry(index).or_default() +=
+            u32::from(info.usage("reedring.outcome") == Some("placed"));
     }
     // Two halls: each lets one copy of a key stand.
-    assert!(ran.len() == 20 && ran.values().all(|count| (1..=2).contains(count)), "{ran:?}");
+    assert!(
+        ran.len() == 20 && ran.values().all(|count| (1..=2).contains(count)),
+        "{ran:?}"
+    );
     clean(site, &recorder);
 }
 
@@ -149,7 +194,11 @@
     drop(idle);
     // Their places come free.
     let mut tries = 0;
-    while Operator::connect(site.contact("placer-1").unwrap()).unwrap().nodes().is_err() {
+    while Operator::connect(site.contact("placer-1").unwrap())
+        .unwrap()
+        .nodes()
+        .is_err()
+    {
         tries += 1;
         assert!(tries < 1_000, "no place comes free");
         std::thread::yield_now();
@@ -160,7 +209,9 @@
 fn a_client_that_never_reads_holds_nobody_up() {
     let site = Site::start(Plan::local(2)).unwrap();
     let mut mute = Raw::connect(&site);
-    mute.stream.set_write_timeout(Some(Duration::from_millis(50))).unwrap();
+    mute.stream
+        .set_write_timeout(Some(Duration::from_millis(50)))
+        .unwrap();
     let body = wrap(&serde_json::to_vec(&Request::new(1, Call::ListNodes {})).unwrap());
     let mut sent = 0;
     while sent < 100_000 && mute.stream.write_all(&body).is_ok() {
@@ -171,7 +222,9 @@
     let mut template = JobTemplate::new();
     template.set("drmaa_remote_command", "true").unwrap();
     let job = session.run_job(&template).unwrap();
-    session.wait(Some(&job), Some(Duration::from_secs(20))).unwrap();
+    session
+        .wait(Some(&job), Some(Duration::from_secs(20)))
+        .unwrap();
 }
 
 #[test]
@@ -193,7 +246,9 @@
     let mut client = Raw::connect(&site);
     client
         .stream
-        .write_all(&wrap(b"{\"jsonrpc\":\"2.0\",\"id\":4,\"method\":\"drmaa_fly\",\"params\":{}}"))
+        .write_all(&wrap(
+            b"{\"jsonrpc\":\"2.0\",\"id\":4,\"method\":\"drmaa_fly\",\"params\":{}}",
+        ))
         .unwrap();
     assert_eq!(client.read().error.unwrap().code, -32601);
     // The connection goes on after a call that is none.
--- a/crates/standin/src/config.rs
+++ b/crates/standin/src/config.rs
@@ -190,7 +190,11 @@
     /// # Errors
     /// The first thing that is wrong with it.
     pub fn parse(text: &str, file: &str) -> Result<Self, ConfigError> {
-        let error = |line, message| ConfigError { file: file.to_owned(), line, message };
+        let error = |line, message| ConfigError {
+            file: file.to_owned(),
+            line,
+            message,
+        };
         let fleet: Self = toml::from_str(text).map_err(|wrong| {
             let at = wrong.span().map_or(0, |span| span.start);
             let line = text.bytes().take(at).filter(|byte| *byte == b'\n').count() + 1;
--- a/crates/standin/src/groups.rs
+++ b/crates/standin/src/groups.rs
@@ -29,9 +29,18 @@
 
 impl Groups {
     /// Whether another copy of the task stands, or stood within its window.
-    pub fn stands(&mut self, now_us: u64, attempt: AttemptId, task: &Task, hall: &str, rack: &str) -> bool {
+    pub fn stands(
+        &mut self,
+        now_us: u64,
+        attempt: AttemptId,
+        task: &Task,
+        hall: &str,
+        rack: &str,
+    ) -> bool {
         let name = name(task, hall, rack);
-        let Some(copy) = self.copies.get(&name) else { return false };
+        let Some(copy) = self.copies.get(&name) else {
+            return false;
+        };
         if copy.until_us.is_some_and(|until| until <= now_us) {
             self.copies.remove(&name);
             return false;
@@ -41,14 +50,31 @@
 
     /// A copy was taken.
     pub fn taken(&mut self, now_us: u64, attempt: AttemptId, task: &Task, hall: &str, rack: &str) {
-        let copy = Copy { attempt, until_us: None, first_us: now_us };
+        let copy = Copy {
+            attempt,
+            until_us: None,
+            first_us: now_us,
+        };
         self.copies.insert(name(task, hall, rack), copy);
     }
 
     /// A copy is no more; one that ran to its end is remembered for its window.
-    pub fn gone(&mut self, attempt: AttemptId, task: &Task, hall: &str, rack: &str, to_its_end: bool) {
+    pub fn gone(
+        &mut self,
+        attempt: AttemptId,
+        task: &Task,
+        hall: &str,
+        rack: &str,
+        to_its_end: bool,
+    ) {
         let name = name(task, hall, rack);
-        let Some(copy) = self.copies.get_mut(&name).filter(|copy| copy.attempt == attempt) else { return };
+        let Some(copy) = self
+            .copies
+            .get_mut(&name)
+            .filter(|copy| copy.attempt == attempt)
+        else {
+            return;
+        };
         if to_its_end {
             copy.until_us = Some(copy.first_us + u64::from(task.window_ms) * 1_000);
         } else {
--- a/crates/standin/src/model/links.rs
+++ b/crates/standin/src/model/links.rs
@@ -24,12 +24,24 @@
         if self.fallen {
             return;
         }
-        if let Message::Hello { placer, life, link: number, acts } = message {
+        if let Message::Hello {
+            placer,
+            life,
+            link: number,
+            acts,
+        } = message
+        {
             if acts.is_some() && !self.config.plans {
                 // It speaks version 1 alone.
                 return self.effects.push(Effect::Close(link));
             }
-            return self.hello(now_us, link, &placer, (life, number), acts.map(|(stamp, _)| stamp));
+            return self.hello(
+                now_us,
+                link,
+                &placer,
+                (life, number),
+                acts.map(|(stamp, _)| stamp),
+            );
         }
         if matches!(message, Message::Plan(_)) && !self.config.plans {
             // A frame of another version: nothing after it can be trusted.
@@ -47,14 +59,24 @@
             return self.backlog.push_back((link, message));
         }
         match message {
-            Message::Offer { attempt, task, within_ms, stamp } => {
+            Message::Offer {
+                attempt,
+                task,
+                within_ms,
+                stamp,
+            } => {
                 self.offered(now_us, placer, attempt, *task, within_ms, stamp, groups);
             }
             Message::Plan(order) => self.ordered(now_us, link, &order),
             Message::Stop { attempt } => self.stop(now_us, &placer, attempt, groups),
             Message::Probe { nonce } => {
-                let report = if self.config.reports == Reports::Never { Vec::new() } else { self.load() };
-                self.effects.push(Effect::Send(link, Message::Report { nonce, report }));
+                let report = if self.config.reports == Reports::Never {
+                    Vec::new()
+                } else {
+                    self.load()
+                };
+                self.effects
+                    .push(Effect::Send(link, Message::Report { nonce, report }));
             }
             Message::Suspend { attempt } => self.suspend(now_us, attempt, true),
             Message::Resume { attempt } => self.suspend(now_us, attempt, false),
@@ -117,7 +139,10 @@
         held.extend(ends.iter().map(|(attempt, (task, end, ran))| Held {
             attempt: *attempt,
             task: task.clone(),
-            state: HeldState::Ended { end: end.clone(), ran: *ran },
+            state: HeldState::Ended {
+                end: end.clone(),
+                ran: *ran,
+            },
         }));
         let mut page = Vec::new();
         let mut size = 0;
@@ -126,11 +151,18 @@
             page.push(one);
             if size > PAGE {
                 let held = std::mem::take(&mut page);
-                self.effects.push(Effect::Send(link, Message::Holds { held, last: false }));
+                self.effects
+                    .push(Effect::Send(link, Message::Holds { held, last: false }));
                 size = 0;
             }
         }
-        self.effects.push(Effect::Send(link, Message::Holds { held: page, last: true }));
+        self.effects.push(Effect::Send(
+            link,
+            Message::Holds {
+                held: page,
+                last: true,
+            },
+        ));
         self.links.insert(link, name.to_owned());
     }
 
--- a/crates/standin/src/model/mod.rs
+++ b/crates/standin/src/model/mod.rs
@@ -112,16 +112,27 @@
     pub fn next_us(&self) -> Option<u64> {
         let looks = self.looks_until.filter(|_| !self.fault.hangs);
         let due = self.due.first().map(|(at, _)| *at);
-        due.into_iter().chain(looks).chain(self.plans.seen_due).min().filter(|_| !self.fallen)
+        due.into_iter()
+            .chain(looks)
+            .chain(self.plans.seen_due)
+            .min()
+            .filter(|_| !self.fallen)
     }
 
     pub(super) fn report(&self) -> Vec<f64> {
-        if self.config.reports == Reports::Answers { self.load() } else { Vec::new() }
+        if self.config.reports == Reports::Answers {
+            self.load()
+        } else {
+            Vec::new()
+        }
     }
 
     /// Cores and memory that no accepted task asked for.
     pub(super) fn load(&self) -> Vec<f64> {
-        vec![self.config.cores - self.asked.0, self.config.memory - self.asked.1]
+        vec![
+            self.config.cores - self.asked.0,
+            self.config.memory - self.asked.1,
+        ]
     }
 
     /// Runs everything that is due.
@@ -132,7 +143,9 @@
                 self.message(now_us, link, message, groups);
             }
         }
-        while let Some(at) = self.looks_until.filter(|at| *at <= now_us && !self.fault.hangs && !self.fallen)
+        while let Some(at) = self
+            .looks_until
+            .filter(|at| *at <= now_us && !self.fault.hangs && !self.fallen)
         {
             let Some(waiting) = self.line.pop_front() else {
                 self.looks_until = None;
--- a/crates/standin/src/model/offers.rs
+++ b/crates/standin/src/model/offers.rs
@@ -20,7 +20,12 @@
         stamp: Option<Stamp>,
         groups: &mut Groups,
     ) {
-        if self.placers.get(&placer).is_some_and(|placer| placer.stamp != stamp) && stamp.is_some() {
+        if self
+            .placers
+            .get(&placer)
+            .is_some_and(|placer| placer.stamp != stamp)
+            && stamp.is_some()
+        {
             self.sees(now_us, &placer, stamp);
             self.placers.entry(placer.clone()).or_default().stamp = stamp;
         }
@@ -35,7 +40,11 @@
             while self.offers.front().is_some_and(|at| at + window < now_us) {
                 self.offers.pop_front();
             }
-            if self.config.cold_offers.is_some_and(|most| self.offers.len() > most as usize) {
+            if self
+                .config
+                .cold_offers
+                .is_some_and(|most| self.offers.len() > most as usize)
+            {
                 self.fallen = true;
                 return self.effects.push(Effect::FellOver);
             }
@@ -50,7 +59,13 @@
             0 => u64::MAX,
             ms => now_us + u64::from(ms) * 1_000,
         };
-        self.line.push_back(Waiting { attempt, placer, task, too_late_us, stamp });
+        self.line.push_back(Waiting {
+            attempt,
+            placer,
+            task,
+            too_late_us,
+            stamp,
+        });
         if self.looks_until.is_none() {
             self.looks_until = Some(now_us + self.config.look().as_micros() as u64);
         }
@@ -63,11 +78,25 @@
 
     pub(super) fn refuse(&mut self, placer: &str, attempt: AttemptId, reason: Reason) {
         let (text, report) = (String::new(), self.report());
-        self.tell(placer, Message::Refused { attempt, reason, text, report });
+        self.tell(
+            placer,
+            Message::Refused {
+                attempt,
+                reason,
+                text,
+                report,
+            },
+        );
     }
 
     pub(super) fn look(&mut self, now_us: u64, waiting: Waiting, groups: &mut Groups) {
-        let Waiting { attempt, placer, task, too_late_us, stamp } = waiting;
+        let Waiting {
+            attempt,
+            placer,
+            task,
+            too_late_us,
+            stamp,
+        } = waiting;
         let (cores, memory) = self.asked;
         let (hall, rack) = (self.config.hall.clone(), self.config.rack.clone());
         let room = |asked: f64, ask: f64, size: f64, times: f64| asked + ask <= size * times + 1e-9;
@@ -81,11 +110,23 @@
             Some(Reason::Draining)
         } else if self.fault.throttles.contains(&task.tenant) {
             Some(Reason::Untold)
-        } else if task.repeat == Repeat::Keyed && groups.stands(now_us, attempt, &task, &hall, &rack) {
+        } else if task.repeat == Repeat::Keyed
+            && groups.stands(now_us, attempt, &task, &hall, &rack)
+        {
             Some(Reason::CopyStands)
-        } else if !room(cores, task.cores, self.config.cores, self.config.accepts_cores) {
+        } else if !room(
+            cores,
+            task.cores,
+            self.config.cores,
+            self.config.accepts_cores,
+        ) {
             Some(Reason::NoCores)
-        } else if !room(memory, task.memory, self.config.memory, self.config.accepts_memory) {
+        } else if !room(
+            memory,
+            task.memory,
+            self.config.memory,
+            self.config.accepts_memory,
+        ) {
             Some(Reason::NoMemory)
         } else {
             None
@@ -98,13 +139,23 @@
         }
         let (life_us, end) = self.run_of(&task);
         let (low, high) = self.config.uses;
-        let uses = task.memory * (low + (high - low) * f64::from(self.rng.next_u32()) / f64::from(u32::MAX));
+        let uses = task.memory
+            * (low + (high - low) * f64::from(self.rng.next_u32()) / f64::from(u32::MAX));
         self.asked = (cores + task.cores, memory + task.memory);
         *self.services.entry(task.service.clone()).or_default() += 1;
         self.taken += 1;
         let order = self.taken;
         let state = State::Queued;
-        let job = Job { placer: placer.clone(), task, state, until_us: 0, life_us, end, uses, order };
+        let job = Job {
+            placer: placer.clone(),
+            task,
+            state,
+            until_us: 0,
+            life_us,
+            end,
+            uses,
+            order,
+        };
         self.jobs.insert(attempt, job);
         self.queue.push_back(attempt);
         if !self.config.yes_when_running {
@@ -119,14 +170,20 @@
         let spec: JobSpec = serde_json::from_slice(&task.payload).unwrap_or_default();
         let word = spec.command.rsplit('/').next().unwrap_or_default();
         let first = spec.args.first().map(String::as_str).unwrap_or_default();
-        let told = if task.life_ms > 0 { task.life_ms } else { self.config.life_ms };
+        let told = if task.life_ms > 0 {
+            task.life_ms
+        } else {
+            self.config.life_ms
+        };
         match (word, first.parse::<f64>()) {
             ("sleep", Ok(seconds)) if (0.0..1e9).contains(&seconds) => {
                 ((seconds * 1e6) as u64, End::Exited(0))
             }
             ("true", _) => (0, End::Exited(0)),
             ("false", _) => (0, End::Exited(1)),
-            ("exit", Ok(status)) if (0.0..256.0).contains(&status) => (0, End::Exited(status as u8)),
+            ("exit", Ok(status)) if (0.0..256.0).contains(&status) => {
+                (0, End::Exited(status as u8))
+            }
             _ => (told * 1_000, End::Exited(0)),
         }
     }
--- a/crates/standin/src/model/plans.rs
+++ b/crates/standin/src/model/plans.rs
@@ -5,7 +5,9 @@
 
 use reedring::names::machine_id;
 use reedring_nodeproto::{Message, Order, Reason, Record, Stamp};
-use reedring_plan::{Declined, Delta, DeltaStep, Kept, LearnedFloor, Memory, Refusal, Seen, Version, delta};
+use reedring_plan::{
+    Declined, Delta, DeltaStep, Kept, LearnedFloor, Memory, Refusal, Seen, Version, delta,
+};
 
 use super::Node;
 use super::types::{Effect, LinkId};
@@ -72,7 +74,13 @@
     fn delta(&self, have: Version, wanted: Version) -> Option<Delta> {
         let former = || {
             let base = self.former.as_ref().filter(|kept| kept.version() == have)?;
-            delta::shorter(base, self.acts.force.as_ref().filter(|kept| kept.version() == wanted)?)
+            delta::shorter(
+                base,
+                self.acts
+                    .force
+                    .as_ref()
+                    .filter(|kept| kept.version() == wanted)?,
+            )
         };
         self.acts.delta(have, wanted).or_else(former)
     }
@@ -83,12 +91,22 @@
     /// since 1970, when the node's clock was 0.
     pub fn remembers(&mut self, memory: Memory, keep: Option<Box<dyn Keep>>, unix_s: u64) {
         let floor_us = self.started_us;
-        self.plans = Plans { acts: memory, keep, floor_us, epoch_s: unix_s, ..Plans::default() };
+        self.plans = Plans {
+            acts: memory,
+            keep,
+            floor_us,
+            epoch_s: unix_s,
+            ..Plans::default()
+        };
     }
 
     /// What it keeps of plans, as placers are told.
     pub fn record(&self, now_us: u64) -> Record {
-        let kept = if self.config.votes { self.plans.acts.record() } else { self.plans.learned.record() };
+        let kept = if self.config.votes {
+            self.plans.acts.record()
+        } else {
+            self.plans.learned.record()
+        };
         let floor = kept.floor();
         let linked = self.placers.values().filter(|placer| placer.link.is_some());
         let stamps = linked.filter_map(|placer| placer.stamp);
@@ -98,8 +116,16 @@
             behind += u16::from(stamp.level() < floor);
         }
         let floor_ms = now_us.saturating_sub(self.plans.floor_us) / 1_000;
-        let stuck = kept.stuck || self.plans.stuck || self.plans.acts.taught && !self.has_settled(now_us);
-        Record { floor_ms, linked, behind, stuck, deltas: true, ..kept }
+        let stuck =
+            kept.stuck || self.plans.stuck || self.plans.acts.taught && !self.has_settled(now_us);
+        Record {
+            floor_ms,
+            linked,
+            behind,
+            stuck,
+            deltas: true,
+            ..kept
+        }
     }
 
     /// Writes of its memory of plans, and their bytes.
@@ -119,7 +145,11 @@
         }
         let (level, build) = stamp.map_or((0, 0), |stamp| (stamp.level(), stamp.build));
         let at_s = self.plans.epoch_s + now_us / 1_000_000;
-        if self.plans.acts.sees(machine_id(placer).0, Seen { level, at_s, build }) {
+        if self
+            .plans
+            .acts
+            .sees(machine_id(placer).0, Seen { level, at_s, build })
+        {
             self.plans.seen_due.get_or_insert(now_us + SEEN_US);
         }
     }
@@ -135,19 +165,40 @@
     /// Tells every placer that knows plans what is kept now.
     fn tell_record(&mut self, now_us: u64) {
         let record = self.record(now_us);
-        let links: Vec<LinkId> =
-            self.placers.values().filter(|placer| placer.stamp.is_some()).filter_map(|p| p.link).collect();
-        self.effects.extend(links.into_iter().map(|link| Effect::Send(link, Message::Record(record))));
+        let links: Vec<LinkId> = self
+            .placers
+            .values()
+            .filter(|placer| placer.stamp.is_some())
+            .filter_map(|p| p.link)
+            .collect();
+        self.effects.extend(
+            links
+                .into_iter()
+                .map(|link| Effect::Send(link, Message::Record(record))),
+        );
     }
 
     /// An order to the node's memory.
     pub(super) fn ordered(&mut self, now_us: u64, link: LinkId, order: &Order) {
         if let Order::Fetch { version, have } = order {
             if let Some(delta) = have.and_then(|have| self.plans.delta(have, *version)) {
-                return self.effects.push(Effect::Send(link, Message::PlanDelta(delta)));
+                return self
+                    .effects
+                    .push(Effect::Send(link, Message::PlanDelta(delta)));
             }
-            let text = self.plans.acts.text(*version).unwrap_or_default().to_owned();
-            return self.effects.push(Effect::Send(link, Message::PlanText { version: *version, text }));
+            let text = self
+                .plans
+                .acts
+                .text(*version)
+                .unwrap_or_default()
+                .to_owned();
+            return self.effects.push(Effect::Send(
+                link,
+                Message::PlanText {
+                    version: *version,
+                    text,
+                },
+            ));
         }
         if let Order::Ask { stamp } = order
             && let Some(name) = self.links.get(&link).cloned()
@@ -165,7 +216,10 @@
                     order,
                     Order::Prepare { .. }
                         | Order::Accept { .. }
-                        | Order::ByDelta { step: DeltaStep::Accept { .. }, .. }
+                        | Order::ByDelta {
+                            step: DeltaStep::Accept { .. },
+                            ..
+                        }
                 );
                 if !self.plans.keep(new.clone()) && !vote {
                     // What a majority has kept is acted by all the same; it only counts for nothing here.
@@ -176,7 +230,8 @@
                 }
                 if let Order::Prepare { .. } = order {
                     // A promise concerns the placer that asked for it alone.
-                    self.effects.push(Effect::Send(link, Message::Record(self.record(now_us))));
+                    self.effects
+                        .push(Effect::Send(link, Message::Record(self.record(now_us))));
                 } else {
                     self.tell_record(now_us);
                 }
@@ -189,7 +244,8 @@
             }
             Err(_) => {
                 let record = self.record(now_us);
-                self.effects.push(Effect::Send(link, Message::Record(record)));
+                self.effects
+                    .push(Effect::Send(link, Message::Record(record)));
             }
         }
     }
@@ -207,29 +263,56 @@
         match order {
             Order::Raise { stamp } => self.learn(now_us, stamp),
             Order::Joint { version, list, .. } | Order::Force { version, list, .. } => {
-                let stamp = Stamp { version: *version, joint: true, list: *list, build: 0 };
+                let stamp = Stamp {
+                    version: *version,
+                    joint: true,
+                    list: *list,
+                    build: 0,
+                };
                 self.learn(now_us, &stamp);
             }
-            Order::ByDelta { step: DeltaStep::Joint | DeltaStep::Force, delta, list } => {
-                let stamp = Stamp { version: delta.target, joint: true, list: *list, build: 0 };
+            Order::ByDelta {
+                step: DeltaStep::Joint | DeltaStep::Force,
+                delta,
+                list,
+            } => {
+                let stamp = Stamp {
+                    version: delta.target,
+                    joint: true,
+                    list: *list,
+                    build: 0,
+                };
                 self.learn(now_us, &stamp);
             }
             Order::Ask { .. }
             | Order::Fetch { .. }
             | Order::Prepare { .. }
             | Order::Accept { .. }
-            | Order::ByDelta { step: DeltaStep::Accept { .. }, .. } => {}
+            | Order::ByDelta {
+                step: DeltaStep::Accept { .. },
+                ..
+            } => {}
         }
         let record = self.record(now_us);
-        self.effects.push(Effect::Send(link, Message::Record(record)));
+        self.effects
+            .push(Effect::Send(link, Message::Record(record)));
     }
 
     fn admits(&self, stamp: Option<&Stamp>) -> Result<(), Refusal> {
-        if self.config.votes { self.plans.acts.admits(stamp) } else { self.plans.learned.admits(stamp) }
+        if self.config.votes {
+            self.plans.acts.admits(stamp)
+        } else {
+            self.plans.learned.admits(stamp)
+        }
     }
 
     /// Why an offer is not admitted, if it is not. Its placer is told what is kept here, so that it can catch up.
-    pub(super) fn superseded(&mut self, now_us: u64, placer: &str, stamp: Option<&Stamp>) -> Option<Reason> {
+    pub(super) fn superseded(
+        &mut self,
+        now_us: u64,
+        placer: &str,
+        stamp: Option<&Stamp>,
+    ) -> Option<Reason> {
         if !self.config.plans || self.admits(stamp).is_ok() {
             return None;
         }
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -129,7 +129,9 @@
 
 /// Gives a node what its folder kept of plans.
 fn remember(node: &mut Node, config: &Config, now_us: u64) {
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let unix = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     let epoch_s = unix.as_secs().saturating_sub(now_us / 1_000_000);
     let opened = config.plan_dir.as_ref().map(|dir| {
         let disk = Disk::lock(dir).map_err(|error| error.to_string())?;
@@ -138,12 +140,18 @@
     match opened {
         Some(Ok(opened)) => {
             for why in &opened.passed_by {
-                tracing::warn!(node = config.name, "plans: {why}; the last whole state holds");
+                tracing::warn!(
+                    node = config.name,
+                    "plans: {why}; the last whole state holds"
+                );
             }
             node.remembers(opened.memory, Some(Box::new(opened.slots)), epoch_s);
         }
         Some(Err(why)) => {
-            tracing::warn!(node = config.name, "plans: {why}; it keeps none over a restart");
+            tracing::warn!(
+                node = config.name,
+                "plans: {why}; it keeps none over a restart"
+            );
             node.remembers(Memory::default(), None, epoch_s);
         }
         None => node.remembers(Memory::default(), None, epoch_s),
@@ -180,7 +188,11 @@
     traffic: Option<Arc<PeerTraffic>>,
 ) -> Result<Handle, ServeError> {
     let (name, address) = (config.name.clone(), config.listen);
-    let fault = |error| ServeError { name: name.clone(), address, error };
+    let fault = |error| ServeError {
+        name: name.clone(),
+        address,
+        error,
+    };
     let listener = TcpListener::bind(address).await.map_err(fault)?;
     let address = listener.local_addr().map_err(fault)?;
     let (commands, orders) = mpsc::unbounded_channel();
@@ -191,10 +203,23 @@
     if let Some(recorder) = &recorder {
         recorder.record(Event::NodeStarted, &name, "", life, b"");
     }
-    let server =
-        Server { node, groups, recorder, clock, links: BTreeMap::new(), last_link: 0, came, traffic };
+    let server = Server {
+        node,
+        groups,
+        recorder,
+        clock,
+        links: BTreeMap::new(),
+        last_link: 0,
+        came,
+        traffic,
+    };
     let task = tokio::spawn(server.run(listener, orders, coming));
-    Ok(Handle { name, address, commands, task })
+    Ok(Handle {
+        name,
+        address,
+        commands,
+        task,
+    })
 }
 
 impl Server {
@@ -241,13 +266,22 @@
                 self.with_groups(|node, groups, now| node.tick(now, groups));
             }
             if self.carry_out() {
-                tracing::warn!(node = self.node.config().name, "fell over under starts while cold");
+                tracing::warn!(
+                    node = self.node.config().name,
+                    "fell over under starts while cold"
+                );
                 break;
             }
         }
         self.with_groups(|node, groups, _| node.die(groups));
         if let Some(recorder) = &self.recorder {
-            recorder.record(Event::NodeEnded, &self.node.config().name, "", self.node.life(), b"");
+            recorder.record(
+                Event::NodeEnded,
+                &self.node.config().name,
+                "",
+                self.node.life(),
+                b"",
+            );
         }
     }
 
@@ -257,7 +291,11 @@
 
     fn with_groups(&mut self, act: impl FnOnce(&mut Node, &mut Groups, u64)) {
         let now = self.now();
-        act(&mut self.node, &mut self.groups.lock().unwrap_or_else(PoisonError::into_inner), now);
+        act(
+            &mut self.node,
+            &mut self.groups.lock().unwrap_or_else(PoisonError::into_inner),
+            now,
+        );
     }
 
     /// Carries out what the node does; whether it fell over.
@@ -300,7 +338,14 @@
         let (out, messages) = mpsc::unbounded_channel();
         let placer = Arc::new(Mutex::new(String::new()));
         let (recorder, peers) = (self.recorder.clone(), self.traffic.clone());
-        let side = Side { id, name, placer: Arc::clone(&placer), recorder, peers, traffic: Arc::default() };
+        let side = Side {
+            id,
+            name,
+            placer: Arc::clone(&placer),
+            recorder,
+            peers,
+            traffic: Arc::default(),
+        };
         let tasks = [
             tokio::spawn(reads(side.clone(), read, self.came.clone())),
             tokio::spawn(writes(side, write, messages)),
@@ -340,7 +385,11 @@
 
     fn record(&self, event: Event, bytes: &[u8]) {
         if let Some(recorder) = &self.recorder {
-            let placer = self.placer.lock().unwrap_or_else(PoisonError::into_inner).clone();
+            let placer = self
+                .placer
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .clone();
             recorder.record(event, &self.name, &placer, self.id, bytes);
         }
     }
@@ -373,7 +422,11 @@
     let _ = came.send(Came::Gone(side.id)).await;
 }
 
-async fn writes(side: Side, mut write: OwnedWriteHalf, mut messages: mpsc::UnboundedReceiver<Message>) {
+async fn writes(
+    side: Side,
+    mut write: OwnedWriteHalf,
+    mut messages: mpsc::UnboundedReceiver<Message>,
+) {
     let mut batch = Vec::new();
     while messages.recv_many(&mut batch, 256).await > 0 {
         let mut bytes = Vec::new();
--- a/crates/standin/src/slots.rs
+++ b/crates/standin/src/slots.rs
@@ -49,9 +49,13 @@
     pub fn open(folder: F) -> io::Result<Opened<F>> {
         let (mut best, mut passed_by) = (None::<(u64, usize, Memory)>, Vec::new());
         for (n, name) in SLOTS.into_iter().enumerate() {
-            let Some(bytes) = folder.read(name)? else { continue };
+            let Some(bytes) = folder.read(name)? else {
+                continue;
+            };
             match parse(&bytes) {
-                Ok((sequence, memory)) if best.as_ref().is_none_or(|(other, ..)| sequence > *other) => {
+                Ok((sequence, memory))
+                    if best.as_ref().is_none_or(|(other, ..)| sequence > *other) =>
+                {
                     best = Some((sequence, n, memory));
                 }
                 Ok(_) => {}
@@ -59,7 +63,14 @@
             }
         }
         let (sequence, slot, memory) = best.unwrap_or((0, 1, Memory::default()));
-        Ok(Opened { slots: Self { folder, last: (sequence, slot) }, memory, passed_by })
+        Ok(Opened {
+            slots: Self {
+                folder,
+                last: (sequence, slot),
+            },
+            memory,
+            passed_by,
+        })
     }
 }
 
@@ -90,11 +101,25 @@
     fn memories() -> Vec<Memory> {
         let force = |number: u64, text: &str| {
             let kept = Kept::new(number, text).unwrap();
-            Order::Force { version: kept.version(), text: text.to_owned(), list: 0 }
+            Order::Force {
+                version: kept.version(),
+                text: text.to_owned(),
+                list: 0,
+            }
         };
         let mut all = vec![Memory::default()];
-        for (number, text) in [(1, "one"), (2, "two, which is longer"), (3, "3"), (4, "four")] {
-            all.push(all.last().unwrap().after(&force(number, text), true).unwrap());
+        for (number, text) in [
+            (1, "one"),
+            (2, "two, which is longer"),
+            (3, "3"),
+            (4, "four"),
+        ] {
+            all.push(
+                all.last()
+                    .unwrap()
+                    .after(&force(number, text), true)
+                    .unwrap(),
+            );
         }
         all
     }
@@ -139,7 +164,9 @@
     fn a_slot_cut_at_any_byte_leaves_the_state_before_and_is_told() {
         let (all, folder) = (memories(), SimFolder::default());
         let mut slots = Slots::open(folder.clone()).unwrap().slots;
-        all.iter().skip(1).for_each(|memory| slots.keep(&reedring_plan::write(memory)).unwrap());
+        all.iter()
+            .skip(1)
+            .for_each(|memory| slots.keep(&reedring_plan::write(memory)).unwrap());
         let name = SLOTS[slots.last.1];
         let whole = folder.read(name).unwrap().unwrap();
         for cut in 0..whole.len() {
--- a/crates/standin/tests/greetings.rs
+++ b/crates/standin/tests/greetings.rs
@@ -5,7 +5,15 @@
 use reedring_standin::{Config, Effect, Groups, Node};
 
 fn stamp(number: u64) -> Stamp {
-    Stamp { version: Version { number, digest: Digest([number as u8; 16]) }, joint: false, list: 1, build: 9 }
+    Stamp {
+        version: Version {
+            number,
+            digest: Digest([number as u8; 16]),
+        },
+        joint: false,
+        list: 1,
+        build: 9,
+    }
 }
 
 /// 350 placers on three versions greet one node at once: each is told where it stands, in one message, and the node
@@ -15,23 +23,43 @@
     let (mut node, mut groups) = (Node::new(Config::named("n"), 1, 1, 0), Groups::default());
     let hello = |n: u64| {
         let acts = Some((stamp(1 + n % 3), "build".to_owned()));
-        Message::Hello { placer: format!("placer-{n}"), life: 1, link: 1, acts }
+        Message::Hello {
+            placer: format!("placer-{n}"),
+            life: 1,
+            link: 1,
+            acts,
+        }
     };
     node.message(0, 0, hello(2), &mut groups);
     let kept = Kept::new(3, "the plan").unwrap();
-    let force = Order::Force { version: kept.version(), text: "the plan".to_owned(), list: 1 };
+    let force = Order::Force {
+        version: kept.version(),
+        text: "the plan".to_owned(),
+        list: 1,
+    };
     node.message(1, 0, Message::Plan(force), &mut groups);
     node.effects();
     for n in 0..350 {
         node.message(2, 1 + n, hello(n), &mut groups);
         let told = node.effects();
-        let welcomes =
-            told.iter().filter(|effect| matches!(effect, Effect::Send(_, Message::Welcome { .. }))).count();
-        let records =
-            told.iter().filter(|effect| matches!(effect, Effect::Send(_, Message::Record(_)))).count();
-        assert_eq!((welcomes, records), (1, 0), "one greeting tells nobody else");
+        let welcomes = told
+            .iter()
+            .filter(|effect| matches!(effect, Effect::Send(_, Message::Welcome { .. })))
+            .count();
+        let records = told
+            .iter()
+            .filter(|effect| matches!(effect, Effect::Send(_, Message::Record(_))))
+            .count();
+        assert_eq!(
+            (welcomes, records),
+            (1, 0),
+            "one greeting tells nobody else"
+        );
     }
     let record = node.record(3);
     assert_eq!((record.force, record.linked), (kept.version(), 350));
-    assert_eq!(usize::from(record.behind), (0..350).filter(|n| n % 3 < 2).count());
+    assert_eq!(
+        usize::from(record.behind),
+        (0..350).filter(|n| n % 3 < 2).count()
+    );
 }
--- a/crates/standin/tests/learners.rs
+++ b/crates/standin/tests/learners.rs
@@ -7,7 +7,11 @@
 use reedring_standin::{Config, Effect, Fleet, Groups, Node};
 
 fn stamp(number: u64, joint: bool) -> Stamp {
-    Stamp { version: plan(number).version(), joint, ..Stamp::default() }
+    Stamp {
+        version: plan(number).version(),
+        joint,
+        ..Stamp::default()
+    }
 }
 
 fn plan(number: u64) -> Kept {
@@ -43,9 +47,18 @@
 
 impl Site {
     fn new() -> Self {
-        let config = Config { votes: false, look_ms: 0.0, start_ms: 0.0, ..Config::named("n") };
-        let mut site =
-            Self { node: Node::new(config, 1, 1, 0), groups: Groups::default(), now_us: 1_000, offers: 0 };
+        let config = Config {
+            votes: false,
+            look_ms: 0.0,
+            start_ms: 0.0,
+            ..Config::named("n")
+        };
+        let mut site = Self {
+            node: Node::new(config, 1, 1, 0),
+            groups: Groups::default(),
+            now_us: 1_000,
+            offers: 0,
+        };
         // Both files have plan 9, which nobody has agreed on.
         for link in 1..=2 {
             site.greet(link, Some(stamp(9, false)));
@@ -55,33 +68,60 @@
 
     fn greet(&mut self, link: u64, stamp: Option<Stamp>) -> Option<Record> {
         let acts = stamp.map(|stamp| (stamp, "build".to_owned()));
-        let hello = Message::Hello { placer: format!("placer-{link}"), life: 1, link, acts };
-        self.send(link, hello).into_iter().find_map(|(_, message)| match message {
-            Message::Welcome { record, .. } => record,
-            _ => None,
-        })
+        let hello = Message::Hello {
+            placer: format!("placer-{link}"),
+            life: 1,
+            link,
+            acts,
+        };
+        self.send(link, hello)
+            .into_iter()
+            .find_map(|(_, message)| match message {
+                Message::Welcome { record, .. } => record,
+                _ => None,
+            })
     }
 
     /// What the node sends to whom on this.
     fn send(&mut self, link: u64, message: Message) -> Vec<(u64, Message)> {
         self.now_us += 1_000;
-        self.node.message(self.now_us, link, message, &mut self.groups);
+        self.node
+            .message(self.now_us, link, message, &mut self.groups);
         self.now_us += 1_000;
         self.node.tick(self.now_us, &mut self.groups);
-        let sent = self.node.effects().into_iter().filter_map(|effect| match effect {
-            Effect::Send(link, message) => Some((link, message)),
-            _ => None,
-        });
+        let sent = self
+            .node
+            .effects()
+            .into_iter()
+            .filter_map(|effect| match effect {
+                Effect::Send(link, message) => Some((link, message)),
+                _ => None,
+            });
         sent.collect()
     }
 
     /// Whether an offer was accepted, else why not; and the floor that its placer was told with that.
     fn offer(&mut self, link: u64, stamp: Option<Stamp>) -> (Result<(), Reason>, Option<u64>) {
         self.offers += 1;
-        let attempt = AttemptId { life: 1, request: self.offers, number: 0 };
+        let attempt = AttemptId {
+            life: 1,
+            request: self.offers,
+            number: 0,
+        };
         let task = task(&format!("j{}", self.offers));
-        let sent = self.send(link, Message::Offer { attempt, task: Box::new(task), within_ms: 0, stamp });
-        assert!(sent.iter().all(|(to, _)| *to == link), "nobody else is told: {sent:?}");
+        let sent = self.send(
+            link,
+            Message::Offer {
+                attempt,
+                task: Box::new(task),
+                within_ms: 0,
+                stamp,
+            },
+        );
+        assert!(
+            sent.iter().all(|(to, _)| *to == link),
+            "nobody else is told: {sent:?}"
+        );
         let floor = sent.iter().find_map(|(_, message)| match message {
             Message::Record(record) => Some(record.floor()),
             _ => None,
@@ -96,7 +136,9 @@
 
     fn order(&mut self, link: u64, order: Order) -> Record {
         let sent = self.send(link, Message::Plan(order));
-        let [(to, Message::Record(record))] = &sent[..] else { panic!("{sent:?}") };
+        let [(to, Message::Record(record))] = &sent[..] else {
+            panic!("{sent:?}")
+        };
         assert_eq!(*to, link);
         *record
     }
@@ -106,11 +148,25 @@
 fn offers_raise_the_floor_and_what_is_under_it_is_refused_and_told_the_floor() {
     let mut site = Site::new();
     assert_eq!(site.offer(1, Some(stamp(1, false))), (Ok(()), None));
-    assert_eq!(site.offer(2, Some(stamp(2, false))), (Ok(()), None), "any newer plan raises it");
-    assert_eq!(site.offer(1, Some(stamp(1, false))), (Err(Reason::Superseded), Some(3)));
+    assert_eq!(
+        site.offer(2, Some(stamp(2, false))),
+        (Ok(()), None),
+        "any newer plan raises it"
+    );
+    assert_eq!(
+        site.offer(1, Some(stamp(1, false))),
+        (Err(Reason::Superseded), Some(3))
+    );
     assert_eq!(site.offer(1, Some(stamp(2, true))), (Ok(()), None));
-    let rival = Stamp { version: Kept::new(2, "rival").unwrap().version(), ..Stamp::default() };
-    assert_eq!(site.offer(1, Some(rival)), (Err(Reason::Superseded), Some(3)), "one plan of a number");
+    let rival = Stamp {
+        version: Kept::new(2, "rival").unwrap().version(),
+        ..Stamp::default()
+    };
+    assert_eq!(
+        site.offer(1, Some(rival)),
+        (Err(Reason::Superseded), Some(3)),
+        "one plan of a number"
+    );
     assert_eq!(site.node.record(site.now_us).floor(), 3);
 }
 
@@ -118,9 +174,17 @@
 fn offers_without_a_version_are_admitted_until_a_version_was_seen() {
     let mut site = Site::new();
     site.greet(3, None);
-    assert_eq!(site.offer(3, None), (Ok(()), None), "greetings are no versions acted by");
+    assert_eq!(
+        site.offer(3, None),
+        (Ok(()), None),
+        "greetings are no versions acted by"
+    );
     assert_eq!(site.offer(1, Some(stamp(1, false))), (Ok(()), None));
-    assert_eq!(site.offer(3, None), (Err(Reason::NotHere), None), "who knows no plans knows no such reason");
+    assert_eq!(
+        site.offer(3, None),
+        (Err(Reason::NotHere), None),
+        "who knows no plans knows no such reason"
+    );
 }
 
 /// A greeting and a heartbeat name the plan of a file before anything is agreed on.
@@ -129,7 +193,16 @@
     let mut site = Site::new();
     let told = site.greet(4, Some(stamp(9, false))).unwrap();
     assert_eq!((told.learns, told.stuck, told.floor()), (true, true, 0));
-    assert_eq!(site.order(1, Order::Ask { stamp: stamp(9, false) }).floor(), 0);
+    assert_eq!(
+        site.order(
+            1,
+            Order::Ask {
+                stamp: stamp(9, false)
+            }
+        )
+        .floor(),
+        0
+    );
     assert_eq!(site.offer(2, Some(stamp(1, false))), (Ok(()), None));
 }
 
@@ -138,64 +211,172 @@
     let mut site = Site::new();
     let (follows, ballot, list) = (Version::default(), Ballot { round: 1, by: 1 }, 0);
     let (version, text) = (plan(1).version(), plan(1).text().to_owned());
-    let record = site.order(1, Order::Prepare { follows, ballot, list });
+    let record = site.order(
+        1,
+        Order::Prepare {
+            follows,
+            ballot,
+            list,
+        },
+    );
     assert_eq!((record.promised, record.floor()), (Ballot::default(), 0));
-    let record = site.order(1, Order::Accept { follows, ballot, version, text: text.clone(), list });
+    let record = site.order(
+        1,
+        Order::Accept {
+            follows,
+            ballot,
+            version,
+            text: text.clone(),
+            list,
+        },
+    );
     assert_eq!((record.next, record.floor()), (None, 0));
     // From a placer of the former version, which takes it for one that keeps plans.
-    let record = site.order(1, Order::Joint { follows, version, text: text.clone(), list });
+    let record = site.order(
+        1,
+        Order::Joint {
+            follows,
+            version,
+            text: text.clone(),
+            list,
+        },
+    );
     assert_eq!(record.floor(), level(version, true));
-    let record = site.order(1, Order::Force { version, text, list });
+    let record = site.order(
+        1,
+        Order::Force {
+            version,
+            text,
+            list,
+        },
+    );
     assert_eq!((record.floor(), record.force), (1, Version::default()));
-    let sent = site.send(1, Message::Plan(Order::Fetch { version, have: None }));
-    assert_eq!(sent, [(1, Message::PlanText { version, text: String::new() })], "it keeps no text");
+    let sent = site.send(
+        1,
+        Message::Plan(Order::Fetch {
+            version,
+            have: None,
+        }),
+    );
+    assert_eq!(
+        sent,
+        [(
+            1,
+            Message::PlanText {
+                version,
+                text: String::new()
+            }
+        )],
+        "it keeps no text"
+    );
     assert_eq!(site.node.plan_writes(), (0, 0));
 }
 
 #[test]
 fn a_placer_that_says_by_what_it_acts_is_told_the_floor_and_since_when() {
     let mut site = Site::new();
-    let record = site.order(1, Order::Raise { stamp: stamp(2, true) });
+    let record = site.order(
+        1,
+        Order::Raise {
+            stamp: stamp(2, true),
+        },
+    );
     assert_eq!((record.floor(), record.floor_ms), (3, 0));
     site.now_us += 500_000;
-    let record = site.order(2, Order::Raise { stamp: stamp(2, false) });
+    let record = site.order(
+        2,
+        Order::Raise {
+            stamp: stamp(2, false),
+        },
+    );
     assert_eq!(record.floor(), 3);
-    assert!((500..510).contains(&record.floor_ms), "it rose when the first one said so: {record:?}");
-    assert_eq!(site.order(1, Order::Raise { stamp: stamp(1, false) }).floor(), 3, "it never falls");
+    assert!(
+        (500..510).contains(&record.floor_ms),
+        "it rose when the first one said so: {record:?}"
+    );
+    assert_eq!(
+        site.order(
+            1,
+            Order::Raise {
+                stamp: stamp(1, false)
+            }
+        )
+        .floor(),
+        3,
+        "it never falls"
+    );
 }
 
 /// The floor rose while an offer was in line.
 #[test]
 fn an_offer_in_line_is_looked_at_by_the_floor_of_then() {
     let mut site = Site::new();
-    let config = Config { votes: false, look_ms: 10.0, ..Config::named("n") };
+    let config = Config {
+        votes: false,
+        look_ms: 10.0,
+        ..Config::named("n")
+    };
     site.node = Node::new(config, 1, 1, 0);
     for link in 1..=2 {
         site.greet(link, Some(stamp(1, false)));
     }
     let offer = |request, stamp| {
-        let attempt = AttemptId { life: 1, request, number: 0 };
+        let attempt = AttemptId {
+            life: 1,
+            request,
+            number: 0,
+        };
         let task = task("j");
-        Message::Offer { attempt, task: Box::new(task), within_ms: 0, stamp: Some(stamp) }
+        Message::Offer {
+            attempt,
+            task: Box::new(task),
+            within_ms: 0,
+            stamp: Some(stamp),
+        }
     };
     site.send(1, offer(1, stamp(1, false)));
     site.send(2, offer(2, stamp(2, false)));
     site.node.tick(site.now_us + 100_000, &mut site.groups);
     let answers = site.node.effects();
     let refused = |effect: &Effect| {
-        matches!(effect, Effect::Send(1, Message::Refused { reason: Reason::Superseded, .. }))
+        matches!(
+            effect,
+            Effect::Send(
+                1,
+                Message::Refused {
+                    reason: Reason::Superseded,
+                    ..
+                }
+            )
+        )
     };
     assert!(answers.iter().any(refused), "{answers:?}");
-    assert!(answers.iter().any(|effect| matches!(effect, Effect::Send(2, Message::Accepted { .. }))));
+    assert!(
+        answers
+            .iter()
+            .any(|effect| matches!(effect, Effect::Send(2, Message::Accepted { .. })))
+    );
 }
 
 #[test]
 fn a_learner_keeps_nothing_and_speaks_of_plans() {
     let told = |lines: &str| Fleet::parse(&format!("[[node]]\nname = \"n\"\n{lines}"), "f.toml");
     assert!(told("votes = false").is_ok());
-    let wrong = told("votes = false\nplan_dir = \"p\"").unwrap_err().to_string();
-    assert!(wrong.contains("node[0] `n`") && wrong.contains("drop plan_dir"), "{wrong}");
-    let wrong = told("votes = false\nplans = false").unwrap_err().to_string();
+    let wrong = told("votes = false\nplan_dir = \"p\"")
+        .unwrap_err()
+        .to_string();
+    assert!(
+        wrong.contains("node[0] `n`") && wrong.contains("drop plan_dir"),
+        "{wrong}"
+    );
+    let wrong = told("votes = false\nplans = false")
+        .unwrap_err()
+        .to_string();
     assert!(wrong.contains("drop plans = false"), "{wrong}");
-    assert!(told("votes = \"no\"").unwrap_err().to_string().starts_with("f.toml:3:"));
+    assert!(
+        told("votes = \"no\"")
+            .unwrap_err()
+            .to_string()
+            .starts_with("f.toml:3:")
+    );
 }
--- a/crates/state/benches/stores.rs
+++ b/crates/state/benches/stores.rs
@@ -15,7 +15,9 @@
         call: 1,
         index,
         key: index,
-        phase: Phase::Asked { until: 1_796_000_000_000_000 },
+        phase: Phase::Asked {
+            until: 1_796_000_000_000_000,
+        },
         outcome: None,
         again: false,
         may_have_run: false,
@@ -31,8 +33,14 @@
 }
 
 fn main() {
-    println!("{} cores", std::thread::available_parallelism().map_or(1, usize::from));
-    println!("{:>10} {:>12} {:>16} {:>16} {:>7}", "rows", "", "store", "log", "ratio");
+    println!(
+        "{} cores",
+        std::thread::available_parallelism().map_or(1, usize::from)
+    );
+    println!(
+        "{:>10} {:>12} {:>16} {:>16} {:>7}",
+        "rows", "", "store", "log", "ratio"
+    );
     for rows in [1_u64, 64, 512, 4_096] {
         let commits = if rows == 1 { 1_000 } else { 100 };
         let dir = tempfile::tempdir_in(".").expect("a folder");
@@ -40,8 +48,16 @@
         let mut keeper = Keeper::open(folder, "bench").expect("a ledger").keeper;
         let began = Instant::now();
         for seq in 1..=commits {
-            let changes = (0..rows).map(|n| Change::Job(seq * rows + n, Some(job(n)))).collect();
-            keeper.write([Batch { seq, at: seq, changes }]).expect("a commit");
+            let changes = (0..rows)
+                .map(|n| Change::Job(seq * rows + n, Some(job(n))))
+                .collect();
+            keeper
+                .write([Batch {
+                    seq,
+                    at: seq,
+                    changes,
+                }])
+                .expect("a commit");
         }
         let store = began.elapsed().as_secs_f64();
         let mut log = File::create(dir.path().join("log")).expect("a file");
@@ -54,7 +70,9 @@
                 frame.extend_from_slice(&row);
             }
             frame.extend_from_slice(&crc32c::crc32c(&frame).to_le_bytes());
-            log.write_all(&frame).and_then(|()| log.sync_data()).expect("a sync");
+            log.write_all(&frame)
+                .and_then(|()| log.sync_data())
+                .expect("a sync");
         }
         let log = began.elapsed().as_secs_f64();
         let each = |seconds: f64| seconds / commits as f64 * 1e3;
@@ -66,7 +84,13 @@
             store / log
         );
         let rate = |seconds: f64| (rows * commits) as f64 / seconds;
-        println!("{:>10} {:>12} {:>16.0} {:>16.0}", "", "rows/s", rate(store), rate(log));
+        println!(
+            "{:>10} {:>12} {:>16.0} {:>16.0}",
+            "",
+            "rows/s",
+            rate(store),
+            rate(log)
+        );
         keeper.close();
     }
 }
--- a/crates/state/src/folder.rs
+++ b/crates/state/src/folder.rs
@@ -98,18 +98,30 @@
     /// See [`LockError`].
     pub fn lock(folder: &Path) -> Result<Self, LockError> {
         let shown = folder.display().to_string();
-        let io = |error| LockError::Io { folder: shown.clone(), error };
+        let io = |error| LockError::Io {
+            folder: shown.clone(),
+            error,
+        };
         std::fs::create_dir_all(folder).map_err(io)?;
         let path = folder.join("lock");
-        let lock = OpenOptions::new().write(true).create(true).truncate(false).open(path);
+        let lock = OpenOptions::new()
+            .write(true)
+            .create(true)
+            .truncate(false)
+            .open(path);
         let lock = match lock {
             Ok(lock) => lock,
             // A folder that can only be read is locked through the file that its last placer left.
-            Err(_) if folder.join("lock").exists() => File::open(folder.join("lock")).map_err(io)?,
+            Err(_) if folder.join("lock").exists() => {
+                File::open(folder.join("lock")).map_err(io)?
+            }
             Err(error) => return Err(io(error)),
         };
         match lock.try_lock() {
-            Ok(()) => Ok(Self { folder: folder.to_owned(), _lock: Some(lock) }),
+            Ok(()) => Ok(Self {
+                folder: folder.to_owned(),
+                _lock: Some(lock),
+            }),
             Err(TryLockError::WouldBlock) => Err(LockError::Taken { folder: shown }),
             Err(TryLockError::Error(error)) => Err(io(error)),
         }
@@ -125,7 +137,12 @@
 
     fn database(&self, name: &str) -> io::Result<FileBackend> {
         let path = self.path(name);
-        let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path)?;
+        let file = OpenOptions::new()
+            .read(true)
+            .write(true)
+            .create(true)
+            .truncate(false)
+            .open(path)?;
         FileBackend::new(file).map_err(io::Error::other)
     }
 
@@ -149,7 +166,11 @@
 
     fn write(&self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let path = self.path(name);
-        let mut file = OpenOptions::new().write(true).create(true).truncate(false).open(path)?;
+        let mut file = OpenOptions::new()
+            .write(true)
+            .create(true)
+            .truncate(false)
+            .open(path)?;
         file.seek(SeekFrom::Start(0))?;
         file.write_all(bytes)?;
         if file.metadata()?.len() != bytes.len() as u64 {
@@ -159,7 +180,10 @@
     }
 
     fn sync(&self, name: &str) -> io::Result<()> {
-        OpenOptions::new().write(true).open(self.path(name))?.sync_all()
+        OpenOptions::new()
+            .write(true)
+            .open(self.path(name))?
+            .sync_all()
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
--- a/crates/state/src/gate.rs
+++ b/crates/state/src/gate.rs
@@ -14,7 +14,10 @@
 
 impl<D: Ord + Clone, T> Default for Gate<D, T> {
     fn default() -> Self {
-        Self { durable: 0, waiting: BTreeMap::new() }
+        Self {
+            durable: 0,
+            waiting: BTreeMap::new(),
+        }
     }
 }
 
@@ -24,7 +27,10 @@
         if needs <= self.durable && !self.waiting.contains_key(&to) {
             return Some(output);
         }
-        self.waiting.entry(to).or_default().push_back((needs, output));
+        self.waiting
+            .entry(to)
+            .or_default()
+            .push_back((needs, output));
         None
     }
 
@@ -33,7 +39,10 @@
         self.durable = self.durable.max(seq);
         let (durable, mut free) = (self.durable, Vec::new());
         self.waiting.retain(|to, queue| {
-            let count = queue.iter().take_while(|(needs, _)| *needs <= durable).count();
+            let count = queue
+                .iter()
+                .take_while(|(needs, _)| *needs <= durable)
+                .count();
             free.extend(queue.drain(..count).map(|(_, output)| (to.clone(), output)));
             !queue.is_empty()
         });
@@ -61,7 +70,9 @@
     pub fn take_all(&mut self, wanted: impl Fn(&T) -> bool) -> Vec<(D, T)> {
         let mut taken = Vec::new();
         self.waiting.retain(|to, queue| {
-            let (out, left) = std::mem::take(queue).into_iter().partition(|(_, output)| wanted(output));
+            let (out, left) = std::mem::take(queue)
+                .into_iter()
+                .partition(|(_, output)| wanted(output));
             *queue = left;
             let out: VecDeque<(u64, T)> = out;
             taken.extend(out.into_iter().map(|(_, output)| (to.clone(), output)));
@@ -86,7 +97,11 @@
         assert_eq!(gate.pass('a', 0, 1), Some(1));
         assert_eq!(gate.pass('a', 2, 2), None);
         assert_eq!(gate.pass('a', 0, 3), None, "it would overtake");
-        assert_eq!(gate.pass('b', 0, 4), Some(4), "another destination does not wait");
+        assert_eq!(
+            gate.pass('b', 0, 4),
+            Some(4),
+            "another destination does not wait"
+        );
         assert_eq!(gate.pass('b', 1, 5), None);
         assert_eq!(gate.durable(1), [('b', 5)]);
         assert_eq!(gate.durable(2), [('a', 2), ('a', 3)]);
--- a/crates/state/src/keeper.rs
+++ b/crates/state/src/keeper.rs
@@ -63,17 +63,31 @@
     /// # Errors
     /// See [`StoreError`]; a folder without a ledger is one too.
     pub fn read<F: Folder>(folder: F) -> Result<(Self, Vec<LearnedError>), StoreError> {
-        let io = |error: io::Error| StoreError::Io { file: folder.shown(), what: error.to_string() };
+        let io = |error: io::Error| StoreError::Io {
+            file: folder.shown(),
+            what: error.to_string(),
+        };
         if folder.len(LEDGER).map_err(io)?.is_none() {
             let what = "there is no ledger in it".to_owned();
-            return Err(StoreError::Io { file: folder.shown(), what });
+            return Err(StoreError::Io {
+                file: folder.shown(),
+                what,
+            });
         }
         let (store, mut ledger) = open_ledger(&folder, None)?;
         let placer = store.placer.clone();
         store.close()?;
         ledger.holes = folder.read(MARK).map_err(io)?.as_deref() != Some(WHOLE.as_slice());
         let (learned, passed_by) = read_learned(&folder, &placer);
-        Ok((Self { format: FORMAT, placer, ledger, learned }, passed_by))
+        Ok((
+            Self {
+                format: FORMAT,
+                placer,
+                ledger,
+                learned,
+            },
+            passed_by,
+        ))
     }
 
     /// Writes a folder that has no ledger yet.
@@ -82,23 +96,39 @@
     /// See [`StoreError`].
     pub fn write<F: Folder>(&self, folder: F) -> Result<(), StoreError> {
         let shown = folder.shown();
-        let io = |what: String| StoreError::Io { file: shown.clone(), what };
+        let io = |what: String| StoreError::Io {
+            file: shown.clone(),
+            what,
+        };
         if self.format != FORMAT {
-            return Err(io(format!("the export has format {}, this program reads {FORMAT}", self.format)));
+            return Err(io(format!(
+                "the export has format {}, this program reads {FORMAT}",
+                self.format
+            )));
         }
-        if folder.len(LEDGER).map_err(|error| io(error.to_string()))?.is_some() {
-            return Err(io("there is a ledger in it already; name an empty folder".to_owned()));
+        if folder
+            .len(LEDGER)
+            .map_err(|error| io(error.to_string()))?
+            .is_some()
+        {
+            return Err(io(
+                "there is a ledger in it already; name an empty folder".to_owned()
+            ));
         }
         if let Some(wrong) = self.ledger.check().first() {
             return Err(io(format!("the export can't be a placer's: {wrong}")));
         }
         let mut keeper = Keeper::open(folder, &self.placer)?.keeper;
-        keeper.write(self.ledger.batches()).map_err(|lost| io(lost.why))?;
+        keeper
+            .write(self.ledger.batches())
+            .map_err(|lost| io(lost.why))?;
         if self.ledger.holes {
             keeper.mark(HOLES).map_err(|error| io(error.to_string()))?;
         }
         if let Some(learned) = &self.learned {
-            keeper.learn(learned).map_err(|error| io(error.to_string()))?;
+            keeper
+                .learn(learned)
+                .map_err(|error| io(error.to_string()))?;
         }
         keeper.close();
         Ok(())
@@ -130,7 +160,10 @@
     /// See [`StoreError`].
     pub fn open(folder: F, placer: &str) -> Result<Opened<F>, StoreError> {
         let folder = Arc::new(folder);
-        let io = |error: io::Error| StoreError::Io { file: folder.shown(), what: error.to_string() };
+        let io = |error: io::Error| StoreError::Io {
+            file: folder.shown(),
+            what: error.to_string(),
+        };
         // A ledger has its name, and its mark, only once it is whole.
         if folder.len(LEDGER).map_err(io)?.is_none() {
             folder.write(MARK, WHOLE).map_err(io)?;
@@ -147,9 +180,25 @@
         let (at, asked, durable) = (0, 0, 0);
         let learned_stays = passed_by.iter().any(LearnedError::is_newer);
         let placer = placer.to_owned();
-        let keeper =
-            Self { folder, placer, store, fresh, pending, at, asked, durable, marked, why, learned_stays };
-        Ok(Opened { keeper, image, learned, passed_by })
+        let keeper = Self {
+            folder,
+            placer,
+            store,
+            fresh,
+            pending,
+            at,
+            asked,
+            durable,
+            marked,
+            why,
+            learned_stays,
+        };
+        Ok(Opened {
+            keeper,
+            image,
+            learned,
+            passed_by,
+        })
     }
 
     /// Makes batches durable, in one transaction; answers the last of them.
@@ -163,7 +212,9 @@
                 self.pending.add(batch);
             }
         }
-        let Some(store) = &mut self.store else { return Err(self.lost()) };
+        let Some(store) = &mut self.store else {
+            return Err(self.lost());
+        };
         match store.commit(self.at, &self.pending) {
             Ok(()) => {
                 self.pending = Pending::default();
@@ -175,7 +226,8 @@
             }
             Err(error) => {
                 // What was written since the last sync can't be trusted, and the store refuses to go on.
-                (self.store, self.why, self.pending) = (None, error.to_string(), Pending::default());
+                (self.store, self.why, self.pending) =
+                    (None, error.to_string(), Pending::default());
                 self.marked = self.mark(HOLES).is_ok();
                 Err(self.lost())
             }
@@ -207,14 +259,19 @@
     /// # Errors
     /// [`Lost`], still.
     pub fn write_whole(&mut self, batch: Batch) -> Result<u64, Lost> {
-        let Some(mut store) = self.fresh.take() else { return Err(self.lost()) };
+        let Some(mut store) = self.fresh.take() else {
+            return Err(self.lost());
+        };
         let (seq, at) = (batch.seq, batch.at);
         let mut pending = Pending::default();
         pending.add(batch);
         let replace = || -> Result<Store, StoreError> {
             store.commit(at, &pending)?;
             store.close()?;
-            let io = |error: io::Error| StoreError::Io { file: self.folder.shown(), what: error.to_string() };
+            let io = |error: io::Error| StoreError::Io {
+                file: self.folder.shown(),
+                what: error.to_string(),
+            };
             self.folder.rename(LEDGER_NEW, LEDGER).map_err(io)?;
             self.folder.sync_names().map_err(io)?;
             Ok(open_ledger(&*self.folder, Some(&self.placer))?.0)
@@ -240,7 +297,10 @@
     }
 
     fn lost(&self) -> Lost {
-        Lost { why: self.why.clone(), marked: self.marked }
+        Lost {
+            why: self.why.clone(),
+            marked: self.marked,
+        }
     }
 
     fn mark(&self, mark: &[u8]) -> io::Result<()> {
@@ -256,7 +316,8 @@
         if self.learned_stays {
             return Ok(());
         }
-        self.folder.write(LEARNED_NEW, &learned.encode(&self.placer))?;
+        self.folder
+            .write(LEARNED_NEW, &learned.encode(&self.placer))?;
         self.folder.sync(LEARNED_NEW)?;
         if self.folder.len(LEARNED)?.is_some() {
             self.folder.rename(LEARNED, LEARNED_OLD)?;
@@ -279,15 +340,24 @@
 /// Opens a ledger that has its name, and so was whole once: the store would take an empty file for a new one.
 fn open_ledger<F: Folder>(folder: &F, placer: Option<&str>) -> Result<(Store, Image), StoreError> {
     let file = shown(folder, LEDGER);
-    let io = |error: io::Error| StoreError::Io { file: file.clone(), what: error.to_string() };
+    let io = |error: io::Error| StoreError::Io {
+        file: file.clone(),
+        what: error.to_string(),
+    };
     if folder.len(LEDGER).map_err(io)? == Some(0) {
-        return Err(StoreError::Damaged { file, what: "it is empty".to_owned() });
+        return Err(StoreError::Damaged {
+            file,
+            what: "it is empty".to_owned(),
+        });
     }
     Store::open(folder.database(LEDGER).map_err(io)?, &file, placer)
 }
 
 fn create<F: Folder>(folder: &F, placer: &str) -> Result<Store, StoreError> {
-    let io = |error: io::Error| StoreError::Io { file: shown(folder, LEDGER_NEW), what: error.to_string() };
+    let io = |error: io::Error| StoreError::Io {
+        file: shown(folder, LEDGER_NEW),
+        what: error.to_string(),
+    };
     folder.remove(LEDGER_NEW).map_err(io)?;
     let data = folder.database(LEDGER_NEW).map_err(io)?;
     Ok(Store::open(data, &shown(folder, LEDGER_NEW), Some(placer))?.0)
@@ -301,7 +371,11 @@
             Ok(Some(bytes)) => bytes,
             Ok(None) => continue,
             Err(error) => {
-                passed_by.push(LearnedError::new(&shown(folder, name), 0, error.to_string()));
+                passed_by.push(LearnedError::new(
+                    &shown(folder, name),
+                    0,
+                    error.to_string(),
+                ));
                 continue;
             }
         };
--- a/crates/state/src/learned.rs
+++ b/crates/state/src/learned.rs
@@ -49,7 +49,11 @@
 
 impl LearnedError {
     pub(crate) fn new(file: &str, version: u16, what: impl Into<String>) -> Self {
-        Self { file: file.to_owned(), version, what: what.into() }
+        Self {
+            file: file.to_owned(),
+            version,
+            what: what.into(),
+        }
     }
 
     /// A newer program wrote the file.
@@ -78,7 +82,8 @@
 impl HalfLives {
     /// As the settings imply them.
     pub fn told(settings: &Settings) -> Self {
-        let longest = |of: fn(&reedring_settings::Class) -> Micros| settings.classes.iter().map(of).max();
+        let longest =
+            |of: fn(&reedring_settings::Class) -> Micros| settings.classes.iter().map(of).max();
         let patience = longest(|class| class.give_up_us).unwrap_or(1);
         let prior = |accepts: f64| 1.0 / accepts.max(1.0);
         Self {
@@ -87,7 +92,10 @@
             strike: settings.links.lost_after_us,
             answer: patience.saturating_mul(8),
             ratio: settings.limits.keep_ended_us,
-            prior: (prior(settings.site.accepts_cores), prior(settings.site.accepts_memory)),
+            prior: (
+                prior(settings.site.accepts_cores),
+                prior(settings.site.accepts_memory),
+            ),
         }
     }
 }
@@ -106,23 +114,41 @@
     /// nodes are not aged but only grow older; where the age can't be told they count as just spent.
     pub fn aged(&self, now: u64, half: &HalfLives) -> (Vec<Known>, Beliefs) {
         let ahead = self.at > now;
-        let age = if ahead { Micros::MAX / 4 } else { now - self.at };
+        let age = if ahead {
+            Micros::MAX / 4
+        } else {
+            now - self.at
+        };
         let load = weight(age, half.load);
         let mean = |of: fn(&Belief) -> Option<(Micros, f64, f64)>| {
-            let told: Vec<_> = self.nodes.iter().filter_map(|known| of(&known.belief)).collect();
+            let told: Vec<_> = self
+                .nodes
+                .iter()
+                .filter_map(|known| of(&known.belief))
+                .collect();
             let part = |x: fn(&(Micros, f64, f64)) -> f64| told.iter().map(x).sum::<f64>();
-            (part(|news| news.1) / told.len().max(1) as f64, part(|news| news.2) / told.len().max(1) as f64)
+            (
+                part(|news| news.1) / told.len().max(1) as f64,
+                part(|news| news.2) / told.len().max(1) as f64,
+            )
         };
         let (asked, used) = (mean(|belief| belief.asked), mean(|belief| belief.used));
         let drawn = |news: Option<(Micros, f64, f64)>, mean: (f64, f64)| {
             let (ago, cores, memory) = news.filter(|_| load > 0.0)?;
             let blend = |x: f64, mean: f64| mean + load * (x - mean);
-            Some((ago.saturating_add(age), blend(cores, mean.0), blend(memory, mean.1)))
+            Some((
+                ago.saturating_add(age),
+                blend(cores, mean.0),
+                blend(memory, mean.1),
+            ))
         };
         let fresh = weight(age, half.refusal) > 0.0;
         let node = |known: &Known| {
             let belief = &known.belief;
-            let cold = belief.cold_offers.iter().map(|ago| if ahead { 0 } else { ago.saturating_add(age) });
+            let cold = belief
+                .cold_offers
+                .iter()
+                .map(|ago| if ahead { 0 } else { ago.saturating_add(age) });
             let belief = Belief {
                 machine: belief.machine,
                 asked: drawn(belief.asked, asked),
@@ -141,22 +167,36 @@
                 barred_us: belief.barred_us.saturating_sub(age),
                 cold_offers: cold.filter(|ago| *ago < COLD_US).collect(),
             };
-            Known { node: known.node.clone(), life: known.life, belief }
+            Known {
+                node: known.node.clone(),
+                life: known.life,
+                belief,
+            }
         };
         let told = |known: &Known| {
-            let nothing = Belief { machine: known.belief.machine, ..Belief::default() };
+            let nothing = Belief {
+                machine: known.belief.machine,
+                ..Belief::default()
+            };
             known.belief != nothing
         };
         let nodes = self.nodes.iter().map(node).filter(told).collect();
         // Fewer of the answers count, the newest of them: a jam of long ago is soon outnumbered.
         let kept = (self.answers.len() as f64 * weight(age, half.answer)) as usize;
         let arrival = |(ago, size): &(Micros, f64)| (ago.saturating_add(age), *size);
-        let sane = self.ratio.filter(|(cores, memory)| cores.is_finite() && memory.is_finite());
+        let sane = self
+            .ratio
+            .filter(|(cores, memory)| cores.is_finite() && memory.is_finite());
         let blend = |x: f64, prior: f64| prior + weight(age, half.ratio) * (x - prior);
         let beliefs = Beliefs {
             machines: Vec::new(),
             answers: self.answers[self.answers.len() - kept..].to_vec(),
-            arrivals: self.arrivals.iter().map(arrival).filter(|_| load > 0.0).collect(),
+            arrivals: self
+                .arrivals
+                .iter()
+                .map(arrival)
+                .filter(|_| load > 0.0)
+                .collect(),
             ratio: sane.map(|(x, y)| (blend(x, half.prior.0), blend(y, half.prior.1))),
         };
         (nodes, beliefs)
@@ -182,8 +222,9 @@
     /// What is wrong with them: damaged, of a newer program, or of another placer.
     pub fn decode(bytes: &[u8], file: &str, placer: &str) -> Result<Self, LearnedError> {
         let wrong = |version, what: String| LearnedError::new(file, version, what);
-        let (told, sum) =
-            bytes.split_last_chunk::<4>().ok_or_else(|| wrong(0, "it is empty or cut short".to_owned()))?;
+        let (told, sum) = bytes
+            .split_last_chunk::<4>()
+            .ok_or_else(|| wrong(0, "it is empty or cut short".to_owned()))?;
         let whole = crc32c::crc32c(told) == u32::from_le_bytes(*sum);
         let mut rest = told;
         let mut take = |count: usize| {
@@ -193,32 +234,64 @@
         };
         let short = || wrong(0, "it is cut short".to_owned());
         if !whole || take(MAGIC.len()) != Some(MAGIC) {
-            return Err(wrong(0, "it is damaged: its checksum does not fit".to_owned()));
+            return Err(wrong(
+                0,
+                "it is damaged: its checksum does not fit".to_owned(),
+            ));
         }
-        let version = u16::from_le_bytes(take(2).and_then(|two| two.try_into().ok()).ok_or_else(short)?);
+        let version = u16::from_le_bytes(
+            take(2)
+                .and_then(|two| two.try_into().ok())
+                .ok_or_else(short)?,
+        );
         if version > VERSION {
-            let what =
-                format!("it has version {version}, this program knows up to {VERSION}; it stays as it is");
+            let what = format!(
+                "it has version {version}, this program knows up to {VERSION}; it stays as it is"
+            );
             return Err(wrong(version, what));
         }
-        let count = u16::from_le_bytes(take(2).and_then(|two| two.try_into().ok()).ok_or_else(short)?);
-        let owner = String::from_utf8_lossy(take(usize::from(count)).ok_or_else(short)?).into_owned();
+        let count = u16::from_le_bytes(
+            take(2)
+                .and_then(|two| two.try_into().ok())
+                .ok_or_else(short)?,
+        );
+        let owner =
+            String::from_utf8_lossy(take(usize::from(count)).ok_or_else(short)?).into_owned();
         if owner != placer {
-            return Err(wrong(version, format!("it is placer `{owner}`'s, not `{placer}`'s")));
+            return Err(wrong(
+                version,
+                format!("it is placer `{owner}`'s, not `{placer}`'s"),
+            ));
         }
-        let count = u32::from_le_bytes(take(4).and_then(|four| four.try_into().ok()).ok_or_else(short)?);
+        let count = u32::from_le_bytes(
+            take(4)
+                .and_then(|four| four.try_into().ok())
+                .ok_or_else(short)?,
+        );
         let body = take(count as usize).ok_or_else(short)?;
         postcard::from_bytes(body).map_err(|error| wrong(version, error.to_string()))
     }
 
     /// Puts together what a placer knows now. `named` gives a machine's node and the node's life.
-    pub fn of(at: u64, beliefs: Beliefs, named: impl Fn(MachineId) -> Option<(String, Option<u64>)>) -> Self {
+    pub fn of(
+        at: u64,
+        beliefs: Beliefs,
+        named: impl Fn(MachineId) -> Option<(String, Option<u64>)>,
+    ) -> Self {
         let known = |belief: Belief| {
             let (node, life) = named(belief.machine)?;
             // JSON has no infinity, and no task asks for more than this.
-            let finite =
-                |(ago, cores, memory): (Micros, f64, f64)| (ago, cores.min(f64::MAX), memory.min(f64::MAX));
-            Some(Known { node, life, belief: Belief { refused: belief.refused.map(finite), ..belief } })
+            let finite = |(ago, cores, memory): (Micros, f64, f64)| {
+                (ago, cores.min(f64::MAX), memory.min(f64::MAX))
+            };
+            Some(Known {
+                node,
+                life,
+                belief: Belief {
+                    refused: belief.refused.map(finite),
+                    ..belief
+                },
+            })
         };
         Self {
             at,
@@ -274,11 +347,23 @@
         let learned = sample();
         let asked = |age: u64| learned.aged(learned.at + age, &HALF).0[0].belief.asked;
         assert_eq!(asked(0), Some((SECOND, 2.0, 4.0)));
-        assert_eq!(asked(8 * SECOND), Some((9 * SECOND, 4.0, 4.0)), "half way to the mean of the fleet");
+        assert_eq!(
+            asked(8 * SECOND),
+            Some((9 * SECOND, 4.0, 4.0)),
+            "half way to the mean of the fleet"
+        );
         assert_eq!(asked(40 * SECOND), None);
         let strikes = |age: u64| learned.aged(learned.at + age, &HALF).0[0].belief.strikes;
-        assert_eq!([strikes(0), strikes(60 * SECOND), strikes(120 * SECOND)], [4, 2, 1]);
-        let shut = |age: u64| learned.aged(learned.at + age, &HALF).0[0].belief.shut.clone();
+        assert_eq!(
+            [strikes(0), strikes(60 * SECOND), strikes(120 * SECOND)],
+            [4, 2, 1]
+        );
+        let shut = |age: u64| {
+            learned.aged(learned.at + age, &HALF).0[0]
+                .belief
+                .shut
+                .clone()
+        };
         assert_eq!(shut(3 * SECOND), [(0, 1, 9 * SECOND)]);
         assert!(shut(5 * SECOND).is_empty());
     }
@@ -288,11 +373,18 @@
         let learned = sample();
         let (nodes, beliefs) = learned.aged(learned.at + 7 * 86_400 * SECOND, &HALF);
         assert_eq!(nodes, []);
-        assert_eq!((beliefs.answers.len(), beliefs.arrivals.len(), beliefs.ratio), (0, 0, Some((0.5, 0.5))));
+        assert_eq!(
+            (beliefs.answers.len(), beliefs.arrivals.len(), beliefs.ratio),
+            (0, 0, Some((0.5, 0.5)))
+        );
         let (nodes, ahead) = learned.aged(learned.at - 1, &HALF);
         assert_eq!(ahead, beliefs);
         // Rule 4: a clock that went back frees no budget.
-        assert!(nodes.iter().all(|known| known.belief.cold_offers == [0] && known.belief.asked.is_none()));
+        assert!(
+            nodes
+                .iter()
+                .all(|known| known.belief.cold_offers == [0] && known.belief.asked.is_none())
+        );
     }
 
     #[test]
@@ -303,16 +395,27 @@
             for bit in 0..8 {
                 let mut bytes = bytes.clone();
                 bytes[at] ^= 1 << bit;
-                assert!(Learned::decode(&bytes, "f", "p").is_err(), "byte {at}, bit {bit}");
+                assert!(
+                    Learned::decode(&bytes, "f", "p").is_err(),
+                    "byte {at}, bit {bit}"
+                );
             }
-            assert!(Learned::decode(&bytes[..at], "f", "p").is_err(), "cut at {at}");
+            assert!(
+                Learned::decode(&bytes[..at], "f", "p").is_err(),
+                "cut at {at}"
+            );
         }
     }
 
     #[test]
     fn a_newer_file_and_another_placers_are_told_apart_from_damage() {
         let mut bytes = sample().encode("p");
-        assert!(Learned::decode(&bytes, "f", "q").unwrap_err().to_string().contains("`p`'s, not `q`'s"));
+        assert!(
+            Learned::decode(&bytes, "f", "q")
+                .unwrap_err()
+                .to_string()
+                .contains("`p`'s, not `q`'s")
+        );
         bytes[8] = 200;
         let end = bytes.len() - 4;
         let sum = crc32c::crc32c(&bytes[..end]).to_le_bytes();
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -34,8 +34,8 @@
 pub use crate::keeper::{Export, Keeper, Lost, Opened};
 pub use crate::learned::{HalfLives, Known, Learned, LearnedError};
 pub use crate::rows::{
-    Acts, Answer, Ask, Attempt, Batch, Change, Ending, Image, Job, JobNo, Link, Outcome, Phase, Session,
-    SessionNo, Trial,
+    Acts, Answer, Ask, Attempt, Batch, Change, Ending, Image, Job, JobNo, Link, Outcome, Phase,
+    Session, SessionNo, Trial,
 };
 pub use crate::sim::SimFolder;
 pub use crate::store::{FORMAT, StoreError};
--- a/crates/state/src/rows.rs
+++ b/crates/state/src/rows.rs
@@ -50,12 +50,20 @@
 impl Ending {
     /// An end without a run.
     pub fn aborted(reason: impl Into<String>) -> Self {
-        Self { end: End::Aborted, reason: Some(reason.into()), stay_away_us: None }
+        Self {
+            end: End::Aborted,
+            reason: Some(reason.into()),
+            stay_away_us: None,
+        }
     }
 
     /// The end of a run.
     pub fn ran(end: End) -> Self {
-        Self { end, reason: None, stay_away_us: None }
+        Self {
+            end,
+            reason: None,
+            stay_away_us: None,
+        }
     }
 }
 
@@ -301,25 +309,61 @@
 
     /// The batches that make these rows in an empty ledger. Lives all end when the last one did.
     pub fn batches(&self) -> Vec<Batch> {
-        let mut changes: Vec<Change> = self.lives.iter().map(|link| Change::Life(link.life)).collect();
-        changes.extend(self.sessions.iter().map(|(number, row)| Change::Session(*number, Some(row.clone()))));
+        let mut changes: Vec<Change> = self
+            .lives
+            .iter()
+            .map(|link| Change::Life(link.life))
+            .collect();
+        changes.extend(
+            self.sessions
+                .iter()
+                .map(|(number, row)| Change::Session(*number, Some(row.clone()))),
+        );
         for (session, calls) in &self.calls {
-            changes.extend(calls.iter().map(|(call, row)| Change::Call(*session, *call, row.clone())));
+            changes.extend(
+                calls
+                    .iter()
+                    .map(|(call, row)| Change::Call(*session, *call, row.clone())),
+            );
         }
         for (session, asks) in &self.asks {
-            changes.extend(asks.iter().map(|(call, row)| Change::Ask(*session, *call, Some(row.clone()))));
+            changes.extend(
+                asks.iter()
+                    .map(|(call, row)| Change::Ask(*session, *call, Some(row.clone()))),
+            );
         }
         let job = |(number, row): (&JobNo, &Job)| Change::Job(*number, Some(Box::new(row.clone())));
         changes.extend(self.jobs.iter().map(job));
-        changes.extend(self.drained.iter().map(|node| Change::Drained(node.clone(), true)));
-        let mut batches = vec![Batch { seq: 1, at: self.last_at(), changes }];
+        changes.extend(
+            self.drained
+                .iter()
+                .map(|node| Change::Drained(node.clone(), true)),
+        );
+        let mut batches = vec![Batch {
+            seq: 1,
+            at: self.last_at(),
+            changes,
+        }];
         // An offer's time is that of its batch.
-        let cold = self.cold.iter().flat_map(|(node, times)| times.iter().map(move |at| (node, at)));
-        let cold =
-            cold.map(|(node, at)| Batch { seq: 1, at: *at, changes: vec![Change::Cold(node.clone())] });
+        let cold = self
+            .cold
+            .iter()
+            .flat_map(|(node, times)| times.iter().map(move |at| (node, at)));
+        let cold = cold.map(|(node, at)| Batch {
+            seq: 1,
+            at: *at,
+            changes: vec![Change::Cold(node.clone())],
+        });
         batches.extend(cold);
-        let acts = self.acts.iter().map(|(at, acts)| (*at, vec![Change::Acts(acts.clone())]));
-        batches.extend(acts.map(|(at, changes)| Batch { seq: 1, at, changes }));
+        let acts = self
+            .acts
+            .iter()
+            .map(|(at, acts)| (*at, vec![Change::Acts(acts.clone())]));
+        batches.extend(acts.map(|(at, changes)| Batch {
+            seq: 1,
+            at,
+            changes,
+        }));
         batches
     }
 
@@ -330,18 +374,35 @@
         let mut attempts = BTreeSet::new();
         for (number, job) in &self.jobs {
             if !self.sessions.contains_key(&job.session) {
-                wrong.push(format!("job {number}: its session {} is missing", job.session));
+                wrong.push(format!(
+                    "job {number}: its session {} is missing",
+                    job.session
+                ));
             }
-            if !self.asks.get(&job.session).is_some_and(|asks| asks.contains_key(&job.call)) {
-                wrong.push(format!("job {number}: what call {} asks for is missing", job.call));
+            if !self
+                .asks
+                .get(&job.session)
+                .is_some_and(|asks| asks.contains_key(&job.call))
+            {
+                wrong.push(format!(
+                    "job {number}: what call {} asks for is missing",
+                    job.call
+                ));
             }
             if !names.insert((job.session, job.call, job.index)) {
                 wrong.push(format!("job {number}: another job has its name"));
             }
-            let holders = job.attempts.iter().filter(|attempt| attempt.known == Trial::Accepted).count();
+            let holders = job
+                .attempts
+                .iter()
+                .filter(|attempt| attempt.known == Trial::Accepted)
+                .count();
             let holds = matches!(job.phase, Phase::Placed | Phase::Running | Phase::Suspended);
             if holders > 1 || holds && holders == 0 {
-                wrong.push(format!("job {number}: {holders} accepted copies, as {:?}", job.phase));
+                wrong.push(format!(
+                    "job {number}: {holders} accepted copies, as {:?}",
+                    job.phase
+                ));
             }
             for attempt in &job.attempts {
                 if !attempts.insert((attempt.life, attempt.request, attempt.number)) {
--- a/crates/state/src/sim.rs
+++ b/crates/state/src/sim.rs
@@ -120,7 +120,10 @@
     }
 
     fn named(&self, name: &str) -> io::Result<usize> {
-        self.names.get(name).copied().ok_or_else(|| io::ErrorKind::NotFound.into())
+        self.names
+            .get(name)
+            .copied()
+            .ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
     fn named_or_new(&mut self, name: &str) -> io::Result<usize> {
@@ -191,9 +194,17 @@
                     }
                 }
             }
-            File { durable: bytes.clone(), seen: bytes, open: Vec::new() }
+            File {
+                durable: bytes.clone(),
+                seen: bytes,
+                open: Vec::new(),
+            }
         };
-        let files = state.files.iter().map(|file| torn(file, &mut draw)).collect();
+        let files = state
+            .files
+            .iter()
+            .map(|file| torn(file, &mut draw))
+            .collect();
         let mut names = state.durable_names.clone();
         let through = draw() as usize % (state.namings.len() + 1);
         for naming in &state.namings[..through] {
@@ -203,9 +214,16 @@
             }
         }
         let read_only = state.read_only;
-        let state =
-            State { files, names: names.clone(), durable_names: names, read_only, ..State::default() };
-        Self { state: Arc::new(Mutex::new(state)) }
+        let state = State {
+            files,
+            names: names.clone(),
+            durable_names: names,
+            read_only,
+            ..State::default()
+        };
+        Self {
+            state: Arc::new(Mutex::new(state)),
+        }
     }
 
     /// Changes a file's bytes behind everybody's back.
@@ -224,12 +242,18 @@
 
     fn database(&self, name: &str) -> io::Result<SimFile> {
         let file = lock(&self.state).named_or_new(name)?;
-        Ok(SimFile { state: Arc::clone(&self.state), file })
+        Ok(SimFile {
+            state: Arc::clone(&self.state),
+            file,
+        })
     }
 
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>> {
         let state = lock(&self.state);
-        Ok(state.named(name).ok().map(|file| state.files[file].seen.clone()))
+        Ok(state
+            .named(name)
+            .ok()
+            .map(|file| state.files[file].seen.clone()))
     }
 
     fn len(&self, name: &str) -> io::Result<Option<u64>> {
@@ -295,7 +319,9 @@
         let state = lock(&self.state);
         let seen = &state.files[self.file].seen;
         let from = offset as usize;
-        let bytes = seen.get(from..from + out.len()).ok_or(io::ErrorKind::UnexpectedEof)?;
+        let bytes = seen
+            .get(from..from + out.len())
+            .ok_or(io::ErrorKind::UnexpectedEof)?;
         out.copy_from_slice(bytes);
         Ok(())
     }
--- a/crates/state/src/store.rs
+++ b/crates/state/src/store.rs
@@ -53,7 +53,9 @@
         found: u32,
     },
     /// It is another placer's.
-    #[error("{file} is the ledger of placer `{found}`, not of `{wanted}`; name the right folder or placer")]
+    #[error(
+        "{file} is the ledger of placer `{found}`, not of `{wanted}`; name the right folder or placer"
+    )]
     Foreign {
         /// The file.
         file: String,
@@ -63,7 +65,9 @@
         wanted: String,
     },
     /// Its bytes are damaged.
-    #[error("{file} is damaged: {what}; restore a backup, or move the folder away to start without it")]
+    #[error(
+        "{file} is damaged: {what}; restore a backup, or move the folder away to start without it"
+    )]
     Damaged {
         /// The file.
         file: String,
@@ -103,21 +107,36 @@
         file: &str,
         placer: Option<&str>,
     ) -> Result<(Self, Image), StoreError> {
-        let io = |what: String| StoreError::Io { file: file.to_owned(), what };
-        let damaged = |what: String| StoreError::Damaged { file: file.to_owned(), what };
+        let io = |what: String| StoreError::Io {
+            file: file.to_owned(),
+            what,
+        };
+        let damaged = |what: String| StoreError::Damaged {
+            file: file.to_owned(),
+            what,
+        };
         let mut builder = Builder::new();
-        builder.set_cache_size(CACHE).set_check_integrity_on_open(true);
-        let database = builder.create_with_backend(data).map_err(|error| match error {
-            redb::DatabaseError::Storage(redb::StorageError::Io(error)) => match error.kind() {
-                // A file that ends too early, or is none of the store's.
-                std::io::ErrorKind::UnexpectedEof | std::io::ErrorKind::InvalidData => {
-                    damaged(error.to_string())
-                }
-                _ => io(error.to_string()),
-            },
-            error => damaged(error.to_string()),
-        })?;
-        let mut store = Self { database, file: file.to_owned(), life: 0, placer: String::new() };
+        builder
+            .set_cache_size(CACHE)
+            .set_check_integrity_on_open(true);
+        let database = builder
+            .create_with_backend(data)
+            .map_err(|error| match error {
+                redb::DatabaseError::Storage(redb::StorageError::Io(error)) => match error.kind() {
+                    // A file that ends too early, or is none of the store's.
+                    std::io::ErrorKind::UnexpectedEof | std::io::ErrorKind::InvalidData => {
+                        damaged(error.to_string())
+                    }
+                    _ => io(error.to_string()),
+                },
+                error => damaged(error.to_string()),
+            })?;
+        let mut store = Self {
+            database,
+            file: file.to_owned(),
+            life: 0,
+            placer: String::new(),
+        };
         store.placer = store.identify(placer)?;
         let image = store.load().map_err(|error| damaged(error.to_string()))?;
         store.life = image.last_life();
@@ -144,11 +163,18 @@
                 init().map_err(|error| self.io(error))?;
             }
             Some(found) if found > FORMAT => {
-                return Err(StoreError::Newer { file: self.file.clone(), found });
+                return Err(StoreError::Newer {
+                    file: self.file.clone(),
+                    found,
+                });
             }
             Some(_) if owner != placer => {
                 let (found, wanted) = (owner.clone(), placer.to_owned());
-                return Err(StoreError::Foreign { file: self.file.clone(), found, wanted });
+                return Err(StoreError::Foreign {
+                    file: self.file.clone(),
+                    found,
+                    wanted,
+                });
             }
             Some(FORMAT) => {}
             Some(_) => self.migrate().map_err(|error| self.io(error))?,
@@ -168,7 +194,9 @@
             }
         }
         write.delete_table(COLD_1)?;
-        write.open_table(META)?.insert("format", FORMAT.to_le_bytes().as_slice())?;
+        write
+            .open_table(META)?
+            .insert("format", FORMAT.to_le_bytes().as_slice())?;
         write.commit()?;
         Ok(())
     }
@@ -180,17 +208,27 @@
             Err(redb::TableError::TableDoesNotExist(_)) => return Ok((None, String::new())),
             Err(error) => return Err(error.into()),
         };
-        let format = meta.get("format")?.and_then(|value| value.value().try_into().ok());
-        let owner = meta.get("placer")?.map(|value| String::from_utf8_lossy(value.value()).into_owned());
+        let format = meta
+            .get("format")?
+            .and_then(|value| value.value().try_into().ok());
+        let owner = meta
+            .get("placer")?
+            .map(|value| String::from_utf8_lossy(value.value()).into_owned());
         Ok((format.map(u32::from_le_bytes), owner.unwrap_or_default()))
     }
 
     fn io(&self, error: impl std::fmt::Display) -> StoreError {
-        StoreError::Io { file: self.file.clone(), what: error.to_string() }
+        StoreError::Io {
+            file: self.file.clone(),
+            what: error.to_string(),
+        }
     }
 
     fn damaged(&self, error: impl std::fmt::Display) -> StoreError {
-        StoreError::Damaged { file: self.file.clone(), what: error.to_string() }
+        StoreError::Damaged {
+            file: self.file.clone(),
+            what: error.to_string(),
+        }
     }
 
     /// Reads every row of a table.
@@ -203,7 +241,8 @@
             let (key, value) = row?;
             let key = key.value();
             let row = postcard::from_bytes(value.value());
-            let row = row.map_err(|error| format!("table {}, row {key:?}: {error}", table.name()))?;
+            let row =
+                row.map_err(|error| format!("table {}, row {key:?}: {error}", table.name()))?;
             put(key, row);
         }
         Ok(())
@@ -214,16 +253,23 @@
         let mut image = Image::default();
         for row in read.open_table(LIFE)?.iter()? {
             let (life, until) = row?;
-            image.lives.push(Link { life: life.value(), until: until.value() });
+            image.lives.push(Link {
+                life: life.value(),
+                until: until.value(),
+            });
         }
-        Self::each(&read, SESSION, |number, row: Session| drop(image.sessions.insert(number, row)))?;
+        Self::each(&read, SESSION, |number, row: Session| {
+            drop(image.sessions.insert(number, row))
+        })?;
         Self::each(&read, CALL, |(session, call), row: Answer| {
             image.calls.entry(session).or_default().insert(call, row);
         })?;
         Self::each(&read, ASK, |(session, call), row: Ask| {
             image.asks.entry(session).or_default().insert(call, row);
         })?;
-        Self::each(&read, JOB, |number, row: Job| drop(image.jobs.insert(number, row)))?;
+        Self::each(&read, JOB, |number, row: Job| {
+            drop(image.jobs.insert(number, row))
+        })?;
         for row in read.open_table(DRAINED)?.iter()? {
             image.drained.insert(row?.0.value().to_owned());
         }
@@ -234,7 +280,9 @@
             image.cold.entry(node.to_owned()).or_default().extend(times);
         }
         match read.open_table(ACTS) {
-            Ok(_) => Self::each(&read, ACTS, |at, row: Acts| drop(image.acts.insert(at, row)))?,
+            Ok(_) => Self::each(&read, ACTS, |at, row: Acts| {
+                drop(image.acts.insert(at, row))
+            })?,
             Err(redb::TableError::TableDoesNotExist(_)) => {}
             Err(error) => return Err(error.into()),
         }
@@ -258,7 +306,10 @@
     /// Closes the file; what a crash would have to repair is not left.
     pub fn close(self) -> Result<(), StoreError> {
         let file = self.file;
-        self.database.close().map_err(|error| StoreError::Io { file, what: error.to_string() })
+        self.database.close().map_err(|error| StoreError::Io {
+            file,
+            what: error.to_string(),
+        })
     }
 }
 
@@ -289,18 +340,34 @@
     Ok(())
 }
 
-fn write_all(write: &WriteTransaction, at: u64, life: u64, changes: &Pending) -> Result<(), redb::Error> {
+fn write_all(
+    write: &WriteTransaction,
+    at: u64,
+    life: u64,
+    changes: &Pending,
+) -> Result<(), redb::Error> {
     let mut lives = write.open_table(LIFE)?;
     lives.insert(life, at)?;
     for life in &changes.lives {
         lives.insert(life, at)?;
     }
     if !changes.lives.is_empty() {
-        let oldest: Vec<u64> = lives.iter()?.rev().skip(LIVES).flatten().map(|row| row.0.value()).collect();
-        oldest.into_iter().try_for_each(|life| lives.remove(life).map(drop))?;
+        let oldest: Vec<u64> = lives
+            .iter()?
+            .rev()
+            .skip(LIVES)
+            .flatten()
+            .map(|row| row.0.value())
+            .collect();
+        oldest
+            .into_iter()
+            .try_for_each(|life| lives.remove(life).map(drop))?;
     }
     let mut sessions = write.open_table(SESSION)?;
-    changes.sessions.iter().try_for_each(|(number, row)| put(&mut sessions, number, row.as_ref()))?;
+    changes
+        .sessions
+        .iter()
+        .try_for_each(|(number, row)| put(&mut sessions, number, row.as_ref()))?;
     let mut calls = write.open_table(CALL)?;
     for (key, row) in &changes.calls {
         calls.insert(key, encode(row).as_slice())?;
@@ -309,9 +376,15 @@
         calls.retain_in((*session, 0)..(*session, *below), |_, _| false)?;
     }
     let mut asks = write.open_table(ASK)?;
-    changes.asks.iter().try_for_each(|(key, row)| put(&mut asks, key, row.as_ref()))?;
+    changes
+        .asks
+        .iter()
+        .try_for_each(|(key, row)| put(&mut asks, key, row.as_ref()))?;
     let mut jobs = write.open_table(JOB)?;
-    changes.jobs.iter().try_for_each(|(number, row)| put(&mut jobs, number, row.as_deref()))?;
+    changes
+        .jobs
+        .iter()
+        .try_for_each(|(number, row)| put(&mut jobs, number, row.as_deref()))?;
     let mut drained = write.open_table(DRAINED)?;
     for (node, drains) in &changes.drained {
         match drains {
@@ -321,15 +394,28 @@
     }
     let mut cold = write.open_table(COLD)?;
     for ((node, time), count) in &changes.cold {
-        cold.retain_in((node.as_str(), 0)..(node.as_str(), at.saturating_sub(COLD_US)), |_, _| false)?;
+        cold.retain_in(
+            (node.as_str(), 0)..(node.as_str(), at.saturating_sub(COLD_US)),
+            |_, _| false,
+        )?;
         cold.insert((node.as_str(), *time), *count)?;
     }
     if !changes.acts.is_empty() {
         let mut acts = write.open_table(ACTS)?;
-        changes.acts.iter().try_for_each(|(time, row)| put(&mut acts, time, Some(row)))?;
-        let oldest: Vec<u64> =
-            acts.iter()?.rev().skip(MOST_ACTS).flatten().map(|row| row.0.value()).collect();
-        oldest.into_iter().try_for_each(|at| acts.remove(at).map(drop))?;
+        changes
+            .acts
+            .iter()
+            .try_for_each(|(time, row)| put(&mut acts, time, Some(row)))?;
+        let oldest: Vec<u64> = acts
+            .iter()?
+            .rev()
+            .skip(MOST_ACTS)
+            .flatten()
+            .map(|row| row.0.value())
+            .collect();
+        oldest
+            .into_iter()
+            .try_for_each(|at| acts.remove(at).map(drop))?;
     }
     Ok(())
 }
@@ -363,7 +449,8 @@
                 }
                 Change::Call(session, call, row) => drop(self.calls.insert((session, call), row)),
                 Change::Settled(session, below) => {
-                    self.calls.retain(|(of, call), _| *of != session || *call >= below);
+                    self.calls
+                        .retain(|(of, call), _| *of != session || *call >= below);
                     let most = self.settled.entry(session).or_default();
                     *most = below.max(*most);
                 }
@@ -389,12 +476,19 @@
         let (store, _) = Store::open(folder.database("l").unwrap(), "l", Some("p")).unwrap();
         let write = store.database.begin_write().unwrap();
         let newer = (FORMAT + 1).to_le_bytes();
-        write.open_table(META).unwrap().insert("format", newer.as_slice()).unwrap();
+        write
+            .open_table(META)
+            .unwrap()
+            .insert("format", newer.as_slice())
+            .unwrap();
         write.commit().unwrap();
         store.close().unwrap();
         for _ in 0..2 {
             let error = Store::open(folder.database("l").unwrap(), "l", Some("p")).unwrap_err();
-            assert!(matches!(error, StoreError::Newer { found, .. } if found == FORMAT + 1), "{error}");
+            assert!(
+                matches!(error, StoreError::Newer { found, .. } if found == FORMAT + 1),
+                "{error}"
+            );
         }
     }
 }
--- a/crates/state/tests/power.rs
+++ b/crates/state/tests/power.rs
@@ -29,14 +29,29 @@
 fn ask() -> Ask {
     let text = str::to_owned;
     let (spec, class, tenant, service) = (text("{}"), text("play"), text("radio"), text("svc"));
-    Ask { spec, class, tenant, service, cores: 1.0, memory: 2.0, life_us: None }
+    Ask {
+        spec,
+        class,
+        tenant,
+        service,
+        cores: 1.0,
+        memory: 2.0,
+        life_us: None,
+    }
 }
 
 /// A small run: a session, three jobs that go their ways, a drain, a cold offer, things forgotten.
 fn run() -> Vec<Batch> {
     let ended = || Phase::Ended(Ending::aborted("refused: no room"));
-    let session = Session { name: "s".to_owned(), settled: 0 };
-    let submission = Answer::Submission { first: 1, last: 3, step: 1 };
+    let session = Session {
+        name: "s".to_owned(),
+        settled: 0,
+    };
+    let submission = Answer::Submission {
+        first: 1,
+        last: 3,
+        step: 1,
+    };
     let changes = vec![
         vec![Change::Life(7)],
         vec![Change::Session(1, Some(session))],
@@ -52,19 +67,50 @@
             Change::Cold("n".to_owned()),
             Change::Job(1, Some(job(1, ended()))),
         ],
-        vec![Change::Drained("n".to_owned(), true), Change::Job(2, Some(job(2, ended())))],
-        vec![Change::Job(1, None), Change::Call(1, 2, Answer::Told("{}".to_owned()))],
-        vec![Change::Settled(1, 2), Change::Drained("n".to_owned(), false)],
-        vec![Change::Job(2, None), Change::Job(3, None), Change::Ask(1, 1, None)],
+        vec![
+            Change::Drained("n".to_owned(), true),
+            Change::Job(2, Some(job(2, ended()))),
+        ],
+        vec![
+            Change::Job(1, None),
+            Change::Call(1, 2, Answer::Told("{}".to_owned())),
+        ],
+        vec![
+            Change::Settled(1, 2),
+            Change::Drained("n".to_owned(), false),
+        ],
+        vec![
+            Change::Job(2, None),
+            Change::Job(3, None),
+            Change::Ask(1, 1, None),
+        ],
     ];
-    let batch = |(n, changes)| Batch { seq: n as u64 + 1, at: 100 + n as u64, changes };
+    let batch = |(n, changes)| Batch {
+        seq: n as u64 + 1,
+        at: 100 + n as u64,
+        changes,
+    };
     changes.into_iter().enumerate().map(batch).collect()
 }
 
 fn learned(n: u64) -> Learned {
-    let belief = Belief { machine: MachineId(1), strikes: n as u32, ..Belief::default() };
-    let nodes = vec![Known { node: "n".to_owned(), life: Some(1), belief }];
-    Learned { at: n, nodes, answers: vec![n; 64], arrivals: Vec::new(), ratio: None }
+    let belief = Belief {
+        machine: MachineId(1),
+        strikes: n as u32,
+        ..Belief::default()
+    };
+    let nodes = vec![Known {
+        node: "n".to_owned(),
+        life: Some(1),
+        belief,
+    }];
+    Learned {
+        at: n,
+        nodes,
+        answers: vec![n; 64],
+        arrivals: Vec::new(),
+        ratio: None,
+    }
 }
 
 /// The image after each number of batches, by a store that nothing happens to.
@@ -87,7 +133,9 @@
 /// Runs until the power goes out; how many batches, and which learned file, were said to be durable.
 fn until_cut(folder: &SimFolder) -> (usize, Option<u64>) {
     let (mut durable, mut kept) = (0, None);
-    let Ok(Opened { mut keeper, .. }) = Keeper::open(folder.clone(), "p") else { return (0, None) };
+    let Ok(Opened { mut keeper, .. }) = Keeper::open(folder.clone(), "p") else {
+        return (0, None);
+    };
     for batch in run() {
         let seq = batch.seq;
         match keeper.write([batch]) {
@@ -114,19 +162,38 @@
         let (durable, kept) = until_cut(&folder);
         for _ in 0..3 {
             let after = folder.power_on(|| draw.next_u32());
-            let opened =
-                Keeper::open(after.clone(), "p").unwrap_or_else(|error| panic!("step {step}: {error}"));
-            let found = images.iter().position(|image| image.lives == opened.image.lives);
+            let opened = Keeper::open(after.clone(), "p")
+                .unwrap_or_else(|error| panic!("step {step}: {error}"));
+            let found = images
+                .iter()
+                .position(|image| image.lives == opened.image.lives);
             let found = found.unwrap_or_else(|| panic!("step {step}: {:?}", opened.image));
             assert_eq!(opened.image, images[found], "step {step}");
-            assert!(found >= durable, "step {step}: {durable} were durable, {found} are there");
+            assert!(
+                found >= durable,
+                "step {step}: {durable} were durable, {found} are there"
+            );
             // The last file said to be kept, or a newer one, whole.
             let learned_at = opened.learned.as_ref().map(|learned| learned.at);
-            assert!(learned_at >= kept, "step {step}: {kept:?} was kept, {learned_at:?} is there");
-            assert!(opened.learned.is_none_or(|found| found == learned(found.at)), "step {step}");
+            assert!(
+                learned_at >= kept,
+                "step {step}: {kept:?} was kept, {learned_at:?} is there"
+            );
+            assert!(
+                opened
+                    .learned
+                    .is_none_or(|found| found == learned(found.at)),
+                "step {step}"
+            );
             // Whoever opened it can go on.
             let mut keeper = opened.keeper;
-            keeper.write([Batch { seq: 1, at: 999, changes: vec![Change::Life(8)] }]).unwrap();
+            keeper
+                .write([Batch {
+                    seq: 1,
+                    at: 999,
+                    changes: vec![Change::Life(8)],
+                }])
+                .unwrap();
             keeper.close();
             assert_eq!(Keeper::open(after, "p").unwrap().image.last_life(), 8);
         }
@@ -141,19 +208,46 @@
     keeper.write(batches.next()).unwrap();
     folder.fail_sync();
     let lost = keeper.write(batches.next()).unwrap_err();
-    assert!(lost.marked && lost.why.contains("the disk failed"), "{lost:?}");
-    assert!(keeper.write(batches.next()).is_err(), "nothing is durable until all is written anew");
+    assert!(
+        lost.marked && lost.why.contains("the disk failed"),
+        "{lost:?}"
+    );
+    assert!(
+        keeper.write(batches.next()).is_err(),
+        "nothing is durable until all is written anew"
+    );
     let mut draw = Pcg32::new(2, 1);
     for _ in 0..20 {
-        let found = Keeper::open(folder.power_on(|| draw.next_u32()), "p").unwrap().image;
-        assert!(found.holes && !found.covers(7), "a life whose promises may be missing covers nothing");
+        let found = Keeper::open(folder.power_on(|| draw.next_u32()), "p")
+            .unwrap()
+            .image;
+        assert!(
+            found.holes && !found.covers(7),
+            "a life whose promises may be missing covers nothing"
+        );
     }
     keeper.begin_anew().unwrap();
-    let all = run().into_iter().take(4).flat_map(|batch| batch.changes).collect();
-    assert_eq!(keeper.write_whole(Batch { seq: 4, at: 103, changes: all }), Ok(4));
+    let all = run()
+        .into_iter()
+        .take(4)
+        .flat_map(|batch| batch.changes)
+        .collect();
+    assert_eq!(
+        keeper.write_whole(Batch {
+            seq: 4,
+            at: 103,
+            changes: all
+        }),
+        Ok(4)
+    );
     for _ in 0..20 {
-        let found = Keeper::open(folder.power_on(|| draw.next_u32()), "p").unwrap().image;
-        assert_eq!((found.holes, found.jobs.len(), found.covers(7)), (false, 3, true));
+        let found = Keeper::open(folder.power_on(|| draw.next_u32()), "p")
+            .unwrap()
+            .image;
+        assert_eq!(
+            (found.holes, found.jobs.len(), found.covers(7)),
+            (false, 3, true)
+        );
     }
 }
 
@@ -161,17 +255,43 @@
 fn a_full_disk_and_a_read_only_folder_are_told_and_a_full_one_can_still_be_marked() {
     let folder = SimFolder::default();
     let mut keeper = Keeper::open(folder.clone(), "p").unwrap().keeper;
-    keeper.write([Batch { seq: 1, at: 1, changes: vec![Change::Life(7)] }]).unwrap();
+    keeper
+        .write([Batch {
+            seq: 1,
+            at: 1,
+            changes: vec![Change::Life(7)],
+        }])
+        .unwrap();
     folder.full(true);
-    let many = (1..20_000).map(|n| Change::Job(n, Some(job(n, Phase::Held)))).collect();
-    let lost = keeper.write([Batch { seq: 2, at: 2, changes: many }]).unwrap_err();
+    let many = (1..20_000)
+        .map(|n| Change::Job(n, Some(job(n, Phase::Held))))
+        .collect();
+    let lost = keeper
+        .write([Batch {
+            seq: 2,
+            at: 2,
+            changes: many,
+        }])
+        .unwrap_err();
     assert!(lost.marked, "{lost:?}");
     assert!(keeper.begin_anew().is_err());
     folder.full(false);
     keeper.begin_anew().unwrap();
-    keeper.write_whole(Batch { seq: 3, at: 3, changes: vec![Change::Life(7)] }).unwrap();
+    keeper
+        .write_whole(Batch {
+            seq: 3,
+            at: 3,
+            changes: vec![Change::Life(7)],
+        })
+        .unwrap();
     folder.read_only(true);
-    let lost = keeper.write([Batch { seq: 4, at: 4, changes: vec![Change::Life(7)] }]).unwrap_err();
+    let lost = keeper
+        .write([Batch {
+            seq: 4,
+            at: 4,
+            changes: vec![Change::Life(7)],
+        }])
+        .unwrap_err();
     assert!(!lost.marked, "{lost:?}");
 }
 
@@ -226,10 +346,18 @@
     );
     let cut = folder.power_on(|| 0);
     cut.spoil("ledger", |bytes| bytes.truncate(700));
-    assert!(matches!(Keeper::open(cut, "p").unwrap_err(), StoreError::Damaged { .. }));
+    assert!(matches!(
+        Keeper::open(cut, "p").unwrap_err(),
+        StoreError::Damaged { .. }
+    ));
     let empty = folder.power_on(|| 0);
     empty.spoil("ledger", Vec::clear);
-    assert!(Keeper::open(empty, "p").unwrap_err().to_string().contains("it is empty"));
+    assert!(
+        Keeper::open(empty, "p")
+            .unwrap_err()
+            .to_string()
+            .contains("it is empty")
+    );
     // A learned file of a newer program is passed by, and stays.
     let mut newer = learned(1).encode("p");
     newer[8] = 200;
@@ -260,8 +388,17 @@
     let opened = Keeper::open(sample(), "p").unwrap();
     let whole = &images()[4];
     let cold = opened.image.cold.values().map(Vec::len).sum::<usize>();
-    assert!(cold > 1_000, "{cold}: an offer that was not counted stands for a whole budget");
-    assert_eq!(Image { cold: whole.cold.clone(), ..opened.image }, *whole);
+    assert!(
+        cold > 1_000,
+        "{cold}: an offer that was not counted stands for a whole budget"
+    );
+    assert_eq!(
+        Image {
+            cold: whole.cold.clone(),
+            ..opened.image
+        },
+        *whole
+    );
 }
 
 #[test]
--- a/crates/trials/src/control.rs
+++ b/crates/trials/src/control.rs
@@ -19,12 +19,18 @@
 
 /// A node that keeps no plan and casts no vote.
 pub fn learner() -> NodeFile {
-    NodeFile { lines: "votes = false\n".to_owned(), ..NodeFile::default() }
+    NodeFile {
+        lines: "votes = false\n".to_owned(),
+        ..NodeFile::default()
+    }
 }
 
 /// A learner that is cold for as long as a trial lasts.
 pub fn cold_learner() -> NodeFile {
-    NodeFile { lines: format!("votes = false\n{}", cold().lines), ..NodeFile::default() }
+    NodeFile {
+        lines: format!("votes = false\n{}", cold().lines),
+        ..NodeFile::default()
+    }
 }
 
 /// The name of a control machine, from 1.
@@ -48,7 +54,11 @@
     voters: Vec<NodeFile>,
     learners: Vec<NodeFile>,
 ) -> Result<Fleet, TrialError> {
-    let site = Site { program: program.to_owned(), seed, settings: settings(1, placers) };
+    let site = Site {
+        program: program.to_owned(),
+        seed,
+        settings: settings(1, placers),
+    };
     let mut fleet = Fleet::new(site)?;
     for (n, file) in (1..).zip(voters) {
         fleet.add_node(&voter_name(n), file)?;
@@ -91,15 +101,24 @@
     let (first, count) = (below(voters), 1 + below(most));
     let down = Duration::from_millis(u64::from(below(1_500)));
     let empties = below(4) == 0;
-    let names: Vec<String> = (0..count).map(|n| voter_name(1 + (first + n) % voters)).collect();
+    let names: Vec<String> = (0..count)
+        .map(|n| voter_name(1 + (first + n) % voters))
+        .collect();
     names.iter().for_each(|name| fleet.kill_node(name));
     std::thread::sleep(down);
     if empties {
         fleet.empty_node(&names[0])?;
     }
     names.iter().try_for_each(|name| fleet.start_node(name))?;
-    let lost = if empties { ", the first one replaced by an empty one" } else { "" };
-    Ok((count, format!("{} down for {down:?}{lost}", names.join(" and "))))
+    let lost = if empties {
+        ", the first one replaced by an empty one"
+    } else {
+        ""
+    };
+    Ok((
+        count,
+        format!("{} down for {down:?}{lost}", names.join(" and ")),
+    ))
 }
 
 /// Changes of the plan, a minority of the control machines killed in each, by what is drawn from the seed.
@@ -112,14 +131,28 @@
     let (voters, learners, placers) = (3 + 2 * below(2), 4 + below(3), 3);
     let kind = |cold: bool| if cold { cold_learner() } else { learner() };
     let learner_files = (0..learners).map(|_| kind(below(3) == 0)).collect();
-    let mut fleet = fleet(program, seed, placers, vec![keeping(); voters as usize], learner_files)?;
+    let mut fleet = fleet(
+        program,
+        seed,
+        placers,
+        vec![keeping(); voters as usize],
+        learner_files,
+    )?;
     let names = fleet.placers();
     let mut loads = Vec::new();
     for name in &names {
         let classes = ["play", "capture", "edition"];
-        loads.push(Load::start(&fleet.contact(name), &classes, 2, 150, Some(Duration::from_millis(60)))?);
+        loads.push(Load::start(
+            &fleet.contact(name),
+            &classes,
+            2,
+            150,
+            Some(Duration::from_millis(60)),
+        )?);
     }
-    let mut faults = vec![format!("{placers} placers, {voters} voters, {learners} learners")];
+    let mut faults = vec![format!(
+        "{placers} placers, {voters} voters, {learners} learners"
+    )];
     let (mut kills, mut settled) = (0, Duration::ZERO);
     for change in 0..CHANGES {
         let number = change + 2;
@@ -151,6 +184,12 @@
     for load in loads {
         outcomes.add(load.end(OWNERS)?);
     }
-    let round = Round { seed, faults, settled, outcomes, report: fleet.audit()? };
+    let round = Round {
+        seed,
+        faults,
+        settled,
+        outcomes,
+        report: fleet.audit()?,
+    };
     Ok(ControlRound { kills, round })
 }
--- a/crates/trials/src/fleet.rs
+++ b/crates/trials/src/fleet.rs
@@ -130,7 +130,9 @@
     /// # Errors
     /// Where its folder can't be made.
     pub fn new(site: Site) -> Result<Self, TrialError> {
-        let dir = tempfile::Builder::new().prefix("reedring-trial-").tempdir()?;
+        let dir = tempfile::Builder::new()
+            .prefix("reedring-trial-")
+            .tempdir()?;
         let faults = dir.path().join("faults.trace");
         Ok(Self {
             relays: Relays::new()?,
@@ -158,7 +160,8 @@
 
     /// Says in the trace what is done to the fleet.
     pub fn tell(&self, what: &str) {
-        self.faults.record(Event::Script, "", "", 0, what.as_bytes());
+        self.faults
+            .record(Event::Script, "", "", 0, what.as_bytes());
     }
 
     /// Names of its placers.
@@ -179,7 +182,13 @@
     /// Where it does not start.
     pub fn add_node(&mut self, name: &str, file: NodeFile) -> Result<(), TrialError> {
         let hall = ["hall-a", "hall-b"][self.nodes.len() % 2];
-        let node = Node { file, address: free_address()?, program: None, lives: 0, hall };
+        let node = Node {
+            file,
+            address: free_address()?,
+            program: None,
+            lives: 0,
+            hall,
+        };
         self.nodes.insert(name.to_owned(), node);
         self.listed.push(name.to_owned());
         self.start_node(name)
@@ -191,11 +200,17 @@
     /// Where it does not start.
     pub fn start_node(&mut self, name: &str) -> Result<(), TrialError> {
         let (dir, seed) = (self.dir.path().to_owned(), self.site.seed);
-        let node = self.nodes.get_mut(name).ok_or_else(|| TrialError::Unknown(name.to_owned()))?;
+        let node = self
+            .nodes
+            .get_mut(name)
+            .ok_or_else(|| TrialError::Unknown(name.to_owned()))?;
         node.lives += 1;
         let trace = dir.join(format!("{name}.{}.trace", node.lives));
         let config = dir.join(format!("{name}.toml"));
-        let mut text = format!("seed = {seed}\n[[node]]\nname = {name:?}\nlisten = \"{}\"\n", node.address);
+        let mut text = format!(
+            "seed = {seed}\n[[node]]\nname = {name:?}\nlisten = \"{}\"\n",
+            node.address
+        );
         let _ = writeln!(text, "hall = {:?}\n{}", node.hall, node.file.lines);
         if node.file.keeps {
             let _ = writeln!(text, "plan_dir = \"{name}.plans\"");
@@ -216,7 +231,11 @@
 
     /// Kills a node outright.
     pub fn kill_node(&mut self, name: &str) {
-        if let Some(program) = self.nodes.get_mut(name).and_then(|node| node.program.take()) {
+        if let Some(program) = self
+            .nodes
+            .get_mut(name)
+            .and_then(|node| node.program.take())
+        {
             drop(program);
             self.faults.record(Event::NodeEnded, name, "", 0, b"");
         }
@@ -280,13 +299,19 @@
         for name in &self.listed {
             let node = &self.nodes[name];
             let address = self.relays.link(placer, name, node.address)?;
-            let _ =
-                writeln!(text, "[[node]]\nname = {name:?}\naddress = \"{address}\"\nhall = {:?}", node.hall);
+            let _ = writeln!(
+                text,
+                "[[node]]\nname = {name:?}\naddress = \"{address}\"\nhall = {:?}",
+                node.hall
+            );
             if self.control.contains(name) {
                 text.push_str("control = true\n");
             }
         }
-        Ok(renamed(&self.dir.path().join(format!("{placer}.nodes.toml")), &text)?)
+        Ok(renamed(
+            &self.dir.path().join(format!("{placer}.nodes.toml")),
+            &text,
+        )?)
     }
 
     // ---- Placers ----
@@ -299,14 +324,23 @@
         let settings = settings.unwrap_or(&self.site.settings).to_owned();
         self.placers.insert(
             name.to_owned(),
-            Placer { file_kib: None, settings, address: free_address()?, program: None, lives: 0 },
+            Placer {
+                file_kib: None,
+                settings,
+                address: free_address()?,
+                program: None,
+                lives: 0,
+            },
         );
         self.start_placer(name)
     }
 
     /// The settings with which a placer starts next.
     pub fn settings_of(&mut self, name: &str, settings: &str) {
-        self.placers.get_mut(name).into_iter().for_each(|placer| placer.settings = settings.to_owned());
+        self.placers
+            .get_mut(name)
+            .into_iter()
+            .for_each(|placer| placer.settings = settings.to_owned());
     }
 
     /// Rewrites the settings file of a placer, which may run.
@@ -315,13 +349,22 @@
     /// Where it can't be written.
     pub fn rewrite_settings(&mut self, name: &str, settings: &str) -> Result<(), TrialError> {
         self.settings_of(name, settings);
-        let placer = self.placers.get(name).ok_or_else(|| TrialError::Unknown(name.to_owned()))?;
-        Ok(renamed(&self.dir.path().join(format!("{name}.toml")), &placer.file(name))?)
+        let placer = self
+            .placers
+            .get(name)
+            .ok_or_else(|| TrialError::Unknown(name.to_owned()))?;
+        Ok(renamed(
+            &self.dir.path().join(format!("{name}.toml")),
+            &placer.file(name),
+        )?)
     }
 
     /// How much a file of a placer may have from its next start on.
     pub fn limit_placer(&mut self, name: &str, file_kib: Option<u64>) {
-        self.placers.get_mut(name).into_iter().for_each(|placer| placer.file_kib = file_kib);
+        self.placers
+            .get_mut(name)
+            .into_iter()
+            .for_each(|placer| placer.file_kib = file_kib);
     }
 
     /// Starts a placer at the address that it had.
@@ -331,7 +374,10 @@
     pub fn start_placer(&mut self, name: &str) -> Result<(), TrialError> {
         self.write_list(name)?;
         let dir = self.dir.path().to_owned();
-        let placer = self.placers.get_mut(name).ok_or_else(|| TrialError::Unknown(name.to_owned()))?;
+        let placer = self
+            .placers
+            .get_mut(name)
+            .ok_or_else(|| TrialError::Unknown(name.to_owned()))?;
         placer.lives += 1;
         let trace = placer.trace(name);
         let config = dir.join(format!("{name}.toml"));
@@ -342,7 +388,9 @@
         let config = config.display().to_string();
         let arguments = ["program", "--log", "info", "serve", "--config", &config];
         let program = Program::start(&self.site.program, name, &arguments, placer.file_kib)?;
-        program.wait_line(0, "its contact", READY, |line| line.starts_with("contact: "))?;
+        program.wait_line(0, "its contact", READY, |line| {
+            line.starts_with("contact: ")
+        })?;
         placer.program = Some(program);
         Ok(())
     }
@@ -352,7 +400,10 @@
     /// # Errors
     /// Where it does not run.
     pub fn placer(&self, name: &str) -> Result<&Program, TrialError> {
-        let placer = self.placers.get(name).and_then(|placer| placer.program.as_ref());
+        let placer = self
+            .placers
+            .get(name)
+            .and_then(|placer| placer.program.as_ref());
         placer.ok_or_else(|| TrialError::Unknown(name.to_owned()))
     }
 
@@ -367,17 +418,26 @@
 
     /// Whether a node's process runs: one that fell over has ended.
     pub fn node_listens(&self, name: &str) -> bool {
-        self.nodes.get(name).is_some_and(|node| std::net::TcpStream::connect(node.address).is_ok())
+        self.nodes
+            .get(name)
+            .is_some_and(|node| std::net::TcpStream::connect(node.address).is_ok())
     }
 
     /// Where clients reach a placer.
     pub fn contact(&self, name: &str) -> String {
-        self.placers.get(name).map(|placer| format!("tcp:{}", placer.address)).unwrap_or_default()
+        self.placers
+            .get(name)
+            .map(|placer| format!("tcp:{}", placer.address))
+            .unwrap_or_default()
     }
 
     /// Kills a placer outright.
     pub fn kill_placer(&mut self, name: &str) {
-        if let Some(program) = self.placers.get_mut(name).and_then(|placer| placer.program.take()) {
+        if let Some(program) = self
+            .placers
+            .get_mut(name)
+            .and_then(|placer| placer.program.take())
+        {
             drop(program);
             self.faults.record(Event::PlacerEnded, name, "", 0, b"");
         }
@@ -388,7 +448,8 @@
     /// # Errors
     /// Where it does not run.
     pub fn stand_still(&self, name: &str, time: Duration) -> Result<(), TrialError> {
-        self.faults.record(Event::PlacerStalled, name, "", time.as_micros() as u64, b"");
+        self.faults
+            .record(Event::PlacerStalled, name, "", time.as_micros() as u64, b"");
         self.placer(name)?.signal(Signal::STOP)?;
         std::thread::sleep(time);
         Ok(self.placer(name)?.signal(Signal::CONT)?)
@@ -399,7 +460,10 @@
     /// # Errors
     /// Where it does not end in time.
     pub fn end_placer(&mut self, name: &str) -> Result<Option<i32>, TrialError> {
-        let program = self.placers.get_mut(name).and_then(|placer| placer.program.take());
+        let program = self
+            .placers
+            .get_mut(name)
+            .and_then(|placer| placer.program.take());
         let program = program.ok_or_else(|| TrialError::Unknown(name.to_owned()))?;
         let status = program.end(READY)?;
         self.faults.record(Event::PlacerEnded, name, "", 0, b"");
@@ -426,7 +490,9 @@
         within: Duration,
         wanted: impl Fn(&str) -> bool,
     ) -> Result<String, TrialError> {
-        Ok(self.placer(name)?.wait_line(from, "its line", within, wanted)?)
+        Ok(self
+            .placer(name)?
+            .wait_line(from, "its line", within, wanted)?)
     }
 
     // ---- The end ----
--- a/crates/trials/src/load.rs
+++ b/crates/trials/src/load.rs
@@ -59,11 +59,15 @@
         every: Option<Duration>,
     ) -> Result<Self, TrialError> {
         let session = Arc::new(Session::open(contact)?);
-        let (over, told) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Told::default())));
+        let (over, told) = (
+            Arc::new(AtomicBool::new(false)),
+            Arc::new(Mutex::new(Told::default())),
+        );
         let submitted = Arc::new(AtomicBool::new(false));
         let submits = {
             let submitted = Arc::clone(&submitted);
-            let (session, over, told) = (Arc::clone(&session), Arc::clone(&over), Arc::clone(&told));
+            let (session, over, told) =
+                (Arc::clone(&session), Arc::clone(&over), Arc::clone(&told));
             let classes: Vec<String> = classes.iter().map(|class| (*class).to_owned()).collect();
             std::thread::spawn(move || {
                 for class in classes.iter().cycle() {
@@ -71,15 +75,26 @@
                     template.set("drmaa_remote_command", "work")?;
                     let native = format!("class={class} life={life_ms}ms cores=0.1 memory=0.1");
                     template.set("drmaa_native_specification", &native)?;
-                    match session.run_bulk_jobs(&template, Range { first: 1, last: bulk, step: 1 }) {
+                    match session.run_bulk_jobs(
+                        &template,
+                        Range {
+                            first: 1,
+                            last: bulk,
+                            step: 1,
+                        },
+                    ) {
                         Ok(jobs) => lock(&told).taken.extend(jobs),
-                        Err(error) if error.code == ErrorCode::TryLater => lock(&told).turned_away += 1,
+                        Err(error) if error.code == ErrorCode::TryLater => {
+                            lock(&told).turned_away += 1
+                        }
                         Err(error) => {
                             submitted.store(true, Ordering::Relaxed);
                             return Err(error);
                         }
                     }
-                    let Some(every) = every.filter(|_| !over.load(Ordering::Relaxed)) else { break };
+                    let Some(every) = every.filter(|_| !over.load(Ordering::Relaxed)) else {
+                        break;
+                    };
                     std::thread::sleep(every);
                 }
                 submitted.store(true, Ordering::Relaxed);
@@ -95,7 +110,8 @@
                     let last = over.load(Ordering::Relaxed) && done.load(Ordering::Relaxed);
                     match session.wait(None, Some(Duration::from_secs(2))) {
                         Ok(info) => {
-                            let outcome = info.usage("reedring.outcome").unwrap_or("none").to_owned();
+                            let outcome =
+                                info.usage("reedring.outcome").unwrap_or("none").to_owned();
                             lock(&told).outcomes.insert(info.job, outcome);
                         }
                         Err(error) if error.code == ErrorCode::InvalidJob => {
@@ -110,7 +126,11 @@
                 }
             })
         };
-        Ok(Self { over, told, threads: vec![submits, waits] })
+        Ok(Self {
+            over,
+            told,
+            threads: vec![submits, waits],
+        })
     }
 
     /// Submits nothing more, waits for every outcome, and tells.
@@ -124,18 +144,34 @@
             while !thread.is_finished() {
                 if Instant::now() > until {
                     let told = lock(&self.told);
-                    let untold = told.taken.iter().filter(|job| !told.outcomes.contains_key(*job)).count();
+                    let untold = told
+                        .taken
+                        .iter()
+                        .filter(|job| !told.outcomes.contains_key(*job))
+                        .count();
                     let what = format!("{untold} of {} jobs", told.taken.len());
-                    return Err(TrialError::Silent("a client".to_owned(), what, String::new()));
+                    return Err(TrialError::Silent(
+                        "a client".to_owned(),
+                        what,
+                        String::new(),
+                    ));
                 }
                 std::thread::sleep(Duration::from_millis(2));
             }
             thread.join().map_err(|_| TrialError::Panicked)??;
         }
         let told = lock(&self.told);
-        let mut found =
-            Outcomes { taken: told.taken.len(), turned_away: told.turned_away, ..Outcomes::default() };
-        found.untold = told.taken.iter().filter(|job| !told.outcomes.contains_key(*job)).cloned().collect();
+        let mut found = Outcomes {
+            taken: told.taken.len(),
+            turned_away: told.turned_away,
+            ..Outcomes::default()
+        };
+        found.untold = told
+            .taken
+            .iter()
+            .filter(|job| !told.outcomes.contains_key(*job))
+            .cloned()
+            .collect();
         for outcome in told.outcomes.values() {
             *found.ended.entry(outcome.clone()).or_default() += 1;
         }
--- a/crates/trials/src/main.rs
+++ b/crates/trials/src/main.rs
@@ -86,7 +86,9 @@
         return None;
     }
     let name = arguments.iter().take(1);
-    Some(reedring_cli::main_with(name.chain(arguments.iter().skip(2)).cloned()))
+    Some(reedring_cli::main_with(
+        name.chain(arguments.iter().skip(2)).cloned(),
+    ))
 }
 
 fn main() -> ExitCode {
@@ -115,7 +117,9 @@
         }
         let report = scale::play(&program, one, &mut out)?;
         print!("{}", report.table());
-        one.json.as_deref().map_or(Ok(()), |path| report.add_to(path))
+        one.json
+            .as_deref()
+            .map_or(Ok(()), |path| report.add_to(path))
     };
     played().map_or_else(failed, |()| ExitCode::SUCCESS)
 }
@@ -141,15 +145,28 @@
     }
 
     fn end(mut self, Rounds { seed, rounds }: &Rounds) -> ExitCode {
-        let Self { clean, jobs, settled } = &mut self;
+        let Self {
+            clean,
+            jobs,
+            settled,
+        } = &mut self;
         settled.sort_by(f64::total_cmp);
-        let at = |part: usize| settled.get((settled.len() * part / 100).min(settled.len().saturating_sub(1)));
-        let (median, most) = (at(50).copied().unwrap_or(0.0), at(100).copied().unwrap_or(0.0));
+        let at = |part: usize| {
+            settled.get((settled.len() * part / 100).min(settled.len().saturating_sub(1)))
+        };
+        let (median, most) = (
+            at(50).copied().unwrap_or(0.0),
+            at(100).copied().unwrap_or(0.0),
+        );
         println!(
             "{clean} of {rounds} rounds clean, from seed {seed}: {jobs} jobs; in force after the last fault: median \
              {median:.2} s, at most {most:.2} s"
         );
-        if clean == rounds { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+        if clean == rounds {
+            ExitCode::SUCCESS
+        } else {
+            ExitCode::FAILURE
+        }
     }
 }
 
--- a/crates/trials/src/relay.rs
+++ b/crates/trials/src/relay.rs
@@ -44,7 +44,12 @@
 }
 
 /// Bytes go one way until either end closes.
-async fn pump(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, mut mode: watch::Receiver<Mode>, back: bool) {
+async fn pump(
+    mut from: OwnedReadHalf,
+    mut to: OwnedWriteHalf,
+    mut mode: watch::Receiver<Mode>,
+    back: bool,
+) {
     let mut buffer = vec![0; 16 * 1024];
     let began = *mode.borrow();
     loop {
@@ -52,7 +57,11 @@
         if now.cut != began.cut || back && now.half != began.half {
             return;
         }
-        let held = if back { now.holds_back } else { now.holds_there };
+        let held = if back {
+            now.holds_back
+        } else {
+            now.holds_there
+        };
         tokio::select! {
             read = from.read(&mut buffer), if !held => match read {
                 Ok(count) if count > 0 => {
@@ -72,7 +81,9 @@
 }
 
 async fn pass(near: TcpStream, address: SocketAddr, mut mode: watch::Receiver<Mode>) {
-    let Ok(far) = TcpStream::connect(address).await else { return };
+    let Ok(far) = TcpStream::connect(address).await else {
+        return;
+    };
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
     let ((near_read, near_write), (far_read, far_write)) = (near.into_split(), far.into_split());
     let there = pump(near_read, far_write, mode.clone(), false);
@@ -91,8 +102,14 @@
     /// # Errors
     /// Where their threads can't be made.
     pub fn new() -> io::Result<Self> {
-        let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
-        Ok(Self { runtime: Some(runtime), all: BTreeMap::new() })
+        let runtime = tokio::runtime::Builder::new_multi_thread()
+            .worker_threads(2)
+            .enable_all()
+            .build()?;
+        Ok(Self {
+            runtime: Some(runtime),
+            all: BTreeMap::new(),
+        })
     }
 
     /// Where a placer reaches a node that listens there; the relay stays when the node moves.
@@ -104,7 +121,9 @@
         if let Some((address, _)) = self.all.get(&key) {
             return Ok(*address);
         }
-        let Some(runtime) = &self.runtime else { return Err(io::ErrorKind::NotConnected.into()) };
+        let Some(runtime) = &self.runtime else {
+            return Err(io::ErrorKind::NotConnected.into());
+        };
         let listener = runtime.block_on(TcpListener::bind("127.0.0.1:0"))?;
         let address = listener.local_addr()?;
         let mode = watch::Sender::new(Mode::default());
--- a/crates/trials/src/scale/changes.rs
+++ b/crates/trials/src/scale/changes.rs
@@ -15,8 +15,15 @@
         self.cluster.kill_placer(MAKER);
         self.cluster.start_placer(MAKER)?;
         self.cluster.wait_in_force()?;
-        let notes = vec![format!("it acts again after {:.3} s", asked.elapsed().as_secs_f64())];
-        Ok(Found { events: 1, notes, ..Found::default() })
+        let notes = vec![format!(
+            "it acts again after {:.3} s",
+            asked.elapsed().as_secs_f64()
+        )];
+        Ok(Found {
+            events: 1,
+            notes,
+            ..Found::default()
+        })
     }
 
     pub(super) fn plan_change(&mut self) -> Result<Found, ScaleError> {
@@ -25,7 +32,11 @@
             in_force.push(self.change()?);
             self.wait_quiet()?;
         }
-        Ok(Found { events: self.options.changes, in_force, notes: Vec::new() })
+        Ok(Found {
+            events: self.options.changes,
+            in_force,
+            notes: Vec::new(),
+        })
     }
 
     pub(super) fn fast_changes(&mut self) -> Result<Found, ScaleError> {
@@ -36,9 +47,18 @@
             in_force.push(self.change()?);
             std::thread::sleep(every.saturating_sub(asked.elapsed()));
         }
-        let (wanted, came) = (self.options.fast_seconds / every.as_secs_f64(), in_force.len());
-        let notes = vec![format!("{came} changes came in force, {wanted:.0} were wanted")];
-        Ok(Found { events: came as u64, in_force, notes })
+        let (wanted, came) = (
+            self.options.fast_seconds / every.as_secs_f64(),
+            in_force.len(),
+        );
+        let notes = vec![format!(
+            "{came} changes came in force, {wanted:.0} were wanted"
+        )];
+        Ok(Found {
+            events: came as u64,
+            in_force,
+            notes,
+        })
     }
 
     /// One node is in another rack.
@@ -53,7 +73,9 @@
         self.cluster.write_list()?;
         let seen = |cluster: &super::cluster::Cluster, placer: usize| {
             cluster.wait_nodes(placer, "the node's new rack", |lines| {
-                lines.iter().any(|line| line.node == name && line.rack == rack)
+                lines
+                    .iter()
+                    .any(|line| line.node == name && line.rack == rack)
             })
         };
         // The measured ones are asked only once the measured time is over.
@@ -61,7 +83,11 @@
         others.into_iter().try_for_each(|n| seen(self.cluster, n))?;
         let in_force = vec![asked.elapsed().as_secs_f64()];
         self.wait_quiet()?;
-        Ok(Found { events: 1, in_force, notes: Vec::new() })
+        Ok(Found {
+            events: 1,
+            in_force,
+            notes: Vec::new(),
+        })
     }
 
     /// The maker is killed once another placer has heard of its plan; others bring that in force.
@@ -77,6 +103,10 @@
         let in_force = vec![asked.elapsed().as_secs_f64()];
         self.cluster.start_placer(MAKER)?;
         self.cluster.wait_in_force()?;
-        Ok(Found { events: 1, in_force, notes: Vec::new() })
+        Ok(Found {
+            events: 1,
+            in_force,
+            notes: Vec::new(),
+        })
     }
 }
--- a/crates/trials/src/scale/cluster.rs
+++ b/crates/trials/src/scale/cluster.rs
@@ -90,7 +90,11 @@
     let spec = |n: usize| {
         let real = n < layout.real_placers;
         let kind = if real { "real" } else { "hollow" };
-        PlacerSpec { name: format!("{kind}-placer-{n:03}"), listen: topology::placer_address(n, port), real }
+        PlacerSpec {
+            name: format!("{kind}-placer-{n:03}"),
+            listen: topology::placer_address(n, port),
+            real,
+        }
     };
     (0..layout.placers).map(spec).collect()
 }
@@ -100,11 +104,21 @@
     ///
     /// # Errors
     /// Where a process does not start.
-    pub fn start(program: &Path, options: &ScaleOptions, layout: &Layout) -> Result<Self, ScaleError> {
+    pub fn start(
+        program: &Path,
+        options: &ScaleOptions,
+        layout: &Layout,
+    ) -> Result<Self, ScaleError> {
         let (port, claim) = claim_port()?;
-        let dir = tempfile::Builder::new().prefix("reedring-scale-").tempdir()?;
+        let dir = tempfile::Builder::new()
+            .prefix("reedring-scale-")
+            .tempdir()?;
         super::interrupt::remove_on_signal(dir.path());
-        let spec = |spec| PlacerProcess { spec, process: None, hollow: 0 };
+        let spec = |spec| PlacerProcess {
+            spec,
+            process: None,
+            hollow: 0,
+        };
         let mut cluster = Self {
             nodes: topology::nodes(layout.nodes, layout.real_nodes, layout.control, port),
             groups: Vec::new(),
@@ -113,7 +127,11 @@
             placers: placer_specs(layout, port).into_iter().map(spec).collect(),
             plan: 1,
             hollow_placers: Vec::new(),
-            shared: SharedSettings { placers: layout.placers, teams: options.teams, lease: options.lease() },
+            shared: SharedSettings {
+                placers: layout.placers,
+                teams: options.teams,
+                lease: options.lease(),
+            },
             revision: 0,
             retired: PlacerCounts::default(),
             program: program.to_owned(),
@@ -146,16 +164,27 @@
     /// Where the file can't be written.
     pub fn write_list(&mut self) -> Result<(), ScaleError> {
         self.revision += 1;
-        self.write("nodes.toml", &node_list(&self.nodes, self.revision)).map(drop)
+        self.write("nodes.toml", &node_list(&self.nodes, self.revision))
+            .map(drop)
     }
 
     /// Ids of all processes that run.
     pub fn process_ids(&self) -> BTreeMap<String, u32> {
-        let groups = self.groups.iter().filter_map(|group| group.process.as_ref());
-        let placers = self.placers.iter().filter_map(|placer| placer.process.as_ref());
-        let all =
-            groups.chain(&self.real_nodes).chain(&self.control).chain(placers).chain(&self.hollow_placers);
-        all.map(|process| (process.name().to_owned(), process.id())).collect()
+        let groups = self
+            .groups
+            .iter()
+            .filter_map(|group| group.process.as_ref());
+        let placers = self
+            .placers
+            .iter()
+            .filter_map(|placer| placer.process.as_ref());
+        let all = groups
+            .chain(&self.real_nodes)
+            .chain(&self.control)
+            .chain(placers)
+            .chain(&self.hollow_placers);
+        all.map(|process| (process.name().to_owned(), process.id()))
+            .collect()
     }
 
     /// How many nodes are hollow.
--- a/crates/trials/src/scale/cluster/nodes.rs
+++ b/crates/trials/src/scale/cluster/nodes.rs
@@ -12,13 +12,26 @@
 impl Cluster {
     pub(super) fn start_hollow_nodes(&mut self, per_region: usize) -> Result<(), ScaleError> {
         for region in 0..REGIONS {
-            let here = self.nodes.iter().filter(|node| !node.real && !node.control && node.region == region);
+            let here = self
+                .nodes
+                .iter()
+                .filter(|node| !node.real && !node.control && node.region == region);
             let here: Vec<NodeSpec> = here.cloned().collect();
-            for (part, nodes) in here.chunks(here.len().div_ceil(per_region).max(1)).enumerate() {
+            for (part, nodes) in here
+                .chunks(here.len().div_ceil(per_region).max(1))
+                .enumerate()
+            {
                 let name = format!("hollow-nodes-{region}-{part}");
-                let config = self.write(&format!("{name}.toml"), &node_configs(nodes, self.seed))?;
+                let config =
+                    self.write(&format!("{name}.toml"), &node_configs(nodes, self.seed))?;
                 let nodes = nodes.iter().map(|node| node.name.clone()).collect();
-                self.groups.push(NodeGroup { region, nodes, process: None, config, name });
+                self.groups.push(NodeGroup {
+                    region,
+                    nodes,
+                    process: None,
+                    config,
+                    name,
+                });
             }
         }
         (0..self.groups.len()).try_for_each(|n| self.start_group(n))
@@ -30,7 +43,11 @@
     /// Where it does not start.
     pub fn start_group(&mut self, n: usize) -> Result<(), ScaleError> {
         let group = &mut self.groups[n];
-        let arguments = ["hollow-nodes", "--config", &group.config.display().to_string()];
+        let arguments = [
+            "hollow-nodes",
+            "--config",
+            &group.config.display().to_string(),
+        ];
         let process = Program::start_with_input(&self.program, &group.name, &arguments)?;
         process.wait_line(0, "ready", PATIENCE, |line| line == "ready")?;
         group.process = Some(process);
@@ -53,18 +70,35 @@
     ///
     /// # Errors
     /// Where it does not do so.
-    pub fn tell_group(&mut self, n: usize, order: &str, nodes: &[String]) -> Result<(), ScaleError> {
-        let Some(process) = &mut self.groups[n].process else { return Ok(()) };
+    pub fn tell_group(
+        &mut self,
+        n: usize,
+        order: &str,
+        nodes: &[String],
+    ) -> Result<(), ScaleError> {
+        let Some(process) = &mut self.groups[n].process else {
+            return Ok(());
+        };
         let from = process.mark();
         process.tell(&format!("{order} {}", nodes.join(" ")))?;
         let answers = ["killed", "started", "failed"];
-        let answer = process
-            .wait_line(from, order, PATIENCE, |line| answers.iter().any(|answer| line.starts_with(answer)))?;
-        if answer.starts_with("failed") { Err(ScaleError::Refused(answer)) } else { Ok(()) }
+        let answer = process.wait_line(from, order, PATIENCE, |line| {
+            answers.iter().any(|answer| line.starts_with(answer))
+        })?;
+        if answer.starts_with("failed") {
+            Err(ScaleError::Refused(answer))
+        } else {
+            Ok(())
+        }
     }
 
     pub(super) fn start_control(&mut self) -> Result<(), ScaleError> {
-        let control: Vec<NodeSpec> = self.nodes.iter().filter(|node| node.control).cloned().collect();
+        let control: Vec<NodeSpec> = self
+            .nodes
+            .iter()
+            .filter(|node| node.control)
+            .cloned()
+            .collect();
         for node in control {
             let config = self.write(
                 &format!("{}.toml", node.name),
@@ -91,14 +125,26 @@
     }
 
     pub(super) fn start_real_nodes(&mut self) -> Result<(), ScaleError> {
-        let real: Vec<NodeSpec> = self.nodes.iter().filter(|node| node.real).cloned().collect();
+        let real: Vec<NodeSpec> = self
+            .nodes
+            .iter()
+            .filter(|node| node.real)
+            .cloned()
+            .collect();
         for node in real {
             let config = self.write(
                 &format!("{}.toml", node.name),
                 &node_configs(std::slice::from_ref(&node), self.seed),
             )?;
             let config = config.display().to_string();
-            let arguments = ["child-program", "--log", LOG, "standin", "--config", &config];
+            let arguments = [
+                "child-program",
+                "--log",
+                LOG,
+                "standin",
+                "--config",
+                &config,
+            ];
             let process = Program::start(&self.program, &node.name, &arguments, None)?;
             process.wait_line(0, "ready", PATIENCE, |line| line == "ready")?;
             self.real_nodes.push(process);
@@ -112,7 +158,11 @@
     /// Where a process does not tell.
     pub fn counts(&mut self) -> Result<PlacerCounts, ScaleError> {
         let mut all = self.retired.clone();
-        for process in self.groups.iter_mut().filter_map(|group| group.process.as_mut()) {
+        for process in self
+            .groups
+            .iter_mut()
+            .filter_map(|group| group.process.as_mut())
+        {
             all.add(&ask_counts(process)?);
         }
         Ok(all)
--- a/crates/trials/src/scale/cluster/placers.rs
+++ b/crates/trials/src/scale/cluster/placers.rs
@@ -21,7 +21,11 @@
     /// # Errors
     /// Where one does not start.
     pub fn start_placers(&mut self, per_process: usize) -> Result<(), ScaleError> {
-        let real = self.placers.iter().filter(|placer| placer.spec.real).count();
+        let real = self
+            .placers
+            .iter()
+            .filter(|placer| placer.spec.real)
+            .count();
         (0..real).try_for_each(|n| self.start_placer(n))?;
         let hollow: Vec<usize> = (real..self.placers.len()).collect();
         for (process, placers) in hollow.chunks(per_process.max(1)).enumerate() {
@@ -42,7 +46,10 @@
 
     fn write_settings(&self, n: usize) -> Result<PathBuf, ScaleError> {
         let spec = &self.placers[n].spec;
-        self.write(&format!("{}.toml", spec.name), &placer_settings(spec, &self.shared, self.plan))
+        self.write(
+            &format!("{}.toml", spec.name),
+            &placer_settings(spec, &self.shared, self.plan),
+        )
     }
 
     /// Starts a real placer with the plan that was brought last in its file.
@@ -54,7 +61,9 @@
         let placer = &mut self.placers[n];
         let arguments = ["child-program", "--log", LOG, "serve", "--config", &config];
         let process = Program::start(&self.program, &placer.spec.name, &arguments, None)?;
-        process.wait_line(0, "its contact", PATIENCE, |line| line.starts_with("contact: "))?;
+        process.wait_line(0, "its contact", PATIENCE, |line| {
+            line.starts_with("contact: ")
+        })?;
         placer.process = Some(process);
         Ok(())
     }
@@ -67,12 +76,18 @@
     /// The process that a placer runs in; none where it was killed.
     pub fn placer_process(&self, n: usize) -> Option<&Program> {
         let placer = &self.placers[n];
-        if placer.spec.real { placer.process.as_ref() } else { self.hollow_placers.get(placer.hollow) }
+        if placer.spec.real {
+            placer.process.as_ref()
+        } else {
+            self.hollow_placers.get(placer.hollow)
+        }
     }
 
     /// Real placers that run, by number.
     pub fn real_placers(&self) -> Vec<usize> {
-        (0..self.placers.len()).filter(|n| self.placers[*n].process.is_some()).collect()
+        (0..self.placers.len())
+            .filter(|n| self.placers[*n].process.is_some())
+            .collect()
     }
 
     /// Waits until every placer that runs has said this of a plan, which no earlier plan is said to be.
@@ -81,9 +96,13 @@
     /// Where one does not in time.
     pub fn wait_said(&self, placers: &[usize], what: &str) -> Result<(), ScaleError> {
         for n in placers {
-            let Some(process) = self.placer_process(*n) else { continue };
+            let Some(process) = self.placer_process(*n) else {
+                continue;
+            };
             let name = format!("{:?}", self.placers[*n].spec.name);
-            process.wait_line(0, what, PATIENCE, |line| line.contains(what) && line.contains(&name))?;
+            process.wait_line(0, what, PATIENCE, |line| {
+                line.contains(what) && line.contains(&name)
+            })?;
         }
         Ok(())
     }
--- a/crates/trials/src/scale/counts.rs
+++ b/crates/trials/src/scale/counts.rs
@@ -49,7 +49,10 @@
     /// The sum of both.
     pub fn plus(&self, other: &Self) -> Self {
         let add = |a, b| a + b;
-        Self { written: each(&self.written, &other.written, add), read: each(&self.read, &other.read, add) }
+        Self {
+            written: each(&self.written, &other.written, add),
+            read: each(&self.read, &other.read, add),
+        }
     }
 
     /// What came since an earlier look.
@@ -94,12 +97,19 @@
 
     /// What came since an earlier look.
     pub fn since(&self, earlier: &Self) -> Self {
-        Self(self.0.iter().map(|(name, counts)| (name.clone(), counts.since(&earlier.of(name)))).collect())
+        Self(
+            self.0
+                .iter()
+                .map(|(name, counts)| (name.clone(), counts.since(&earlier.of(name))))
+                .collect(),
+        )
     }
 
     /// All placers together.
     pub fn sum(&self) -> LinkCounts {
-        self.0.values().fold(LinkCounts::default(), |sum, counts| sum.plus(counts))
+        self.0
+            .values()
+            .fold(LinkCounts::default(), |sum, counts| sum.plus(counts))
     }
 
     /// What an end counted with peers whose names are wanted, added up under one name.
@@ -118,10 +128,18 @@
             let mut fields = word.split(':');
             let counts = all.0.entry(fields.next()?.to_owned()).or_default();
             let name = fields.next()?;
-            let kind = MessageKind::ALL.into_iter().find(|kind| kind.name() == name)?;
+            let kind = MessageKind::ALL
+                .into_iter()
+                .find(|kind| kind.name() == name)?;
             let mut number = || fields.next()?.parse::<u64>().ok();
-            counts.written[kind as usize] = Count { messages: number()?, bytes: number()? };
-            counts.read[kind as usize] = Count { messages: number()?, bytes: number()? };
+            counts.written[kind as usize] = Count {
+                messages: number()?,
+                bytes: number()?,
+            };
+            counts.read[kind as usize] = Count {
+                messages: number()?,
+                bytes: number()?,
+            };
         }
         Some(all)
     }
--- a/crates/trials/src/scale/files.rs
+++ b/crates/trials/src/scale/files.rs
@@ -39,11 +39,20 @@
         "[placer]\nname = {:?}\nlisten = \"{}\"\nnodes = \"nodes.toml\"\n\n",
         placer.name, placer.listen
     );
-    let _ = write!(text, "[plan]\nnumber = {plan}\nlease = \"{}ms\"\n\n", shared.lease.as_millis());
+    let _ = write!(
+        text,
+        "[plan]\nnumber = {plan}\nlease = \"{}ms\"\n\n",
+        shared.lease.as_millis()
+    );
     if placer.real {
         let _ = write!(text, "[state]\nfolder = \"{}.state\"\n\n", placer.name);
     }
-    let _ = write!(text, "[site]\nplacers = {}\nprice_fleet = {:?}\n", shared.placers, price(plan));
+    let _ = write!(
+        text,
+        "[site]\nplacers = {}\nprice_fleet = {:?}\n",
+        shared.placers,
+        price(plan)
+    );
     let _ = writeln!(text, "warm_after = \"{}ms\"", WARM_AFTER.as_millis());
     text.push_str(SITE);
     for team in 0..shared.teams {
@@ -89,10 +98,23 @@
 pub fn node_list(nodes: &[NodeSpec], revision: u64) -> String {
     let mut text = format!("revision = {revision}\n");
     for node in nodes {
-        let NodeSpec { name, address, region, zone, rack, control, .. } = node;
-        let _ =
-            write!(text, "\n[[node]]\nname = {name:?}\naddress = \"{address}\"\nhall = \"zone-{zone:02}\"\n");
-        let _ = write!(text, "rack = \"rack-{rack:03}\"\nattrs = {{ region = \"region-{region}\" }}\n");
+        let NodeSpec {
+            name,
+            address,
+            region,
+            zone,
+            rack,
+            control,
+            ..
+        } = node;
+        let _ = write!(
+            text,
+            "\n[[node]]\nname = {name:?}\naddress = \"{address}\"\nhall = \"zone-{zone:02}\"\n"
+        );
+        let _ = write!(
+            text,
+            "rack = \"rack-{rack:03}\"\nattrs = {{ region = \"region-{region}\" }}\n"
+        );
         if *control {
             text.push_str("control = true\n");
         }
@@ -104,11 +126,29 @@
 pub fn node_configs(nodes: &[NodeSpec], seed: u64) -> String {
     let mut text = format!("seed = {seed}\n");
     for node in nodes {
-        let NodeSpec { name, address, zone, rack, real, control, votes, .. } = node;
-        let _ =
-            write!(text, "\n[[node]]\nname = {name:?}\nlisten = \"{address}\"\nhall = \"zone-{zone:02}\"\n");
-        let _ = writeln!(text, "rack = \"rack-{rack:03}\"\nwarm_ms = {}", WARM_AFTER.as_millis());
-        let _ = writeln!(text, "cold_pace = 0.18\ncold_offers = 40\ncold_window_ms = 1000");
+        let NodeSpec {
+            name,
+            address,
+            zone,
+            rack,
+            real,
+            control,
+            votes,
+            ..
+        } = node;
+        let _ = write!(
+            text,
+            "\n[[node]]\nname = {name:?}\nlisten = \"{address}\"\nhall = \"zone-{zone:02}\"\n"
+        );
+        let _ = writeln!(
+            text,
+            "rack = \"rack-{rack:03}\"\nwarm_ms = {}",
+            WARM_AFTER.as_millis()
+        );
+        let _ = writeln!(
+            text,
+            "cold_pace = 0.18\ncold_offers = 40\ncold_window_ms = 1000"
+        );
         let _ = writeln!(text, "vote_after_ms = {}", VOTE_AFTER.as_millis());
         if !votes {
             text.push_str("votes = false\n");
--- a/crates/trials/src/scale/files/tests.rs
+++ b/crates/trials/src/scale/files/tests.rs
@@ -5,8 +5,16 @@
 
 fn settings(plan: u64, teams: usize) -> Settings {
     let listen = topology::placer_address(0, 9_000);
-    let placer = PlacerSpec { name: "placer-1".to_owned(), listen, real: true };
-    let shared = SharedSettings { placers: 5, teams, lease: Duration::from_secs(30) };
+    let placer = PlacerSpec {
+        name: "placer-1".to_owned(),
+        listen,
+        real: true,
+    };
+    let shared = SharedSettings {
+        placers: 5,
+        teams,
+        lease: Duration::from_secs(30),
+    };
     Settings::parse(&placer_settings(&placer, &shared, plan), "settings").unwrap()
 }
 
@@ -16,9 +24,15 @@
     let settings = settings(1, 590);
     let list = NodeList::parse(&node_list(&nodes, 7), "list", &settings).unwrap();
     let configs = Fleet::parse(&node_configs(&nodes, 1), "nodes").unwrap();
-    assert_eq!((list.revision, list.nodes.len(), configs.node.len()), (7, 70, 70));
+    assert_eq!(
+        (list.revision, list.nodes.len(), configs.node.len()),
+        (7, 70, 70)
+    );
     for ((listed, config), node) in list.nodes.iter().zip(&configs.node).zip(&nodes) {
-        assert_eq!((&listed.name, listed.address), (&config.name, config.listen));
+        assert_eq!(
+            (&listed.name, listed.address),
+            (&config.name, config.listen)
+        );
         assert_eq!((&listed.hall, &listed.rack), (&config.hall, &config.rack));
         assert_eq!(config.plan_dir.is_some(), node.real);
     }
@@ -41,6 +55,9 @@
     let configs = Fleet::parse(&node_configs(&nodes, 1), "nodes").unwrap();
     assert_eq!((list.nodes.len(), list.control().count()), (75, 5));
     for (listed, config) in list.nodes.iter().zip(&configs.node) {
-        assert_eq!((config.votes, config.plan_dir.is_some()), (listed.control, listed.control));
+        assert_eq!(
+            (config.votes, config.plan_dir.is_some()),
+            (listed.control, listed.control)
+        );
     }
 }
--- a/crates/trials/src/scale/hollow.rs
+++ b/crates/trials/src/scale/hollow.rs
@@ -24,7 +24,11 @@
 
 fn log() {
     let filter = EnvFilter::new(LOG);
-    tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).with_ansi(false).init();
+    tracing_subscriber::fmt()
+        .with_env_filter(filter)
+        .with_writer(std::io::stderr)
+        .with_ansi(false)
+        .init();
 }
 
 /// The nodes of one process.
@@ -40,10 +44,22 @@
 
 impl Nodes {
     fn start(&mut self, name: &str) -> Result<(), Failure> {
-        let config = self.configs.get(name).ok_or_else(|| format!("no node `{name}`"))?.clone();
+        let config = self
+            .configs
+            .get(name)
+            .ok_or_else(|| format!("no node `{name}`"))?
+            .clone();
         let life = SystemTime::now().duration_since(UNIX_EPOCH)?.as_micros() as u64;
         let (groups, traffic) = (Arc::clone(&self.groups), Arc::clone(&self.traffic));
-        let served = serve_counted(config, life, self.seed, groups, None, self.clock, Some(traffic));
+        let served = serve_counted(
+            config,
+            life,
+            self.seed,
+            groups,
+            None,
+            self.clock,
+            Some(traffic),
+        );
         let handle = self.runtime.block_on(served)?;
         self.running.insert(name.to_owned(), handle);
         Ok(())
@@ -75,7 +91,10 @@
                 let started = words.try_for_each(|name| self.start(name));
                 println!(
                     "{}",
-                    started.map_or_else(|error| format!("failed: {error}"), |()| "started".to_owned())
+                    started.map_or_else(
+                        |error| format!("failed: {error}"),
+                        |()| "started".to_owned()
+                    )
                 );
             }
             _ => println!("unknown: {line}"),
@@ -91,16 +110,26 @@
 pub fn nodes(config: &Path) -> Result<(), Failure> {
     die_with_parent()?;
     log();
-    let mut fleet = Fleet::parse(&std::fs::read_to_string(config)?, &config.display().to_string())?;
+    let mut fleet = Fleet::parse(
+        &std::fs::read_to_string(config)?,
+        &config.display().to_string(),
+    )?;
     let folder = config.parent().unwrap_or(Path::new(""));
     for node in &mut fleet.node {
         node.plan_dir = node.plan_dir.take().map(|dir| folder.join(dir));
     }
     let names: Vec<String> = fleet.node.iter().map(|node| node.name.clone()).collect();
     let mut nodes = Nodes {
-        runtime: tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?,
+        runtime: tokio::runtime::Builder::new_multi_thread()
+            .worker_threads(2)
+            .enable_all()
+            .build()?,
         seed: fleet.seed,
-        configs: fleet.node.into_iter().map(|node| (node.name.clone(), node)).collect(),
+        configs: fleet
+            .node
+            .into_iter()
+            .map(|node| (node.name.clone(), node))
+            .collect(),
         running: BTreeMap::new(),
         groups: Arc::default(),
         clock: Instant::now(),
@@ -115,7 +144,10 @@
 fn start_placer(config: &Path) -> Result<(Placer, Arc<PeerTraffic>), Failure> {
     let text = std::fs::read_to_string(config)?;
     let settings = Settings::parse(&text, &config.display().to_string())?;
-    let list = config.parent().unwrap_or(Path::new("")).join(&settings.nodes);
+    let list = config
+        .parent()
+        .unwrap_or(Path::new(""))
+        .join(&settings.nodes);
     let traffic: Arc<PeerTraffic> = Arc::default();
     let options = Options {
         source: Box::new(FileSource::new(list, settings.clone())),
@@ -147,7 +179,9 @@
         }
         let mut counts = PlacerCounts::default();
         for (placer, traffic) in &placers {
-            counts.add_peers(placer.name(), traffic, |node| node.starts_with(HOLLOW_PREFIX));
+            counts.add_peers(placer.name(), traffic, |node| {
+                node.starts_with(HOLLOW_PREFIX)
+            });
         }
         println!("{counts}");
     })
--- a/crates/trials/src/scale/interrupt.rs
+++ b/crates/trials/src/scale/interrupt.rs
@@ -12,14 +12,24 @@
 
 /// Removes this folder when the process is interrupted or asked to end, and ends it.
 pub fn remove_on_signal(folder: &Path) {
-    FOLDERS.lock().unwrap_or_else(PoisonError::into_inner).push(folder.to_owned());
+    FOLDERS
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner)
+        .push(folder.to_owned());
     WATCH.call_once(|| {
-        let _ = std::thread::Builder::new().name("signals".to_owned()).spawn(watch);
+        let _ = std::thread::Builder::new()
+            .name("signals".to_owned())
+            .spawn(watch);
     });
 }
 
 fn watch() {
-    let Ok(runtime) = tokio::runtime::Builder::new_current_thread().enable_all().build() else { return };
+    let Ok(runtime) = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+    else {
+        return;
+    };
     let asked = runtime.block_on(async {
         let mut signals = Signals::new()?;
         Ok::<_, std::io::Error>(signals.next().await)
@@ -27,7 +37,11 @@
     if asked.is_err() {
         return;
     }
-    for folder in FOLDERS.lock().unwrap_or_else(PoisonError::into_inner).iter() {
+    for folder in FOLDERS
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner)
+        .iter()
+    {
         let _ = std::fs::remove_dir_all(folder);
     }
     std::process::exit(INTERRUPTED);
--- a/crates/trials/src/scale/layout.rs
+++ b/crates/trials/src/scale/layout.rs
@@ -55,9 +55,16 @@
 
 impl Layout {
     /// Spreads nodes and placers so that no process has more than its share of `descriptors`, where that can be.
-    pub fn new(nodes: usize, placers: usize, control: usize, tasks: usize, descriptors: u64) -> Self {
-        let usable =
-            ((descriptors as f64 * DESCRIPTOR_SHARE) as u64).saturating_sub(SPARE_DESCRIPTORS).max(1);
+    pub fn new(
+        nodes: usize,
+        placers: usize,
+        control: usize,
+        tasks: usize,
+        descriptors: u64,
+    ) -> Self {
+        let usable = ((descriptors as f64 * DESCRIPTOR_SHARE) as u64)
+            .saturating_sub(SPARE_DESCRIPTORS)
+            .max(1);
         let nodes_in_process = (usable / (placers as u64 + 1)).max(1) as usize;
         let (real_nodes, real_placers) = (REAL.min(nodes), REAL.min(placers));
         let in_region = (nodes - real_nodes).div_ceil(REGIONS) + 1;
@@ -85,7 +92,8 @@
         let in_region = (self.nodes - self.real_nodes).div_ceil(REGIONS) + 1;
         let nodes_in_process = in_region.div_ceil(self.processes_per_region) as u64;
         let node_process = nodes_in_process * (placers + 1);
-        let placer_process = nodes * self.placers_per_process.min(self.hollow_placers().max(1)) as u64;
+        let placer_process =
+            nodes * self.placers_per_process.min(self.hollow_placers().max(1)) as u64;
         let hollow_placers = self.hollow_placers().div_ceil(self.placers_per_process);
         let hollow = REGIONS * self.processes_per_region + hollow_placers;
         let processes = (self.real_nodes + self.control + self.real_placers + hollow + 1) as u64;
@@ -104,12 +112,16 @@
 
 /// Descriptors that a process of this machine may have.
 pub fn descriptor_limit() -> u64 {
-    getrlimit(SystemResource::Nofile).current.unwrap_or(u64::MAX)
+    getrlimit(SystemResource::Nofile)
+        .current
+        .unwrap_or(u64::MAX)
 }
 
 /// What this machine allows now, within the bounds of the trial.
 pub fn limits() -> Limits {
-    let available = fs::read_to_string("/proc/meminfo").ok().and_then(|text| available(&text));
+    let available = fs::read_to_string("/proc/meminfo")
+        .ok()
+        .and_then(|text| available(&text));
     Limits {
         memory: available.unwrap_or(MOST_MEMORY).min(MOST_MEMORY),
         descriptors: descriptor_limit(),
@@ -121,7 +133,9 @@
 
 /// Available bytes from the text of `/proc/meminfo`.
 fn available(meminfo: &str) -> Option<u64> {
-    let line = meminfo.lines().find_map(|line| line.strip_prefix("MemAvailable:"))?;
+    let line = meminfo
+        .lines()
+        .find_map(|line| line.strip_prefix("MemAvailable:"))?;
     let kib: u64 = line.split_whitespace().next()?.parse().ok()?;
     Some(kib * 1_024)
 }
--- a/crates/trials/src/scale/measure.rs
+++ b/crates/trials/src/scale/measure.rs
@@ -35,7 +35,14 @@
             placers.push(ProcessSample::of(process.id())?);
         }
         let (nodes, control) = (samples(&cluster.real_nodes)?, samples(&cluster.control)?);
-        Ok(Self { at: Instant::now(), counts, control_counts, placers, nodes, control })
+        Ok(Self {
+            at: Instant::now(),
+            counts,
+            control_counts,
+            placers,
+            nodes,
+            control,
+        })
     }
 
     /// Resident bytes of a measured placer, on average.
@@ -50,19 +57,35 @@
 }
 
 fn samples(processes: &[Program]) -> Result<Vec<ProcessSample>, ScaleError> {
-    processes.iter().map(|process| Ok(ProcessSample::of(process.id())?)).collect()
+    processes
+        .iter()
+        .map(|process| Ok(ProcessSample::of(process.id())?))
+        .collect()
 }
 
 /// The mean; 0 of nothing.
 fn mean(values: impl Iterator<Item = f64>) -> f64 {
     let (count, sum) = values.fold((0_u32, 0.0), |(count, sum), value| (count + 1, sum + value));
-    if count == 0 { 0.0 } else { sum / f64::from(count) }
+    if count == 0 {
+        0.0
+    } else {
+        sum / f64::from(count)
+    }
 }
 
 /// What one process of a role used, given the samples of all measured ones and the messages of one.
-fn usage(before: &[ProcessSample], after: &[ProcessSample], counts: &LinkCounts, share_of: f64) -> Usage {
-    let spent =
-        || before.iter().zip(after).map(|(before, after)| (after.processor - before.processor).as_secs_f64());
+fn usage(
+    before: &[ProcessSample],
+    after: &[ProcessSample],
+    counts: &LinkCounts,
+    share_of: f64,
+) -> Usage {
+    let spent = || {
+        before
+            .iter()
+            .zip(after)
+            .map(|(before, after)| (after.processor - before.processor).as_secs_f64())
+    };
     let (control, work) = (counts.total(Share::Control), counts.total(Share::Work));
     Usage {
         processor: mean(spent()),
@@ -97,13 +120,21 @@
     let names = followers.iter().map(|n| &cluster.placers[*n].spec.name);
     let own = names.map(|name| counts.of(name).plus(&control_counts.of(name)));
     let own = own.fold(LinkCounts::default(), |sum, counts| sum.plus(&counts));
-    let (followers, nodes) = (followers.len().max(1) as f64, cluster.hollow_nodes().max(1) as f64);
+    let (followers, nodes) = (
+        followers.len().max(1) as f64,
+        cluster.hollow_nodes().max(1) as f64,
+    );
     Used {
         placer: usage(&before.placers, &after.placers, &own, followers),
         node: usage(&before.nodes, &after.nodes, &counts.sum(), nodes),
         control: (!after.control.is_empty()).then(|| {
             let machines = after.control.len() as f64;
-            usage(&before.control, &after.control, &control_counts.sum(), machines)
+            usage(
+                &before.control,
+                &after.control,
+                &control_counts.sum(),
+                machines,
+            )
         }),
         kinds: kinds(&own, followers),
         node_kinds: kinds(&counts.sum(), nodes),
@@ -115,7 +146,15 @@
     let usage = |kind: MessageKind| {
         let (written, read) = (counts.written[kind as usize], counts.read[kind as usize]);
         let messages = (written.messages + read.messages) as f64 / share_of;
-        KindUsage { kind, messages, bytes: (written.bytes + read.bytes) as f64 / share_of }
+        KindUsage {
+            kind,
+            messages,
+            bytes: (written.bytes + read.bytes) as f64 / share_of,
+        }
     };
-    MessageKind::ALL.into_iter().map(usage).filter(|usage| usage.messages > 0.0).collect()
+    MessageKind::ALL
+        .into_iter()
+        .map(usage)
+        .filter(|usage| usage.messages > 0.0)
+        .collect()
 }
--- a/crates/trials/src/scale/mod.rs
+++ b/crates/trials/src/scale/mod.rs
@@ -97,7 +97,13 @@
 }
 
 fn check(options: &ScaleOptions) -> Result<(), ScaleError> {
-    let wrong = |option, value: String, bound| Err(ScaleError::Option { option, value, bound });
+    let wrong = |option, value: String, bound| {
+        Err(ScaleError::Option {
+            option,
+            value,
+            bound,
+        })
+    };
     if options.placers < FEWEST_PLACERS {
         return wrong("placers", options.placers.to_string(), "it is at least 2");
     }
@@ -116,7 +122,11 @@
         }
     }
     if !(options.fast_seconds.is_finite() && options.fast_seconds >= 0.0) {
-        return wrong("fast-seconds", options.fast_seconds.to_string(), "it is a number from 0 on");
+        return wrong(
+            "fast-seconds",
+            options.fast_seconds.to_string(),
+            "it is a number from 0 on",
+        );
     }
     Ok(())
 }
@@ -125,7 +135,11 @@
 ///
 /// # Errors
 /// Where it does not fit, or can't be played.
-pub fn play(program: &Path, options: &ScaleOptions, out: &mut dyn Write) -> Result<Report, ScaleError> {
+pub fn play(
+    program: &Path,
+    options: &ScaleOptions,
+    out: &mut dyn Write,
+) -> Result<Report, ScaleError> {
     check(options)?;
     let limits = layout::limits();
     let layout = options.layout(limits.descriptors);
@@ -147,13 +161,21 @@
     let mut player = Player::new(&mut cluster, options);
     report.notes.push(bytes_per_link(&mut player, &empty)?);
     let mut cut = false;
-    for phase in PhaseName::ALL.into_iter().filter(|phase| options.plays(*phase)) {
+    for phase in PhaseName::ALL
+        .into_iter()
+        .filter(|phase| options.plays(*phase))
+    {
         if phase.cuts_links() && !cut {
             report.agreement = player.compare_counts()?;
             cut = true;
         }
         let result = player.play(phase)?;
-        writeln!(out, "{} took {:.2} s", phase.name(), result.elapsed.as_secs_f64())?;
+        writeln!(
+            out,
+            "{} took {:.2} s",
+            phase.name(),
+            result.elapsed.as_secs_f64()
+        )?;
         report.phases.push(result);
     }
     if !cut {
@@ -164,7 +186,8 @@
 
 fn bytes_per_link(player: &mut Player<'_>, empty: &Snapshot) -> Result<String, ScaleError> {
     let linked = Snapshot::take(player.cluster, &player.followers.clone())?;
-    let at_node = (linked.node_resident() - empty.node_resident()) / player.cluster.placers.len() as f64;
+    let at_node =
+        (linked.node_resident() - empty.node_resident()) / player.cluster.placers.len() as f64;
     let at_placer = linked.placer_resident() / player.cluster.nodes.len() as f64;
     Ok(format!(
         "resident bytes once linked: {at_node:.0} more at a node for each placer; all of a placer divided by its nodes \
--- a/crates/trials/src/scale/needs.rs
+++ b/crates/trials/src/scale/needs.rs
@@ -89,12 +89,23 @@
         (Resource::Memory, needs.memory, limits.memory),
         (Resource::Descriptors, needs.descriptors, limits.descriptors),
         (Resource::Processes, needs.processes, limits.processes),
-        (Resource::LinksPerNode, needs.links_per_node, limits.links_per_node),
+        (
+            Resource::LinksPerNode,
+            needs.links_per_node,
+            limits.links_per_node,
+        ),
         (Resource::Addresses, needs.addresses, limits.addresses),
     ];
-    match compared.into_iter().find(|(_, needed, limit)| needed > limit) {
+    match compared
+        .into_iter()
+        .find(|(_, needed, limit)| needed > limit)
+    {
         None => Ok(()),
-        Some((resource, needed, limit)) => Err(DoesNotFit { resource, needed, limit }),
+        Some((resource, needed, limit)) => Err(DoesNotFit {
+            resource,
+            needed,
+            limit,
+        }),
     }
 }
 
--- a/crates/trials/src/scale/options.rs
+++ b/crates/trials/src/scale/options.rs
@@ -70,7 +70,8 @@
 
     /// Task starts a second over the whole cluster.
     pub fn starts(&self) -> f64 {
-        self.starts_per_second.unwrap_or(TARGET_STARTS * self.nodes as f64 / TARGET_NODES)
+        self.starts_per_second
+            .unwrap_or(TARGET_STARTS * self.nodes as f64 / TARGET_NODES)
     }
 
     /// The lease.
@@ -90,7 +91,13 @@
 
     /// The processes of the run.
     pub fn layout(&self, descriptors: u64) -> Layout {
-        Layout::new(self.nodes, self.placers, self.control, self.running_tasks(), descriptors)
+        Layout::new(
+            self.nodes,
+            self.placers,
+            self.control,
+            self.running_tasks(),
+            descriptors,
+        )
     }
 
     /// The command that repeats the run.
@@ -99,11 +106,24 @@
             "cargo run --release -p reedring-trials -- scale --nodes {} --placers {} --control {} --seed {} --teams {}",
             self.nodes, self.placers, self.control, self.seed, self.teams
         );
-        text += &format!(" --tasks {} --starts-per-second {:.1}", self.running_tasks(), self.starts());
-        text += &format!(" --lease {} --window {} --changes {}", self.lease, self.window, self.changes);
-        text +=
-            &format!(" --changes-per-hour {} --fast-seconds {}", self.changes_per_hour, self.fast_seconds);
+        text += &format!(
+            " --tasks {} --starts-per-second {:.1}",
+            self.running_tasks(),
+            self.starts()
+        );
+        text += &format!(
+            " --lease {} --window {} --changes {}",
+            self.lease, self.window, self.changes
+        );
+        text += &format!(
+            " --changes-per-hour {} --fast-seconds {}",
+            self.changes_per_hour, self.fast_seconds
+        );
         let phases: Vec<&str> = self.phases.iter().map(|phase| phase.name()).collect();
-        if phases.is_empty() { text } else { format!("{text} --phases {}", phases.join(",")) }
+        if phases.is_empty() {
+            text
+        } else {
+            format!("{text} --phases {}", phases.join(","))
+        }
     }
 }
--- a/crates/trials/src/scale/player.rs
+++ b/crates/trials/src/scale/player.rs
@@ -48,10 +48,20 @@
 impl<'a> Player<'a> {
     /// Plays on a cluster whose placers run.
     pub fn new(cluster: &'a mut Cluster, options: &'a ScaleOptions) -> Self {
-        let followers: Vec<usize> = cluster.real_placers().into_iter().filter(|n| *n != MAKER).collect();
+        let followers: Vec<usize> = cluster
+            .real_placers()
+            .into_iter()
+            .filter(|n| *n != MAKER)
+            .collect();
         // The last one is hollow wherever there are hollow ones.
         let observer = cluster.placers.len() - 1;
-        Self { cluster, options, followers, observer, sessions: Vec::new() }
+        Self {
+            cluster,
+            options,
+            followers,
+            observer,
+            sessions: Vec::new(),
+        }
     }
 
     /// Plays one phase, and measures what was used in it until the cluster is quiet again.
@@ -81,17 +91,45 @@
         self.wait_quiet()?;
         let after = Snapshot::take(self.cluster, &self.followers)?;
         if phase == PhaseName::Standing {
-            found.notes.push(self.bytes_per_task(&before, &after, found.events));
+            found
+                .notes
+                .push(self.bytes_per_task(&before, &after, found.events));
         }
-        let Used { placer, node, control, kinds, node_kinds } =
-            used(self.cluster, &self.followers, &before, &after);
-        let (elapsed, Found { events, in_force, notes }) = (after.at - before.at, found);
-        Ok(PhaseResult { phase, elapsed, events, placer, node, control, kinds, node_kinds, in_force, notes })
+        let Used {
+            placer,
+            node,
+            control,
+            kinds,
+            node_kinds,
+        } = used(self.cluster, &self.followers, &before, &after);
+        let (
+            elapsed,
+            Found {
+                events,
+                in_force,
+                notes,
+            },
+        ) = (after.at - before.at, found);
+        Ok(PhaseResult {
+            phase,
+            elapsed,
+            events,
+            placer,
+            node,
+            control,
+            kinds,
+            node_kinds,
+            in_force,
+            notes,
+        })
     }
 
     fn bytes_per_task(&self, before: &Snapshot, after: &Snapshot, tasks: u64) -> String {
         let placers = self.cluster.placers.len() as f64;
-        let (at_placer, at_node) = (tasks as f64 / placers, tasks as f64 / self.cluster.nodes.len() as f64);
+        let (at_placer, at_node) = (
+            tasks as f64 / placers,
+            tasks as f64 / self.cluster.nodes.len() as f64,
+        );
         let placer = (after.placer_resident() - before.placer_resident()) / at_placer.max(1.0);
         let node = (after.node_resident() - before.node_resident()) / at_node.max(1.0);
         format!("resident bytes for each own task: {placer:.0} at a placer, {node:.0} at a node")
@@ -128,7 +166,11 @@
         // Where there are control machines, only they are asked.
         let (control, hollow) = (self.cluster.control.len(), self.cluster.hollow_nodes());
         let asked = |cluster: &mut Cluster| -> Result<u64, ScaleError> {
-            let counts = if control > 0 { cluster.control_counts()? } else { cluster.counts()? };
+            let counts = if control > 0 {
+                cluster.control_counts()?
+            } else {
+                cluster.counts()?
+            };
             Ok(counts.of(&name).read[MessageKind::PlanAsk as usize].messages)
         };
         let nodes = if control > 0 { control } else { hollow } as u64;
@@ -136,9 +178,12 @@
         let known = asked(self.cluster)?;
         while asked(self.cluster)? < known + nodes {
             if Instant::now() > until {
-                return Err(
-                    ProcessError::Silent(name, "every node was asked".to_owned(), String::new()).into()
-                );
+                return Err(ProcessError::Silent(
+                    name,
+                    "every node was asked".to_owned(),
+                    String::new(),
+                )
+                .into());
             }
             std::thread::sleep(QUIET);
         }
@@ -155,8 +200,12 @@
             self.wait_quiet()?;
             let (placers, nodes) = (self.cluster.placer_counts()?, self.cluster.counts()?);
             match compare(&placers, &nodes) {
-                Ok(agreement) if agreement.lost == 0 || Instant::now() > until => return Ok(agreement),
-                Err(wrong) if Instant::now() > until => return Err(ScaleError::CountsDiffer(wrong)),
+                Ok(agreement) if agreement.lost == 0 || Instant::now() > until => {
+                    return Ok(agreement);
+                }
+                Err(wrong) if Instant::now() > until => {
+                    return Err(ScaleError::CountsDiffer(wrong));
+                }
                 _ => {}
             }
         }
--- a/crates/trials/src/scale/process_stat.rs
+++ b/crates/trials/src/scale/process_stat.rs
@@ -25,12 +25,16 @@
     let mut fields = after_name.split_whitespace().skip(11);
     let mut ticks = || fields.next()?.parse::<u64>().ok();
     let total = ticks()? + ticks()?;
-    Some(Duration::from_secs_f64(total as f64 / ticks_per_second as f64))
+    Some(Duration::from_secs_f64(
+        total as f64 / ticks_per_second as f64,
+    ))
 }
 
 /// Resident bytes from the text of `/proc/PID/status`.
 fn resident(status: &str) -> Option<u64> {
-    let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
+    let line = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmRSS:"))?;
     let kib: u64 = line.split_whitespace().next()?.parse().ok()?;
     Some(kib * 1_024)
 }
--- a/crates/trials/src/scale/process_stat/tests.rs
+++ b/crates/trials/src/scale/process_stat/tests.rs
@@ -9,7 +9,10 @@
 
 #[test]
 fn resident_memory_is_read_in_bytes() {
-    assert_eq!(resident("VmHWM:\t 9 kB\nVmRSS:\t    12 kB\n"), Some(12 * 1_024));
+    assert_eq!(
+        resident("VmHWM:\t 9 kB\nVmRSS:\t    12 kB\n"),
+        Some(12 * 1_024)
+    );
     assert_eq!(resident("Name: zombie\n"), None);
 }
 
--- a/crates/trials/src/scale/report.rs
+++ b/crates/trials/src/scale/report.rs
@@ -54,15 +54,35 @@
 
     /// The table, one line a phase.
     pub fn table(&self) -> String {
-        let Size { nodes, placers, running_tasks, teams, .. } = self.size;
+        let Size {
+            nodes,
+            placers,
+            running_tasks,
+            teams,
+            ..
+        } = self.size;
         let mut text = format!(
             "{nodes} nodes, {placers} placers, {running_tasks} tasks, {teams} teams, {}\n{HEAD}\n",
             mechanism(self.size.control_machines)
         );
-        self.phases.iter().for_each(|phase| text.push_str(&line(phase)));
-        text.push_str("one real placer that only follows, and one real node; control: links and plans\n");
-        for (phase, usage) in self.phases.iter().filter_map(|phase| Some((phase, phase.control?))) {
-            let Usage { processor, resident, control_messages, control_bytes, .. } = usage;
+        self.phases
+            .iter()
+            .for_each(|phase| text.push_str(&line(phase)));
+        text.push_str(
+            "one real placer that only follows, and one real node; control: links and plans\n",
+        );
+        for (phase, usage) in self
+            .phases
+            .iter()
+            .filter_map(|phase| Some((phase, phase.control?)))
+        {
+            let Usage {
+                processor,
+                resident,
+                control_messages,
+                control_bytes,
+                ..
+            } = usage;
             let (name, mib) = (phase.phase.name(), resident / MIB);
             let _ = writeln!(
                 text,
@@ -71,9 +91,13 @@
             );
         }
         text.push_str("messages and bytes of that placer by kind, each phase by itself\n");
-        self.phases.iter().for_each(|phase| text.push_str(&kinds(phase, &phase.kinds)));
+        self.phases
+            .iter()
+            .for_each(|phase| text.push_str(&kinds(phase, &phase.kinds)));
         text.push_str("messages and bytes of a node by kind\n");
-        self.phases.iter().for_each(|phase| text.push_str(&kinds(phase, &phase.node_kinds)));
+        self.phases
+            .iter()
+            .for_each(|phase| text.push_str(&kinds(phase, &phase.node_kinds)));
         for phase in &self.phases {
             for note in &phase.notes {
                 let _ = writeln!(text, "  {}: {note}", phase.phase.name());
@@ -84,7 +108,9 @@
             text,
             "  both ends of hollow links counted {agreed} messages alike, {lost} were lost on cut links"
         );
-        self.notes.iter().for_each(|note| text.push_str(&format!("  {note}\n")));
+        self.notes
+            .iter()
+            .for_each(|note| text.push_str(&format!("  {note}\n")));
         text
     }
 
@@ -113,25 +139,42 @@
 
     /// The tasks that stand in a phase: none before the phase that starts them.
     fn running_tasks(&self, phase: usize) -> u32 {
-        let started = self.phases[..phase].iter().any(|before| before.phase == PhaseName::Standing);
+        let started = self.phases[..phase]
+            .iter()
+            .any(|before| before.phase == PhaseName::Standing);
         if started { self.size.running_tasks } else { 0 }
     }
 
     fn measurements(&self, number: usize, result: &PhaseResult) -> Vec<Measurement> {
-        let Some(phase) = result.phase.in_run_files() else { return Vec::new() };
+        let Some(phase) = result.phase.in_run_files() else {
+            return Vec::new();
+        };
         let (seconds, events) = (result.elapsed.as_secs_f64(), result.events as f64);
-        let changes_per_hour =
-            if result.phase == PhaseName::FastChanges { events / seconds * HOUR } else { 0.0 };
-        let size = Size { changes_per_hour, running_tasks: self.running_tasks(number), ..self.size };
+        let changes_per_hour = if result.phase == PhaseName::FastChanges {
+            events / seconds * HOUR
+        } else {
+            0.0
+        };
+        let size = Size {
+            changes_per_hour,
+            running_tasks: self.running_tasks(number),
+            ..self.size
+        };
         let mut all = Vec::new();
-        let control = result.control.iter().map(|usage| (Role::ControlMachine, usage));
-        for (role, usage) in
-            [(Role::Placer, &result.placer), (Role::Node, &result.node)].into_iter().chain(control)
+        let control = result
+            .control
+            .iter()
+            .map(|usage| (Role::ControlMachine, usage));
+        for (role, usage) in [(Role::Placer, &result.placer), (Role::Node, &result.node)]
+            .into_iter()
+            .chain(control)
         {
             let bytes = usage.control_bytes + usage.work_bytes;
             let messages = usage.control_messages + usage.work_messages;
-            let mut values =
-                vec![(Quantity::ResidentBytes, usage.resident), (Quantity::Descriptors, usage.descriptors)];
+            let mut values = vec![
+                (Quantity::ResidentBytes, usage.resident),
+                (Quantity::Descriptors, usage.descriptors),
+            ];
             if result.phase.has_rate() {
                 values.push((Quantity::ProcessorShare, usage.processor / seconds));
                 values.push((Quantity::BytesPerSecond, bytes / seconds));
@@ -143,7 +186,11 @@
                 values.push((Quantity::MessagesPerEvent, messages / events));
             }
             let in_force = result.in_force.iter().copied().reduce(f64::max);
-            values.extend(in_force.filter(|_| role == Role::Placer).map(|s| (Quantity::SecondsToForce, s)));
+            values.extend(
+                in_force
+                    .filter(|_| role == Role::Placer)
+                    .map(|s| (Quantity::SecondsToForce, s)),
+            );
             all.extend(values.into_iter().map(|(quantity, value)| Measurement {
                 size,
                 role,
@@ -174,16 +221,44 @@
                     control msg      bytes  work msg     bytes   node: cpu s   MiB  control B   in force s";
 
 fn line(result: &PhaseResult) -> String {
-    let PhaseResult { phase, elapsed, events, placer, node, in_force, .. } = result;
+    let PhaseResult {
+        phase,
+        elapsed,
+        events,
+        placer,
+        node,
+        in_force,
+        ..
+    } = result;
     let seconds = elapsed.as_secs_f64();
-    let Usage { processor, resident, descriptors, control_messages, control_bytes, .. } = placer;
+    let Usage {
+        processor,
+        resident,
+        descriptors,
+        control_messages,
+        control_bytes,
+        ..
+    } = placer;
     let mut text = format!("{:<18} {seconds:>7.2} {events:>6}", phase.name());
-    let _ = write!(text, " {processor:>15.3} {:>7.2}", processor / seconds * 100.0);
+    let _ = write!(
+        text,
+        " {processor:>15.3} {:>7.2}",
+        processor / seconds * 100.0
+    );
     let _ = write!(text, " {:>5.1} {descriptors:>6.0}", resident / MIB);
     let _ = write!(text, " {control_messages:>12.0} {control_bytes:>10.0}");
-    let _ = write!(text, " {:>9.0} {:>9.0}", placer.work_messages, placer.work_bytes);
-    let _ =
-        write!(text, " {:>13.3} {:>5.1} {:>10.0}", node.processor, node.resident / MIB, node.control_bytes);
+    let _ = write!(
+        text,
+        " {:>9.0} {:>9.0}",
+        placer.work_messages, placer.work_bytes
+    );
+    let _ = write!(
+        text,
+        " {:>13.3} {:>5.1} {:>10.0}",
+        node.processor,
+        node.resident / MIB,
+        node.control_bytes
+    );
     if !in_force.is_empty() {
         let most = in_force.iter().copied().fold(0.0, f64::max);
         let mut sorted = in_force.clone();
@@ -205,7 +280,12 @@
 /// One line with the messages of each kind.
 fn kinds(result: &PhaseResult, kinds: &[KindUsage]) -> String {
     let mut text = format!("  {:<16}", result.phase.name());
-    for KindUsage { kind, messages, bytes } in kinds {
+    for KindUsage {
+        kind,
+        messages,
+        bytes,
+    } in kinds
+    {
         let _ = write!(text, " {} {messages:.1}/{bytes:.0}", kind.name());
     }
     text.push('\n');
@@ -214,8 +294,13 @@
 
 /// The revision of the source, where it can be told; else the version of the package.
 fn revision() -> String {
-    let asked = std::process::Command::new("git").args(["rev-parse", "--short", "HEAD"]).output();
+    let asked = std::process::Command::new("git")
+        .args(["rev-parse", "--short", "HEAD"])
+        .output();
     let told = asked.ok().filter(|output| output.status.success());
     let told = told.and_then(|output| String::from_utf8(output.stdout).ok());
-    told.map_or_else(|| env!("CARGO_PKG_VERSION").to_owned(), |text| text.trim().to_owned())
+    told.map_or_else(
+        || env!("CARGO_PKG_VERSION").to_owned(),
+        |text| text.trim().to_owned(),
+    )
 }
