--- a/crates/core/tests/world/mod.rs
+++ b/crates/core/tests/world/mod.rs
@@ -2,6 +2,8 @@
 //! Nothing here reads a clock: equal seeds give equal runs.
 #![allow(dead_code)]
 
+pub mod digest;
+
 use std::collections::{BTreeMap, BTreeSet};
 
 use rand_core::Rng;
@@ -10,11 +12,13 @@
 use reedring_core::{Core, Input, Output, Restored, Start};
 use reedring_drmaa::rpc::{Answer, Call, CallKey, Range, Response};
 use reedring_drmaa::{JobInfo, JobSpec};
-use reedring_nodeproto::{AttemptId, End, Message, Repeat};
+use reedring_nodeproto::{AttemptId, End, Message, Repeat, encode};
 use reedring_settings::{Health, NodeEntry, NodeList, Settings};
 use reedring_standin::{Config, Effect, Groups, Node};
 use reedring_state::{Batch, HalfLives, Keeper, Opened, SimFolder};
 
+use digest::Digest;
+
 pub const MS: u64 = 1_000;
 pub const SECOND: u64 = 1_000_000;
 
@@ -163,6 +167,8 @@
     pub told_at: BTreeMap<String, u64>,
     /// Everything that left the core, folded into a number.
     pub fingerprint: u64,
+    /// Wire bytes and outcomes with their times, for comparison between versions of the code.
+    pub digest: Digest,
 }
 
 impl World {
@@ -231,6 +237,7 @@
             arrivals: Vec::new(),
             told_at: BTreeMap::new(),
             fingerprint: 0,
+            digest: Digest::default(),
         };
         (0..nodes).for_each(|n| world.start_node(n));
         world.tell_list();
@@ -748,6 +755,33 @@
         }
     }
 
+    /// Adds what leaves the placer to the digest. Lines for the staff are not part of it.
+    fn record(&mut self, output: &Output) {
+        let now = self.now;
+        let digest = &mut self.digest;
+        match output {
+            Output::Connect { node, .. } => digest.add("connect", now, node.as_bytes()),
+            Output::Disconnect { node } => digest.add("disconnect", now, node.as_bytes()),
+            Output::Send { node, message } => {
+                digest.add("to node", now, node.as_bytes());
+                digest.add("message", now, &encode(message));
+            }
+            Output::Reply { conn, response } => {
+                digest.add("reply", now, &conn.to_be_bytes());
+                digest.add("response", now, &serde_json::to_vec(response).unwrap());
+            }
+            Output::Keep { whole, .. } => digest.add("persist", now, &[u8::from(*whole)]),
+            Output::Learn(_) => digest.add("beliefs", now, &[]),
+            Output::Acts(stamp) => {
+                digest.add("active configuration", now, &stamp.level().to_be_bytes())
+            }
+            Output::MoveZone { .. } => digest.add("zone changed", now, &[]),
+            Output::Settings(_) => digest.add("settings", now, &[]),
+            Output::ShutOut(_) => digest.add("fenced", now, &[]),
+            Output::Log { .. } => {}
+        }
+    }
+
     fn number(&self, name: &str) -> usize {
         self.list
             .iter()
@@ -757,6 +791,7 @@
 
     fn carry_out(&mut self, output: Output) {
         self.fold(&format!("{output:?}"));
+        self.record(&output);
         match output {
             Output::Connect { node, .. } => {
                 self.connects += 1;
@@ -881,6 +916,9 @@
         for effect in node.effects() {
             match effect {
                 Effect::Send(id, message) => {
+                    self.digest
+                        .add("from node", self.now, &(n as u64).to_be_bytes());
+                    self.digest.add("message", self.now, &encode(&message));
                     self.saw(&message);
                     self.over(id, 1, Due::AtPlacer(id, message));
                 }
--- a/crates/platform/tests/world/mod.rs
+++ b/crates/platform/tests/world/mod.rs
@@ -1,6 +1,8 @@
 //! An engine in simulated time: clients, hosts and connections that do anything that sockets allow.
 #![allow(dead_code)]
 
+pub mod digest;
+
 use std::collections::{BTreeMap, BTreeSet};
 
 use rand_core::Rng;
@@ -13,6 +15,8 @@
 use reedring_platproto::owner::{FromOwner, Setup, ToOwner};
 use reedring_platproto::{CANCELLED, CUT, ERROR, FULL, GIVEN_UP};
 
+use digest::Digest;
+
 pub const MS: u64 = 1_000;
 pub const SECOND: u64 = 1_000 * MS;
 
@@ -132,6 +136,8 @@
     /// Tasks that came to their end at a host with no connection, by its port.
     unsaid: BTreeMap<u16, Vec<u64>>,
     next_conn: ConnId,
+    /// Wire bytes and outcomes with their times, for comparison between versions of the code.
+    pub digest: Digest,
 }
 
 impl World {
@@ -182,6 +188,7 @@
             mute: false,
             unsaid: BTreeMap::new(),
             next_conn: 0,
+            digest: Digest::default(),
         };
         world.turn();
         world
@@ -371,7 +378,36 @@
         panic!("the engine never comes to rest");
     }
 
+    /// Adds what leaves the engine to the digest. Lines for the staff are not part of it.
+    fn record(&mut self, output: &Output) {
+        let now = self.now;
+        let digest = &mut self.digest;
+        match output {
+            Output::ToClient(conn, message) => {
+                digest.add("to client", now, &conn.to_be_bytes());
+                digest.add("message", now, &message.encode());
+            }
+            Output::CloseClient(conn) => digest.add("close client", now, &conn.to_be_bytes()),
+            Output::CloseIdleClient(conn) => {
+                digest.add("close idle client", now, &conn.to_be_bytes())
+            }
+            Output::Connect(link, address) => {
+                digest.add("connect", now, &link.to_be_bytes());
+                digest.add("address", now, address.to_string().as_bytes());
+            }
+            Output::ToHost(link, message) => {
+                digest.add("to host", now, &link.to_be_bytes());
+                digest.add("message", now, &message.encode());
+            }
+            Output::CloseLink(link) => digest.add("close link", now, &link.to_be_bytes()),
+            Output::StopListening => digest.add("stop listening", now, &[]),
+            Output::Finished => digest.add("finished", now, &[]),
+            Output::Log(_) => {}
+        }
+    }
+
     fn carry_out(&mut self, output: Output) {
+        self.record(&output);
         match output {
             Output::ToClient(conn, message) => {
                 self.hear(conn, &message);
