--- a/crates/core/src/holds.rs
+++ b/crates/core/src/holds.rs
@@ -17,7 +17,7 @@
     /// It is cold, and offers to it were answered late or not at all: they may all reach it at once.
     ColdAndLate,
     /// By the plan that is acted by.
-    Plan(reedring_plan::Hold),
+    Plan(reedring_plan::DispatchBlock),
 }
 
 impl Reason {
@@ -64,7 +64,12 @@
     }
 
     /// The reason by the plan, in place of any other of that kind.
-    fn set_plan(&mut self, node: NodeNo, machine: MachineId, hold: Option<reedring_plan::Hold>) {
+    fn set_plan(
+        &mut self,
+        node: NodeNo,
+        machine: MachineId,
+        hold: Option<reedring_plan::DispatchBlock>,
+    ) {
         let before = self.by.get(&node).and_then(|reasons| {
             reasons
                 .iter()
@@ -109,7 +114,11 @@
     }
 
     /// Holds a node back by the plan, or no longer does.
-    pub(crate) fn hold_by_plan(&mut self, node: NodeNo, hold: Option<reedring_plan::Hold>) {
+    pub(crate) fn hold_by_plan(
+        &mut self,
+        node: NodeNo,
+        hold: Option<reedring_plan::DispatchBlock>,
+    ) {
         if let Some(machine) = self.nodes.all.get(&node).map(|node| node.machine) {
             self.holds.set_plan(node, machine, hold);
         }
--- a/crates/core/src/versions.rs
+++ b/crates/core/src/versions.rs
@@ -6,8 +6,9 @@
 use reedring::{Event, Micros};
 use reedring_nodeproto::{Message, Order, Record, Stamp, Version};
 use reedring_plan::{
-    Acts, Compactor, Delta, Fleet, Heard, Hold, Kept, Kin, Maker, Membership, Own, Pace, Standing,
-    Step, Texts, Use, delta, hold, joint, must_raise, standing,
+    ActiveConfig, ChangePhase, ClusterView, Compactor, ConfigDocument, Delta, DispatchBlock,
+    DocumentCache, LeaseState, LocalConfig, Membership, PeerState, ProposalBackoff, Proposer,
+    QuorumContact, Usability, delta, dispatch_block, joint_bounds, lease_state, must_raise,
 };
 use reedring_settings::{Health, Settings};
 use reedring_state::{self as state, Change};
@@ -29,13 +30,13 @@
 
 /// A plan of the settings file, and the settings with it.
 struct FilePlan {
-    plan: Kept,
+    plan: ConfigDocument,
     settings: Settings,
 }
 
 /// What a placer knows of plans. There is none where its file has no `[plan]`.
 pub(crate) struct Versions {
-    own: Kept,
+    own: ConfigDocument,
     pinned: bool,
     lease_us: Micros,
     /// The settings of its file.
@@ -43,22 +44,22 @@
     /// Later plans of the file, in the order of their numbers, while the one before is not in force.
     queued: VecDeque<FilePlan>,
     build: u32,
-    maker: Maker,
-    pace: Pace,
+    maker: Proposer,
+    pace: ProposalBackoff,
     compactor: Compactor,
     /// The newest plan in force whose text is here: what orders and answers may leave out.
-    base: Option<Kept>,
+    base: Option<ConfigDocument>,
     /// A plan of which a delta was told that does not make it: it is asked for whole.
     whole: Option<Version>,
-    texts: Texts,
-    kin: BTreeMap<NodeNo, Kin>,
+    texts: DocumentCache,
+    kin: BTreeMap<NodeNo, PeerState>,
     /// When each node told last, on a link that may have ended since.
     heard: BTreeMap<NodeNo, Micros>,
     /// A majority of the voters was heard before in this life.
     ever: bool,
     /// The newest plan in force that this life knows of, whatever nodes have forgotten.
     force: Version,
-    standing: Standing,
+    lease_state: LeaseState,
     /// What became of each plan's text: settings, or why it can't be acted by.
     plans: BTreeMap<Version, Result<Settings, String>>,
     /// The line that the staff were told last.
@@ -80,7 +81,7 @@
 }
 
 /// A plan of the file, where there is one.
-fn own_plan(settings: &Settings) -> Option<(Kept, bool, Micros)> {
+fn own_plan(settings: &Settings) -> Option<(ConfigDocument, bool, Micros)> {
     let plan = settings.plan.as_ref()?;
     let kept = settings.plan().ok().flatten()?;
     Some((kept, plan.pinned, plan.lease_us))
@@ -90,7 +91,7 @@
     /// Of a placer that starts with these settings.
     pub fn new(settings: &Settings, life: u64) -> Option<Self> {
         let (own, pinned, lease_us) = own_plan(settings)?;
-        let mut texts = Texts::default();
+        let mut texts = DocumentCache::default();
         texts.add(&own);
         Some(Self {
             plans: BTreeMap::from([(own.version(), Ok(settings.clone()))]),
@@ -100,8 +101,8 @@
             file: settings.clone(),
             queued: VecDeque::new(),
             build: crate::build(),
-            maker: Maker::new(life),
-            pace: Pace::default(),
+            maker: Proposer::new(life),
+            pace: ProposalBackoff::default(),
             compactor: Compactor::default(),
             base: None,
             whole: None,
@@ -110,7 +111,7 @@
             heard: BTreeMap::new(),
             ever: false,
             force: Version::default(),
-            standing: Standing::Waits(reedring_plan::Why::NoMajority),
+            lease_state: LeaseState::Suspended(reedring_plan::SuspendReason::NoMajority),
             line: String::new(),
             dirty: false,
             due: 0,
@@ -182,16 +183,16 @@
 
     /// Why nothing is taken, where that does not end by itself.
     pub fn shut_out(&self) -> Option<&'static str> {
-        match self.standing {
-            Standing::Waits(why) if why.is_shut_out() => Some(why.word()),
+        match self.lease_state {
+            LeaseState::Suspended(why) if why.is_shut_out() => Some(why.word()),
             _ => None,
         }
     }
 
     /// By what it decides now, for a node that reads it.
     fn stamp(&self, list: u64) -> Stamp {
-        let (version, joint) = match &self.standing {
-            Standing::Acts(acts) => acts.stamp(),
+        let (version, joint) = match &self.lease_state {
+            LeaseState::Active(acts) => acts.stamp(),
             _ => (self.own.version(), false),
         };
         Stamp {
@@ -203,7 +204,7 @@
     }
 
     /// When the lease is over unless more voters are heard: a majority of them was heard until then.
-    fn lease_lapses(&self, fleet: &Fleet) -> Option<Micros> {
+    fn lease_lapses(&self, fleet: &ClusterView) -> Option<Micros> {
         let mut heard: Vec<Micros> = fleet
             .voters()
             .filter_map(|(number, _)| self.heard.get(&number).copied())
@@ -232,7 +233,7 @@
 
     /// The same orders without what their nodes have already.
     fn compact(&mut self, orders: Vec<(NodeNo, Order)>) -> Vec<(NodeNo, Order)> {
-        if self.base.as_ref().map(Kept::version) != Some(self.force)
+        if self.base.as_ref().map(ConfigDocument::version) != Some(self.force)
             && let Some(force) = self.texts.kept(self.force)
         {
             self.base = Some(force);
@@ -240,7 +241,11 @@
         let (base, kin, whole) = (self.base.as_ref(), &self.kin, self.whole);
         let compact = |(node, order): (NodeNo, Order)| {
             let in_full = matches!(order, Order::Fetch { version, .. } if Some(version) == whole);
-            match kin.get(&node).and_then(Kin::record).filter(|_| !in_full) {
+            match kin
+                .get(&node)
+                .and_then(PeerState::record)
+                .filter(|_| !in_full)
+            {
                 Some(record) => (node, self.compactor.compact(order, record, base)),
                 None => (node, order),
             }
@@ -249,30 +254,32 @@
     }
 
     /// What can be done with a plan, after another or by itself.
-    fn can(&self, version: Version, force: Version) -> Use {
+    fn can(&self, version: Version, force: Version) -> Usability {
         match self.plans.get(&version) {
-            None => Use::Missing,
-            Some(Err(_)) => Use::Bad,
+            None => Usability::Missing,
+            Some(Err(_)) => Usability::Unusable,
             Some(Ok(new)) if version != force && force.number > 0 => match self.plans.get(&force) {
-                Some(Ok(old)) if joint(&old.bounds(), &new.bounds()).is_err() => Use::Bad,
-                _ => Use::Good,
+                Some(Ok(old)) if joint_bounds(&old.bounds(), &new.bounds()).is_err() => {
+                    Usability::Unusable
+                }
+                _ => Usability::Usable,
             },
-            Some(Ok(_)) => Use::Good,
+            Some(Ok(_)) => Usability::Usable,
         }
     }
 
     /// The settings by which to act, in the numbers of those in use.
-    fn settings(&self, acts: &Acts, linked: u32, used: &Settings) -> Option<Settings> {
+    fn settings(&self, acts: &ActiveConfig, linked: u32, used: &Settings) -> Option<Settings> {
         let read = |version: Version| self.plans.get(&version)?.as_ref().ok();
         let base = read(acts.next.unwrap_or(acts.force))?;
         let mut bounds = base.bounds();
         if let Some(old) = acts.next.and_then(|_| read(acts.force)) {
-            bounds = joint(&old.bounds(), &bounds).ok()?;
+            bounds = joint_bounds(&old.bounds(), &bounds).ok()?;
         }
         if let Some(stricter) = acts
             .ahead
             .and_then(read)
-            .and_then(|own| joint(&bounds, &own.bounds()).ok())
+            .and_then(|own| joint_bounds(&bounds, &own.bounds()).ok())
         {
             // Classes that only the own file has are not open yet, and none is closed for its sake.
             let open: BTreeMap<String, bool> = bounds
@@ -293,7 +300,11 @@
     }
 
     /// The own plan, where it may be brought in now; else why not, where that is for the staff.
-    fn proposes(&self, fleet: &Fleet, force: Version) -> Result<Option<&Kept>, String> {
+    fn proposes(
+        &self,
+        fleet: &ClusterView,
+        force: Version,
+    ) -> Result<Option<&ConfigDocument>, String> {
         let (own, linked, learned) = (self.own.version(), fleet.linked(), fleet.learned());
         if own.number <= force.number {
             return Ok(None);
@@ -318,7 +329,7 @@
             ));
         }
         let joint_form = match self.plans.get(&force) {
-            Some(Ok(old)) => joint(&old.bounds(), &self.file.bounds()).map(drop),
+            Some(Ok(old)) => joint_bounds(&old.bounds(), &self.file.bounds()).map(drop),
             _ => Ok(()),
         };
         match joint_form {
@@ -341,7 +352,7 @@
         match record {
             Some(record) => self.node_records(now, number, record),
             None => {
-                versions.kin.insert(number, Kin::Old);
+                versions.kin.insert(number, PeerState::Old);
                 versions.heard.insert(number, now);
                 versions.dirty = true;
             }
@@ -353,7 +364,7 @@
         let Some(versions) = &mut self.versions else {
             return;
         };
-        let before = versions.kin.insert(number, Kin::Told(record));
+        let before = versions.kin.insert(number, PeerState::Told(record));
         versions.heard.insert(number, now);
         // What only says that the node is there need not be thought over at once.
         let same = |old: &Record| {
@@ -362,10 +373,13 @@
                 ..*old
             } == record
         };
-        versions.dirty |= !before.as_ref().and_then(Kin::record).is_some_and(same);
+        versions.dirty |= !before
+            .as_ref()
+            .and_then(PeerState::record)
+            .is_some_and(same);
         // It may make up a majority again, which is looked at soon, and once for all that are heard until then.
         let soon = now + BUSY_US;
-        if matches!(versions.standing, Standing::Waits(_)) && versions.due > soon {
+        if matches!(versions.lease_state, LeaseState::Suspended(_)) && versions.due > soon {
             versions.due = soon;
             self.timers.set(soon, Timer::Plans);
         }
@@ -379,7 +393,7 @@
         if text.is_empty() {
             return;
         }
-        match Kept::checked(version, text) {
+        match ConfigDocument::checked(version, text) {
             Ok(kept) => {
                 versions.texts.add(&kept);
                 versions.dirty = true;
@@ -447,13 +461,16 @@
         let versions = self
             .versions
             .as_ref()
-            .filter(|versions| versions.standing != Standing::Unkept)?;
-        let old = versions.kin.get(&number).is_none_or(|kin| *kin == Kin::Old);
+            .filter(|versions| versions.lease_state != LeaseState::Unmanaged)?;
+        let old = versions
+            .kin
+            .get(&number)
+            .is_none_or(|kin| *kin == PeerState::Old);
         (!old).then(|| versions.stamp(self.list_revision))
     }
 
     /// The fleet as the list and the nodes tell of it.
-    fn fleet(&self, versions: &Versions) -> Fleet {
+    fn fleet(&self, versions: &Versions) -> ClusterView {
         let listed = || self.nodes.all.iter().filter(|(_, node)| node.listed);
         let there = listed().filter(|(_, node)| node.health() != Health::Gone);
         let kin = |number: &NodeNo| versions.kin.get(number).copied().unwrap_or_default();
@@ -461,7 +478,7 @@
         let control = listed()
             .filter(|(_, node)| node.entry.control)
             .map(|(number, _)| *number);
-        Fleet {
+        ClusterView {
             list: self.list_revision,
             membership: Membership::of(control.collect()),
             nodes: there.map(|(number, _)| (*number, kin(number))).collect(),
@@ -500,25 +517,25 @@
                 .is_some_and(|at| now < at.saturating_add(versions.lease_us))
         };
         let heard = match fleet.quorum(lately) {
-            true => Heard::Lately,
-            false if versions.ever => Heard::LongAgo,
-            false => Heard::Never,
+            true => QuorumContact::Recent,
+            false if versions.ever => QuorumContact::Expired,
+            false => QuorumContact::Never,
         };
-        versions.ever |= heard == Heard::Lately;
+        versions.ever |= heard == QuorumContact::Recent;
         versions.force = versions.force.max(fleet.force());
         versions.next_of_file();
         let force = versions.force;
         versions.read(force);
         let decided = fleet.decided(force);
         decided.into_iter().for_each(|next| versions.read(next));
-        let own = Own {
+        let own = LocalConfig {
             version: versions.own.version(),
             pinned: versions.pinned,
         };
         let before = versions.stamp(self.list_revision);
         let can = |version| versions.can(version, force);
-        versions.standing = standing(own, &fleet, force, heard, can);
-        if let Standing::Acts(acts) = versions.standing {
+        versions.lease_state = lease_state(own, &fleet, force, heard, can);
+        if let LeaseState::Active(acts) = versions.lease_state {
             let settings = versions.settings(&acts, fleet.linked(), &self.settings);
             settings
                 .into_iter()
@@ -526,15 +543,18 @@
         }
         let proposes = versions.proposes(&fleet, force).map(|own| own.cloned());
         self.tell_standing(&mut versions, proposes.as_ref().err());
-        let own = proposes.ok().flatten().filter(|_| heard == Heard::Lately);
+        let own = proposes
+            .ok()
+            .flatten()
+            .filter(|_| heard == QuorumContact::Recent);
         let may_outbid = versions.pace.may_outbid(now, self.start.life, &fleet);
         let carries_on = versions.pace.may_carry_on(now, self.start.life, &fleet);
-        let (step, mut orders) = if heard == Heard::Lately {
+        let (step, mut orders) = if heard == QuorumContact::Recent {
             versions
                 .maker
                 .next(may_outbid, &fleet, force, own.as_ref(), &versions.texts)
         } else {
-            (Step::Quiet, Vec::new())
+            (ChangePhase::Quiet, Vec::new())
         };
         if !carries_on {
             orders.retain(|(_, order)| !matches!(order, Order::Joint { .. } | Order::Force { .. }));
@@ -542,7 +562,7 @@
         let stamp = versions.stamp(self.list_revision);
         // Control machines are few: without a majority of them they are asked until one is heard.
         let few = fleet.membership != Membership::All;
-        let every = if heard != Heard::Lately && few {
+        let every = if heard != QuorumContact::Recent && few {
             QUORUM_RETRY_US
         } else {
             versions.lease_us / ASKS
@@ -579,13 +599,17 @@
                 .is_some_and(|kin| kin.record().is_some())
         });
         // Without a majority nothing changes before some node is heard.
-        let waits = matches!(versions.standing, Standing::Waits(_)) && heard == Heard::Lately;
-        let busy = step != Step::Quiet || held.ends_by_time || waits;
+        let waits = matches!(versions.lease_state, LeaseState::Suspended(_))
+            && heard == QuorumContact::Recent;
+        let busy = step != ChangePhase::Quiet || held.ends_by_time || waits;
         versions.due = now + if busy { BUSY_US } else { every };
         // The lease is over on time, whenever the next look would have been.
         let lapse = versions.lease_lapses(&fleet).filter(|at| *at > now);
         versions.due = lapse.map_or(versions.due, |at| versions.due.min(at));
-        let base = versions.base.as_ref().map_or(force, Kept::version);
+        let base = versions
+            .base
+            .as_ref()
+            .map_or(force, ConfigDocument::version);
         versions.texts.forget_before(force.number.min(base.number));
         versions.plans.retain(|version, _| {
             version.number >= force.number || *version == versions.own.version()
@@ -604,7 +628,7 @@
         let numbers: Vec<NodeNo> = self.nodes.all.keys().copied().collect();
         for number in numbers {
             let mut kin = versions.kin.get(&number).copied().unwrap_or_default();
-            if let Kin::Told(record) = &mut kin {
+            if let PeerState::Told(record) = &mut kin {
                 let since = versions
                     .heard
                     .get(&number)
@@ -612,8 +636,8 @@
                 record.floor_ms = record.floor_ms.saturating_add(since / 1_000);
             }
             let cold = self.nodes.is_cold(number, now, &self.settings.site);
-            let held = hold(&versions.standing, &kin, cold, window / 1_000);
-            all.ends_by_time |= held.is_some_and(Hold::ends_by_time);
+            let held = dispatch_block(&versions.lease_state, &kin, cold, window / 1_000);
+            all.ends_by_time |= held.is_some_and(DispatchBlock::ends_by_time);
             if must_raise(held, &kin) {
                 all.to_raise.push(number);
             }
@@ -653,28 +677,28 @@
             Some(Err(why)) => format!(": {}", why.replace('\n', "; ")),
             _ => String::new(),
         };
-        let (level, mut line) = match &versions.standing {
-            Standing::Unkept => (
+        let (level, mut line) = match &versions.lease_state {
+            LeaseState::Unmanaged => (
                 Level::Warn,
                 "plans: most nodes keep none; acts by its file".to_owned(),
             ),
-            Standing::Waits(reason) if reason.is_shut_out() => {
+            LeaseState::Suspended(reason) if reason.is_shut_out() => {
                 let line = format!(
                     "plans: shut out: {}; plan {force} is in force, its file has {own}",
                     reason.word()
                 );
                 (Level::Warn, format!("{line}{}", why(&force)))
             }
-            Standing::Waits(reason) => (
+            LeaseState::Suspended(reason) => (
                 Level::Warn,
                 format!("plans: sends nothing: {}", reason.word()),
             ),
-            Standing::Acts(Acts {
+            LeaseState::Active(ActiveConfig {
                 force: Version { number: 0, .. },
                 next: Some(next),
                 ..
             }) => (Level::Info, format!("plans: plan {next} is the first one")),
-            Standing::Acts(Acts {
+            LeaseState::Active(ActiveConfig {
                 force,
                 next: Some(next),
                 ..
@@ -682,7 +706,7 @@
                 Level::Info,
                 format!("plans: plan {next} follows {force}; acts by the stricter of both"),
             ),
-            Standing::Acts(Acts { force, .. }) => {
+            LeaseState::Active(ActiveConfig { force, .. }) => {
                 (Level::Info, format!("plans: acts by plan {force}"))
             }
         };
@@ -708,9 +732,9 @@
     pub(crate) fn plan_line(&self, number: NodeNo) -> Option<String> {
         let versions = self.versions.as_ref()?;
         let record = match versions.kin.get(&number)? {
-            Kin::Unmet => return None,
-            Kin::Old => return Some("keeps none".to_owned()),
-            Kin::Told(record) => record,
+            PeerState::Unmet => return None,
+            PeerState::Old => return Some("keeps none".to_owned()),
+            PeerState::Told(record) => record,
         };
         let votes = self
             .nodes
--- a/crates/core/tests/plans/mod.rs
+++ b/crates/core/tests/plans/mod.rs
@@ -7,7 +7,7 @@
 use rand_pcg::Pcg32;
 use reedring_core::{Core, Input, Output, Start, first_stamp};
 use reedring_nodeproto::{Message, Order};
-use reedring_plan::Memory;
+use reedring_plan::AcceptorState;
 use reedring_settings::{NodeEntry, NodeList, Settings};
 use reedring_standin::{Config, Effect, Groups, Keep, Node};
 
@@ -110,7 +110,7 @@
     config.start_ms = 0.0;
     config.votes = votes;
     let mut node = Node::new(config, life, 1, now);
-    node.remembers(Memory::default(), Some(Box::new(Takes)), 0);
+    node.remembers(AcceptorState::default(), Some(Box::new(Takes)), 0);
     node
 }
 
--- a/crates/plan/src/bounds.rs
+++ b/crates/plan/src/bounds.rs
@@ -6,7 +6,7 @@
 
 /// When a task that was placed and lost comes again, from the freest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Again {
+pub enum RepeatPolicy {
     /// Whenever it is lost.
     Always,
     /// Where its end is known.
@@ -17,7 +17,7 @@
 
 /// Over what the tasks of a service are spread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Over {
+pub enum SpreadDomain {
     /// Machines.
     Machine,
     /// Racks.
@@ -40,9 +40,9 @@
     /// The only kind of machine that serves it.
     pub kind: Option<String>,
     /// Tasks of one service in one place at most.
-    pub spread: Option<(Over, u32)>,
+    pub spread: Option<(SpreadDomain, u32)>,
     /// Whether a lost task comes again.
-    pub again: Again,
+    pub again: RepeatPolicy,
     /// It takes new tasks.
     pub open: bool,
 }
--- a/crates/plan/src/compact.rs
+++ b/crates/plan/src/compact.rs
@@ -3,7 +3,7 @@
 use reedring_nodeproto::{Delta, DeltaStep, Order, Record, Version};
 
 use crate::delta;
-use crate::text::Kept;
+use crate::text::ConfigDocument;
 
 /// Shortens the orders of one placer. What a delta is made of once is kept for the other nodes.
 #[derive(Clone, Debug, Default)]
@@ -22,7 +22,12 @@
     /// | joint, force | the node keeps that very plan as the next one | without the text |
     /// | accept, joint, force | `base` is in force there, and the delta is shorter than the text | by delta |
     /// | any | else | left as it is |
-    pub fn compact(&mut self, order: Order, record: &Record, base: Option<&Kept>) -> Order {
+    pub fn compact(
+        &mut self,
+        order: Order,
+        record: &Record,
+        base: Option<&ConfigDocument>,
+    ) -> Order {
         if !record.deltas {
             return order;
         }
@@ -32,7 +37,7 @@
                 let before = |base: &Version| base.number.checked_add(1) == Some(version.number);
                 Order::Fetch {
                     version,
-                    have: base.map(Kept::version).filter(before),
+                    have: base.map(ConfigDocument::version).filter(before),
                 }
             }
             Order::Joint {
@@ -59,7 +64,7 @@
     }
 
     /// The same order with a delta from the plan that its node has in force, where that is shorter.
-    fn by_delta(&mut self, base: &Kept, order: &Order) -> Option<Order> {
+    fn by_delta(&mut self, base: &ConfigDocument, order: &Order) -> Option<Order> {
         let (step, version, text, list) = match order {
             Order::Accept {
                 ballot,
@@ -85,13 +90,13 @@
         Some(Order::ByDelta { step, delta, list })
     }
 
-    fn delta(&mut self, base: &Kept, version: Version, text: &str) -> Option<Delta> {
+    fn delta(&mut self, base: &ConfigDocument, version: Version, text: &str) -> Option<Delta> {
         if let Some((from, to, delta)) = &self.made
             && (*from, *to) == (base.version(), version)
         {
             return delta.clone();
         }
-        let delta = Kept::checked(version, text)
+        let delta = ConfigDocument::checked(version, text)
             .ok()
             .and_then(|target| delta::shorter(base, &target));
         self.made = Some((base.version(), version, delta.clone()));
--- a/crates/plan/src/delta.rs
+++ b/crates/plan/src/delta.rs
@@ -21,7 +21,7 @@
 
 use reedring_nodeproto::{Delta, Edit, MAX_NAME, MAX_PLAN, SectionKey, Table, Version};
 
-use crate::text::{Kept, WrongText};
+use crate::text::{ConfigDocument, DocumentError};
 
 /// Why there is no delta between two plans, or why one can't be applied.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
@@ -92,7 +92,7 @@
     },
     /// What comes of it is not its target.
     #[error("what comes of the delta: {0}")]
-    Target(#[from] WrongText),
+    Target(#[from] DocumentError),
 }
 
 /// What is wrong with the text of a section.
@@ -114,7 +114,7 @@
     Open,
     /// Another section has that key.
     #[error("a section of this table and name stands before")]
-    Again,
+    RepeatPolicy,
     /// There are more sections than can be counted.
     #[error("more than {} sections", u16::MAX)]
     Many,
@@ -250,14 +250,14 @@
         let own = own.ok_or_else(|| (line(), SectionError::Gap))?;
         let key = key(own).map_err(|(after, wrong)| (line() + after, wrong))?;
         if !known.insert(key.clone()) {
-            return Err((line(), SectionError::Again));
+            return Err((line(), SectionError::RepeatPolicy));
         }
         found.push(Section { key, text: own });
     }
     Ok(found)
 }
 
-fn sections_of(plan: &Kept) -> Result<Vec<Section<'_>>, DeltaError> {
+fn sections_of(plan: &ConfigDocument) -> Result<Vec<Section<'_>>, DeltaError> {
     sections(plan.text()).map_err(|(line, wrong)| DeltaError::Text {
         version: plan.version(),
         line,
@@ -308,7 +308,7 @@
 ///
 /// # Errors
 /// See [`DeltaError`]; whoever wanted to send it sends the text in full then.
-pub fn between(base: &Kept, target: &Kept) -> Result<Delta, DeltaError> {
+pub fn between(base: &ConfigDocument, target: &ConfigDocument) -> Result<Delta, DeltaError> {
     follows(base.version(), target.version())?;
     let (old, new) = (sections_of(base)?, sections_of(target)?);
     let old_places: BTreeMap<&SectionKey, usize> = old
@@ -351,7 +351,7 @@
 }
 
 /// What changed from one plan to the next, where that is known and shorter than the next one's text.
-pub fn shorter(base: &Kept, target: &Kept) -> Option<Delta> {
+pub fn shorter(base: &ConfigDocument, target: &ConfigDocument) -> Option<Delta> {
     between(base, target)
         .ok()
         .filter(|delta| delta.encoded_len() < target.text().len())
@@ -380,7 +380,7 @@
 ///
 /// # Errors
 /// See [`DeltaError`]: nothing but the plan of the target's number and digest ever comes of it.
-pub fn apply(base: &Kept, delta: &Delta) -> Result<Kept, DeltaError> {
+pub fn apply(base: &ConfigDocument, delta: &Delta) -> Result<ConfigDocument, DeltaError> {
     if delta.base != base.version() {
         return Err(DeltaError::OtherBase {
             wanted: delta.base,
@@ -431,5 +431,5 @@
         texts.push(text);
     }
     texts.extend(stays);
-    Ok(Kept::checked(delta.target, &texts.join("\n"))?)
+    Ok(ConfigDocument::checked(delta.target, &texts.join("\n"))?)
 }
--- a/crates/plan/src/fleet.rs
+++ b/crates/plan/src/fleet.rs
@@ -4,11 +4,11 @@
 
 use reedring_nodeproto::{Record, Version};
 
-use crate::membership::{Member, Membership};
+use crate::membership::{MemberRole, Membership};
 
 /// What is known of one listed node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Kin {
+pub enum PeerState {
     /// Nothing: it was never met.
     #[default]
     Unmet,
@@ -18,7 +18,7 @@
     Told(Record),
 }
 
-impl Kin {
+impl PeerState {
     /// What it told.
     pub fn record(&self) -> Option<&Record> {
         match self {
@@ -30,24 +30,24 @@
 
 /// Every node of the list, by the number that its placer gives it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Fleet {
+pub struct ClusterView {
     /// Revision of the list.
     pub list: u64,
     /// Which of the nodes vote.
     pub membership: Membership,
     /// The nodes.
-    pub nodes: BTreeMap<u32, Kin>,
+    pub nodes: BTreeMap<u32, PeerState>,
 }
 
-impl Fleet {
+impl ClusterView {
     /// What a node is to the agreement on plans.
-    pub fn member(&self, node: u32) -> Member {
+    pub fn member(&self, node: u32) -> MemberRole {
         self.membership.member(node)
     }
 
     /// The listed nodes that vote.
-    pub fn voters(&self) -> impl Iterator<Item = (u32, &Kin)> {
-        let voter = |(node, _): &(u32, &Kin)| self.member(*node) == Member::Voter;
+    pub fn voters(&self) -> impl Iterator<Item = (u32, &PeerState)> {
+        let voter = |(node, _): &(u32, &PeerState)| self.member(*node) == MemberRole::Voter;
         self.nodes
             .iter()
             .map(|(node, kin)| (*node, kin))
@@ -76,12 +76,15 @@
     /// What voters told that keep plans.
     pub fn votes(&self) -> impl Iterator<Item = (u32, &Record)> {
         self.keepers()
-            .filter(|(node, _)| self.member(*node) == Member::Voter)
+            .filter(|(node, _)| self.member(*node) == MemberRole::Voter)
     }
 
     /// Most voters keep nothing: plans can't be agreed on yet.
     pub fn is_old(&self) -> bool {
-        self.voters().filter(|(_, kin)| **kin == Kin::Old).count() >= self.majority()
+        self.voters()
+            .filter(|(_, kin)| **kin == PeerState::Old)
+            .count()
+            >= self.majority()
     }
 
     /// The newest plan in force that any node told of. One node's word is enough: it was told by somebody who had
@@ -98,7 +101,7 @@
         let learners = self
             .nodes
             .values()
-            .filter_map(Kin::record)
+            .filter_map(PeerState::record)
             .filter(|record| record.learns);
         learners
             .filter_map(|record| record.next)
@@ -123,7 +126,7 @@
                 return Some(next.version);
             }
             // What could not be written is no vote.
-            let votes_here = self.member(node) == Member::Voter && !record.stuck;
+            let votes_here = self.member(node) == MemberRole::Voter && !record.stuck;
             *votes.entry((next.ballot, next.version)).or_insert(0_usize) += usize::from(votes_here);
         }
         let most = votes
@@ -150,7 +153,7 @@
     pub fn linked(&self) -> u32 {
         self.nodes
             .values()
-            .filter_map(Kin::record)
+            .filter_map(PeerState::record)
             .map(|record| u32::from(record.linked))
             .max()
             .unwrap_or(0)
@@ -170,7 +173,7 @@
     }
 
     /// Five nodes: what each told to have kept after plan 1, with which round, joint or not, stuck or not.
-    fn fleet(told: &[Option<(u8, u64, bool, bool)>; 5]) -> Fleet {
+    fn fleet(told: &[Option<(u8, u64, bool, bool)>; 5]) -> ClusterView {
         let kin = |told: &Option<(u8, u64, bool, bool)>| {
             let (mut record, mut stuck) = (
                 Record {
@@ -191,16 +194,16 @@
                 });
                 stuck = *can_not;
             }
-            Kin::Told(Record { stuck, ..record })
+            PeerState::Told(Record { stuck, ..record })
         };
         let nodes = told
             .iter()
             .enumerate()
             .map(|(n, told)| (n as u32, kin(told)))
             .collect();
-        Fleet {
+        ClusterView {
             nodes,
-            ..Fleet::default()
+            ..ClusterView::default()
         }
     }
 
@@ -240,7 +243,7 @@
         assert_eq!(fleet.joint_at(version(2, 7)), 2);
         fleet.nodes.insert(
             4,
-            Kin::Told(Record {
+            PeerState::Told(Record {
                 force: version(3, 3),
                 ..Record::default()
             }),
@@ -250,7 +253,7 @@
     }
 
     /// Voters 0 to 2 of nodes 0 to 4.
-    fn control(mut fleet: Fleet) -> Fleet {
+    fn control(mut fleet: ClusterView) -> ClusterView {
         fleet.membership = Membership::of([0, 1, 2].into());
         fleet
     }
@@ -311,7 +314,7 @@
             ..Record::default()
         };
         for node in 1..5 {
-            fleet.nodes.insert(node, Kin::Told(learner));
+            fleet.nodes.insert(node, PeerState::Told(learner));
         }
         assert_eq!(
             (fleet.force(), fleet.learned()),
@@ -331,11 +334,11 @@
     #[test]
     fn most_voters_of_version_1_agree_on_nothing_whatever_the_others_keep() {
         let mut fleet = control(fleet(&[None; 5]));
-        fleet.nodes.insert(3, Kin::Old);
-        fleet.nodes.insert(4, Kin::Old);
-        fleet.nodes.insert(0, Kin::Old);
+        fleet.nodes.insert(3, PeerState::Old);
+        fleet.nodes.insert(4, PeerState::Old);
+        fleet.nodes.insert(0, PeerState::Old);
         assert!(!fleet.is_old(), "one voter of three");
-        fleet.nodes.insert(1, Kin::Old);
+        fleet.nodes.insert(1, PeerState::Old);
         assert!(fleet.is_old());
     }
 }
--- a/crates/plan/src/hold.rs
+++ b/crates/plan/src/hold.rs
@@ -2,14 +2,14 @@
 
 use reedring_nodeproto::{Record, level};
 
-use crate::fleet::Kin;
-use crate::standing::{Acts, Standing, Why};
+use crate::fleet::PeerState;
+use crate::standing::{ActiveConfig, LeaseState, SuspendReason};
 
 /// Why a node gets nothing from a placer for now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Hold {
+pub enum DispatchBlock {
     /// The placer sends nothing to any node.
-    Waits(Why),
+    Waits(SuspendReason),
     /// The node has not told what it keeps.
     Untold,
     /// Its floor is over the plan that the placer acts by.
@@ -22,7 +22,7 @@
     Ahead,
 }
 
-impl Hold {
+impl DispatchBlock {
     /// In words, for the staff.
     pub const fn word(self) -> &'static str {
         match self {
@@ -76,56 +76,68 @@
 /// | acts, ahead | told | yes | else | ahead |
 /// | acts | told | yes | rose less than a window ago | settling |
 /// | acts | told | yes | else | no |
-pub fn hold(standing: &Standing, kin: &Kin, cold: bool, window_ms: u64) -> Option<Hold> {
+pub fn dispatch_block(
+    standing: &LeaseState,
+    kin: &PeerState,
+    cold: bool,
+    window_ms: u64,
+) -> Option<DispatchBlock> {
     let acts = match standing {
-        Standing::Unkept => return None,
-        Standing::Waits(why) => return Some(Hold::Waits(*why)),
-        Standing::Acts(acts) => acts,
+        LeaseState::Unmanaged => return None,
+        LeaseState::Suspended(why) => return Some(DispatchBlock::Waits(*why)),
+        LeaseState::Active(acts) => acts,
     };
     let record = match kin {
-        Kin::Unmet => return Some(Hold::Untold),
-        Kin::Old => return None,
-        Kin::Told(record) if record.learns => return hold_learner(acts, record, cold, window_ms),
-        Kin::Told(record) => record,
+        PeerState::Unmet => return Some(DispatchBlock::Untold),
+        PeerState::Old => return None,
+        PeerState::Told(record) if record.learns => {
+            return hold_learner(acts, record, cold, window_ms);
+        }
+        PeerState::Told(record) => record,
     };
     let (level, floor) = (acts.level(), record.floor());
     if floor > level {
-        return Some(Hold::Behind);
+        return Some(DispatchBlock::Behind);
     }
     if floor == 0 || floor + 1 < level {
-        return Some(Hold::NotThere);
+        return Some(DispatchBlock::NotThere);
     }
     if cold && floor < level && acts.next.is_some() {
         // Others may send there by the plan before alone, and as many as that allows.
-        return Some(Hold::NotThere);
+        return Some(DispatchBlock::NotThere);
     }
     if cold && acts.ahead.is_some() {
-        return Some(Hold::Ahead);
+        return Some(DispatchBlock::Ahead);
     }
-    (cold && record.floor_ms < window_ms).then_some(Hold::Settling)
+    (cold && record.floor_ms < window_ms).then_some(DispatchBlock::Settling)
 }
 
 /// The learner's rows of [`hold`].
-fn hold_learner(acts: &Acts, record: &Record, cold: bool, window_ms: u64) -> Option<Hold> {
+fn hold_learner(
+    acts: &ActiveConfig,
+    record: &Record,
+    cold: bool,
+    window_ms: u64,
+) -> Option<DispatchBlock> {
     let floor = record.floor();
     if floor > acts.level() {
-        return Some(Hold::Behind);
+        return Some(DispatchBlock::Behind);
     }
     if !cold {
         return None;
     }
     if floor < level(acts.stamp().0, true) {
-        return Some(Hold::NotThere);
+        return Some(DispatchBlock::NotThere);
     }
     if acts.ahead.is_some() {
-        return Some(Hold::Ahead);
+        return Some(DispatchBlock::Ahead);
     }
-    (record.floor_ms < window_ms).then_some(Hold::Settling)
+    (record.floor_ms < window_ms).then_some(DispatchBlock::Settling)
 }
 
 /// Whether a learner must be told by what this placer acts: it is held only because its floor has not risen to that.
-pub fn must_raise(held: Option<Hold>, kin: &Kin) -> bool {
-    held == Some(Hold::NotThere) && kin.record().is_some_and(|record| record.learns)
+pub fn must_raise(held: Option<DispatchBlock>, kin: &PeerState) -> bool {
+    held == Some(DispatchBlock::NotThere) && kin.record().is_some_and(|record| record.learns)
 }
 
 #[cfg(test)]
@@ -140,7 +152,7 @@
         }
     }
 
-    fn record(force: u64, joint: Option<u64>, floor_ms: u64) -> Kin {
+    fn record(force: u64, joint: Option<u64>, floor_ms: u64) -> PeerState {
         let ballot = Ballot { round: 1, by: 1 };
         let next = joint.map(|number| Introduced {
             ballot,
@@ -152,7 +164,7 @@
         } else {
             Version::default()
         };
-        Kin::Told(Record {
+        PeerState::Told(Record {
             force,
             next,
             floor_ms,
@@ -173,7 +185,7 @@
             (3, None),
         ];
         for (force, next) in acts {
-            let acts = Acts {
+            let acts = ActiveConfig {
                 force: version(force),
                 next: next.map(version),
                 ahead: None,
@@ -182,22 +194,22 @@
                 let kin = record(at, joint, 9_999);
                 let floor = kin.record().unwrap().floor();
                 let want = if floor > acts.level() {
-                    Some(Hold::Behind)
+                    Some(DispatchBlock::Behind)
                 } else if floor == 0 || acts.level() - floor > 1 {
-                    Some(Hold::NotThere)
+                    Some(DispatchBlock::NotThere)
                 } else {
                     None
                 };
                 assert_eq!(
-                    hold(&Standing::Acts(acts), &kin, false, 2_000),
+                    dispatch_block(&LeaseState::Active(acts), &kin, false, 2_000),
                     want,
                     "{acts:?} {kin:?}"
                 );
                 // A cold node must be told of both before it gets anything by both.
                 let half = acts.next.is_some() && floor < acts.level();
-                let want = want.or(half.then_some(Hold::NotThere));
+                let want = want.or(half.then_some(DispatchBlock::NotThere));
                 assert_eq!(
-                    hold(&Standing::Acts(acts), &kin, true, 2_000),
+                    dispatch_block(&LeaseState::Active(acts), &kin, true, 2_000),
                     want,
                     "{acts:?} {kin:?}"
                 );
@@ -207,62 +219,85 @@
 
     #[test]
     fn a_hold_that_ends_once_a_node_is_heard_is_not_looked_at_over_and_over() {
-        let by_word = [Hold::Waits(Why::NoMajority), Hold::Untold];
-        let by_time = [Hold::Behind, Hold::NotThere, Hold::Settling, Hold::Ahead];
-        assert_eq!(by_word.map(Hold::ends_by_time), [false; 2]);
-        assert_eq!(by_time.map(Hold::ends_by_time), [true; 4]);
+        let by_word = [
+            DispatchBlock::Waits(SuspendReason::NoMajority),
+            DispatchBlock::Untold,
+        ];
+        let by_time = [
+            DispatchBlock::Behind,
+            DispatchBlock::NotThere,
+            DispatchBlock::Settling,
+            DispatchBlock::Ahead,
+        ];
+        assert_eq!(by_word.map(DispatchBlock::ends_by_time), [false; 2]);
+        assert_eq!(by_time.map(DispatchBlock::ends_by_time), [true; 4]);
     }
 
     #[test]
     fn a_cold_node_settles_for_a_window_after_its_floor_rose_and_gets_nothing_from_who_is_ahead() {
-        let acts = Acts {
+        let acts = ActiveConfig {
             force: version(1),
             next: None,
             ahead: None,
         };
-        let stands = Standing::Acts(acts);
+        let stands = LeaseState::Active(acts);
         assert_eq!(
-            hold(&stands, &record(1, None, 1_999), true, 2_000),
-            Some(Hold::Settling)
+            dispatch_block(&stands, &record(1, None, 1_999), true, 2_000),
+            Some(DispatchBlock::Settling)
         );
-        assert_eq!(hold(&stands, &record(1, None, 2_000), true, 2_000), None);
-        assert_eq!(hold(&stands, &record(1, None, 0), false, 2_000), None);
-        let ahead = Standing::Acts(Acts {
+        assert_eq!(
+            dispatch_block(&stands, &record(1, None, 2_000), true, 2_000),
+            None
+        );
+        assert_eq!(
+            dispatch_block(&stands, &record(1, None, 0), false, 2_000),
+            None
+        );
+        let ahead = LeaseState::Active(ActiveConfig {
             ahead: Some(version(2)),
             ..acts
         });
         assert_eq!(
-            hold(&ahead, &record(1, None, 9_999), true, 2_000),
-            Some(Hold::Ahead)
+            dispatch_block(&ahead, &record(1, None, 9_999), true, 2_000),
+            Some(DispatchBlock::Ahead)
+        );
+        assert_eq!(
+            dispatch_block(&ahead, &record(1, None, 9_999), false, 2_000),
+            None
         );
-        assert_eq!(hold(&ahead, &record(1, None, 9_999), false, 2_000), None);
     }
 
     #[test]
     fn who_waits_sends_nowhere_and_old_nodes_check_nothing() {
-        let waits = Standing::Waits(Why::NoPlan);
-        for kin in [Kin::Unmet, Kin::Old, record(1, None, 9)] {
-            assert_eq!(hold(&waits, &kin, false, 0), Some(Hold::Waits(Why::NoPlan)));
-            assert_eq!(hold(&Standing::Unkept, &kin, true, 9), None);
+        let waits = LeaseState::Suspended(SuspendReason::NoPlan);
+        for kin in [PeerState::Unmet, PeerState::Old, record(1, None, 9)] {
+            assert_eq!(
+                dispatch_block(&waits, &kin, false, 0),
+                Some(DispatchBlock::Waits(SuspendReason::NoPlan))
+            );
+            assert_eq!(dispatch_block(&LeaseState::Unmanaged, &kin, true, 9), None);
         }
-        let acts = Standing::Acts(Acts {
+        let acts = LeaseState::Active(ActiveConfig {
             force: version(1),
             next: None,
             ahead: None,
         });
-        assert_eq!(hold(&acts, &Kin::Old, true, 9), None);
-        assert_eq!(hold(&acts, &Kin::Unmet, false, 9), Some(Hold::Untold));
+        assert_eq!(dispatch_block(&acts, &PeerState::Old, true, 9), None);
+        assert_eq!(
+            dispatch_block(&acts, &PeerState::Unmet, false, 9),
+            Some(DispatchBlock::Untold)
+        );
     }
 
     /// A learner whose floor is the joint form of this plan; 0 is none.
-    fn learner(number: u64, floor_ms: u64) -> Kin {
+    fn learner(number: u64, floor_ms: u64) -> PeerState {
         let introduced = Introduced {
             ballot: Ballot::default(),
             version: version(number),
             joint: true,
         };
         let next = (number > 0).then_some(introduced);
-        Kin::Told(Record {
+        PeerState::Told(Record {
             next,
             floor_ms,
             learns: true,
@@ -277,7 +312,7 @@
         let acts = [(1, None), (1, Some(2)), (2, None), (2, Some(3)), (3, None)];
         for (force, next) in acts {
             for ahead in [None, Some(version(9))] {
-                let acts = Acts {
+                let acts = ActiveConfig {
                     force: version(force),
                     next: next.map(version),
                     ahead,
@@ -288,18 +323,18 @@
                         [(false, 0), (false, 9_999), (true, 1_999), (true, 2_000)]
                     {
                         let want = if at > plan {
-                            Some(Hold::Behind)
+                            Some(DispatchBlock::Behind)
                         } else if !cold {
                             None
                         } else if at < plan {
-                            Some(Hold::NotThere)
+                            Some(DispatchBlock::NotThere)
                         } else if ahead.is_some() {
-                            Some(Hold::Ahead)
+                            Some(DispatchBlock::Ahead)
                         } else {
-                            (floor_ms < 2_000).then_some(Hold::Settling)
+                            (floor_ms < 2_000).then_some(DispatchBlock::Settling)
                         };
                         let kin = learner(at, floor_ms);
-                        let got = hold(&Standing::Acts(acts), &kin, cold, 2_000);
+                        let got = dispatch_block(&LeaseState::Active(acts), &kin, cold, 2_000);
                         assert_eq!(
                             got, want,
                             "{acts:?}, floor of plan {at}, cold {cold}, {floor_ms} ms"
@@ -315,18 +350,18 @@
     fn only_learners_that_are_not_there_are_told_to_raise_their_floor() {
         let kept = record(1, None, 9);
         assert!(
-            !must_raise(Some(Hold::NotThere), &kept)
-                && !must_raise(Some(Hold::NotThere), &Kin::Unmet)
+            !must_raise(Some(DispatchBlock::NotThere), &kept)
+                && !must_raise(Some(DispatchBlock::NotThere), &PeerState::Unmet)
         );
         for held in [
             None,
-            Some(Hold::Behind),
-            Some(Hold::Settling),
-            Some(Hold::Ahead),
-            Some(Hold::Untold),
+            Some(DispatchBlock::Behind),
+            Some(DispatchBlock::Settling),
+            Some(DispatchBlock::Ahead),
+            Some(DispatchBlock::Untold),
         ] {
             assert!(!must_raise(held, &learner(1, 9)), "{held:?}");
         }
-        assert!(must_raise(Some(Hold::NotThere), &learner(0, 9)));
+        assert!(must_raise(Some(DispatchBlock::NotThere), &learner(0, 9)));
     }
 }
--- a/crates/plan/src/joint.rs
+++ b/crates/plan/src/joint.rs
@@ -26,7 +26,7 @@
 ///
 /// # Errors
 /// What has no joint form, each with its place.
-pub fn joint(old: &Bounds, new: &Bounds) -> Result<Bounds, Vec<String>> {
+pub fn joint_bounds(old: &Bounds, new: &Bounds) -> Result<Bounds, Vec<String>> {
     let mut wrong = Vec::new();
     if old.yes_when_running != new.yes_when_running {
         wrong.push("site.yes_when: a node's yes can't mean two things at once".to_owned());
@@ -150,7 +150,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::bounds::{Again, Over};
+    use crate::bounds::{RepeatPolicy, SpreadDomain};
 
     fn class() -> ClassBounds {
         ClassBounds {
@@ -160,7 +160,7 @@
             window_us: None,
             kind: None,
             spread: None,
-            again: Again::Always,
+            again: RepeatPolicy::Always,
             open: true,
         }
     }
@@ -185,13 +185,17 @@
     fn the_joint_form_of_every_pair_is_as_strict_as_each_of_the_two() {
         let repeats = [Repeat::Safe, Repeat::Keyed, Repeat::Unsafe];
         let groups = [Group::Rack, Group::Hall, Group::All];
-        let agains = [Again::Always, Again::Ended, Again::Never];
+        let agains = [
+            RepeatPolicy::Always,
+            RepeatPolicy::Ended,
+            RepeatPolicy::Never,
+        ];
         let windows = [None, Some(3), Some(9)];
         let spreads = [
             None,
-            Some((Over::Hall, 1)),
-            Some((Over::Hall, 3)),
-            Some((Over::Rack, 2)),
+            Some((SpreadDomain::Hall, 1)),
+            Some((SpreadDomain::Hall, 3)),
+            Some((SpreadDomain::Rack, 2)),
         ];
         let mut sorts = Vec::new();
         for repeat in repeats {
@@ -261,7 +265,7 @@
             ..bounds()
         };
         for (a, b) in [(&old, &new), (&new, &old)] {
-            let got = joint(a, b).unwrap();
+            let got = joint_bounds(a, b).unwrap();
             assert_eq!(
                 (got.placers, got.cold_offers, got.drain_grace_us),
                 (40, Some(40.0), 100)
@@ -281,7 +285,7 @@
     fn a_class_of_one_plan_alone_stays_and_takes_nothing_new() {
         let mut new = bounds();
         new.classes = BTreeMap::from([("edition".to_owned(), class())]);
-        let got = joint(&bounds(), &new).unwrap();
+        let got = joint_bounds(&bounds(), &new).unwrap();
         assert_eq!(
             got.classes
                 .values()
@@ -305,9 +309,9 @@
         };
         let new = Bounds {
             yes_when_running: true,
-            ..with("b", Over::Rack)
+            ..with("b", SpreadDomain::Rack)
         };
-        let wrong = joint(&with("a", Over::Hall), &new).unwrap_err();
+        let wrong = joint_bounds(&with("a", SpreadDomain::Hall), &new).unwrap_err();
         let places = [
             "site.yes_when",
             "class `play`, kind",
--- a/crates/plan/src/kept.rs
+++ b/crates/plan/src/kept.rs
@@ -12,8 +12,8 @@
 
 use reedring_nodeproto::{Ballot, Digest, Version};
 
-use crate::memory::{Memory, Next, Seen};
-use crate::text::Kept;
+use crate::memory::{AcceptedConfig, AcceptorState, PlacerSighting};
+use crate::text::ConfigDocument;
 
 /// Placers that a node remembers; the one that was seen longest ago goes first.
 pub const MAX_PLACERS: usize = 1_024;
@@ -21,7 +21,7 @@
 
 /// Why bytes are no memory.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unreadable {
+pub enum CorruptState {
     /// Another format, or none.
     #[error("these are no bytes of a node's memory of plans, format 1")]
     Magic,
@@ -41,7 +41,7 @@
     },
 }
 
-fn put_kept(out: &mut Vec<u8>, kept: &Kept) {
+fn put_kept(out: &mut Vec<u8>, kept: &ConfigDocument) {
     out.extend(kept.version().number.to_be_bytes());
     out.extend(kept.version().digest.0);
     out.extend((kept.text().len() as u16).to_be_bytes());
@@ -54,7 +54,7 @@
 }
 
 /// The bytes of a memory.
-pub fn write(memory: &Memory) -> Vec<u8> {
+pub fn write(memory: &AcceptorState) -> Vec<u8> {
     let mut body = Vec::with_capacity(128);
     body.extend(memory.list.to_be_bytes());
     body.extend(memory.changes.to_be_bytes());
@@ -93,14 +93,14 @@
 }
 
 impl<'a> Fields<'a> {
-    fn wrong(&self, what: &'static str) -> Unreadable {
-        Unreadable::Field {
+    fn wrong(&self, what: &'static str) -> CorruptState {
+        CorruptState::Field {
             at: self.whole - self.rest.len(),
             what,
         }
     }
 
-    fn take(&mut self, count: usize, what: &'static str) -> Result<&'a [u8], Unreadable> {
+    fn take(&mut self, count: usize, what: &'static str) -> Result<&'a [u8], CorruptState> {
         let (head, rest) = self
             .rest
             .split_at_checked(count)
@@ -109,20 +109,20 @@
         Ok(head)
     }
 
-    fn number<const N: usize>(&mut self, what: &'static str) -> Result<[u8; N], Unreadable> {
+    fn number<const N: usize>(&mut self, what: &'static str) -> Result<[u8; N], CorruptState> {
         let bytes = self.take(N, what)?;
         bytes.try_into().map_err(|_| self.wrong(what))
     }
 
-    fn u64(&mut self, what: &'static str) -> Result<u64, Unreadable> {
+    fn u64(&mut self, what: &'static str) -> Result<u64, CorruptState> {
         self.number(what).map(u64::from_be_bytes)
     }
 
-    fn u32(&mut self, what: &'static str) -> Result<u32, Unreadable> {
+    fn u32(&mut self, what: &'static str) -> Result<u32, CorruptState> {
         self.number(what).map(u32::from_be_bytes)
     }
 
-    fn flag(&mut self, what: &'static str) -> Result<bool, Unreadable> {
+    fn flag(&mut self, what: &'static str) -> Result<bool, CorruptState> {
         match self.number::<1>(what)? {
             [0] => Ok(false),
             [1] => Ok(true),
@@ -130,20 +130,20 @@
         }
     }
 
-    fn ballot(&mut self) -> Result<Ballot, Unreadable> {
+    fn ballot(&mut self) -> Result<Ballot, CorruptState> {
         Ok(Ballot {
             round: self.u64("a ballot")?,
             by: self.u64("a ballot")?,
         })
     }
 
-    fn kept(&mut self) -> Result<Kept, Unreadable> {
+    fn kept(&mut self) -> Result<ConfigDocument, CorruptState> {
         let number = self.u64("a plan's number")?;
         let digest = Digest(self.number("a plan's digest")?);
         let length = u16::from_be_bytes(self.number("a plan's text")?);
         let text = self.take(usize::from(length), "a plan's text")?;
         let text = std::str::from_utf8(text).map_err(|_| self.wrong("a plan's text"))?;
-        Kept::checked(Version { number, digest }, text)
+        ConfigDocument::checked(Version { number, digest }, text)
             .map_err(|_| self.wrong("a plan that does not fit its digest"))
     }
 }
@@ -151,17 +151,17 @@
 /// Reads a memory's bytes.
 ///
 /// # Errors
-/// See [`Unreadable`]; nothing that was cut or changed is ever read as another memory.
-pub fn read(bytes: &[u8]) -> Result<Memory, Unreadable> {
-    let rest = bytes.strip_prefix(MAGIC).ok_or(Unreadable::Magic)?;
-    let (length, rest) = rest.split_first_chunk().ok_or(Unreadable::Length)?;
+/// See [`CorruptState`]; nothing that was cut or changed is ever read as another memory.
+pub fn read(bytes: &[u8]) -> Result<AcceptorState, CorruptState> {
+    let rest = bytes.strip_prefix(MAGIC).ok_or(CorruptState::Magic)?;
+    let (length, rest) = rest.split_first_chunk().ok_or(CorruptState::Length)?;
     let length = u32::from_be_bytes(*length) as usize;
     if rest.len().checked_sub(4) != Some(length) {
-        return Err(Unreadable::Length);
+        return Err(CorruptState::Length);
     }
     let (checked, sum) = bytes.split_at(bytes.len() - 4);
     if crc32c::crc32c(checked).to_be_bytes() != sum {
-        return Err(Unreadable::Checksum);
+        return Err(CorruptState::Checksum);
     }
     let mut fields = Fields {
         rest: &rest[..length],
@@ -177,7 +177,7 @@
     };
     let next = if fields.flag("the next plan")? {
         let (ballot, joint) = (fields.ballot()?, fields.flag("the next plan")?);
-        Some(Next {
+        Some(AcceptedConfig {
             ballot,
             joint,
             kept: fields.kept()?,
@@ -191,12 +191,12 @@
         let placer = fields.u64("a placer")?;
         let level = u64::from(fields.u32("a placer")?);
         let (at_s, build) = (u64::from(fields.u32("a placer")?), fields.u32("a placer")?);
-        seen.insert(placer, Seen { level, at_s, build });
+        seen.insert(placer, PlacerSighting { level, at_s, build });
     }
     if !fields.rest.is_empty() {
         return Err(fields.wrong("something follows"));
     }
-    Ok(Memory {
+    Ok(AcceptorState {
         force,
         next,
         promised,
@@ -211,9 +211,9 @@
 mod tests {
     use super::*;
 
-    fn full() -> Memory {
-        let kept = |number, text| Kept::new(number, text).unwrap();
-        let next = Next {
+    fn full() -> AcceptorState {
+        let kept = |number, text| ConfigDocument::new(number, text).unwrap();
+        let next = AcceptedConfig {
             ballot: Ballot { round: 3, by: 9 },
             kept: kept(2, "two"),
             joint: true,
@@ -221,14 +221,14 @@
         let seen = (0..5).map(|n| {
             (
                 n,
-                Seen {
+                PlacerSighting {
                     level: 2 + n,
                     at_s: 1_700_000_000 + n,
                     build: 77,
                 },
             )
         });
-        Memory {
+        AcceptorState {
             force: Some(kept(1, "one")),
             next: Some(next),
             promised: Ballot { round: 4, by: 8 },
@@ -241,7 +241,7 @@
 
     #[test]
     fn a_memory_reads_back_and_a_cut_or_changed_one_never_does() {
-        for memory in [Memory::default(), full()] {
+        for memory in [AcceptorState::default(), full()] {
             let bytes = write(&memory);
             assert_eq!(read(&bytes), Ok(memory.clone()));
             for cut in 0..bytes.len() {
@@ -260,12 +260,12 @@
     /// The bound that operators are told.
     #[test]
     fn a_placer_takes_under_64_bytes() {
-        let mut memory = Memory::default();
+        let mut memory = AcceptorState::default();
         let empty = write(&memory).len();
         for placer in 0..MAX_PLACERS as u64 {
             memory.seen.insert(
                 placer,
-                Seen {
+                PlacerSighting {
                     level: 1 << 31,
                     at_s: 1 << 31,
                     build: u32::MAX,
--- a/crates/plan/src/learner.rs
+++ b/crates/plan/src/learner.rs
@@ -3,16 +3,16 @@
 
 use reedring_nodeproto::{Ballot, Introduced, Record, Stamp, Version, level};
 
-use crate::memory::Refusal;
+use crate::memory::OfferRejection;
 
 /// What a learner has learned. It is not kept over a restart: a new life begins without a floor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct LearnedFloor {
+pub struct LearnerState {
     /// The newest plan that a placer acted by, joint or alone; number 0 before the first.
     newest: Version,
 }
 
-impl LearnedFloor {
+impl LearnerState {
     /// Offers under this level are refused: the joint form of the newest plan that was seen.
     pub fn level(&self) -> u64 {
         level(self.newest, true)
@@ -41,23 +41,23 @@
     ///
     /// # Errors
     /// Why not. A refusal promises that nothing ran.
-    pub fn admits(&self, stamp: Option<&Stamp>) -> Result<(), Refusal> {
+    pub fn admits(&self, stamp: Option<&Stamp>) -> Result<(), OfferRejection> {
         let floor = self.level();
         let Some(stamp) = stamp else {
             return if floor == 0 {
                 Ok(())
             } else {
-                Err(Refusal::Under { told: 0, floor })
+                Err(OfferRejection::Under { told: 0, floor })
             };
         };
         if stamp.version.number < self.newest.number {
-            return Err(Refusal::Under {
+            return Err(OfferRejection::Under {
                 told: stamp.level(),
                 floor,
             });
         }
         if stamp.version.number == self.newest.number && stamp.version != self.newest {
-            return Err(Refusal::Other(self.newest));
+            return Err(OfferRejection::Other(self.newest));
         }
         Ok(())
     }
@@ -97,8 +97,8 @@
         }
     }
 
-    fn learned(number: u64) -> LearnedFloor {
-        let mut floor = LearnedFloor::default();
+    fn learned(number: u64) -> LearnerState {
+        let mut floor = LearnerState::default();
         if number > 0 {
             floor.raise(&stamp(number, number as u8, false));
         }
@@ -130,9 +130,9 @@
             let floor = learned(number);
             let got = stamps.map(|stamp| match floor.admits(stamp.as_ref()) {
                 Ok(()) => "",
-                Err(Refusal::Under { .. }) => under,
-                Err(Refusal::Other(_)) => other,
-                Err(Refusal::Unknown { .. }) => "unknown",
+                Err(OfferRejection::Under { .. }) => under,
+                Err(OfferRejection::Other(_)) => other,
+                Err(OfferRejection::Unknown { .. }) => "unknown",
             });
             assert_eq!(got, want, "floor of plan {number}");
         }
@@ -140,7 +140,7 @@
 
     #[test]
     fn a_floor_rises_to_the_joint_form_and_never_falls() {
-        let mut floor = LearnedFloor::default();
+        let mut floor = LearnerState::default();
         assert_eq!(floor.level(), 0);
         for (told, rises, level) in [
             (stamp(2, 2, false), true, 3),
@@ -165,7 +165,7 @@
 
     #[test]
     fn what_a_learner_tells_says_its_floor_and_that_it_does_not_vote() {
-        let none = LearnedFloor::default().record();
+        let none = LearnerState::default().record();
         assert_eq!(
             (none.floor(), none.learns, none.stuck, none.next),
             (0, true, true, None)
--- a/crates/plan/src/maker.rs
+++ b/crates/plan/src/maker.rs
@@ -6,17 +6,17 @@
 
 use reedring_nodeproto::{Ballot, Order, Record, Version};
 
-use crate::fleet::Fleet;
-use crate::membership::Member;
-use crate::text::Kept;
+use crate::fleet::ClusterView;
+use crate::membership::MemberRole;
+use crate::text::ConfigDocument;
 
 /// Texts of plans that a placer has.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Texts(BTreeMap<Version, Arc<str>>);
+pub struct DocumentCache(BTreeMap<Version, Arc<str>>);
 
-impl Texts {
+impl DocumentCache {
     /// Takes a plan in.
-    pub fn add(&mut self, kept: &Kept) {
+    pub fn add(&mut self, kept: &ConfigDocument) {
         self.0.insert(kept.version(), kept.text().into());
     }
 
@@ -26,8 +26,8 @@
     }
 
     /// A plan, if its text is here.
-    pub fn kept(&self, version: Version) -> Option<Kept> {
-        Kept::checked(version, self.get(version)?).ok()
+    pub fn kept(&self, version: Version) -> Option<ConfigDocument> {
+        ConfigDocument::checked(version, self.get(version)?).ok()
     }
 
     /// Forgets plans of smaller numbers than these.
@@ -47,7 +47,7 @@
 
 /// Where a change stands, as one placer sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Step {
+pub enum ChangePhase {
     /// No change is under way.
     Quiet,
     /// A plan is offered to nodes, and not decided.
@@ -56,15 +56,15 @@
     Joint(Version),
 }
 
-/// Brings plans in force, by orders to nodes. It knows no time: [`Pace`](crate::Pace) says when.
+/// Brings plans in force, by orders to nodes. It knows no time: [`ProposalBackoff`](crate::Pace) says when.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Maker {
+pub struct Proposer {
     /// The placer's life: no other uses its ballots.
     life: u64,
     running: Option<Running>,
 }
 
-impl Maker {
+impl Proposer {
     /// The maker of a placer that has just begun this life.
     pub fn new(life: u64) -> Self {
         Self {
@@ -93,11 +93,11 @@
     pub fn next(
         &mut self,
         may_outbid: bool,
-        fleet: &Fleet,
+        fleet: &ClusterView,
         force: Version,
-        proposes: Option<&Kept>,
-        texts: &Texts,
-    ) -> (Step, Vec<(u32, Order)>) {
+        proposes: Option<&ConfigDocument>,
+        texts: &DocumentCache,
+    ) -> (ChangePhase, Vec<(u32, Order)>) {
         let mut orders = Vec::new();
         let force = force.max(fleet.force());
         let records: Vec<(u32, Record)> = fleet
@@ -134,7 +134,7 @@
             Some(next) => {
                 self.running = None;
                 self.bring(fleet, &records, force, next, texts, &mut orders);
-                Step::Joint(next)
+                ChangePhase::Joint(next)
             }
             None => {
                 let offered = fleet
@@ -154,9 +154,9 @@
                         texts,
                         &mut orders,
                     );
-                    Step::Offered
+                    ChangePhase::Offered
                 } else {
-                    Step::Quiet
+                    ChangePhase::Quiet
                 }
             }
         };
@@ -166,11 +166,11 @@
     /// The next plan is decided: nodes become joint, and once a majority is, it comes in force.
     fn bring(
         &self,
-        fleet: &Fleet,
+        fleet: &ClusterView,
         records: &[(u32, Record)],
         force: Version,
         next: Version,
-        texts: &Texts,
+        texts: &DocumentCache,
         orders: &mut Vec<(u32, Order)>,
     ) {
         let has = |record: &Record| record.next.is_some_and(|kept| kept.version == next);
@@ -220,14 +220,14 @@
     fn run(
         &mut self,
         may_outbid: bool,
-        fleet: &Fleet,
+        fleet: &ClusterView,
         records: &[(u32, Record)],
         force: Version,
-        proposes: Option<&Kept>,
-        texts: &Texts,
+        proposes: Option<&ConfigDocument>,
+        texts: &DocumentCache,
         orders: &mut Vec<(u32, Order)>,
     ) {
-        let votes = |node: u32| fleet.member(node) == Member::Voter;
+        let votes = |node: u32| fleet.member(node) == MemberRole::Voter;
         let here = || {
             records
                 .iter()
@@ -268,7 +268,7 @@
                 .max_by_key(|next| next.ballot);
             running.proposes = kept
                 .map(|next| next.version)
-                .or(proposes.map(Kept::version));
+                .or(proposes.map(ConfigDocument::version));
             self.running = Some(running);
         }
         let Some(version) = running.proposes else {
@@ -311,24 +311,24 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::fleet::Kin;
+    use crate::fleet::PeerState;
     use crate::membership::Membership;
     use reedring_nodeproto::Introduced;
 
-    fn plan(number: u64, text: &str) -> Kept {
-        Kept::new(number, text).unwrap()
+    fn plan(number: u64, text: &str) -> ConfigDocument {
+        ConfigDocument::new(number, text).unwrap()
     }
 
-    fn texts() -> Texts {
-        let mut texts = Texts::default();
+    fn texts() -> DocumentCache {
+        let mut texts = DocumentCache::default();
         [plan(1, "one"), plan(2, "a"), plan(2, "b")]
             .iter()
             .for_each(|kept| texts.add(kept));
         texts
     }
 
-    fn record(promised: Ballot, next: Option<(u64, &Kept, bool)>) -> Record {
-        let introduced = |(round, kept, joint): (u64, &Kept, bool)| Introduced {
+    fn record(promised: Ballot, next: Option<(u64, &ConfigDocument, bool)>) -> Record {
+        let introduced = |(round, kept, joint): (u64, &ConfigDocument, bool)| Introduced {
             ballot: Ballot { round, by: 5 },
             version: kept.version(),
             joint,
@@ -341,19 +341,23 @@
         }
     }
 
-    fn fleet(records: &[Record]) -> Fleet {
+    fn fleet(records: &[Record]) -> ClusterView {
         let nodes = records
             .iter()
             .enumerate()
-            .map(|(n, record)| (n as u32, Kin::Told(*record)))
+            .map(|(n, record)| (n as u32, PeerState::Told(*record)))
             .collect();
-        Fleet {
+        ClusterView {
             nodes,
-            ..Fleet::default()
+            ..ClusterView::default()
         }
     }
 
-    fn next(maker: &mut Maker, fleet: &Fleet, own: Option<&Kept>) -> (Step, Vec<(u32, Order)>) {
+    fn next(
+        maker: &mut Proposer,
+        fleet: &ClusterView,
+        own: Option<&ConfigDocument>,
+    ) -> (ChangePhase, Vec<(u32, Order)>) {
         maker.next(false, fleet, Version::default(), own, &texts())
     }
 
@@ -372,10 +376,10 @@
             ([Some((0, &a, false)), Some((1, &b, false))], &b),
             ([Some((1, &a, false)), Some((0, &b, false))], &a),
         ] {
-            let mut maker = Maker::new(9);
+            let mut maker = Proposer::new(9);
             let quiet = [record(none, None); 3];
             let (step, orders) = next(&mut maker, &fleet(&quiet), Some(&a));
-            assert_eq!((step, orders.len()), (Step::Offered, 3));
+            assert_eq!((step, orders.len()), (ChangePhase::Offered, 3));
             assert!(orders.iter().all(
                 |(_, order)| matches!(order, Order::Prepare { ballot, .. } if *ballot == FIRST)
             ));
@@ -442,8 +446,8 @@
                 vec![],
             ),
         ] {
-            let (step, orders) = next(&mut Maker::new(9), &fleet(&records), None);
-            assert_eq!(step, Step::Joint(a.version()));
+            let (step, orders) = next(&mut Proposer::new(9), &fleet(&records), None);
+            assert_eq!(step, ChangePhase::Joint(a.version()));
             let of = |wanted: fn(&Order) -> bool| {
                 let nodes = orders
                     .iter()
@@ -460,14 +464,14 @@
     fn nodes_that_are_behind_are_told_and_texts_that_are_missing_are_fetched() {
         let one = plan(1, "one");
         let (there, behind) = (record(Ballot::default(), None), Record::default());
-        let (step, orders) = next(&mut Maker::new(9), &fleet(&[there, behind]), None);
-        assert_eq!(step, Step::Quiet);
+        let (step, orders) = next(&mut Proposer::new(9), &fleet(&[there, behind]), None);
+        assert_eq!(step, ChangePhase::Quiet);
         assert!(
             matches!(&orders[..], [(1, Order::Force { version, .. })] if *version == one.version()),
             "{orders:?}"
         );
-        let none = Texts::default();
-        let (_, orders) = Maker::new(9).next(
+        let none = DocumentCache::default();
+        let (_, orders) = Proposer::new(9).next(
             false,
             &fleet(&[there, behind]),
             Version::default(),
@@ -496,7 +500,7 @@
             record(other, None),
             record(other, None),
         ];
-        let mut maker = Maker::new(9);
+        let mut maker = Proposer::new(9);
         assert_eq!(next(&mut maker, &fleet(&records), Some(&b)).1, []);
         let (_, orders) = maker.next(
             true,
@@ -525,8 +529,8 @@
     }
 
     /// Voters 0 to 2; what else there is keeps plans and does not vote, or learns.
-    fn control(records: &[Record]) -> Fleet {
-        Fleet {
+    fn control(records: &[Record]) -> ClusterView {
+        ClusterView {
             membership: Membership::of([0, 1, 2].into()),
             ..fleet(records)
         }
@@ -549,7 +553,7 @@
             stuck: true,
             ..Record::default()
         };
-        let mut maker = Maker::new(9);
+        let mut maker = Proposer::new(9);
         let (_, orders) = next(
             &mut maker,
             &control(&[quiet, quiet, quiet, quiet, learner]),
@@ -586,7 +590,7 @@
             &control(&[kept, kept, quiet, quiet, learner]),
             Some(&a),
         );
-        assert_eq!(step, Step::Joint(a.version()));
+        assert_eq!(step, ChangePhase::Joint(a.version()));
         assert_eq!(
             asked(&orders, |order| matches!(order, Order::Joint { .. })),
             [0, 1, 2, 3]
@@ -603,13 +607,13 @@
         );
         let force = |order: &Order| matches!(order, Order::Force { .. });
         let (_, orders) = next(
-            &mut Maker::new(9),
+            &mut Proposer::new(9),
             &control(&[joint, kept, kept, joint, joint]),
             None,
         );
         assert_eq!(asked(&orders, force), Vec::<u32>::new());
         let (_, orders) = next(
-            &mut Maker::new(9),
+            &mut Proposer::new(9),
             &control(&[joint, joint, kept, joint, kept]),
             None,
         );
@@ -622,7 +626,7 @@
     fn empty_voters_are_taught_the_plan_in_force_and_asked_to_vote_for_nothing_before() {
         let (one, two) = (plan(1, "one"), plan(2, "a"));
         let (empty, there) = (Record::default(), record(Ballot::default(), None));
-        let mut maker = Maker::new(9);
+        let mut maker = Proposer::new(9);
         let (_, orders) = next(
             &mut maker,
             &control(&[empty, empty, empty, there, there]),
@@ -656,10 +660,10 @@
         let quiet = record(Ballot::default(), None);
         let kept = record(FIRST, Some((1, &plan(2, "b"), false)));
         let (step, orders) = next(
-            &mut Maker::new(9),
+            &mut Proposer::new(9),
             &control(&[quiet, quiet, quiet, kept, kept]),
             None,
         );
-        assert_eq!((step, orders), (Step::Quiet, Vec::new()));
+        assert_eq!((step, orders), (ChangePhase::Quiet, Vec::new()));
     }
 }
--- a/crates/plan/src/membership.rs
+++ b/crates/plan/src/membership.rs
@@ -4,7 +4,7 @@
 
 /// What a listed node is to the agreement on plans.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Member {
+pub enum MemberRole {
     /// It votes on plans and keeps them, and the lease is renewed by hearing it.
     Voter,
     /// It learns by the stamps of what placers send it.
@@ -37,10 +37,10 @@
     }
 
     /// What this node is.
-    pub fn member(&self, node: u32) -> Member {
+    pub fn member(&self, node: u32) -> MemberRole {
         match self {
-            Self::Control(voters) if !voters.contains(&node) => Member::Learner,
-            _ => Member::Voter,
+            Self::Control(voters) if !voters.contains(&node) => MemberRole::Learner,
+            _ => MemberRole::Voter,
         }
     }
 }
@@ -54,17 +54,17 @@
         let all = Membership::of(BTreeSet::new());
         assert_eq!(
             (all.member(0), all.member(9)),
-            (Member::Voter, Member::Voter)
+            (MemberRole::Voter, MemberRole::Voter)
         );
         let control = Membership::of(BTreeSet::from([1, 3]));
         let members = [0, 1, 2, 3].map(|node| control.member(node));
         assert_eq!(
             members,
             [
-                Member::Learner,
-                Member::Voter,
-                Member::Learner,
-                Member::Voter
+                MemberRole::Learner,
+                MemberRole::Voter,
+                MemberRole::Learner,
+                MemberRole::Voter
             ]
         );
     }
--- a/crates/plan/src/memory.rs
+++ b/crates/plan/src/memory.rs
@@ -8,22 +8,22 @@
 
 use crate::delta::{self, DeltaError};
 use crate::kept::MAX_PLACERS;
-use crate::text::{Kept, WrongText};
+use crate::text::{ConfigDocument, DocumentError};
 
 /// A plan that is being introduced.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Next {
+pub struct AcceptedConfig {
     /// With which ballot it was kept.
     pub ballot: Ballot,
     /// The plan.
-    pub kept: Kept,
+    pub kept: ConfigDocument,
     /// Offers by the older plan alone are refused.
     pub joint: bool,
 }
 
 /// When a placer was last seen, and with what.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Seen {
+pub struct PlacerSighting {
     /// The level of its last stamp; 0 where it told none.
     pub level: u64,
     /// Seconds since 1970, by the node's clock.
@@ -34,11 +34,11 @@
 
 /// What a node keeps. A value is never changed before its successor is durable.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Memory {
+pub struct AcceptorState {
     /// The plan in force here.
-    pub force: Option<Kept>,
+    pub force: Option<ConfigDocument>,
     /// The one that is being introduced.
-    pub next: Option<Next>,
+    pub next: Option<AcceptedConfig>,
     /// The greatest ballot answered for the successor of the plan in force.
     pub promised: Ballot,
     /// The greatest revision of the node list that was told.
@@ -48,12 +48,12 @@
     /// Its first plan was in force already when it was told: what it voted for before, if anything, is lost.
     pub taught: bool,
     /// Placers by the number of their name.
-    pub seen: BTreeMap<u64, Seen>,
+    pub seen: BTreeMap<u64, PlacerSighting>,
 }
 
 /// Why an order changes nothing.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Declined {
+pub enum RequestRejection {
     /// It asks for nothing that is not so already.
     #[error("it is so already")]
     Same,
@@ -87,7 +87,7 @@
     },
     /// The text is none of that version.
     #[error(transparent)]
-    Text(#[from] WrongText),
+    Text(#[from] DocumentError),
     /// The delta is none of the plan in force here.
     #[error(transparent)]
     Delta(#[from] DeltaError),
@@ -95,7 +95,7 @@
 
 /// Why an offer is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Refusal {
+pub enum OfferRejection {
     /// Decided by a plan under the floor, or by none.
     #[error("decided by a plan of level {told}, the floor is {floor}")]
     Under {
@@ -117,13 +117,16 @@
     Other(Version),
 }
 
-impl Memory {
+impl AcceptorState {
     /// The version in force; number 0 where there is none.
     pub fn force(&self) -> Version {
-        self.force.as_ref().map(Kept::version).unwrap_or_default()
+        self.force
+            .as_ref()
+            .map(ConfigDocument::version)
+            .unwrap_or_default()
     }
 
-    fn joint(&self) -> Option<&Next> {
+    fn joint(&self) -> Option<&AcceptedConfig> {
         self.next.as_ref().filter(|next| next.joint)
     }
 
@@ -136,7 +139,7 @@
 
     /// In few words, for placers. How long the floor stands and who is linked the caller knows.
     pub fn record(&self) -> Record {
-        let introduced = |next: &Next| Introduced {
+        let introduced = |next: &AcceptedConfig| Introduced {
             ballot: next.ballot,
             version: next.kept.version(),
             joint: next.joint,
@@ -157,7 +160,7 @@
             .iter()
             .chain(self.next.iter().map(|next| &next.kept));
         kept.filter(|kept| kept.version() == version)
-            .map(Kept::text)
+            .map(ConfigDocument::text)
             .next()
     }
 
@@ -174,7 +177,7 @@
     }
 
     /// The plan that an order is about: of its text, or as it is kept here where the sender left the text out.
-    fn told(&self, version: Version, text: &str) -> Result<Kept, WrongText> {
+    fn told(&self, version: Version, text: &str) -> Result<ConfigDocument, DocumentError> {
         let kept = self
             .next
             .as_ref()
@@ -182,17 +185,25 @@
             .filter(|kept| kept.version() == version);
         match kept {
             Some(kept) if text.is_empty() => Ok(kept.clone()),
-            _ => Kept::checked(version, text),
+            _ => ConfigDocument::checked(version, text),
         }
     }
 
     /// The order with a text that one with a delta stands for.
-    fn with_text(&self, step: DeltaStep, changed: &Delta, list: u64) -> Result<Order, Declined> {
+    fn with_text(
+        &self,
+        step: DeltaStep,
+        changed: &Delta,
+        list: u64,
+    ) -> Result<Order, RequestRejection> {
         let base = self
             .force
             .as_ref()
             .filter(|kept| kept.version() == changed.base);
-        let target = delta::apply(base.ok_or(Declined::OtherForce(self.force()))?, changed)?;
+        let target = delta::apply(
+            base.ok_or(RequestRejection::OtherForce(self.force()))?,
+            changed,
+        )?;
         let (follows, version, text) = (changed.base, target.version(), target.text().to_owned());
         Ok(match step {
             DeltaStep::Accept { ballot } => Order::Accept {
@@ -244,7 +255,7 @@
     ///
     /// # Errors
     /// Why nothing changes.
-    pub fn after(&self, order: &Order, settled: bool) -> Result<Self, Declined> {
+    pub fn after(&self, order: &Order, settled: bool) -> Result<Self, RequestRejection> {
         if let Order::ByDelta { step, delta, list } = order {
             return self.after(&self.with_text(*step, delta, *list)?, settled);
         }
@@ -254,7 +265,7 @@
             | Order::Fetch { .. }
             | Order::Raise { .. }
             | Order::ByDelta { .. } => {
-                return Err(Declined::Same);
+                return Err(RequestRejection::Same);
             }
             Order::Prepare { list, .. }
             | Order::Accept { list, .. }
@@ -262,7 +273,7 @@
             | Order::Force { list, .. } => *list,
         };
         if told < self.list {
-            return Err(Declined::OldList {
+            return Err(RequestRejection::OldList {
                 told,
                 known: self.list,
             });
@@ -273,11 +284,11 @@
         | Order::Joint { follows, .. } = order
             && *follows != force
         {
-            return Err(Declined::OtherForce(force));
+            return Err(RequestRejection::OtherForce(force));
         }
         if matches!(order, Order::Prepare { .. } | Order::Accept { .. }) && self.taught && !settled
         {
-            return Err(Declined::Fresh);
+            return Err(RequestRejection::Fresh);
         }
         let decided = self.joint().map(|next| next.kept.version());
         match order {
@@ -287,11 +298,11 @@
             | Order::ByDelta { .. } => {}
             Order::Prepare { ballot, .. } => {
                 if let Some(decided) = decided {
-                    return Err(Declined::Decided(decided));
+                    return Err(RequestRejection::Decided(decided));
                 }
                 match ballot.cmp(&self.promised) {
-                    std::cmp::Ordering::Less => return Err(Declined::Outbid),
-                    std::cmp::Ordering::Equal => return Err(Declined::Same),
+                    std::cmp::Ordering::Less => return Err(RequestRejection::Outbid),
+                    std::cmp::Ordering::Equal => return Err(RequestRejection::Same),
                     std::cmp::Ordering::Greater => new.promised = *ballot,
                 }
             }
@@ -302,15 +313,15 @@
                 ..
             } => {
                 if let Some(decided) = decided {
-                    return Err(Declined::Decided(decided));
+                    return Err(RequestRejection::Decided(decided));
                 }
                 if *ballot < self.promised {
-                    return Err(Declined::Outbid);
+                    return Err(RequestRejection::Outbid);
                 }
-                let kept = Kept::checked(*version, text)?;
+                let kept = ConfigDocument::checked(*version, text)?;
                 follows(force, *version)?;
                 new.promised = *ballot;
-                new.next = Some(Next {
+                new.next = Some(AcceptedConfig {
                     ballot: *ballot,
                     kept,
                     joint: false,
@@ -318,14 +329,14 @@
             }
             Order::Joint { version, text, .. } => {
                 match decided {
-                    Some(decided) if decided == *version => return Err(Declined::Same),
-                    Some(decided) => return Err(Declined::Decided(decided)),
+                    Some(decided) if decided == *version => return Err(RequestRejection::Same),
+                    Some(decided) => return Err(RequestRejection::Decided(decided)),
                     None => {}
                 }
                 let kept = self.told(*version, text)?;
                 follows(force, *version)?;
                 let ballot = self.next.as_ref().map_or(self.promised, |next| next.ballot);
-                new.next = Some(Next {
+                new.next = Some(AcceptedConfig {
                     ballot,
                     kept,
                     joint: true,
@@ -333,10 +344,10 @@
             }
             Order::Force { version, text, .. } => {
                 if *version == force {
-                    return Err(Declined::Same);
+                    return Err(RequestRejection::Same);
                 }
                 if version.number <= force.number {
-                    return Err(Declined::OtherForce(force));
+                    return Err(RequestRejection::OtherForce(force));
                 }
                 let kept = self.told(*version, text)?;
                 new.changes = self.changes.saturating_add(u32::from(self.force.is_some()));
@@ -368,25 +379,25 @@
     ///
     /// # Errors
     /// Why not. A refusal promises that nothing ran.
-    pub fn admits(&self, stamp: Option<&Stamp>) -> Result<(), Refusal> {
+    pub fn admits(&self, stamp: Option<&Stamp>) -> Result<(), OfferRejection> {
         let floor = self.floor();
         let Some(stamp) = stamp else {
             let first = self.changes == 0 && (self.force.is_none() || self.joint().is_none());
             return if first {
                 Ok(())
             } else {
-                Err(Refusal::Under { told: 0, floor })
+                Err(OfferRejection::Under { told: 0, floor })
             };
         };
         let told = stamp.level();
         if self.force.is_none() && self.joint().is_none() {
-            return Err(Refusal::Unknown { told, floor });
+            return Err(OfferRejection::Unknown { told, floor });
         }
         if told < floor {
-            return Err(Refusal::Under { told, floor });
+            return Err(OfferRejection::Under { told, floor });
         }
         if told > floor + 1 {
-            return Err(Refusal::Unknown { told, floor });
+            return Err(OfferRejection::Unknown { told, floor });
         }
         let known = [
             Some(self.force()),
@@ -397,13 +408,13 @@
             .flatten()
             .find(|known| known.number == stamp.version.number);
         match other.filter(|known| *known != stamp.version) {
-            Some(other) => Err(Refusal::Other(other)),
+            Some(other) => Err(OfferRejection::Other(other)),
             None => Ok(()),
         }
     }
 
     /// A placer greeted, or offered with another stamp than before. Whether that is worth keeping is answered.
-    pub fn sees(&mut self, placer: u64, seen: Seen) -> bool {
+    pub fn sees(&mut self, placer: u64, seen: PlacerSighting) -> bool {
         let before = self.seen.insert(placer, seen);
         if self.seen.len() > MAX_PLACERS {
             let oldest = self
@@ -417,9 +428,9 @@
     }
 }
 
-fn follows(force: Version, next: Version) -> Result<(), Declined> {
+fn follows(force: Version, next: Version) -> Result<(), RequestRejection> {
     if force.number > 0 && next.number != force.number + 1 {
-        return Err(Declined::Skips {
+        return Err(RequestRejection::Skips {
             told: next.number,
             force: force.number,
         });
@@ -431,15 +442,15 @@
 mod tests {
     use super::*;
 
-    fn kept(number: u64, text: &str) -> Kept {
-        Kept::new(number, text).unwrap()
+    fn kept(number: u64, text: &str) -> ConfigDocument {
+        ConfigDocument::new(number, text).unwrap()
     }
 
     fn ballot(round: u64) -> Ballot {
         Ballot { round, by: 7 }
     }
 
-    fn accept(after: Version, round: u64, kept: &Kept) -> Order {
+    fn accept(after: Version, round: u64, kept: &ConfigDocument) -> Order {
         let text = kept.text().to_owned();
         Order::Accept {
             follows: after,
@@ -450,7 +461,7 @@
         }
     }
 
-    fn joint(after: Version, kept: &Kept) -> Order {
+    fn joint(after: Version, kept: &ConfigDocument) -> Order {
         Order::Joint {
             follows: after,
             version: kept.version(),
@@ -459,7 +470,7 @@
         }
     }
 
-    fn force(kept: &Kept) -> Order {
+    fn force(kept: &ConfigDocument) -> Order {
         Order::Force {
             version: kept.version(),
             text: kept.text().to_owned(),
@@ -468,9 +479,9 @@
     }
 
     /// Every state that a node can be in between two plans and a rival, by name.
-    fn states() -> Vec<(&'static str, Memory)> {
+    fn states() -> Vec<(&'static str, AcceptorState)> {
         let (one, two) = (kept(1, "one"), kept(2, "two"));
-        let empty = Memory::default();
+        let empty = AcceptorState::default();
         let first = empty.after(&force(&one), true).unwrap();
         let prepare = Order::Prepare {
             follows: one.version(),
@@ -569,33 +580,33 @@
 
     #[test]
     fn a_vote_is_cast_for_the_next_number_alone_and_never_under_a_greater_ballot() {
-        let states: BTreeMap<&str, Memory> = states().into_iter().collect();
+        let states: BTreeMap<&str, AcceptorState> = states().into_iter().collect();
         let (one, two, four) = (kept(1, "one"), kept(2, "two"), kept(4, "four"));
         let vote = |state: &str, order: Order| states[state].after(&order, true).map(drop);
         assert_eq!(vote("promised", accept(one.version(), 3, &two)), Ok(()));
         assert_eq!(
             vote("promised", accept(one.version(), 1, &two)),
-            Err(Declined::Outbid)
+            Err(RequestRejection::Outbid)
         );
-        let skips = Declined::Skips { told: 4, force: 1 };
+        let skips = RequestRejection::Skips { told: 4, force: 1 };
         assert_eq!(vote("first", accept(one.version(), 1, &four)), Err(skips));
         assert_eq!(
             vote("empty", accept(Version::default(), 1, &four)),
             Ok(()),
             "any number begins"
         );
-        let other = Declined::OtherForce(two.version());
+        let other = RequestRejection::OtherForce(two.version());
         assert_eq!(vote("done", accept(one.version(), 9, &two)), Err(other));
         assert_eq!(
             vote("decided", accept(one.version(), 9, &two)),
-            Err(Declined::Decided(two.version()))
+            Err(RequestRejection::Decided(two.version()))
         );
     }
 
     #[test]
     fn a_text_that_is_not_of_its_digest_is_named_and_changes_nothing() {
         let (one, two) = (kept(1, "one"), kept(2, "two"));
-        let first = Memory::default().after(&force(&one), true).unwrap();
+        let first = AcceptorState::default().after(&force(&one), true).unwrap();
         let version = two.version();
         let wrong = Order::Force {
             version,
@@ -626,16 +637,16 @@
     #[test]
     fn a_node_that_lost_its_memory_votes_for_nothing_before_it_has_settled() {
         let (one, two) = (kept(1, "one"), kept(2, "two"));
-        let first = Memory::default().after(&force(&one), false).unwrap();
+        let first = AcceptorState::default().after(&force(&one), false).unwrap();
         let prepare = Order::Prepare {
             follows: one.version(),
             ballot: ballot(3),
             list: 0,
         };
-        assert_eq!(first.after(&prepare, false), Err(Declined::Fresh));
+        assert_eq!(first.after(&prepare, false), Err(RequestRejection::Fresh));
         assert_eq!(
             first.after(&accept(one.version(), 3, &two), false),
-            Err(Declined::Fresh)
+            Err(RequestRejection::Fresh)
         );
         assert!(first.after(&prepare, true).is_ok());
         assert!(
@@ -648,7 +659,7 @@
             ballot: ballot(1),
             list: 0,
         };
-        assert!(Memory::default().after(&begin, false).is_ok());
+        assert!(AcceptorState::default().after(&begin, false).is_ok());
     }
 
     #[test]
@@ -659,13 +670,13 @@
             text: "one".into(),
             list,
         };
-        let memory = Memory {
+        let memory = AcceptorState {
             list: 5,
-            ..Memory::default()
+            ..AcceptorState::default()
         };
         assert_eq!(
             memory.after(&order(4), true),
-            Err(Declined::OldList { told: 4, known: 5 })
+            Err(RequestRejection::OldList { told: 4, known: 5 })
         );
         assert_eq!(memory.after(&order(6), true).unwrap().list, 6);
     }
@@ -674,7 +685,7 @@
     #[test]
     fn an_offer_is_admitted_at_the_floor_and_half_a_step_over_it_alone() {
         let (one, two, rival) = (kept(1, "one"), kept(2, "two"), kept(2, "rival"));
-        let stamp = |kept: &Kept, joint| Stamp {
+        let stamp = |kept: &ConfigDocument, joint| Stamp {
             version: kept.version(),
             joint,
             ..Stamp::default()
@@ -705,8 +716,8 @@
 
     #[test]
     fn placers_seen_are_bounded_and_the_oldest_goes_first() {
-        let mut memory = Memory::default();
-        let seen = |at_s| Seen {
+        let mut memory = AcceptorState::default();
+        let seen = |at_s| PlacerSighting {
             level: 2,
             at_s,
             build: 1,
@@ -722,7 +733,7 @@
         assert!(!memory.sees(10, seen(9_999)), "its time alone is not");
         assert!(memory.sees(
             10,
-            Seen {
+            PlacerSighting {
                 level: 4,
                 ..seen(9_999)
             }
--- a/crates/plan/src/pace.rs
+++ b/crates/plan/src/pace.rs
@@ -6,7 +6,7 @@
 
 use reedring_nodeproto::{Ballot, DeltaStep, Order, Version};
 
-use crate::fleet::Fleet;
+use crate::fleet::ClusterView;
 
 /// Microseconds after which an order that nothing came of is sent again.
 const AGAIN_US: u64 = 500_000;
@@ -18,7 +18,7 @@
 
 /// The pace of one placer's orders.
 #[derive(Clone, Debug, Default)]
-pub struct Pace {
+pub struct ProposalBackoff {
     /// The greatest ballot for the successor of which plan, and since when it is that.
     rival: (Version, Ballot, u64),
     /// The plan in force and the decided one, as they were seen last, and since when.
@@ -74,9 +74,9 @@
     life.wrapping_mul(0x9e37_79b9_7f4a_7c15) % LEAVE_US
 }
 
-impl Pace {
+impl ProposalBackoff {
     /// Whether the greatest ballot has had its time. A first ballot may be made at once.
-    pub fn may_outbid(&mut self, now: u64, life: u64, fleet: &Fleet) -> bool {
+    pub fn may_outbid(&mut self, now: u64, life: u64, fleet: &ClusterView) -> bool {
         let force = fleet.force();
         let records = fleet.votes().filter(|(_, record)| record.force == force);
         let greatest = records
@@ -91,7 +91,7 @@
     }
 
     /// Whether a decided plan may be brought on by whoever did not decide it: once its maker has had its time.
-    pub fn may_carry_on(&mut self, now: u64, life: u64, fleet: &Fleet) -> bool {
+    pub fn may_carry_on(&mut self, now: u64, life: u64, fleet: &ClusterView) -> bool {
         let force = fleet.force();
         let decided = fleet.decided(force);
         if (force, decided) != (self.seen.0, self.seen.1) {
@@ -140,12 +140,12 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::fleet::Kin;
+    use crate::fleet::PeerState;
     use reedring_nodeproto::Record;
 
     #[test]
     fn the_same_is_not_asked_again_before_its_time_and_something_else_is() {
-        let mut pace = Pace::default();
+        let mut pace = ProposalBackoff::default();
         let one = Order::Ask {
             stamp: reedring_nodeproto::Stamp::default(),
         };
@@ -201,12 +201,12 @@
                 promised: Ballot { round, by: 9 },
                 ..Record::default()
             };
-            Fleet {
-                nodes: [(0, Kin::Told(record))].into(),
-                ..Fleet::default()
+            ClusterView {
+                nodes: [(0, PeerState::Told(record))].into(),
+                ..ClusterView::default()
             }
         };
-        let mut pace = Pace::default();
+        let mut pace = ProposalBackoff::default();
         pace.may_outbid(0, 1, &told(1, 7));
         assert!(
             !pace.may_outbid(5_000_000, 1, &told(2, 1)),
@@ -221,13 +221,13 @@
                 promised: Ballot { round, by },
                 ..Record::default()
             };
-            Fleet {
-                nodes: [(0, Kin::Told(record))].into(),
-                ..Fleet::default()
+            ClusterView {
+                nodes: [(0, PeerState::Told(record))].into(),
+                ..ClusterView::default()
             }
         };
         let first = |life| {
-            let mut pace = Pace::default();
+            let mut pace = ProposalBackoff::default();
             assert!(pace.may_outbid(0, life, &told(0, 0)), "nothing to outbid");
             let at = (0..700)
                 .find(|ms| pace.may_outbid(ms * 1_000, life, &told(1, 9)))
--- a/crates/plan/src/standing.rs
+++ b/crates/plan/src/standing.rs
@@ -2,22 +2,22 @@
 
 use reedring_nodeproto::Version;
 
-use crate::fleet::Fleet;
+use crate::fleet::ClusterView;
 
 /// What a placer can do with a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Use {
+pub enum Usability {
     /// Its text is not here yet.
     Missing,
     /// It can act by it, and by it and the one before.
-    Good,
+    Usable,
     /// It can't: the text says what this build does not know, or two plans have no joint form here.
-    Bad,
+    Unusable,
 }
 
 /// What a placer's own file says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Own {
+pub struct LocalConfig {
     /// The plan of its file.
     pub version: Version,
     /// It takes no other.
@@ -26,18 +26,18 @@
 
 /// When a majority of the voters was heard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum QuorumContact {
     /// Never in this life.
     Never,
     /// Within the lease.
-    Lately,
+    Recent,
     /// Longer ago.
-    LongAgo,
+    Expired,
 }
 
 /// Why nothing may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Why {
+pub enum SuspendReason {
     /// Too few voters have told what they keep.
     NoMajority,
     /// No plan is in force yet, and none is decided.
@@ -50,7 +50,7 @@
     Unusable,
 }
 
-impl Why {
+impl SuspendReason {
     /// In words, for the staff.
     pub const fn word(self) -> &'static str {
         match self {
@@ -70,7 +70,7 @@
 
 /// By what a placer acts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Acts {
+pub struct ActiveConfig {
     /// The plan in force; number 0 where the first one is only decided.
     pub force: Version,
     /// The one decided to follow: it acts by the stricter of both.
@@ -79,7 +79,7 @@
     pub ahead: Option<Version>,
 }
 
-impl Acts {
+impl ActiveConfig {
     /// The plan that its offers name, and whether it is joint with the one before.
     pub fn stamp(&self) -> (Version, bool) {
         self.next.map_or((self.force, false), |next| (next, true))
@@ -94,13 +94,13 @@
 
 /// How a placer stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum LeaseState {
     /// Most nodes keep no plans: it acts by its own file, as placers did before there were plans.
-    Unkept,
+    Unmanaged,
     /// It sends nothing.
-    Waits(Why),
+    Suspended(SuspendReason),
     /// It acts by a plan.
-    Acts(Acts),
+    Active(ActiveConfig),
 }
 
 /// How a placer stands.
@@ -120,49 +120,51 @@
 /// | no | lately | good | none | any | acts by the one in force |
 ///
 /// Where it acts and its own file has a later plan than the one that it acts by, it is ahead of it.
-pub fn standing(
-    own: Own,
-    fleet: &Fleet,
+pub fn lease_state(
+    own: LocalConfig,
+    fleet: &ClusterView,
     force: Version,
-    heard: Heard,
-    can: impl Fn(Version) -> Use,
-) -> Standing {
+    heard: QuorumContact,
+    can: impl Fn(Version) -> Usability,
+) -> LeaseState {
     if fleet.is_old() {
-        return Standing::Unkept;
+        return LeaseState::Unmanaged;
     }
-    if heard != Heard::Lately {
-        return Standing::Waits(Why::NoMajority);
+    if heard != QuorumContact::Recent {
+        return LeaseState::Suspended(SuspendReason::NoMajority);
     }
     let force = force.max(fleet.force());
     let next = fleet.decided(force);
     if force.number > 0 {
         let follows = own.version.number == force.number + 1;
         if own.pinned && own.version != force && !follows {
-            return Standing::Waits(Why::Pinned);
+            return LeaseState::Suspended(SuspendReason::Pinned);
         }
         match can(force) {
-            Use::Missing => return Standing::Waits(Why::Fetching),
-            Use::Bad => return Standing::Waits(Why::Unusable),
-            Use::Good => {}
+            Usability::Missing => return LeaseState::Suspended(SuspendReason::Fetching),
+            Usability::Unusable => return LeaseState::Suspended(SuspendReason::Unusable),
+            Usability::Usable => {}
         }
     }
     let refused = |next: Version| own.pinned && next != own.version;
     let next = match next.map(|next| (next, can(next))) {
-        Some((next, Use::Good)) if !refused(next) => Some(next),
-        Some((_, Use::Missing)) if force.number == 0 => return Standing::Waits(Why::Fetching),
+        Some((next, Usability::Usable)) if !refused(next) => Some(next),
+        Some((_, Usability::Missing)) if force.number == 0 => {
+            return LeaseState::Suspended(SuspendReason::Fetching);
+        }
         _ => None,
     };
     if force.number == 0 && next.is_none() {
-        return Standing::Waits(Why::NoPlan);
+        return LeaseState::Suspended(SuspendReason::NoPlan);
     }
     let ahead = (own.version.number > next.unwrap_or(force).number).then_some(own.version);
-    Standing::Acts(Acts { force, next, ahead })
+    LeaseState::Active(ActiveConfig { force, next, ahead })
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::fleet::Kin;
+    use crate::fleet::PeerState;
     use reedring_nodeproto::{Ballot, Digest, Introduced, Record};
 
     fn version(number: u64, name: u8) -> Version {
@@ -173,7 +175,7 @@
     }
 
     /// Three nodes that all tell the same.
-    fn fleet(force: Version, next: Option<Version>, joint: bool) -> Fleet {
+    fn fleet(force: Version, next: Option<Version>, joint: bool) -> ClusterView {
         let ballot = Ballot { round: 1, by: 1 };
         let next = next.map(|version| Introduced {
             ballot,
@@ -185,9 +187,9 @@
             next,
             ..Record::default()
         };
-        Fleet {
-            nodes: (0..3).map(|n| (n, Kin::Told(record))).collect(),
-            ..Fleet::default()
+        ClusterView {
+            nodes: (0..3).map(|n| (n, PeerState::Told(record))).collect(),
+            ..ClusterView::default()
         }
     }
 
@@ -204,17 +206,25 @@
             for next in [None, Some(two), Some(rival)] {
                 for own in [one, two, version(5, 5)] {
                     for pinned in [false, true] {
-                        for heard in [Heard::Never, Heard::Lately, Heard::LongAgo] {
-                            for first in [Use::Missing, Use::Good, Use::Bad] {
-                                for second in [Use::Missing, Use::Good, Use::Bad] {
+                        for heard in [
+                            QuorumContact::Never,
+                            QuorumContact::Recent,
+                            QuorumContact::Expired,
+                        ] {
+                            for first in
+                                [Usability::Missing, Usability::Usable, Usability::Unusable]
+                            {
+                                for second in
+                                    [Usability::Missing, Usability::Usable, Usability::Unusable]
+                                {
                                     let fleet = fleet(force, next, false);
                                     let can =
                                         |v: Version| if v.number == 1 { first } else { second };
-                                    let own = Own {
+                                    let own = LocalConfig {
                                         version: own,
                                         pinned,
                                     };
-                                    let got = standing(own, &fleet, none, heard, can);
+                                    let got = lease_state(own, &fleet, none, heard, can);
                                     let case = format!(
                                         "{force} {next:?} {own:?} {heard:?} {first:?} {second:?}"
                                     );
@@ -229,23 +239,26 @@
     }
 
     fn check(
-        got: Standing,
-        own: Own,
+        got: LeaseState,
+        own: LocalConfig,
         force: Version,
         next: Option<Version>,
-        heard: Heard,
-        can: impl Fn(Version) -> Use,
+        heard: QuorumContact,
+        can: impl Fn(Version) -> Usability,
         case: &str,
     ) {
         match got {
-            Standing::Unkept => panic!("nodes keep plans: {case}"),
-            Standing::Acts(acts) => {
-                assert_eq!(heard, Heard::Lately, "{case}");
+            LeaseState::Unmanaged => panic!("nodes keep plans: {case}"),
+            LeaseState::Active(acts) => {
+                assert_eq!(heard, QuorumContact::Recent, "{case}");
                 assert_eq!(acts.force, force, "{case}");
-                assert!(force.number == 0 || can(force) == Use::Good, "{case}");
+                assert!(
+                    force.number == 0 || can(force) == Usability::Usable,
+                    "{case}"
+                );
                 assert!(acts.next.is_none() || acts.next == next, "{case}");
                 assert!(
-                    acts.next.is_none_or(|next| can(next) == Use::Good),
+                    acts.next.is_none_or(|next| can(next) == Usability::Usable),
                     "{case}"
                 );
                 assert!(
@@ -258,10 +271,14 @@
                     "{case}"
                 );
             }
-            Standing::Waits(why) => {
-                assert_eq!(why == Why::NoMajority, heard != Heard::Lately, "{case}");
-                if heard == Heard::Lately {
-                    let stuck = can(force) != Use::Good && force.number > 0;
+            LeaseState::Suspended(why) => {
+                assert_eq!(
+                    why == SuspendReason::NoMajority,
+                    heard != QuorumContact::Recent,
+                    "{case}"
+                );
+                if heard == QuorumContact::Recent {
+                    let stuck = can(force) != Usability::Usable && force.number > 0;
                     let pinned = own.pinned && own.version != force;
                     let begins = force.number == 0;
                     assert!(stuck || pinned || begins, "{case}: {why:?}");
@@ -274,28 +291,40 @@
     #[test]
     fn most_nodes_of_version_1_leave_each_placer_to_its_own_file() {
         let mut fleet = fleet(version(1, 1), None, false);
-        fleet.nodes.insert(0, Kin::Old);
-        let own = Own {
+        fleet.nodes.insert(0, PeerState::Old);
+        let own = LocalConfig {
             version: version(7, 7),
             pinned: false,
         };
-        let stands =
-            |fleet: &Fleet| standing(own, fleet, Version::default(), Heard::Lately, |_| Use::Good);
-        assert!(matches!(stands(&fleet), Standing::Acts(_)), "one of three");
-        fleet.nodes.insert(1, Kin::Old);
-        assert_eq!(stands(&fleet), Standing::Unkept);
+        let stands = |fleet: &ClusterView| {
+            lease_state(
+                own,
+                fleet,
+                Version::default(),
+                QuorumContact::Recent,
+                |_| Usability::Usable,
+            )
+        };
+        assert!(
+            matches!(stands(&fleet), LeaseState::Active(_)),
+            "one of three"
+        );
+        fleet.nodes.insert(1, PeerState::Old);
+        assert_eq!(stands(&fleet), LeaseState::Unmanaged);
     }
 
     #[test]
     fn a_plan_that_the_placer_itself_learned_holds_where_all_nodes_have_lost_it() {
-        let own = Own {
+        let own = LocalConfig {
             version: version(1, 1),
             pinned: false,
         };
         let empty = fleet(Version::default(), None, false);
-        let got = standing(own, &empty, version(2, 2), Heard::Lately, |_| Use::Good);
+        let got = lease_state(own, &empty, version(2, 2), QuorumContact::Recent, |_| {
+            Usability::Usable
+        });
         assert!(
-            matches!(got, Standing::Acts(acts) if acts.force == version(2, 2)),
+            matches!(got, LeaseState::Active(acts) if acts.force == version(2, 2)),
             "{got:?}"
         );
     }
@@ -303,21 +332,21 @@
     #[test]
     fn a_file_with_the_next_plan_is_ahead_until_that_is_joint() {
         let (one, two) = (version(1, 1), version(2, 2));
-        let own = Own {
+        let own = LocalConfig {
             version: two,
             pinned: true,
         };
         let stands = |next| {
-            standing(
+            lease_state(
                 own,
                 &fleet(one, next, true),
                 Version::default(),
-                Heard::Lately,
-                |_| Use::Good,
+                QuorumContact::Recent,
+                |_| Usability::Usable,
             )
         };
         let acts = |next, ahead| {
-            Standing::Acts(Acts {
+            LeaseState::Active(ActiveConfig {
                 force: one,
                 next,
                 ahead,
--- a/crates/plan/src/text.rs
+++ b/crates/plan/src/text.rs
@@ -7,14 +7,14 @@
 
 /// A plan whose text fits its version.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Kept {
+pub struct ConfigDocument {
     version: Version,
     text: Arc<str>,
 }
 
 /// Why a text is not that of a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum WrongText {
+pub enum DocumentError {
     /// It is over the bound.
     #[error("plan {number}: a text of {bytes} bytes, at most {MAX_PLAN} fit")]
     Long {
@@ -46,12 +46,12 @@
     Digest(half)
 }
 
-impl Kept {
+impl ConfigDocument {
     /// The plan of this number and text.
     ///
     /// # Errors
     /// Where the text is over its bound, or the number is 0.
-    pub fn new(number: u64, text: &str) -> Result<Self, WrongText> {
+    pub fn new(number: u64, text: &str) -> Result<Self, DocumentError> {
         Self::checked(
             Version {
                 number,
@@ -64,18 +64,18 @@
     /// The plan of this version, if the text is its.
     ///
     /// # Errors
-    /// See [`WrongText`].
-    pub fn checked(version: Version, text: &str) -> Result<Self, WrongText> {
+    /// See [`DocumentError`].
+    pub fn checked(version: Version, text: &str) -> Result<Self, DocumentError> {
         let (number, bytes) = (version.number, text.len());
         if number == 0 {
-            return Err(WrongText::Number);
+            return Err(DocumentError::Number);
         }
         if bytes > MAX_PLAN {
-            return Err(WrongText::Long { number, bytes });
+            return Err(DocumentError::Long { number, bytes });
         }
         let found = digest(text);
         if found != version.digest {
-            return Err(WrongText::Digest {
+            return Err(DocumentError::Digest {
                 number,
                 found,
                 wanted: version.digest,
--- a/crates/plan/tests/compact.rs
+++ b/crates/plan/tests/compact.rs
@@ -1,13 +1,13 @@
 //! Orders without what their nodes have already, and what a node makes of them.
 
 use reedring_plan::{
-    Ballot, Compactor, Declined, DeltaStep, Edit, Introduced, Kept, Memory, Order, Record, Version,
-    delta,
+    AcceptorState, Ballot, Compactor, ConfigDocument, DeltaStep, Edit, Introduced, Order, Record,
+    RequestRejection, Version, delta,
 };
 
 const BALLOT: Ballot = Ballot { round: 3, by: 9 };
 
-fn plan(number: u64, tenants: &[&str]) -> Kept {
+fn plan(number: u64, tenants: &[&str]) -> ConfigDocument {
     let mut text =
         "[site]\nplacers = 3\nyes_when = \"running\"\nreports = \"answers\"\n".to_owned();
     for class in 0..10 {
@@ -18,18 +18,18 @@
     for tenant in tenants {
         text.push_str(&format!("\n[[tenant]]\nname = \"{tenant}\"\n"));
     }
-    Kept::new(number, &text).unwrap()
+    ConfigDocument::new(number, &text).unwrap()
 }
 
-fn one() -> Kept {
+fn one() -> ConfigDocument {
     plan(1, &["a", "b"])
 }
 
-fn two() -> Kept {
+fn two() -> ConfigDocument {
     plan(2, &["a", "c"])
 }
 
-fn accept(kept: &Kept) -> Order {
+fn accept(kept: &ConfigDocument) -> Order {
     let (version, text) = (kept.version(), kept.text().to_owned());
     Order::Accept {
         follows: one().version(),
@@ -40,7 +40,7 @@
     }
 }
 
-fn joint(kept: &Kept, text: &str) -> Order {
+fn joint(kept: &ConfigDocument, text: &str) -> Order {
     Order::Joint {
         follows: one().version(),
         version: kept.version(),
@@ -49,7 +49,7 @@
     }
 }
 
-fn force(kept: &Kept, text: &str) -> Order {
+fn force(kept: &ConfigDocument, text: &str) -> Order {
     Order::Force {
         version: kept.version(),
         text: text.to_owned(),
@@ -62,8 +62,8 @@
 }
 
 /// A node of version 3 that has plan 1 in force, and keeps this one beside it.
-fn record(next: Option<&Kept>) -> Record {
-    let introduced = |kept: &Kept| Introduced {
+fn record(next: Option<&ConfigDocument>) -> Record {
+    let introduced = |kept: &ConfigDocument| Introduced {
         ballot: BALLOT,
         version: kept.version(),
         joint: false,
@@ -80,7 +80,7 @@
 #[test]
 fn orders_leave_out_what_a_node_of_version_3_has() {
     let (one, two, rival, three) = (one(), two(), plan(2, &["a", "d"]), plan(3, &[]));
-    let all_new = Kept::new(2, "[site]\nplacers = 9\n").unwrap();
+    let all_new = ConfigDocument::new(2, "[site]\nplacers = 9\n").unwrap();
     let delta = delta::between(&one, &two).unwrap();
     let by_delta = |step| Order::ByDelta {
         step,
@@ -148,7 +148,7 @@
 fn an_order_by_delta_does_what_the_one_with_the_text_does() {
     let (one, two) = (one(), two());
     let delta = delta::between(&one, &two).unwrap();
-    let start = Memory::default()
+    let start = AcceptorState::default()
         .after(&force(&one, one.text()), true)
         .unwrap();
     let prepare = |round| Order::Prepare {
@@ -159,7 +159,7 @@
     let promised = start.after(&prepare(3), true).unwrap();
     let outbid = start.after(&prepare(4), true).unwrap();
     let decided = promised.after(&joint(&two, two.text()), true).unwrap();
-    let listed = Memory {
+    let listed = AcceptorState {
         list: 5,
         ..start.clone()
     };
@@ -194,22 +194,22 @@
         delta,
         list: 4,
     };
-    let empty = Memory::default();
+    let empty = AcceptorState::default();
     assert_eq!(
         empty.after(&order(right.clone()), true),
-        Err(Declined::OtherForce(Version::default()))
+        Err(RequestRejection::OtherForce(Version::default()))
     );
     let elsewhere = empty.after(&force(&other, other.text()), true).unwrap();
     assert_eq!(
         elsewhere.after(&order(right.clone()), true),
-        Err(Declined::OtherForce(other.version()))
+        Err(RequestRejection::OtherForce(other.version()))
     );
     let here = empty.after(&force(&one, one.text()), true).unwrap();
     let mut wrong = right.clone();
     wrong.edits.retain(|edit| matches!(edit, Edit::Put { .. }));
     assert!(matches!(
         here.after(&order(wrong), true),
-        Err(Declined::Delta(_))
+        Err(RequestRejection::Delta(_))
     ));
 }
 
@@ -217,22 +217,22 @@
 #[test]
 fn an_order_without_its_text_is_of_use_only_where_the_plan_is_kept() {
     let (one, two, rival) = (one(), two(), plan(2, &["a", "d"]));
-    let start = Memory::default()
+    let start = AcceptorState::default()
         .after(&force(&one, one.text()), true)
         .unwrap();
     let kept = start.after(&accept(&two), true).unwrap();
-    for order in [joint as fn(&Kept, &str) -> Order, force] {
+    for order in [joint as fn(&ConfigDocument, &str) -> Order, force] {
         assert_eq!(
             kept.after(&order(&two, ""), true),
             kept.after(&order(&two, two.text()), true)
         );
         assert!(matches!(
             start.after(&order(&two, ""), true),
-            Err(Declined::Text(_))
+            Err(RequestRejection::Text(_))
         ));
         assert!(matches!(
             kept.after(&order(&rival, ""), true),
-            Err(Declined::Text(_))
+            Err(RequestRejection::Text(_))
         ));
     }
     let decided = kept.after(&joint(&two, ""), true).unwrap();
@@ -245,7 +245,7 @@
 #[test]
 fn a_node_tells_what_changed_only_from_the_plan_in_force_to_the_next() {
     let (one, two, three) = (one(), two(), plan(3, &["a"]));
-    let start = Memory::default()
+    let start = AcceptorState::default()
         .after(&force(&one, one.text()), true)
         .unwrap();
     let kept = start.after(&accept(&two), true).unwrap();
--- a/crates/plan/tests/delta.rs
+++ b/crates/plan/tests/delta.rs
@@ -3,13 +3,15 @@
 use proptest::prelude::*;
 use reedring_nodeproto::{Message, Reader, decode, encode};
 use reedring_plan::delta::{DeltaError, SectionError, apply, between};
-use reedring_plan::{Delta, Digest, Edit, Kept, MAX_PLAN, SectionKey, Table, Version, WrongText};
+use reedring_plan::{
+    ConfigDocument, Delta, Digest, DocumentError, Edit, MAX_PLAN, SectionKey, Table, Version,
+};
 
 /// Teams of the target size.
 const TEAMS: usize = 590;
 
-fn kept(number: u64, text: &str) -> Kept {
-    Kept::new(number, text).unwrap()
+fn kept(number: u64, text: &str) -> ConfigDocument {
+    ConfigDocument::new(number, text).unwrap()
 }
 
 fn text_of(sections: &[String]) -> String {
@@ -388,7 +390,7 @@
         ),
         (
             with(vec![remove("b")]),
-            DeltaError::Target(WrongText::Digest {
+            DeltaError::Target(DocumentError::Digest {
                 number: 2,
                 found: kept(2, &text_of(&[site(3), class("web", 100), tenant("a")]))
                     .version()
@@ -439,7 +441,10 @@
     )
     .unwrap_err();
     assert!(
-        matches!(error, DeltaError::Target(WrongText::Long { number: 2, .. })),
+        matches!(
+            error,
+            DeltaError::Target(DocumentError::Long { number: 2, .. })
+        ),
         "{error}"
     );
 }
@@ -471,9 +476,9 @@
         (
             text_of(&[site(3), tenant("a"), tenant("a")]),
             8,
-            SectionError::Again,
+            SectionError::RepeatPolicy,
         ),
-        (text_of(&[site(3), site(4)]), 5, SectionError::Again),
+        (text_of(&[site(3), site(4)]), 5, SectionError::RepeatPolicy),
         (
             format!("{}\n\n{}", site(3), tenant("a")),
             1,
@@ -520,7 +525,7 @@
             number,
             digest: good.version().digest,
         };
-        let Ok(target) = Kept::checked(version, good.text()) else {
+        let Ok(target) = ConfigDocument::checked(version, good.text()) else {
             continue;
         };
         assert_eq!(
--- a/crates/plan/tests/golden.rs
+++ b/crates/plan/tests/golden.rs
@@ -5,8 +5,8 @@
 
 use reedring_plan::*;
 
-fn plan(number: u64, text: &str) -> Kept {
-    Kept::new(number, text).unwrap()
+fn plan(number: u64, text: &str) -> ConfigDocument {
+    ConfigDocument::new(number, text).unwrap()
 }
 
 fn ballot(round: u64) -> Ballot {
@@ -25,18 +25,18 @@
 }
 
 /// A state in each phase of a change, by the orders that lead to it, with the file that holds it.
-fn states() -> Vec<(&'static str, &'static [u8], Memory)> {
+fn states() -> Vec<(&'static str, &'static [u8], AcceptorState)> {
     let (one, two) = (plan(1, first_text()), plan(2, second_text()));
     let (follows, version) = (one.version(), two.version());
     let text = || second_text().to_owned();
-    let force = |kept: &Kept, list| Order::Force {
+    let force = |kept: &ConfigDocument, list| Order::Force {
         version: kept.version(),
         text: kept.text().to_owned(),
         list,
     };
-    let after = |memory: &Memory, order: Order| memory.after(&order, true).unwrap();
+    let after = |memory: &AcceptorState, order: Order| memory.after(&order, true).unwrap();
 
-    let empty = Memory::default();
+    let empty = AcceptorState::default();
     let first = after(&empty, force(&one, 40));
     let promised = after(
         &first,
@@ -82,18 +82,18 @@
 }
 
 /// Every field with a value that no other field has.
-fn each_field() -> Memory {
-    let seen = |n: u64| Seen {
+fn each_field() -> AcceptorState {
+    let seen = |n: u64| PlacerSighting {
         level: 2 + n,
         at_s: 1_700_000_000 + n,
         build: 0xdead_0000 + n as u32,
     };
-    let seen: BTreeMap<u64, Seen> = (0..5)
+    let seen: BTreeMap<u64, PlacerSighting> = (0..5)
         .map(|n| (n * 0x0101_0101_0101_0101, seen(n)))
         .collect();
-    Memory {
+    AcceptorState {
         force: Some(plan(0x1122_3344_5566, first_text())),
-        next: Some(Next {
+        next: Some(AcceptedConfig {
             ballot: ballot(5),
             kept: plan(0x1122_3344_5567, second_text()),
             joint: true,
--- a/crates/plan/tests/learners.rs
+++ b/crates/plan/tests/learners.rs
@@ -2,15 +2,16 @@
 //! explored: two placers that bring two plans of one number or carry on each other's, what they know of the voters and
 //! of learners growing old, an offer that comes late. Ballots are taken with more troubles in `model.rs`.
 //!
-//! Placers ask by [`Maker`], stand by [`standing`] and are held by [`hold`], voters answer by [`Memory::after`] and
-//! learners by [`LearnedFloor`]; what is modelled is the order of things. The same model with a rule taken away must
+//! Placers ask by [`Proposer`], stand by [`standing`] and are held by [`hold`], voters answer by [`AcceptorState::after`] and
+//! learners by [`LearnerState`]; what is modelled is the order of things. The same model with a rule taken away must
 //! fail.
 
 use std::collections::BTreeSet;
 
 use reedring_plan::{
-    Acts, Ballot, Fleet, Heard, Kept, Kin, LearnedFloor, Maker, Membership, Memory, Order, Own,
-    Stamp, Standing, Texts, Use, Version, hold, must_raise, standing,
+    AcceptorState, ActiveConfig, Ballot, ClusterView, ConfigDocument, DocumentCache, LearnerState,
+    LeaseState, LocalConfig, Membership, Order, PeerState, Proposer, QuorumContact, Stamp,
+    Usability, Version, dispatch_block, lease_state, must_raise,
 };
 use stateright::{Checker, Model, Property};
 
@@ -26,13 +27,13 @@
 /// What a placer knows of a learner: the floor that it told last, and when that had risen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Told {
-    floor: LearnedFloor,
+    floor: LearnerState,
     rose: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Placer {
-    maker: Maker,
+    maker: Proposer,
     /// By what it acts, as it saw the voters when it last looked: the plan, and whether joint.
     acts: (Version, bool),
     told: [Told; LEARNERS],
@@ -53,7 +54,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    voters: [Memory; VOTERS],
+    voters: [AcceptorState; VOTERS],
     learners: [Learner; LEARNERS],
     placers: [Placer; 2],
     tick: u8,
@@ -61,7 +62,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Step {
+enum ModelAction {
     /// A placer's order reaches a voter, and the answer the placer.
     Ask {
         placer: usize,
@@ -126,12 +127,12 @@
     delays: 1,
 };
 
-fn plan(number: u64, name: &str) -> Kept {
-    Kept::new(number, name).unwrap()
+fn plan(number: u64, name: &str) -> ConfigDocument {
+    ConfigDocument::new(number, name).unwrap()
 }
 
-fn texts() -> Texts {
-    let mut texts = Texts::default();
+fn texts() -> DocumentCache {
+    let mut texts = DocumentCache::default();
     [plan(1, "one"), plan(2, "a"), plan(2, "b")]
         .iter()
         .for_each(|kept| texts.add(kept));
@@ -147,43 +148,43 @@
 }
 
 impl Rules {
-    fn own(&self, placer: usize) -> Option<Kept> {
+    fn own(&self, placer: usize) -> Option<ConfigDocument> {
         match placer {
             0 => Some(plan(2, "a")),
             _ => self.rivals.then(|| plan(2, "b")),
         }
     }
 
-    fn fleet(&self, world: &World, placer: usize) -> Fleet {
+    fn fleet(&self, world: &World, placer: usize) -> ClusterView {
         let hears = |voter: usize| self.heard[placer][voter];
         let voter = |n: usize| {
             if hears(n) {
-                Kin::Told(world.voters[n].record())
+                PeerState::Told(world.voters[n].record())
             } else {
-                Kin::Unmet
+                PeerState::Unmet
             }
         };
-        let mut nodes: Vec<(u32, Kin)> = (0..VOTERS).map(|n| (n as u32, voter(n))).collect();
+        let mut nodes: Vec<(u32, PeerState)> = (0..VOTERS).map(|n| (n as u32, voter(n))).collect();
         if !self.of_the_voters {
-            nodes.retain(|(_, kin)| *kin != Kin::Unmet);
+            nodes.retain(|(_, kin)| *kin != PeerState::Unmet);
         }
         let membership = Membership::of(nodes.iter().map(|(node, _)| *node).collect());
         let learner = |n: usize| {
             (
                 (VOTERS + n) as u32,
-                Kin::Told(world.placers[placer].told[n].floor.record()),
+                PeerState::Told(world.placers[placer].told[n].floor.record()),
             )
         };
         nodes.extend((0..LEARNERS).map(learner));
-        Fleet {
+        ClusterView {
             membership,
             nodes: nodes.into_iter().collect(),
-            ..Fleet::default()
+            ..ClusterView::default()
         }
     }
 
     /// What a placer asks next, and what it has become by asking.
-    fn orders(&self, world: &World, placer: usize) -> (Maker, Vec<(u32, Order)>) {
+    fn orders(&self, world: &World, placer: usize) -> (Proposer, Vec<(u32, Order)>) {
         let fleet = self.fleet(world, placer);
         let mut maker = world.placers[placer].maker.clone();
         let own = self.own(placer);
@@ -207,17 +208,19 @@
                 .unwrap_or(false)
         };
         let heard = if fleet.quorum(hears) {
-            Heard::Lately
+            QuorumContact::Recent
         } else {
-            Heard::LongAgo
+            QuorumContact::Expired
         };
         let version = plan(1, "one").version();
-        let own = Own {
+        let own = LocalConfig {
             version: self.own(placer).map_or(version, |own| own.version()),
             pinned: false,
         };
-        match standing(own, &fleet, Version::default(), heard, |_| Use::Good) {
-            Standing::Acts(acts) => Some(acts.stamp()),
+        match lease_state(own, &fleet, Version::default(), heard, |_| {
+            Usability::Usable
+        }) {
+            LeaseState::Active(acts) => Some(acts.stamp()),
             _ => None,
         }
     }
@@ -230,13 +233,13 @@
             ..
         } = &world.placers[placer];
         let acts = if *joint {
-            Acts {
+            ActiveConfig {
                 force: plan(1, "one").version(),
                 next: Some(*version),
                 ahead: None,
             }
         } else {
-            Acts {
+            ActiveConfig {
                 force: *version,
                 next: None,
                 ahead: None,
@@ -245,10 +248,10 @@
         let Told { floor, rose } = told[learner];
         let mut record = floor.record();
         record.floor_ms = u64::from(world.tick - rose) * WINDOW_MS;
-        let kin = Kin::Told(record);
+        let kin = PeerState::Told(record);
         let cold = learner == COLD && self.waits_for_floor;
         let window = if self.waits_a_window { WINDOW_MS } else { 0 };
-        let held = hold(&Standing::Acts(acts), &kin, cold, window);
+        let held = dispatch_block(&LeaseState::Active(acts), &kin, cold, window);
         (held.is_none(), must_raise(held, &kin))
     }
 
@@ -273,7 +276,7 @@
 
 impl Model for Rules {
     type State = World;
-    type Action = Step;
+    type Action = ModelAction;
 
     fn init_states(&self) -> Vec<World> {
         let one = plan(1, "one");
@@ -282,9 +285,9 @@
             text: "one".into(),
             list: 0,
         };
-        let voter = Memory {
+        let voter = AcceptorState {
             taught: false,
-            ..Memory::default().after(&force, true).unwrap()
+            ..AcceptorState::default().after(&force, true).unwrap()
         };
         let two = plan(2, "a");
         let (follows, ballot) = (one.version(), Ballot { round: 1, by: 1 });
@@ -305,14 +308,14 @@
             }
         };
         let mut now = Told {
-            floor: LearnedFloor::default(),
+            floor: LearnerState::default(),
             rose: 0,
         };
         if !self.fresh {
             now.floor.raise(&stamp((one.version(), false)));
         }
         let placer = |life| Placer {
-            maker: Maker::new(life),
+            maker: Proposer::new(life),
             acts: (one.version(), false),
             told: [now; LEARNERS],
             late: Vec::new(),
@@ -332,10 +335,10 @@
         }]
     }
 
-    fn actions(&self, world: &World, steps: &mut Vec<Step>) {
+    fn actions(&self, world: &World, steps: &mut Vec<ModelAction>) {
         for (placer, is) in world.placers.iter().enumerate() {
             let (_, orders) = self.orders(world, placer);
-            steps.extend(orders.iter().map(|(node, _)| Step::Ask {
+            steps.extend(orders.iter().map(|(node, _)| ModelAction::Ask {
                 placer,
                 voter: *node as usize,
             }));
@@ -343,39 +346,39 @@
                 .looks(world, placer)
                 .is_some_and(|acts| acts != is.acts)
             {
-                steps.push(Step::Look { placer });
+                steps.push(ModelAction::Look { placer });
             }
             for learner in 0..LEARNERS {
                 let (offers, raises) = self.sends(world, placer, learner);
                 if offers {
-                    steps.push(Step::Offer {
+                    steps.push(ModelAction::Offer {
                         placer,
                         learner,
                         late: false,
                     });
                 }
                 if offers && world.delays < self.delays {
-                    steps.push(Step::Offer {
+                    steps.push(ModelAction::Offer {
                         placer,
                         learner,
                         late: true,
                     });
                 }
                 if raises {
-                    steps.push(Step::Raise { placer, learner });
+                    steps.push(ModelAction::Raise { placer, learner });
                 }
             }
-            steps.extend((0..is.late.len()).map(|late| Step::Arrive { placer, late }));
+            steps.extend((0..is.late.len()).map(|late| ModelAction::Arrive { placer, late }));
         }
         if world.tick < self.ticks {
-            steps.push(Step::Tick);
+            steps.push(ModelAction::Tick);
         }
     }
 
-    fn next_state(&self, before: &World, step: Step) -> Option<World> {
+    fn next_state(&self, before: &World, step: ModelAction) -> Option<World> {
         let mut world = before.clone();
         match step {
-            Step::Ask { placer, voter } => {
+            ModelAction::Ask { placer, voter } => {
                 let (maker, orders) = self.orders(&world, placer);
                 let (_, order) = orders
                     .into_iter()
@@ -385,8 +388,10 @@
                     world.voters[voter] = new;
                 }
             }
-            Step::Look { placer } => world.placers[placer].acts = self.looks(&world, placer)?,
-            Step::Offer {
+            ModelAction::Look { placer } => {
+                world.placers[placer].acts = self.looks(&world, placer)?
+            }
+            ModelAction::Offer {
                 placer,
                 learner,
                 late,
@@ -399,11 +404,11 @@
                     self.arrive(&mut world, placer, learner, acts);
                 }
             }
-            Step::Arrive { placer, late } => {
+            ModelAction::Arrive { placer, late } => {
                 let (learner, acts) = world.placers[placer].late.remove(late);
                 self.arrive(&mut world, placer, learner, acts);
             }
-            Step::Raise { placer, learner } => {
+            ModelAction::Raise { placer, learner } => {
                 let (stamp, tick) = (stamp(world.placers[placer].acts), world.tick);
                 let at = &mut world.learners[learner];
                 if at.now.floor.raise(&stamp) {
@@ -411,7 +416,7 @@
                 }
                 world.placers[placer].told[learner] = at.now;
             }
-            Step::Tick => {
+            ModelAction::Tick => {
                 world.tick += 1;
                 world
                     .learners
--- a/crates/plan/tests/model.rs
+++ b/crates/plan/tests/model.rs
@@ -2,17 +2,20 @@
 //! words lost and late, a placer that dies, a node whose disk is full. At most one plan of a number is ever in force,
 //! no two are decided, no floor falls.
 //!
-//! The placers here ask by [`Maker`], nodes answer by [`Memory::after`]; what is modelled is the order of things. The
+//! The placers here ask by [`Proposer`], nodes answer by [`AcceptorState::after`]; what is modelled is the order of things. The
 //! same model with a rule taken away must fail.
 
-use reedring_plan::{Fleet, Kept, Kin, Maker, Memory, Order, Record, Stamp, Texts, Version};
+use reedring_plan::{
+    AcceptorState, ClusterView, ConfigDocument, DocumentCache, Order, PeerState, Proposer, Record,
+    Stamp, Version,
+};
 use stateright::{Checker, Model, Property};
 
 const NODES: usize = 3;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Placer {
-    maker: Maker,
+    maker: Proposer,
     /// Orders that left on what it knew then and have not arrived, and to which node.
     late: Vec<(usize, Late)>,
 }
@@ -29,7 +32,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    nodes: [Memory; NODES],
+    nodes: [AcceptorState; NODES],
     full: [bool; NODES],
     placers: [Placer; 2],
     /// The highest floor that each node ever had.
@@ -40,7 +43,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Step {
+enum ModelAction {
     /// A placer's order reaches a node, and the answer the placer. An answer that is lost is an order held up.
     Ask {
         placer: usize,
@@ -88,12 +91,12 @@
     fills: 0,
 };
 
-fn plan(number: u64, name: &str) -> Kept {
-    Kept::new(number, name).unwrap()
+fn plan(number: u64, name: &str) -> ConfigDocument {
+    ConfigDocument::new(number, name).unwrap()
 }
 
-fn texts() -> Texts {
-    let mut texts = Texts::default();
+fn texts() -> DocumentCache {
+    let mut texts = DocumentCache::default();
     [plan(1, "one"), plan(2, "a"), plan(2, "b")]
         .iter()
         .for_each(|kept| texts.add(kept));
@@ -102,22 +105,22 @@
 
 impl Rules {
     /// What a placer asks next, and what it has become by asking.
-    fn orders(&self, world: &World, which: usize) -> (Maker, Vec<(u32, Order)>) {
+    fn orders(&self, world: &World, which: usize) -> (Proposer, Vec<(u32, Order)>) {
         let placer = &world.placers[which];
         let known = |n: usize| {
             if !self.heard[which][n] {
-                Kin::Unmet
+                PeerState::Unmet
             } else {
-                Kin::Told(world.nodes[n].record())
+                PeerState::Told(world.nodes[n].record())
             }
         };
         let nodes = (0..NODES).map(|n| (n as u32, known(n))).collect();
-        let mut fleet = Fleet {
+        let mut fleet = ClusterView {
             nodes,
-            ..Fleet::default()
+            ..ClusterView::default()
         };
         if !self.of_the_list {
-            fleet.nodes.retain(|_, kin| *kin != Kin::Unmet);
+            fleet.nodes.retain(|_, kin| *kin != PeerState::Unmet);
         }
         let own = plan(2, ["a", "b"][which]);
         let mut maker = placer.maker.clone();
@@ -148,7 +151,7 @@
 
 impl Model for Rules {
     type State = World;
-    type Action = Step;
+    type Action = ModelAction;
 
     fn init_states(&self) -> Vec<World> {
         let one = plan(1, "one");
@@ -157,12 +160,12 @@
             text: "one".into(),
             list: 0,
         };
-        let node = Memory {
+        let node = AcceptorState {
             taught: false,
-            ..Memory::default().after(&force, true).unwrap()
+            ..AcceptorState::default().after(&force, true).unwrap()
         };
         let placer = |life| Placer {
-            maker: Maker::new(life),
+            maker: Proposer::new(life),
             late: Vec::new(),
         };
         vec![World {
@@ -176,47 +179,47 @@
         }]
     }
 
-    fn actions(&self, world: &World, steps: &mut Vec<Step>) {
+    fn actions(&self, world: &World, steps: &mut Vec<ModelAction>) {
         for (placer, is) in world.placers.iter().enumerate() {
             let (_, orders) = self.orders(world, placer);
             for (node, _) in orders {
                 let node = node as usize;
-                steps.push(Step::Ask { placer, node });
+                steps.push(ModelAction::Ask { placer, node });
                 if world.delays < self.delays {
-                    steps.push(Step::Delay { placer, node });
+                    steps.push(ModelAction::Delay { placer, node });
                 }
             }
-            steps.extend((0..is.late.len()).map(|late| Step::Arrive { placer, late }));
-            if world.crashes < self.crashes && is.maker != Maker::new(placer as u64 + 1) {
-                steps.push(Step::Crash { placer });
+            steps.extend((0..is.late.len()).map(|late| ModelAction::Arrive { placer, late }));
+            if world.crashes < self.crashes && is.maker != Proposer::new(placer as u64 + 1) {
+                steps.push(ModelAction::Crash { placer });
             }
         }
         if world.fills < self.fills {
-            steps.extend((0..NODES).map(|node| Step::Fill { node }));
+            steps.extend((0..NODES).map(|node| ModelAction::Fill { node }));
         }
     }
 
-    fn next_state(&self, before: &World, step: Step) -> Option<World> {
+    fn next_state(&self, before: &World, step: ModelAction) -> Option<World> {
         let mut world = before.clone();
         match step {
-            Step::Ask { placer, node } => {
+            ModelAction::Ask { placer, node } => {
                 let order = self.order(&mut world, placer, node)?;
                 self.arrive(&mut world, node, &order);
             }
-            Step::Delay { placer, node } => {
+            ModelAction::Delay { placer, node } => {
                 let order = self.order(&mut world, placer, node)?;
                 world.delays += 1;
                 world.placers[placer].late.push((node, Late(order)));
             }
-            Step::Arrive { placer, late } => {
+            ModelAction::Arrive { placer, late } => {
                 let (node, Late(order)) = world.placers[placer].late.remove(late);
                 self.arrive(&mut world, node, &order);
             }
-            Step::Crash { placer } => {
+            ModelAction::Crash { placer } => {
                 world.crashes += 1;
-                world.placers[placer].maker = Maker::new(10 + placer as u64);
+                world.placers[placer].maker = Proposer::new(10 + placer as u64);
             }
-            Step::Fill { node } => {
+            ModelAction::Fill { node } => {
                 world.fills += 1;
                 world.full[node] = true;
             }
@@ -256,7 +259,7 @@
                 "no node takes offers by two plans without the joint form",
                 |_, world: &World| {
                     let plans = [plan(1, "one"), plan(2, "a"), plan(2, "b")];
-                    let stamp = |kept: &Kept, joint| Stamp {
+                    let stamp = |kept: &ConfigDocument, joint| Stamp {
                         version: kept.version(),
                         joint,
                         ..Stamp::default()
--- a/crates/settings/src/settings/plan.rs
+++ b/crates/settings/src/settings/plan.rs
@@ -9,7 +9,7 @@
 
 use reedring::{Effect, Group, Place, ReportField, ReportStyle};
 use reedring_nodeproto as wire;
-use reedring_plan::{Again, Bounds, ClassBounds, Kept, Over};
+use reedring_plan::{Bounds, ClassBounds, ConfigDocument, RepeatPolicy, SpreadDomain};
 
 use super::types::{Class, ComesAgain, Settings, Spread};
 use crate::problem::{Problem, Problems};
@@ -126,11 +126,11 @@
     ///
     /// # Errors
     /// Where its text is over the bound.
-    pub fn plan(&self) -> Result<Option<Kept>, Problems> {
+    pub fn plan(&self) -> Result<Option<ConfigDocument>, Problems> {
         let Some(plan) = &self.plan else {
             return Ok(None);
         };
-        let kept = Kept::new(plan.number, &self.plan_text());
+        let kept = ConfigDocument::new(plan.number, &self.plan_text());
         let wrong = |message: String| Problems(vec![Problem::of("plan", "plan.number", message)]);
         kept.map(Some).map_err(|error| wrong(error.to_string()))
     }
@@ -196,9 +196,9 @@
                 kind: kind.map(|kind| kind.name.clone()),
                 spread: class.spread.map(|spread| (over(spread.over), spread.most)),
                 again: match class.comes_again {
-                    ComesAgain::Always => Again::Always,
-                    ComesAgain::Ended => Again::Ended,
-                    ComesAgain::Never => Again::Never,
+                    ComesAgain::Always => RepeatPolicy::Always,
+                    ComesAgain::Ended => RepeatPolicy::Ended,
+                    ComesAgain::Never => RepeatPolicy::Never,
                 },
                 open: !class.closed,
             };
@@ -253,9 +253,9 @@
                 most,
             });
             class.comes_again = match bound.again {
-                Again::Always => ComesAgain::Always,
-                Again::Ended => ComesAgain::Ended,
-                Again::Never => ComesAgain::Never,
+                RepeatPolicy::Always => ComesAgain::Always,
+                RepeatPolicy::Ended => ComesAgain::Ended,
+                RepeatPolicy::Never => ComesAgain::Never,
             };
             class.closed = !bound.open;
         }
@@ -386,19 +386,19 @@
     }
 }
 
-fn over(place: Place) -> Over {
+fn over(place: Place) -> SpreadDomain {
     match place {
-        Place::Machine => Over::Machine,
-        Place::Cell => Over::Rack,
-        Place::Zone => Over::Hall,
+        Place::Machine => SpreadDomain::Machine,
+        Place::Cell => SpreadDomain::Rack,
+        Place::Zone => SpreadDomain::Hall,
     }
 }
 
-fn unover(over: Over) -> Place {
+fn unover(over: SpreadDomain) -> Place {
     match over {
-        Over::Machine => Place::Machine,
-        Over::Rack => Place::Cell,
-        Over::Hall => Place::Zone,
+        SpreadDomain::Machine => Place::Machine,
+        SpreadDomain::Rack => Place::Cell,
+        SpreadDomain::Hall => Place::Zone,
     }
 }
 
--- a/crates/standin/src/model/plans.rs
+++ b/crates/standin/src/model/plans.rs
@@ -6,7 +6,8 @@
 use reedring::names::machine_id;
 use reedring_nodeproto::{Message, Order, Reason, Record, Stamp};
 use reedring_plan::{
-    Declined, Delta, DeltaStep, Kept, LearnedFloor, Memory, Refusal, Seen, Version, delta,
+    AcceptorState, ConfigDocument, Delta, DeltaStep, LearnerState, OfferRejection, PlacerSighting,
+    RequestRejection, Version, delta,
 };
 
 use super::Node;
@@ -28,12 +29,12 @@
 #[derive(Default)]
 pub(super) struct Plans {
     /// What is acted by: further than what is durable where that could not be written.
-    acts: Memory,
+    acts: AcceptorState,
     keep: Option<Box<dyn Keep>>,
     /// The plan that was in force here before, for placers that are one behind; a restart loses it.
-    former: Option<Kept>,
+    former: Option<ConfigDocument>,
     /// What a learner goes by, in place of all the rest.
-    learned: LearnedFloor,
+    learned: LearnerState,
     /// What should be kept can't be written.
     stuck: bool,
     /// Since when the floor is what it is.
@@ -48,7 +49,7 @@
 
 impl Plans {
     /// Makes this the memory, durable first. Whether it is.
-    fn keep(&mut self, memory: Memory) -> bool {
+    fn keep(&mut self, memory: AcceptorState) -> bool {
         if let Some(keep) = &mut self.keep {
             let bytes = reedring_plan::write(&memory);
             self.writes = (self.writes.0 + 1, self.writes.1 + bytes.len() as u64);
@@ -63,7 +64,7 @@
     }
 
     /// Acts by this memory from now on.
-    fn take(&mut self, memory: Memory) {
+    fn take(&mut self, memory: AcceptorState) {
         if memory.force() != self.acts.force() {
             self.former = self.acts.force.take();
         }
@@ -89,7 +90,7 @@
 impl Node {
     /// Gives the node what a life before kept, and where it keeps what comes. `unix_s` is the time of day, in seconds
     /// since 1970, when the node's clock was 0.
-    pub fn remembers(&mut self, memory: Memory, keep: Option<Box<dyn Keep>>, unix_s: u64) {
+    pub fn remembers(&mut self, memory: AcceptorState, keep: Option<Box<dyn Keep>>, unix_s: u64) {
         let floor_us = self.started_us;
         self.plans = Plans {
             acts: memory,
@@ -148,7 +149,7 @@
         if self
             .plans
             .acts
-            .sees(machine_id(placer).0, Seen { level, at_s, build })
+            .sees(machine_id(placer).0, PlacerSighting { level, at_s, build })
         {
             self.plans.seen_due.get_or_insert(now_us + SEEN_US);
         }
@@ -236,7 +237,7 @@
                     self.tell_record(now_us);
                 }
             }
-            Err(Declined::Same) if self.plans.stuck => {
+            Err(RequestRejection::Same) if self.plans.stuck => {
                 // The same again, and there may be room now.
                 let memory = self.plans.acts.clone();
                 self.plans.keep(memory);
@@ -298,7 +299,7 @@
             .push(Effect::Send(link, Message::Record(record)));
     }
 
-    fn admits(&self, stamp: Option<&Stamp>) -> Result<(), Refusal> {
+    fn admits(&self, stamp: Option<&Stamp>) -> Result<(), OfferRejection> {
         if self.config.votes {
             self.plans.acts.admits(stamp)
         } else {
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -8,7 +8,7 @@
 
 use reedring_audit::{Event, Recorder};
 use reedring_nodeproto::{Message, PeerTraffic, Reader, Traffic, encode};
-use reedring_plan::Memory;
+use reedring_plan::AcceptorState;
 use reedring_state::Disk;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
@@ -152,9 +152,9 @@
                 node = config.name,
                 "plans: {why}; it keeps none over a restart"
             );
-            node.remembers(Memory::default(), None, epoch_s);
+            node.remembers(AcceptorState::default(), None, epoch_s);
         }
-        None => node.remembers(Memory::default(), None, epoch_s),
+        None => node.remembers(AcceptorState::default(), None, epoch_s),
     }
 }
 
--- a/crates/standin/src/slots.rs
+++ b/crates/standin/src/slots.rs
@@ -4,7 +4,7 @@
 
 use std::io;
 
-use reedring_plan::{Memory, read};
+use reedring_plan::{AcceptorState, read};
 use reedring_state::Folder;
 
 use crate::model::Keep;
@@ -25,12 +25,12 @@
     /// Keeps what comes.
     pub slots: Slots<F>,
     /// The last whole state; nothing where there is none.
-    pub memory: Memory,
+    pub memory: AcceptorState,
     /// What was wrong with slots that were passed by. With both of them there is nothing left of the memory.
     pub passed_by: Vec<String>,
 }
 
-fn parse(bytes: &[u8]) -> Result<(u64, Memory), String> {
+fn parse(bytes: &[u8]) -> Result<(u64, AcceptorState), String> {
     let short = || "it is cut short".to_owned();
     let (rest, sum) = bytes.split_last_chunk::<4>().ok_or_else(short)?;
     if crc32c::crc32c(rest).to_be_bytes() != *sum {
@@ -47,7 +47,7 @@
     /// # Errors
     /// Where it can't be read.
     pub fn open(folder: F) -> io::Result<Opened<F>> {
-        let (mut best, mut passed_by) = (None::<(u64, usize, Memory)>, Vec::new());
+        let (mut best, mut passed_by) = (None::<(u64, usize, AcceptorState)>, Vec::new());
         for (n, name) in SLOTS.into_iter().enumerate() {
             let Some(bytes) = folder.read(name)? else {
                 continue;
@@ -62,7 +62,7 @@
                 Err(why) => passed_by.push(format!("{}/{name}: {why}", folder.shown())),
             }
         }
-        let (sequence, slot, memory) = best.unwrap_or((0, 1, Memory::default()));
+        let (sequence, slot, memory) = best.unwrap_or((0, 1, AcceptorState::default()));
         Ok(Opened {
             slots: Self {
                 folder,
@@ -95,19 +95,19 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use reedring_plan::{Kept, Order};
+    use reedring_plan::{ConfigDocument, Order};
     use reedring_state::SimFolder;
 
-    fn memories() -> Vec<Memory> {
+    fn memories() -> Vec<AcceptorState> {
         let force = |number: u64, text: &str| {
-            let kept = Kept::new(number, text).unwrap();
+            let kept = ConfigDocument::new(number, text).unwrap();
             Order::Force {
                 version: kept.version(),
                 text: text.to_owned(),
                 list: 0,
             }
         };
-        let mut all = vec![Memory::default()];
+        let mut all = vec![AcceptorState::default()];
         for (number, text) in [
             (1, "one"),
             (2, "two, which is longer"),
--- a/crates/standin/tests/golden.rs
+++ b/crates/standin/tests/golden.rs
@@ -2,7 +2,7 @@
 //! files with equal bytes. The files are never written anew.
 
 use reedring_nodeproto::{Ballot, Order};
-use reedring_plan::{Kept, Memory, Seen, write};
+use reedring_plan::{ConfigDocument, AcceptorState, PlacerSighting, write};
 use reedring_standin::{Keep, Slots};
 use reedring_state::{Folder, SimFolder};
 
@@ -10,8 +10,8 @@
 const SLOT_B: &[u8] = include_bytes!("golden/plan.b");
 
 /// Three states that a node keeps one after another: a plan, a placer seen, the next plan decided.
-fn states() -> [Memory; 3] {
-    let plan = |number, text| Kept::new(number, text).unwrap();
+fn states() -> [AcceptorState; 3] {
+    let plan = |number, text| ConfigDocument::new(number, text).unwrap();
     let (one, two) = (
         plan(1, "[site]\nplacers = 3\n"),
         plan(2, "[site]\nplacers = 4\n"),
@@ -21,11 +21,11 @@
         text: one.text().to_owned(),
         list: 40,
     };
-    let first = Memory::default().after(&force, true).unwrap();
+    let first = AcceptorState::default().after(&force, true).unwrap();
     let mut second = first.clone();
     second.sees(
         0x0102_0304_0506_0708,
-        Seen {
+        PlacerSighting {
             level: 2,
             at_s: 1_700_000_000,
             build: 0xdead_beef,
--- a/crates/standin/tests/greetings.rs
+++ b/crates/standin/tests/greetings.rs
@@ -1,7 +1,7 @@
 //! A crowd at one node.
 
 use reedring_nodeproto::{Digest, Message, Order, Stamp, Version};
-use reedring_plan::Kept;
+use reedring_plan::ConfigDocument;
 use reedring_standin::{Config, Effect, Groups, Node};
 
 fn stamp(number: u64) -> Stamp {
@@ -31,7 +31,7 @@
         }
     };
     node.message(0, 0, hello(2), &mut groups);
-    let kept = Kept::new(3, "the plan").unwrap();
+    let kept = ConfigDocument::new(3, "the plan").unwrap();
     let force = Order::Force {
         version: kept.version(),
         text: "the plan".to_owned(),
--- a/crates/standin/tests/learners.rs
+++ b/crates/standin/tests/learners.rs
@@ -3,7 +3,7 @@
 use reedring_nodeproto::{
     AttemptId, Ballot, Group, Message, Order, Reason, Record, Repeat, Stamp, Task, Version, level,
 };
-use reedring_plan::Kept;
+use reedring_plan::ConfigDocument;
 use reedring_standin::{Config, Effect, Fleet, Groups, Node};
 
 fn stamp(number: u64, joint: bool) -> Stamp {
@@ -14,8 +14,8 @@
     }
 }
 
-fn plan(number: u64) -> Kept {
-    Kept::new(number, &format!("plan {number}")).unwrap()
+fn plan(number: u64) -> ConfigDocument {
+    ConfigDocument::new(number, &format!("plan {number}")).unwrap()
 }
 
 /// A learner with two placers, whose links have the numbers 1 and 2.
@@ -159,7 +159,7 @@
     );
     assert_eq!(site.offer(1, Some(stamp(2, true))), (Ok(()), None));
     let rival = Stamp {
-        version: Kept::new(2, "rival").unwrap().version(),
+        version: ConfigDocument::new(2, "rival").unwrap().version(),
         ..Stamp::default()
     };
     assert_eq!(
