--- a/crates/audit/src/judge/versions.rs
+++ b/crates/audit/src/judge/versions.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use reedring_nodeproto::{
-    AttemptId, Delta, DeltaStep, Edit, Message, Order, Reason, Record, SectionKey, Stamp, Version,
-    level,
+    AcceptorReport, AttemptId, ConfigRequest, ConfigVersion, Delta, DeltaStep, Edit, Message,
+    Reason, SectionKey, VersionStamp, version_level,
 };
 use serde::Deserialize;
 
@@ -38,13 +38,13 @@
 /// What one node told of itself last.
 #[derive(Debug, Default)]
 struct Node {
-    record: Option<Record>,
+    record: Option<AcceptorReport>,
     /// The floor that a learner has by what it told and by the offers that it read since; none where it keeps plans.
     learned: Option<u64>,
     /// The first plan that it told to be in force.
-    first: Option<Version>,
+    first: Option<ConfigVersion>,
     /// Plans that it told to have kept as joint, or as in force.
-    joint: BTreeSet<Version>,
+    joint: BTreeSet<ConfigVersion>,
 }
 
 impl Node {
@@ -56,8 +56,8 @@
     }
 
     /// An offer by this stamp raises a learner's floor to the joint form of its plan.
-    fn reads(&mut self, stamp: &Stamp) {
-        let raised = level(stamp.version, true);
+    fn reads(&mut self, stamp: &VersionStamp) {
+        let raised = version_level(stamp.version, true);
         self.learned = self.learned.map(|floor| floor.max(raised));
     }
 }
@@ -66,7 +66,7 @@
 #[derive(Debug)]
 struct Acted {
     time_us: u64,
-    stamp: Stamp,
+    stamp: VersionStamp,
 }
 
 #[derive(Debug, Default)]
@@ -84,21 +84,21 @@
 pub(super) struct Versions {
     nodes: BTreeMap<String, Node>,
     placers: BTreeMap<String, Placer>,
-    texts: BTreeMap<Version, Cold>,
+    texts: BTreeMap<ConfigVersion, Cold>,
     /// When a plan was first offered, joint anywhere, and in force anywhere.
-    steps: BTreeMap<Version, [Option<u64>; 3]>,
+    steps: BTreeMap<ConfigVersion, [Option<u64>; 3]>,
     /// Stamps of offers as nodes read them, with the floor there and then.
-    read: BTreeMap<AttemptId, (Option<Stamp>, u64, usize)>,
+    read: BTreeMap<AttemptId, (Option<VersionStamp>, u64, usize)>,
 }
 
 impl Versions {
-    fn step(&mut self, version: Version, step: usize, time_us: u64) {
+    fn step(&mut self, version: ConfigVersion, step: usize, time_us: u64) {
         if version.number > 0 {
             self.steps.entry(version).or_default()[step].get_or_insert(time_us);
         }
     }
 
-    fn text(&mut self, version: Version, text: &str) {
+    fn text(&mut self, version: ConfigVersion, text: &str) {
         if self.texts.contains_key(&version) {
             return;
         }
@@ -133,9 +133,9 @@
     }
 
     /// The stricter of a plan and, where joint, the one before.
-    fn bound(&self, stamp: &Stamp) -> Option<Cold> {
+    fn bound(&self, stamp: &VersionStamp) -> Option<Cold> {
         let new = *self.texts.get(&stamp.version)?;
-        let before = |version: &&Version| version.number + 1 == stamp.version.number;
+        let before = |version: &&ConfigVersion| version.number + 1 == stamp.version.number;
         let old = self
             .texts
             .keys()
@@ -157,7 +157,7 @@
     }
 
     /// Offers of a stamp that is under this node's floor are turned away at the door.
-    pub(super) fn turned_away(&self, node: &str, stamp: Option<&Stamp>) -> bool {
+    pub(super) fn turned_away(&self, node: &str, stamp: Option<&VersionStamp>) -> bool {
         let floor = self.nodes.get(node).map_or(0, Node::floor);
         stamp.is_some_and(|stamp| stamp.level() < floor)
     }
@@ -172,7 +172,7 @@
                 acts: Some((stamp, _)),
                 ..
             }
-            | Message::Plan(Order::Ask { stamp }) => {
+            | Message::ConfigRequest(ConfigRequest::Query { stamp }) => {
                 acts(versions, frame, stamp);
             }
             Message::Offer {
@@ -181,18 +181,19 @@
                 acts(versions, frame, stamp);
                 self.cold_part(frame, *stamp);
             }
-            Message::Plan(Order::Accept { version, text, .. }) => {
+            Message::ConfigRequest(ConfigRequest::Accept { version, text, .. }) => {
                 versions.text(*version, text);
                 versions.step(*version, 0, frame.time_us);
             }
-            Message::Plan(Order::ByDelta { step, delta, .. }) => {
+            Message::ConfigRequest(ConfigRequest::ByDelta { step, delta, .. }) => {
                 versions.changed_text(delta);
                 if let DeltaStep::Accept { .. } = step {
                     versions.step(delta.target, 0, frame.time_us);
                 }
             }
-            Message::Plan(
-                Order::Joint { version, text, .. } | Order::Force { version, text, .. },
+            Message::ConfigRequest(
+                ConfigRequest::EnterJoint { version, text, .. }
+                | ConfigRequest::Commit { version, text, .. },
             ) => {
                 versions.text(*version, text);
             }
@@ -201,7 +202,7 @@
     }
 
     /// Its part of a cold node's budget, by the stricter of the plans that it acts by.
-    fn cold_part(&mut self, frame: &Frame, stamp: Stamp) {
+    fn cold_part(&mut self, frame: &Frame, stamp: VersionStamp) {
         let born = self.nodes.get(&frame.peer).map(|life| life.started_us);
         let Some((bound, born)) = self.versions.bound(&stamp).zip(born) else {
             return;
@@ -254,15 +255,16 @@
                 record: Some(record),
                 ..
             }
-            | Message::Record(record) => self.recorded(frame, record),
+            | Message::AcceptorReport(record) => self.recorded(frame, record),
             Message::Accepted { attempt, .. } => {
                 let Some((stamp, floor, read)) = self.versions.read.get(attempt).copied() else {
                     return;
                 };
                 let node = self.versions.nodes.get(&frame.place);
                 let replaced = node.is_some_and(|node| {
-                    let later =
-                        |record: Record| Some(record.force) != node.first && node.first.is_some();
+                    let later = |record: AcceptorReport| {
+                        Some(record.force) != node.first && node.first.is_some()
+                    };
                     node.record.is_some_and(later) || node.learned.is_some() && floor > 0
                 });
                 let level = stamp.map(|stamp| stamp.level());
@@ -288,7 +290,7 @@
         }
     }
 
-    fn recorded(&mut self, frame: &Frame, record: &Record) {
+    fn recorded(&mut self, frame: &Frame, record: &AcceptorReport) {
         let versions = &mut self.versions;
         let node = versions.nodes.entry(frame.place.clone()).or_default();
         let before = node.record.replace(*record);
@@ -352,7 +354,7 @@
 
     /// One plan a number, and what became of each plan and placer, in lines.
     pub(super) fn plans_at_the_end(&mut self) {
-        let in_force: Vec<Version> = self
+        let in_force: Vec<ConfigVersion> = self
             .versions
             .steps
             .iter()
@@ -430,7 +432,7 @@
     }
 }
 
-fn acts(versions: &mut Versions, frame: &Frame, stamp: &Stamp) {
+fn acts(versions: &mut Versions, frame: &Frame, stamp: &VersionStamp) {
     let placer = versions.placers.entry(frame.place.clone()).or_default();
     // Links write by themselves, so what was decided before may be written after: only what goes on is news.
     let last = placer.acted.last().map_or(0, |acted| acted.stamp.level());
--- a/crates/audit/tests/rules.rs
+++ b/crates/audit/tests/rules.rs
@@ -3,8 +3,8 @@
 use reedring_audit::{Event, Frame, Recorder, Report, Rule, audit, read};
 use reedring_drmaa::framing::wrap;
 use reedring_nodeproto::{
-    AttemptId, Ballot, Digest, End, Held, HeldState, Introduced, Message, Order, Reason, Record,
-    Stamp, Task, Version, decode, encode,
+    AcceptedVersion, AcceptorReport, AttemptId, Ballot, ConfigDigest, ConfigRequest, ConfigVersion,
+    End, Held, HeldState, Message, Reason, Task, VersionStamp, decode, encode,
 };
 
 const SETTINGS: &str = r#"
@@ -90,7 +90,7 @@
         class: &str,
         node: &str,
         (request, number): (u64, u16),
-        stamp: Option<Stamp>,
+        stamp: Option<VersionStamp>,
     ) -> AttemptId {
         let task = Task {
             job: job.into(),
@@ -106,7 +106,7 @@
         task: Task,
         node: &str,
         (request, number): (u64, u16),
-        stamp: Option<Stamp>,
+        stamp: Option<VersionStamp>,
     ) -> AttemptId {
         let attempt = AttemptId {
             life: 1,
@@ -493,10 +493,10 @@
 
 // ---- Plans ----
 
-fn version(number: u64) -> Version {
-    Version {
+fn version(number: u64) -> ConfigVersion {
+    ConfigVersion {
         number,
-        digest: Digest([number as u8; 16]),
+        digest: ConfigDigest([number as u8; 16]),
     }
 }
 
@@ -504,21 +504,21 @@
 fn record(force: u64, next: Option<(u64, bool)>) -> Message {
     let introduced = |(number, joint)| {
         let ballot = Ballot { round: 1, by: 1 };
-        Introduced {
+        AcceptedVersion {
             ballot,
             version: version(number),
             joint,
         }
     };
-    Message::Record(Record {
+    Message::AcceptorReport(AcceptorReport {
         force: version(force),
         next: next.map(introduced),
-        ..Record::default()
+        ..AcceptorReport::default()
     })
 }
 
-fn stamp(number: u64, joint: bool) -> Option<Stamp> {
-    Some(Stamp {
+fn stamp(number: u64, joint: bool) -> Option<VersionStamp> {
+    Some(VersionStamp {
         version: version(number),
         joint,
         list: 1,
@@ -575,14 +575,18 @@
         trace.0.record(Event::NodeStarted, "a1", "", 1, b"");
         for (number, placers) in [(1, 1), (2, 3)] {
             let (version, text) = (version(number), text(placers));
-            let order = Order::Force {
+            let order = ConfigRequest::Commit {
                 version,
                 text,
                 list: 1,
             };
-            trace
-                .0
-                .record(Event::ToNode, "p", "a1", 1, &encode(&Message::Plan(order)));
+            trace.0.record(
+                Event::ToNode,
+                "p",
+                "a1",
+                1,
+                &encode(&Message::ConfigRequest(order)),
+            );
         }
         for n in 1..=offers {
             // By plan 1 alone all three are its own; by both, one.
@@ -601,18 +605,18 @@
 }
 
 /// A learner's record, by the plan whose joint form is its floor; 0 is none yet.
-fn learner(number: u64) -> Record {
-    let introduced = Introduced {
+fn learner(number: u64) -> AcceptorReport {
+    let introduced = AcceptedVersion {
         ballot: Ballot::default(),
         version: version(number),
         joint: true,
     };
     let next = (number > 0).then_some(introduced);
-    Record {
+    AcceptorReport {
         next,
         learns: true,
         stuck: true,
-        ..Record::default()
+        ..AcceptorReport::default()
     }
 }
 
@@ -627,7 +631,7 @@
         (stamp(3, true), true),
     ] {
         let trace = Trace::new();
-        trace.node("a1", &Message::Record(learner(0)));
+        trace.node("a1", &Message::AcceptorReport(learner(0)));
         for (n, by) in [(1, stamp(2, false)), (2, second)] {
             trace.taken(&format!("s.1.{n}"), "safe");
             let attempt = trace.offer_by(&format!("s.1.{n}"), "safe", "a1", (n, 0), by);
@@ -646,7 +650,7 @@
 #[test]
 fn a_learner_that_starts_again_may_accept_what_its_former_life_would_not() {
     let trace = Trace::new();
-    trace.node("a1", &Message::Record(learner(2)));
+    trace.node("a1", &Message::AcceptorReport(learner(2)));
     let (node, life, up_ms, can_suspend) = ("a1".to_owned(), 9, 0, true);
     trace.node(
         "a1",
@@ -700,7 +704,7 @@
     for (fourth, want) in [(1, vec![]), (2, vec![Rule::ColdNodes])] {
         let trace = Trace::new();
         trace.0.record(Event::NodeStarted, "a1", "", 1, b"");
-        trace.node("a1", &Message::Record(learner(0)));
+        trace.node("a1", &Message::AcceptorReport(learner(0)));
         for (n, plan) in [(1, 2), (2, 2), (3, 2), (4, fourth)] {
             trace.offer_by(
                 &format!("s.1.{n}"),
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use reedring_drmaa::rpc::{Call, Response};
-use reedring_nodeproto::{AttemptId, Message, Record, Stamp};
+use reedring_nodeproto::{AcceptorReport, AttemptId, Message, VersionStamp};
 use reedring_settings::{NodeList, Settings};
 use reedring_state::{Batch, Learned};
 
@@ -41,7 +41,7 @@
         /// It can suspend tasks.
         can_suspend: bool,
         /// What it keeps of plans; none where it speaks version 1.
-        record: Option<Record>,
+        record: Option<AcceptorReport>,
     },
     /// A message of a node. Messages of a link come after its `LinkUp` and before its `LinkDown`.
     Message {
@@ -131,7 +131,7 @@
     /// Replace the file of what was learned. Nothing waits for it.
     Learn(Box<Learned>),
     /// By what the placer acts from now on; it greets nodes with it.
-    Acts(Stamp),
+    Acts(VersionStamp),
     /// The settings that it acts by from now on; the node list is read by them.
     Settings(Box<Settings>),
     /// It takes nothing new until its staff act, or does again.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -69,9 +69,11 @@
 
 /// By what a placer of these settings greets nodes before it knows what is in force: the plan of its own file. None
 /// where the file has no `[plan]`.
-pub fn first_stamp(settings: &reedring_settings::Settings) -> Option<reedring_nodeproto::Stamp> {
+pub fn first_stamp(
+    settings: &reedring_settings::Settings,
+) -> Option<reedring_nodeproto::VersionStamp> {
     let version = settings.plan().ok().flatten()?.version();
-    Some(reedring_nodeproto::Stamp {
+    Some(reedring_nodeproto::VersionStamp {
         version,
         joint: false,
         list: 0,
--- a/crates/core/src/versions.rs
+++ b/crates/core/src/versions.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use reedring::{Event, Micros};
-use reedring_nodeproto::{Message, Order, Record, Stamp, Version};
+use reedring_nodeproto::{AcceptorReport, ConfigRequest, ConfigVersion, Message, VersionStamp};
 use reedring_plan::{
     ActiveConfig, ChangePhase, ClusterView, Compactor, ConfigDocument, Delta, DispatchBlock,
     DocumentCache, LeaseState, LocalConfig, Membership, PeerState, ProposalBackoff, Proposer,
@@ -50,7 +50,7 @@
     /// The newest plan in force whose text is here: what orders and answers may leave out.
     base: Option<ConfigDocument>,
     /// A plan of which a delta was told that does not make it: it is asked for whole.
-    whole: Option<Version>,
+    whole: Option<ConfigVersion>,
     texts: DocumentCache,
     kin: BTreeMap<NodeNo, PeerState>,
     /// When each node told last, on a link that may have ended since.
@@ -58,10 +58,10 @@
     /// A majority of the voters was heard before in this life.
     ever: bool,
     /// The newest plan in force that this life knows of, whatever nodes have forgotten.
-    force: Version,
+    force: ConfigVersion,
     lease_state: LeaseState,
     /// What became of each plan's text: settings, or why it can't be acted by.
-    plans: BTreeMap<Version, Result<Settings, String>>,
+    plans: BTreeMap<ConfigVersion, Result<Settings, String>>,
     /// The line that the staff were told last.
     line: String,
     /// Something was told since the last look: it is looked at once a turn.
@@ -110,7 +110,7 @@
             kin: BTreeMap::new(),
             heard: BTreeMap::new(),
             ever: false,
-            force: Version::default(),
+            force: ConfigVersion::default(),
             lease_state: LeaseState::Suspended(reedring_plan::SuspendReason::NoMajority),
             line: String::new(),
             dirty: false,
@@ -190,12 +190,12 @@
     }
 
     /// By what it decides now, for a node that reads it.
-    fn stamp(&self, list: u64) -> Stamp {
+    fn stamp(&self, list: u64) -> VersionStamp {
         let (version, joint) = match &self.lease_state {
             LeaseState::Active(acts) => acts.stamp(),
             _ => (self.own.version(), false),
         };
-        Stamp {
+        VersionStamp {
             version,
             joint,
             list,
@@ -219,7 +219,7 @@
     }
 
     /// Reads a plan's text as settings, once.
-    fn read(&mut self, version: Version) {
+    fn read(&mut self, version: ConfigVersion) {
         if let Some(text) = self
             .texts
             .get(version)
@@ -232,15 +232,16 @@
     }
 
     /// The same orders without what their nodes have already.
-    fn compact(&mut self, orders: Vec<(NodeNo, Order)>) -> Vec<(NodeNo, Order)> {
+    fn compact(&mut self, orders: Vec<(NodeNo, ConfigRequest)>) -> Vec<(NodeNo, ConfigRequest)> {
         if self.base.as_ref().map(ConfigDocument::version) != Some(self.force)
             && let Some(force) = self.texts.kept(self.force)
         {
             self.base = Some(force);
         }
         let (base, kin, whole) = (self.base.as_ref(), &self.kin, self.whole);
-        let compact = |(node, order): (NodeNo, Order)| {
-            let in_full = matches!(order, Order::Fetch { version, .. } if Some(version) == whole);
+        let compact = |(node, order): (NodeNo, ConfigRequest)| {
+            let in_full =
+                matches!(order, ConfigRequest::Fetch { version, .. } if Some(version) == whole);
             match kin
                 .get(&node)
                 .and_then(PeerState::record)
@@ -254,7 +255,7 @@
     }
 
     /// What can be done with a plan, after another or by itself.
-    fn can(&self, version: Version, force: Version) -> Usability {
+    fn can(&self, version: ConfigVersion, force: ConfigVersion) -> Usability {
         match self.plans.get(&version) {
             None => Usability::Missing,
             Some(Err(_)) => Usability::Unusable,
@@ -270,7 +271,7 @@
 
     /// The settings by which to act, in the numbers of those in use.
     fn settings(&self, acts: &ActiveConfig, linked: u32, used: &Settings) -> Option<Settings> {
-        let read = |version: Version| self.plans.get(&version)?.as_ref().ok();
+        let read = |version: ConfigVersion| self.plans.get(&version)?.as_ref().ok();
         let base = read(acts.next.unwrap_or(acts.force))?;
         let mut bounds = base.bounds();
         if let Some(old) = acts.next.and_then(|_| read(acts.force)) {
@@ -303,7 +304,7 @@
     fn proposes(
         &self,
         fleet: &ClusterView,
-        force: Version,
+        force: ConfigVersion,
     ) -> Result<Option<&ConfigDocument>, String> {
         let (own, linked, learned) = (self.own.version(), fleet.linked(), fleet.learned());
         if own.number <= force.number {
@@ -344,7 +345,12 @@
 
 impl Core {
     /// What a node keeps of plans, from its greeting; none where it speaks version 1.
-    pub(crate) fn node_greets(&mut self, now: Micros, number: NodeNo, record: Option<Record>) {
+    pub(crate) fn node_greets(
+        &mut self,
+        now: Micros,
+        number: NodeNo,
+        record: Option<AcceptorReport>,
+    ) {
         let Some(versions) = &mut self.versions else {
             return;
         };
@@ -360,15 +366,15 @@
     }
 
     /// What a node keeps of plans has changed, or was asked for.
-    pub(crate) fn node_records(&mut self, now: Micros, number: NodeNo, record: Record) {
+    pub(crate) fn node_records(&mut self, now: Micros, number: NodeNo, record: AcceptorReport) {
         let Some(versions) = &mut self.versions else {
             return;
         };
         let before = versions.kin.insert(number, PeerState::Told(record));
         versions.heard.insert(number, now);
         // What only says that the node is there need not be thought over at once.
-        let same = |old: &Record| {
-            Record {
+        let same = |old: &AcceptorReport| {
+            AcceptorReport {
                 floor_ms: record.floor_ms,
                 ..*old
             } == record
@@ -386,7 +392,7 @@
     }
 
     /// A node tells the text of a plan.
-    pub(crate) fn plan_text(&mut self, number: NodeNo, version: Version, text: &str) {
+    pub(crate) fn plan_text(&mut self, number: NodeNo, version: ConfigVersion, text: &str) {
         let Some(versions) = &mut self.versions else {
             return;
         };
@@ -457,7 +463,7 @@
     }
 
     /// By what an offer to this node is decided, where the node can read it.
-    pub(crate) fn stamp_for(&self, number: NodeNo) -> Option<Stamp> {
+    pub(crate) fn stamp_for(&self, number: NodeNo) -> Option<VersionStamp> {
         let versions = self
             .versions
             .as_ref()
@@ -557,7 +563,12 @@
             (ChangePhase::Quiet, Vec::new())
         };
         if !carries_on {
-            orders.retain(|(_, order)| !matches!(order, Order::Joint { .. } | Order::Force { .. }));
+            orders.retain(|(_, order)| {
+                !matches!(
+                    order,
+                    ConfigRequest::EnterJoint { .. } | ConfigRequest::Commit { .. }
+                )
+            });
         }
         let stamp = versions.stamp(self.list_revision);
         // Control machines are few: without a majority of them they are asked until one is heard.
@@ -572,7 +583,11 @@
         if changed || now >= versions.asked + every {
             // Voters hear by what this placer acts now, and it hears that they are there.
             versions.asked = now;
-            orders.extend(fleet.voters().map(|(node, _)| (node, Order::Ask { stamp })));
+            orders.extend(
+                fleet
+                    .voters()
+                    .map(|(node, _)| (node, ConfigRequest::Query { stamp })),
+            );
             self.outputs.push_back(Output::Acts(stamp));
         }
         if changed {
@@ -588,7 +603,7 @@
         orders.extend(
             held.to_raise
                 .iter()
-                .map(|node| (*node, Order::Raise { stamp })),
+                .map(|node| (*node, ConfigRequest::RaiseFloor { stamp })),
         );
         let orders = versions.compact(orders);
         let mut orders = versions.pace.due(now, orders);
@@ -617,7 +632,7 @@
         self.timers.set(versions.due, Timer::Plans);
         self.versions = Some(versions);
         for (node, order) in orders {
-            self.stage_send(now, node, Message::Plan(order));
+            self.stage_send(now, node, Message::ConfigRequest(order));
         }
     }
 
@@ -673,7 +688,7 @@
     /// One line for the staff each time that something else is so.
     fn tell_standing(&mut self, versions: &mut Versions, refused: Option<&String>) {
         let (own, force) = (versions.own.version(), versions.force);
-        let why = |version: &Version| match versions.plans.get(version) {
+        let why = |version: &ConfigVersion| match versions.plans.get(version) {
             Some(Err(why)) => format!(": {}", why.replace('\n', "; ")),
             _ => String::new(),
         };
@@ -694,7 +709,7 @@
                 format!("plans: sends nothing: {}", reason.word()),
             ),
             LeaseState::Active(ActiveConfig {
-                force: Version { number: 0, .. },
+                force: ConfigVersion { number: 0, .. },
                 next: Some(next),
                 ..
             }) => (Level::Info, format!("plans: plan {next} is the first one")),
--- a/crates/core/src/words.rs
+++ b/crates/core/src/words.rs
@@ -6,7 +6,7 @@
 use reedring::{AttemptId, Event, Listing, Micros, Note, Outcome as Fate, Reason};
 use reedring_drmaa::End;
 use reedring_drmaa::info::signal_name;
-use reedring_nodeproto::{self as wire, Held, HeldState, Message, Record, Topic};
+use reedring_nodeproto::{self as wire, AcceptorReport, Held, HeldState, Message, Topic};
 use reedring_settings::{Health, NodeList};
 
 use crate::constrain::News;
@@ -157,7 +157,7 @@
         life: u64,
         up_ms: u64,
         can_suspend: bool,
-        record: Option<Record>,
+        record: Option<AcceptorReport>,
     ) {
         let Some((number, node)) = self.nodes.named(name) else {
             return;
@@ -578,9 +578,9 @@
                 }
             }
             Message::Report { nonce, report } => self.probed(now, nonce, Some(report)),
-            Message::Record(record) => self.node_records(now, number, record),
-            Message::PlanText { version, text } => self.plan_text(number, version, &text),
-            Message::PlanDelta(delta) => self.plan_delta(number, &delta),
+            Message::AcceptorReport(record) => self.node_records(now, number, record),
+            Message::ConfigText { version, text } => self.plan_text(number, version, &text),
+            Message::ConfigDelta(delta) => self.plan_delta(number, &delta),
             // The rest is what placers say; the shell reads greetings itself.
             _ => {}
         }
--- a/crates/core/tests/changes.rs
+++ b/crates/core/tests/changes.rs
@@ -5,7 +5,7 @@
 
 use plans::{MS, SETTINGS, World, settings, settings_of_teams};
 use reedring_core::Input;
-use reedring_nodeproto::{Delta, Message, Order, encode};
+use reedring_nodeproto::{ConfigRequest, Delta, Message, encode};
 use reedring_settings::Settings;
 
 const SECOND: u64 = 1_000 * MS;
@@ -42,7 +42,10 @@
 fn is_plan(message: &Message) -> bool {
     matches!(
         message,
-        Message::Plan(_) | Message::Record(_) | Message::PlanText { .. } | Message::PlanDelta(_)
+        Message::ConfigRequest(_)
+            | Message::AcceptorReport(_)
+            | Message::ConfigText { .. }
+            | Message::ConfigDelta(_)
     )
 }
 
@@ -226,7 +229,7 @@
         now,
         Input::Message {
             node: "node-0".to_owned(),
-            message: Message::PlanDelta(wrong),
+            message: Message::ConfigDelta(wrong),
         },
     );
     world.turn(1);
@@ -241,7 +244,7 @@
     let fetches = |placer: usize| -> Vec<bool> {
         let sent = world.sent.iter().filter(|sent| sent.placer == placer);
         let fetch = |sent: &plans::Sent| match &sent.message {
-            Message::Plan(Order::Fetch { have, .. }) => Some(have.is_some()),
+            Message::ConfigRequest(ConfigRequest::Fetch { have, .. }) => Some(have.is_some()),
             _ => None,
         };
         sent.filter_map(fetch).collect()
--- a/crates/core/tests/plans/mod.rs
+++ b/crates/core/tests/plans/mod.rs
@@ -6,7 +6,7 @@
 use rand_core::Rng;
 use rand_pcg::Pcg32;
 use reedring_core::{Core, Input, Output, Start, first_stamp};
-use reedring_nodeproto::{Message, Order};
+use reedring_nodeproto::{ConfigRequest, Message};
 use reedring_plan::AcceptorState;
 use reedring_settings::{NodeEntry, NodeList, Settings};
 use reedring_standin::{Config, Effect, Groups, Keep, Node};
@@ -287,16 +287,18 @@
             });
         }
         match message {
-            Message::Plan(Order::Raise { .. }) => *self.raises.entry(*n).or_default() += 1,
+            Message::ConfigRequest(ConfigRequest::RaiseFloor { .. }) => {
+                *self.raises.entry(*n).or_default() += 1
+            }
             Message::Offer { .. } => *self.offers.entry(*n).or_default() += 1,
             _ => {}
         }
         let of_plans = matches!(
             message,
-            Message::Plan(_)
-                | Message::Record(_)
-                | Message::PlanText { .. }
-                | Message::PlanDelta(_)
+            Message::ConfigRequest(_)
+                | Message::AcceptorReport(_)
+                | Message::ConfigText { .. }
+                | Message::ConfigDelta(_)
         );
         self.plan_messages += u64::from(of_plans);
         let way = match &due {
--- a/crates/core/tests/quiet.rs
+++ b/crates/core/tests/quiet.rs
@@ -5,7 +5,7 @@
 
 use plans::{MS, World};
 use reedring_core::{Input, Output};
-use reedring_nodeproto::{Message, Order};
+use reedring_nodeproto::{ConfigRequest, Message};
 
 const SECOND: u64 = 1_000 * MS;
 
@@ -79,7 +79,7 @@
             .into_iter()
             .filter_map(|output| match output {
                 Output::Send {
-                    message: Message::Plan(Order::Ask { stamp }),
+                    message: Message::ConfigRequest(ConfigRequest::Query { stamp }),
                     ..
                 } => Some(stamp.list),
                 _ => None,
@@ -134,7 +134,7 @@
     for (n, node) in world.nodes.iter().enumerate() {
         let input = Input::Message {
             node: format!("node-{n}"),
-            message: Message::Record(node.record(world.now)),
+            message: Message::AcceptorReport(node.record(world.now)),
         };
         world.cores[0].handle(world.now, input);
     }
--- a/crates/nodeproto/src/codec.rs
+++ b/crates/nodeproto/src/codec.rs
@@ -9,7 +9,10 @@
 use crate::message::{
     AttemptId, End, Group, Held, HeldState, Message, Reason, Repeat, Task, Topic,
 };
-use crate::versions::{Ballot, DeltaStep, Digest, Introduced, Order, Record, Stamp, Version};
+use crate::versions::{
+    AcceptedVersion, AcceptorReport, Ballot, ConfigDigest, ConfigRequest, ConfigVersion, DeltaStep,
+    VersionStamp,
+};
 use crate::{MAX_NAME, MAX_PAYLOAD, MAX_PLAN, MAX_REPORT, MAX_TEXT};
 
 mod kind {
@@ -104,7 +107,7 @@
     put_text(out, text, MAX_TEXT);
 }
 
-pub(crate) fn put_version(out: &mut Vec<u8>, version: &Version) {
+pub(crate) fn put_version(out: &mut Vec<u8>, version: &ConfigVersion) {
     out.extend_from_slice(&version.number.to_be_bytes());
     out.extend_from_slice(&version.digest.0);
 }
@@ -114,14 +117,14 @@
     out.extend_from_slice(&ballot.by.to_be_bytes());
 }
 
-fn put_stamp(out: &mut Vec<u8>, stamp: &Stamp) {
+fn put_stamp(out: &mut Vec<u8>, stamp: &VersionStamp) {
     put_version(out, &stamp.version);
     out.push(u8::from(stamp.joint));
     out.extend_from_slice(&stamp.list.to_be_bytes());
     out.extend_from_slice(&stamp.build.to_be_bytes());
 }
 
-fn put_record(out: &mut Vec<u8>, record: &Record) {
+fn put_record(out: &mut Vec<u8>, record: &AcceptorReport) {
     put_version(out, &record.force);
     out.push(u8::from(record.next.is_some()));
     if let Some(next) = &record.next {
@@ -143,25 +146,25 @@
             out.push(0);
             put_ballot(out, ballot);
         }
-        DeltaStep::Joint => out.push(1),
-        DeltaStep::Force => out.push(2),
+        DeltaStep::EnterJoint => out.push(1),
+        DeltaStep::Commit => out.push(2),
     }
 }
 
-fn put_order(out: &mut Vec<u8>, order: &Order) {
+fn put_order(out: &mut Vec<u8>, order: &ConfigRequest) {
     match order {
-        Order::Ask { stamp } => {
+        ConfigRequest::Query { stamp } => {
             out.push(0);
             put_stamp(out, stamp);
         }
-        Order::Fetch {
+        ConfigRequest::Fetch {
             version,
             have: None,
         } => {
             out.push(1);
             put_version(out, version);
         }
-        Order::Fetch {
+        ConfigRequest::Fetch {
             version,
             have: Some(have),
         } => {
@@ -169,13 +172,13 @@
             put_version(out, version);
             put_version(out, have);
         }
-        Order::ByDelta { step, delta, list } => {
+        ConfigRequest::ByDelta { step, delta, list } => {
             out.push(8);
             put_step(out, step);
             put_delta(out, delta);
             out.extend_from_slice(&list.to_be_bytes());
         }
-        Order::Prepare {
+        ConfigRequest::Prepare {
             follows,
             ballot,
             list,
@@ -185,7 +188,7 @@
             put_ballot(out, ballot);
             out.extend_from_slice(&list.to_be_bytes());
         }
-        Order::Accept {
+        ConfigRequest::Accept {
             follows,
             ballot,
             version,
@@ -199,7 +202,7 @@
             put_text(out, text, MAX_PLAN);
             out.extend_from_slice(&list.to_be_bytes());
         }
-        Order::Joint {
+        ConfigRequest::EnterJoint {
             follows,
             version,
             text,
@@ -211,7 +214,7 @@
             put_text(out, text, MAX_PLAN);
             out.extend_from_slice(&list.to_be_bytes());
         }
-        Order::Force {
+        ConfigRequest::Commit {
             version,
             text,
             list,
@@ -221,7 +224,7 @@
             put_text(out, text, MAX_PLAN);
             out.extend_from_slice(&list.to_be_bytes());
         }
-        Order::Raise { stamp } => {
+        ConfigRequest::RaiseFloor { stamp } => {
             out.push(6);
             put_stamp(out, stamp);
         }
@@ -240,19 +243,21 @@
             reason: Reason::Superseded,
             ..
         }
-        | Message::Plan(
-            Order::Ask { .. }
-            | Order::Fetch { have: None, .. }
-            | Order::Prepare { .. }
-            | Order::Accept { .. }
-            | Order::Joint { .. }
-            | Order::Force { .. }
-            | Order::Raise { .. },
+        | Message::ConfigRequest(
+            ConfigRequest::Query { .. }
+            | ConfigRequest::Fetch { have: None, .. }
+            | ConfigRequest::Prepare { .. }
+            | ConfigRequest::Accept { .. }
+            | ConfigRequest::EnterJoint { .. }
+            | ConfigRequest::Commit { .. }
+            | ConfigRequest::RaiseFloor { .. },
+        )
+        | Message::AcceptorReport(_)
+        | Message::ConfigText { .. } => 2,
+        Message::ConfigRequest(
+            ConfigRequest::Fetch { have: Some(_), .. } | ConfigRequest::ByDelta { .. },
         )
-        | Message::Record(_)
-        | Message::PlanText { .. } => 2,
-        Message::Plan(Order::Fetch { have: Some(_), .. } | Order::ByDelta { .. })
-        | Message::PlanDelta(_) => 3,
+        | Message::ConfigDelta(_) => 3,
         _ => 1,
     }
 }
@@ -276,7 +281,7 @@
             record: Some(record),
             ..
         }
-        | Message::Record(record) => {
+        | Message::AcceptorReport(record) => {
             let learns = if record.learns { LEARNS } else { 0 };
             let deltas = if record.deltas { DELTAS } else { 0 };
             learns | deltas
@@ -425,20 +430,20 @@
             put_report(out, report);
             kind::REPORT
         }
-        Message::Plan(order) => {
+        Message::ConfigRequest(order) => {
             put_order(out, order);
             kind::PLAN
         }
-        Message::Record(record) => {
+        Message::AcceptorReport(record) => {
             put_record(out, record);
             kind::RECORD
         }
-        Message::PlanText { version, text } => {
+        Message::ConfigText { version, text } => {
             put_version(out, version);
             put_text(out, text, MAX_PLAN);
             kind::PLAN_TEXT
         }
-        Message::PlanDelta(delta) => {
+        Message::ConfigDelta(delta) => {
             put_delta(out, delta);
             kind::PLAN_DELTA
         }
@@ -589,10 +594,10 @@
     })
 }
 
-pub(crate) fn plan_version(input: &mut Input<'_>) -> ModalResult<Version> {
+pub(crate) fn plan_version(input: &mut Input<'_>) -> ModalResult<ConfigVersion> {
     let digest = winnow::token::take(16_usize)
-        .map(|bytes: &[u8]| Digest(bytes.try_into().unwrap_or_default()));
-    let version = (be_u64, digest).map(|(number, digest)| Version { number, digest });
+        .map(|bytes: &[u8]| ConfigDigest(bytes.try_into().unwrap_or_default()));
+    let version = (be_u64, digest).map(|(number, digest)| ConfigVersion { number, digest });
     version
         .context(label("the plan's version"))
         .parse_next(input)
@@ -605,9 +610,9 @@
         .parse_next(input)
 }
 
-fn stamp(input: &mut Input<'_>) -> ModalResult<Stamp> {
+fn stamp(input: &mut Input<'_>) -> ModalResult<VersionStamp> {
     let (version, joint, list, build) = (plan_version, flag, be_u64, be_u32).parse_next(input)?;
-    Ok(Stamp {
+    Ok(VersionStamp {
         version,
         joint,
         list,
@@ -615,11 +620,11 @@
     })
 }
 
-fn record(input: &mut Input<'_>) -> ModalResult<Record> {
+fn record(input: &mut Input<'_>) -> ModalResult<AcceptorReport> {
     let force = plan_version(input)?;
     let next = if flag(input)? {
         let (ballot, version, joint) = (ballot, plan_version, flag).parse_next(input)?;
-        Some(Introduced {
+        Some(AcceptedVersion {
             ballot,
             version,
             joint,
@@ -632,7 +637,7 @@
             .context(label("the record"))
             .parse_next(input)?;
     // Whether it is a learner's, and whether the node reads deltas, the header says.
-    Ok(Record {
+    Ok(AcceptorReport {
         force,
         next,
         promised,
@@ -657,24 +662,24 @@
         0 => DeltaStep::Accept {
             ballot: ballot(input)?,
         },
-        1 => DeltaStep::Joint,
-        2 => DeltaStep::Force,
+        1 => DeltaStep::EnterJoint,
+        2 => DeltaStep::Commit,
         _ => return Err(ErrMode::Backtrack(ContextError::new())),
     })
 }
 
-fn order(version: u8, input: &mut Input<'_>) -> ModalResult<Order> {
+fn order(version: u8, input: &mut Input<'_>) -> ModalResult<ConfigRequest> {
     Ok(match u8.context(label("the order")).parse_next(input)? {
-        0 => Order::Ask {
+        0 => ConfigRequest::Query {
             stamp: stamp(input)?,
         },
-        1 => Order::Fetch {
+        1 => ConfigRequest::Fetch {
             version: plan_version(input)?,
             have: None,
         },
         2 => {
             let (follows, ballot, list) = (plan_version, ballot, be_u64).parse_next(input)?;
-            Order::Prepare {
+            ConfigRequest::Prepare {
                 follows,
                 ballot,
                 list,
@@ -683,7 +688,7 @@
         3 => {
             let (follows, ballot, version, text, list) =
                 (plan_version, ballot, plan_version, plan_text, be_u64).parse_next(input)?;
-            Order::Accept {
+            ConfigRequest::Accept {
                 follows,
                 ballot,
                 version,
@@ -694,7 +699,7 @@
         4 => {
             let (follows, version, text, list) =
                 (plan_version, plan_version, plan_text, be_u64).parse_next(input)?;
-            Order::Joint {
+            ConfigRequest::EnterJoint {
                 follows,
                 version,
                 text,
@@ -703,25 +708,25 @@
         }
         5 => {
             let (version, text, list) = (plan_version, plan_text, be_u64).parse_next(input)?;
-            Order::Force {
+            ConfigRequest::Commit {
                 version,
                 text,
                 list,
             }
         }
-        6 => Order::Raise {
+        6 => ConfigRequest::RaiseFloor {
             stamp: stamp(input)?,
         },
         7 if version >= 3 => {
             let (version, have) = (plan_version, plan_version).parse_next(input)?;
-            Order::Fetch {
+            ConfigRequest::Fetch {
                 version,
                 have: Some(have),
             }
         }
         8 if version >= 3 => {
             let (step, delta, list) = (step, delta, be_u64).parse_next(input)?;
-            Order::ByDelta { step, delta, list }
+            ConfigRequest::ByDelta { step, delta, list }
         }
         _ => return Err(ErrMode::Backtrack(ContextError::new())),
     })
@@ -840,13 +845,13 @@
             let (nonce, report) = (be_u64, report).parse_next(input)?;
             Message::Report { nonce, report }
         }
-        kind::PLAN if version >= 2 => Message::Plan(order(version, input)?),
-        kind::RECORD if version >= 2 => Message::Record(record(input)?),
+        kind::PLAN if version >= 2 => Message::ConfigRequest(order(version, input)?),
+        kind::RECORD if version >= 2 => Message::AcceptorReport(record(input)?),
         kind::PLAN_TEXT if version >= 2 => {
             let (version, text) = (plan_version, plan_text).parse_next(input)?;
-            Message::PlanText { version, text }
+            Message::ConfigText { version, text }
         }
-        kind::PLAN_DELTA if version >= 3 => Message::PlanDelta(delta(input)?),
+        kind::PLAN_DELTA if version >= 3 => Message::ConfigDelta(delta(input)?),
         _ => return Ok(None),
     }))
 }
@@ -857,7 +862,7 @@
         record: Some(record),
         ..
     }
-    | Message::Record(record) = message
+    | Message::AcceptorReport(record) = message
     {
         record.learns = flags & LEARNS != 0;
         record.deltas = flags & DELTAS != 0;
--- a/crates/nodeproto/src/delta.rs
+++ b/crates/nodeproto/src/delta.rs
@@ -13,7 +13,7 @@
 use winnow::prelude::*;
 
 use crate::codec::{Input, label, plan_version, put_text, put_version, text};
-use crate::versions::Version;
+use crate::versions::ConfigVersion;
 use crate::{MAX_NAME, MAX_PLAN};
 
 /// The tables of a plan whose sections have names, in the order in which its text has them.
@@ -109,9 +109,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Delta {
     /// The plan that it changes.
-    pub base: Version,
+    pub base: ConfigVersion,
     /// The plan that comes of it.
-    pub target: Version,
+    pub target: ConfigVersion,
     /// The changes; each names another section.
     pub edits: Vec<Edit>,
 }
--- a/crates/nodeproto/src/frame.rs
+++ b/crates/nodeproto/src/frame.rs
@@ -17,7 +17,7 @@
     Long(u32),
     /// Another version.
     #[error("frame: version {0}, this end speaks 1 to {VERSION}")]
-    Version(u8),
+    ConfigVersion(u8),
     /// The checksum does not fit.
     #[error("frame: the checksum does not fit")]
     Checksum,
@@ -83,7 +83,7 @@
             return Err(FrameError::Long(length));
         }
         if !(1..=VERSION).contains(&version) {
-            return Err(FrameError::Version(version));
+            return Err(FrameError::ConfigVersion(version));
         }
         let body = HEADER + length as usize;
         if rest.len() < body + TRAILER {
--- a/crates/nodeproto/src/lib.rs
+++ b/crates/nodeproto/src/lib.rs
@@ -20,7 +20,10 @@
 pub use frame::{FrameError, Reader, encode};
 pub use message::{AttemptId, End, Group, Held, HeldState, Message, Reason, Repeat, Task, Topic};
 pub use traffic::{Count, Counts, MessageKind, PeerTraffic, Traffic};
-pub use versions::{Ballot, DeltaStep, Digest, Introduced, Order, Record, Stamp, Version, level};
+pub use versions::{
+    AcceptedVersion, AcceptorReport, Ballot, ConfigDigest, ConfigRequest, ConfigVersion, DeltaStep,
+    VersionStamp, version_level,
+};
 
 /// The newest version of the protocol that this crate speaks. A frame has version 1 unless it says what only
 /// version 2 can, so that who tells nothing of plans is read by every node; version 3 adds what changed between two
--- a/crates/nodeproto/src/message.rs
+++ b/crates/nodeproto/src/message.rs
@@ -1,7 +1,7 @@
 //! The messages, in the words of the field.
 
 use crate::delta::Delta;
-use crate::versions::{Order, Record, Stamp, Version};
+use crate::versions::{AcceptorReport, ConfigRequest, ConfigVersion, VersionStamp};
 
 /// One attempt to place a task: the life of the placer that made it, its request there, its number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -221,7 +221,7 @@
         /// Counts its links to this node, from 1; larger is newer.
         link: u64,
         /// By what it decides, and its build; from version 2 on.
-        acts: Option<(Stamp, String)>,
+        acts: Option<(VersionStamp, String)>,
     },
     /// Placer to node: take this task?
     Offer {
@@ -232,10 +232,10 @@
         /// Milliseconds within which an answer is of use; 0 without a bound.
         within_ms: u32,
         /// By what it was decided; from version 2 on.
-        stamp: Option<Stamp>,
+        stamp: Option<VersionStamp>,
     },
     /// Placer to node, from version 2 on: what concerns the plans that the node keeps.
-    Plan(Order),
+    ConfigRequest(ConfigRequest),
     /// Placer to node: give the attempt up. It is answered by [`Message::Ended`].
     Stop {
         /// The attempt.
@@ -272,19 +272,19 @@
         /// It can suspend tasks.
         can_suspend: bool,
         /// What it keeps of plans; from version 2 on.
-        record: Option<Record>,
+        record: Option<AcceptorReport>,
     },
     /// Node to placer, from version 2 on: what it keeps of plans, each time that changes and when it is asked.
-    Record(Record),
+    AcceptorReport(AcceptorReport),
     /// Node to placer, from version 2 on: the text of a plan; empty where it has none of that digest.
-    PlanText {
+    ConfigText {
         /// The plan.
-        version: Version,
+        version: ConfigVersion,
         /// Its text.
         text: String,
     },
     /// Node to placer, from version 3 on: in place of a plan's text, what changed from the plan that the placer has.
-    PlanDelta(Delta),
+    ConfigDelta(Delta),
     /// Node to placer, after the welcome: what it holds for this placer, in as many messages as it takes.
     Holds {
         /// The tasks.
--- a/crates/nodeproto/src/traffic.rs
+++ b/crates/nodeproto/src/traffic.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 use crate::message::Message;
-use crate::versions::Order;
+use crate::versions::ConfigRequest;
 
 /// The kinds of messages, with one kind for each order that concerns plans.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -24,29 +24,29 @@
     Resume,
     /// [`Message::Ack`].
     Ack,
-    /// [`Order::Ask`].
+    /// [`ConfigRequest::Query`].
     PlanAsk,
-    /// [`Order::Fetch`].
+    /// [`ConfigRequest::Fetch`].
     PlanFetch,
-    /// [`Order::Prepare`].
+    /// [`ConfigRequest::Prepare`].
     PlanPrepare,
-    /// [`Order::Accept`].
+    /// [`ConfigRequest::Accept`].
     PlanAccept,
-    /// [`Order::ByDelta`].
+    /// [`ConfigRequest::ByDelta`].
     PlanByDelta,
-    /// [`Order::Joint`].
+    /// [`ConfigRequest::EnterJoint`].
     PlanJoint,
-    /// [`Order::Force`].
+    /// [`ConfigRequest::Commit`].
     PlanForce,
-    /// [`Order::Raise`].
+    /// [`ConfigRequest::RaiseFloor`].
     PlanRaise,
     /// [`Message::Welcome`].
     Welcome,
-    /// [`Message::Record`].
-    Record,
-    /// [`Message::PlanText`].
+    /// [`Message::AcceptorReport`].
+    AcceptorReport,
+    /// [`Message::ConfigText`].
     PlanText,
-    /// [`Message::PlanDelta`].
+    /// [`Message::ConfigDelta`].
     PlanDelta,
     /// [`Message::Holds`].
     Holds,
@@ -81,7 +81,7 @@
         Self::PlanForce,
         Self::PlanRaise,
         Self::Welcome,
-        Self::Record,
+        Self::AcceptorReport,
         Self::PlanText,
         Self::PlanDelta,
         Self::Holds,
@@ -102,18 +102,18 @@
             Message::Suspend { .. } => Self::Suspend,
             Message::Resume { .. } => Self::Resume,
             Message::Ack { .. } => Self::Ack,
-            Message::Plan(Order::Ask { .. }) => Self::PlanAsk,
-            Message::Plan(Order::Fetch { .. }) => Self::PlanFetch,
-            Message::Plan(Order::Prepare { .. }) => Self::PlanPrepare,
-            Message::Plan(Order::Accept { .. }) => Self::PlanAccept,
-            Message::Plan(Order::ByDelta { .. }) => Self::PlanByDelta,
-            Message::Plan(Order::Joint { .. }) => Self::PlanJoint,
-            Message::Plan(Order::Force { .. }) => Self::PlanForce,
-            Message::Plan(Order::Raise { .. }) => Self::PlanRaise,
+            Message::ConfigRequest(ConfigRequest::Query { .. }) => Self::PlanAsk,
+            Message::ConfigRequest(ConfigRequest::Fetch { .. }) => Self::PlanFetch,
+            Message::ConfigRequest(ConfigRequest::Prepare { .. }) => Self::PlanPrepare,
+            Message::ConfigRequest(ConfigRequest::Accept { .. }) => Self::PlanAccept,
+            Message::ConfigRequest(ConfigRequest::ByDelta { .. }) => Self::PlanByDelta,
+            Message::ConfigRequest(ConfigRequest::EnterJoint { .. }) => Self::PlanJoint,
+            Message::ConfigRequest(ConfigRequest::Commit { .. }) => Self::PlanForce,
+            Message::ConfigRequest(ConfigRequest::RaiseFloor { .. }) => Self::PlanRaise,
             Message::Welcome { .. } => Self::Welcome,
-            Message::Record(_) => Self::Record,
-            Message::PlanText { .. } => Self::PlanText,
-            Message::PlanDelta(_) => Self::PlanDelta,
+            Message::AcceptorReport(_) => Self::AcceptorReport,
+            Message::ConfigText { .. } => Self::PlanText,
+            Message::ConfigDelta(_) => Self::PlanDelta,
             Message::Holds { .. } => Self::Holds,
             Message::Accepted { .. } => Self::Accepted,
             Message::Refused { .. } => Self::Refused,
@@ -142,7 +142,7 @@
             Self::PlanForce => "plan-force",
             Self::PlanRaise => "plan-raise",
             Self::Welcome => "welcome",
-            Self::Record => "record",
+            Self::AcceptorReport => "record",
             Self::PlanText => "plan-text",
             Self::PlanDelta => "plan-delta",
             Self::Holds => "holds",
@@ -161,7 +161,7 @@
             Self::Hello
                 | Self::Welcome
                 | Self::Holds
-                | Self::Record
+                | Self::AcceptorReport
                 | Self::PlanText
                 | Self::PlanDelta
                 | Self::PlanAsk
--- a/crates/nodeproto/src/versions.rs
+++ b/crates/nodeproto/src/versions.rs
@@ -4,9 +4,9 @@
 
 /// The first half of the SHA-256 of a plan's canonical text.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Digest(pub [u8; 16]);
+pub struct ConfigDigest(pub [u8; 16]);
 
-impl std::fmt::Display for Digest {
+impl std::fmt::Display for ConfigDigest {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         self.0
             .iter()
@@ -15,7 +15,7 @@
     }
 }
 
-impl std::fmt::Debug for Digest {
+impl std::fmt::Debug for ConfigDigest {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{self}")
     }
@@ -23,14 +23,14 @@
 
 /// A plan: its number and the digest of its text. Number 0 is no plan.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Version {
+pub struct ConfigVersion {
     /// The number; a later plan has a greater one.
     pub number: u64,
     /// The digest.
-    pub digest: Digest,
+    pub digest: ConfigDigest,
 }
 
-impl std::fmt::Display for Version {
+impl std::fmt::Display for ConfigVersion {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{}/{}", self.number, self.digest)
     }
@@ -47,9 +47,9 @@
 
 /// By what a placer decided.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Stamp {
+pub struct VersionStamp {
     /// The plan. Where `joint`, the one that is being introduced.
-    pub version: Version,
+    pub version: ConfigVersion,
     /// It acts by the stricter bound of that plan and the one before, in each respect.
     pub joint: bool,
     /// Revision of the node list; 0 where the list has none.
@@ -59,38 +59,38 @@
 }
 
 /// Where between two plans something stands: twice the number, and one less where it is joint with the one before.
-pub fn level(version: Version, joint: bool) -> u64 {
+pub fn version_level(version: ConfigVersion, joint: bool) -> u64 {
     version
         .number
         .saturating_mul(2)
         .saturating_sub(u64::from(joint))
 }
 
-impl Stamp {
+impl VersionStamp {
     /// Its level: offers under a node's own are refused there.
     pub fn level(&self) -> u64 {
-        level(self.version, self.joint)
+        version_level(self.version, self.joint)
     }
 }
 
 /// A plan that a node keeps and does not admit yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Introduced {
+pub struct AcceptedVersion {
     /// With which ballot it was kept.
     pub ballot: Ballot,
     /// The plan.
-    pub version: Version,
+    pub version: ConfigVersion,
     /// Placers act by the stricter of both; offers by the older plan alone are refused.
     pub joint: bool,
 }
 
 /// What a node keeps of plans, in few words.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Record {
+pub struct AcceptorReport {
     /// The plan in force; number 0 where there is none.
-    pub force: Version,
+    pub force: ConfigVersion,
     /// The one that is being introduced.
-    pub next: Option<Introduced>,
+    pub next: Option<AcceptedVersion>,
     /// The greatest ballot that it has answered.
     pub promised: Ballot,
     /// The greatest revision of the node list that it was told.
@@ -110,12 +110,12 @@
     pub deltas: bool,
 }
 
-impl Record {
+impl AcceptorReport {
     /// Offers under this level are refused.
     pub fn floor(&self) -> u64 {
         match &self.next {
-            Some(next) if next.joint => level(next.version, true),
-            _ => level(self.force, false),
+            Some(next) if next.joint => version_level(next.version, true),
+            _ => version_level(self.force, false),
         }
     }
 }
@@ -123,36 +123,36 @@
 /// Which order a delta stands in for a text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum DeltaStep {
-    /// [`Order::Accept`].
+    /// [`ConfigRequest::Accept`].
     Accept {
         /// The ballot.
         ballot: Ballot,
     },
-    /// [`Order::Joint`].
-    Joint,
-    /// [`Order::Force`].
-    Force,
+    /// [`ConfigRequest::EnterJoint`].
+    EnterJoint,
+    /// [`ConfigRequest::Commit`].
+    Commit,
 }
 
 /// What a placer asks of a node's memory. `list` is the revision of the sender's node list.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Order {
+pub enum ConfigRequest {
     /// Tell what you keep, and know by what the sender acts.
-    Ask {
+    Query {
         /// By what.
-        stamp: Stamp,
+        stamp: VersionStamp,
     },
     /// Tell the text of this plan.
     Fetch {
         /// The plan.
-        version: Version,
+        version: ConfigVersion,
         /// A plan whose text the sender has: what changed since will do. From version 3 on.
-        have: Option<Version>,
+        have: Option<ConfigVersion>,
     },
     /// Answer no smaller ballot any more, and tell what you have kept.
     Prepare {
         /// The plan in force, as the sender knows it.
-        follows: Version,
+        follows: ConfigVersion,
         /// The ballot.
         ballot: Ballot,
         /// The list.
@@ -161,11 +161,11 @@
     /// Keep this plan as the one to introduce.
     Accept {
         /// The plan in force, as the sender knows it.
-        follows: Version,
+        follows: ConfigVersion,
         /// The ballot.
         ballot: Ballot,
         /// The plan.
-        version: Version,
+        version: ConfigVersion,
         /// Its text.
         text: String,
         /// The list.
@@ -181,28 +181,28 @@
         list: u64,
     },
     /// A majority of the voters has kept this plan with one ballot: it is the next one.
-    Joint {
+    EnterJoint {
         /// The plan that it follows.
-        follows: Version,
+        follows: ConfigVersion,
         /// The plan.
-        version: Version,
+        version: ConfigVersion,
         /// Its text; empty for a node that was seen to keep it and reads version 3.
         text: String,
         /// The list.
         list: u64,
     },
     /// A majority of the voters is joint, or further: this plan is in force.
-    Force {
+    Commit {
         /// The plan.
-        version: Version,
+        version: ConfigVersion,
         /// Its text; empty for a node that was seen to keep it and reads version 3.
         text: String,
         /// The list.
         list: u64,
     },
     /// To a learner, from a placer that acts by this stamp: raise your floor to the joint form of its plan.
-    Raise {
+    RaiseFloor {
         /// By what the sender acts.
-        stamp: Stamp,
+        stamp: VersionStamp,
     },
 }
--- a/crates/nodeproto/tests/frames.rs
+++ b/crates/nodeproto/tests/frames.rs
@@ -66,10 +66,10 @@
     prop::collection::vec(-1e9..1e9, 0..MAX_REPORT)
 }
 
-fn version() -> impl Strategy<Value = Version> {
-    (any::<u64>(), any::<[u8; 16]>()).prop_map(|(number, digest)| Version {
+fn version() -> impl Strategy<Value = ConfigVersion> {
+    (any::<u64>(), any::<[u8; 16]>()).prop_map(|(number, digest)| ConfigVersion {
         number,
-        digest: Digest(digest),
+        digest: ConfigDigest(digest),
     })
 }
 
@@ -77,9 +77,9 @@
     (any::<u64>(), any::<u64>()).prop_map(|(round, by)| Ballot { round, by })
 }
 
-fn stamp() -> impl Strategy<Value = Stamp> {
+fn stamp() -> impl Strategy<Value = VersionStamp> {
     (version(), any::<bool>(), any::<u64>(), any::<u32>()).prop_map(
-        |(version, joint, list, build)| Stamp {
+        |(version, joint, list, build)| VersionStamp {
             version,
             joint,
             list,
@@ -88,9 +88,9 @@
     )
 }
 
-fn record() -> impl Strategy<Value = Record> {
+fn record() -> impl Strategy<Value = AcceptorReport> {
     let next = (ballot(), version(), any::<bool>());
-    let next = next.prop_map(|(ballot, version, joint)| Introduced {
+    let next = next.prop_map(|(ballot, version, joint)| AcceptedVersion {
         ballot,
         version,
         joint,
@@ -105,7 +105,7 @@
     );
     (version(), prop::option::of(next), ballot(), rest).prop_map(
         |(force, next, promised, (list, floor_ms, linked, behind, (stuck, learns, deltas)))| {
-            Record {
+            AcceptorReport {
                 force,
                 next,
                 promised,
@@ -121,7 +121,7 @@
     )
 }
 
-fn delta(base: Version, target: Version, text: &str) -> Delta {
+fn delta(base: ConfigVersion, target: ConfigVersion, text: &str) -> Delta {
     let key = SectionKey::Named {
         table: Table::Tenant,
         name: format!("\"{text}\""),
@@ -138,7 +138,7 @@
     }
 }
 
-fn order() -> impl Strategy<Value = Order> {
+fn order() -> impl Strategy<Value = ConfigRequest> {
     let all = (
         0..9,
         stamp(),
@@ -148,51 +148,51 @@
         any::<u64>(),
     );
     all.prop_map(|(kind, stamp, version, ballot, text, list)| match kind {
-        0 => Order::Ask { stamp },
-        1 => Order::Fetch {
+        0 => ConfigRequest::Query { stamp },
+        1 => ConfigRequest::Fetch {
             version,
             have: None,
         },
-        6 => Order::Fetch {
+        6 => ConfigRequest::Fetch {
             version,
             have: Some(stamp.version),
         },
         7 => {
             let step = [
                 DeltaStep::Accept { ballot },
-                DeltaStep::Joint,
-                DeltaStep::Force,
+                DeltaStep::EnterJoint,
+                DeltaStep::Commit,
             ][list as usize % 3];
-            Order::ByDelta {
+            ConfigRequest::ByDelta {
                 step,
                 delta: delta(stamp.version, version, &text),
                 list,
             }
         }
-        2 => Order::Prepare {
+        2 => ConfigRequest::Prepare {
             follows: stamp.version,
             ballot,
             list,
         },
-        3 => Order::Accept {
+        3 => ConfigRequest::Accept {
             follows: stamp.version,
             ballot,
             version,
             text,
             list,
         },
-        4 => Order::Joint {
+        4 => ConfigRequest::EnterJoint {
             follows: stamp.version,
             version,
             text,
             list,
         },
-        5 => Order::Force {
+        5 => ConfigRequest::Commit {
             version,
             text,
             list,
         },
-        _ => Order::Raise { stamp },
+        _ => ConfigRequest::RaiseFloor { stamp },
     })
 }
 
@@ -212,11 +212,12 @@
             link: life ^ 5,
             acts: Some((stamp, "0.2.0".to_owned())),
         }),
-        order().prop_map(Message::Plan),
-        record().prop_map(Message::Record),
-        (version(), "[a-z ]{0,40}").prop_map(|(version, text)| Message::PlanText { version, text }),
+        order().prop_map(Message::ConfigRequest),
+        record().prop_map(Message::AcceptorReport),
+        (version(), "[a-z ]{0,40}")
+            .prop_map(|(version, text)| Message::ConfigText { version, text }),
         (version(), version(), "[a-z ]{0,40}")
-            .prop_map(|(base, target, text)| Message::PlanDelta(delta(base, target, &text))),
+            .prop_map(|(base, target, text)| Message::ConfigDelta(delta(base, target, &text))),
         (attempt(), task(), any::<u32>(), prop::option::of(stamp())).prop_map(
             |(attempt, task, within_ms, stamp)| Message::Offer {
                 attempt,
@@ -318,7 +319,10 @@
     assert_eq!(reader.next_message().unwrap_err(), FrameError::Long(65_537));
     let mut reader = Reader::default();
     reader.push(&[0, 0, 0, 8, 9, 4, 0, 0]);
-    assert_eq!(reader.next_message().unwrap_err(), FrameError::Version(9));
+    assert_eq!(
+        reader.next_message().unwrap_err(),
+        FrameError::ConfigVersion(9)
+    );
     let long = Message::Hello {
         placer: "ä".repeat(MAX_NAME),
         life: 1,
@@ -361,35 +365,35 @@
 /// Ends of the former version: what they write is read, and what is written to them is what they always read.
 #[test]
 fn ends_of_version_2_and_3_read_each_other() {
-    let version = Version {
+    let version = ConfigVersion {
         number: 5,
-        digest: Digest([7; 16]),
+        digest: ConfigDigest([7; 16]),
     };
     let told: Vec<u8> = [&5_u64.to_be_bytes()[..], &[7; 16]].concat();
     // What a placer of version 2 asks for, and what one of version 3 asks a node of version 2 for.
     let ask_in_full = frame(2, 8, 0, &[&[1], &told[..]].concat());
-    let fetch = Message::Plan(Order::Fetch {
+    let fetch = Message::ConfigRequest(ConfigRequest::Fetch {
         version,
         have: None,
     });
     assert_eq!(encode(&fetch), ask_in_full);
     assert_eq!(decode(&ask_in_full).unwrap(), fetch);
     // What only version 3 has says so in its header, and is none of version 2.
-    let have = Version {
+    let have = ConfigVersion {
         number: 4,
-        digest: Digest([6; 16]),
+        digest: ConfigDigest([6; 16]),
     };
     let had = [&4_u64.to_be_bytes()[..], &[6; 16]].concat();
     let body = [&[7], &told[..], &had].concat();
-    let fetch = Message::Plan(Order::Fetch {
+    let fetch = Message::ConfigRequest(ConfigRequest::Fetch {
         version,
         have: Some(have),
     });
     assert_eq!(encode(&fetch), frame(3, 8, 0, &body));
     assert_eq!(decode(&frame(3, 8, 0, &body)).unwrap(), fetch);
     assert!(decode(&frame(2, 8, 0, &body)).is_err());
-    let accept = Message::Plan(Order::ByDelta {
-        step: DeltaStep::Joint,
+    let accept = Message::ConfigRequest(ConfigRequest::ByDelta {
+        step: DeltaStep::EnterJoint,
         delta: delta(have, version, "t"),
         list: 1,
     });
@@ -401,9 +405,9 @@
 /// A record is of version 2 to the byte: that its node reads deltas is a flag that former ends pass by.
 #[test]
 fn a_record_tells_former_ends_nothing_new() {
-    let version = Version {
+    let version = ConfigVersion {
         number: 5,
-        digest: Digest([7; 16]),
+        digest: ConfigDigest([7; 16]),
     };
     let body = [
         &[0, 0, 0, 0, 0, 0, 0, 5][..],
@@ -415,33 +419,39 @@
         &[0, 3, 0, 1, 1],
     ]
     .concat();
-    let record = Record {
+    let record = AcceptorReport {
         force: version,
         list: 9,
         floor_ms: 256,
         linked: 3,
         behind: 1,
         stuck: true,
-        ..Record::default()
+        ..AcceptorReport::default()
     };
-    let deltas = Record {
+    let deltas = AcceptorReport {
         deltas: true,
         ..record
     };
-    assert_eq!(encode(&Message::Record(record)), frame(2, 72, 0, &body));
-    assert_eq!(encode(&Message::Record(deltas)), frame(2, 72, 2, &body));
+    assert_eq!(
+        encode(&Message::AcceptorReport(record)),
+        frame(2, 72, 0, &body)
+    );
+    assert_eq!(
+        encode(&Message::AcceptorReport(deltas)),
+        frame(2, 72, 2, &body)
+    );
     assert_eq!(
         decode(&frame(2, 72, 0, &body)).unwrap(),
-        Message::Record(record)
+        Message::AcceptorReport(record)
     );
     assert_eq!(
         decode(&frame(2, 72, 2, &body)).unwrap(),
-        Message::Record(deltas)
+        Message::AcceptorReport(deltas)
     );
     // Flags that are not known yet are passed by, and so they are on messages without a record.
     assert_eq!(
         decode(&frame(2, 72, 0xf0, &body)).unwrap(),
-        Message::Record(record)
+        Message::AcceptorReport(record)
     );
     assert_eq!(
         decode(&frame(1, 4, 2, &[0; 8])).unwrap(),
@@ -470,7 +480,7 @@
 }
 
 /// The body of a record, field by field as documented.
-fn former_body(record: &Record) -> Vec<u8> {
+fn former_body(record: &AcceptorReport) -> Vec<u8> {
     let mut body = Vec::new();
     body.extend(record.force.number.to_be_bytes());
     body.extend(record.force.digest.0);
@@ -492,37 +502,37 @@
     body
 }
 
-fn learner_record() -> Record {
-    let version = Version {
+fn learner_record() -> AcceptorReport {
+    let version = ConfigVersion {
         number: 7,
-        digest: Digest([9; 16]),
+        digest: ConfigDigest([9; 16]),
     };
-    let next = Some(Introduced {
+    let next = Some(AcceptedVersion {
         ballot: Ballot::default(),
         version,
         joint: true,
     });
-    Record {
+    AcceptorReport {
         next,
         floor_ms: 5,
         linked: 3,
         behind: 1,
         stuck: true,
         learns: true,
-        ..Record::default()
+        ..AcceptorReport::default()
     }
 }
 
 #[test]
 fn a_record_of_the_former_version_is_read_as_a_voters() {
-    let record = Record {
+    let record = AcceptorReport {
         learns: false,
         ..learner_record()
     };
     let bytes = former_frame(72, &former_body(&record));
-    assert_eq!(decode(&bytes), Ok(Message::Record(record)));
+    assert_eq!(decode(&bytes), Ok(Message::AcceptorReport(record)));
     assert_eq!(
-        encode(&Message::Record(record)),
+        encode(&Message::AcceptorReport(record)),
         bytes,
         "what keeps plans writes what it always wrote"
     );
@@ -532,12 +542,12 @@
 #[test]
 fn a_learners_record_is_the_former_bytes_but_for_one_flag_of_the_header() {
     let record = learner_record();
-    let bytes = encode(&Message::Record(record));
+    let bytes = encode(&Message::AcceptorReport(record));
     let former = former_frame(72, &former_body(&record));
     let (head, body) = (&bytes[..8], &bytes[8..bytes.len() - 4]);
     assert_eq!((&head[..6], &head[6..]), (&former[..6], &[1, 0][..]));
     assert_eq!(body, &former[8..former.len() - 4]);
-    assert_eq!(decode(&bytes), Ok(Message::Record(record)));
+    assert_eq!(decode(&bytes), Ok(Message::AcceptorReport(record)));
 }
 
 /// A later version may set flags that this one does not know.
@@ -553,12 +563,12 @@
 
 #[test]
 fn the_level_of_any_number_that_a_frame_can_hold_is_a_level() {
-    let version = Version {
+    let version = ConfigVersion {
         number: u64::MAX,
-        ..Version::default()
+        ..ConfigVersion::default()
     };
     assert_eq!(
-        (level(version, false), level(version, true)),
+        (version_level(version, false), version_level(version, true)),
         (u64::MAX, u64::MAX - 1)
     );
 }
--- a/crates/nodeproto/tests/golden.rs
+++ b/crates/nodeproto/tests/golden.rs
@@ -79,10 +79,10 @@
     }
 }
 
-fn version(number: u64) -> Version {
-    Version {
+fn version(number: u64) -> ConfigVersion {
+    ConfigVersion {
         number,
-        digest: Digest(std::array::from_fn(|n| number as u8 * 16 + n as u8)),
+        digest: ConfigDigest(std::array::from_fn(|n| number as u8 * 16 + n as u8)),
     }
 }
 
@@ -93,8 +93,8 @@
     }
 }
 
-fn stamp(joint: bool) -> Stamp {
-    Stamp {
+fn stamp(joint: bool) -> VersionStamp {
+    VersionStamp {
         version: version(7),
         joint,
         list: 41,
@@ -102,8 +102,8 @@
     }
 }
 
-fn record() -> Record {
-    Record {
+fn record() -> AcceptorReport {
+    AcceptorReport {
         force: version(6),
         next: None,
         promised: ballot(),
@@ -117,13 +117,13 @@
     }
 }
 
-fn introduced(joint: bool) -> Record {
-    let next = Introduced {
+fn introduced(joint: bool) -> AcceptorReport {
+    let next = AcceptedVersion {
         ballot: ballot(),
         version: version(7),
         joint,
     };
-    Record {
+    AcceptorReport {
         next: Some(next),
         stuck: joint,
         deltas: true,
@@ -131,9 +131,9 @@
     }
 }
 
-fn learner() -> Record {
-    Record {
-        force: Version::default(),
+fn learner() -> AcceptorReport {
+    AcceptorReport {
+        force: ConfigVersion::default(),
         stuck: true,
         learns: true,
         deltas: true,
@@ -209,7 +209,7 @@
         can_suspend,
         record,
     };
-    let record_with = |name: &str, record| (format!("record-{name}"), Message::Record(record));
+    let record_with = |name: &str, record| (format!("record-{name}"), Message::AcceptorReport(record));
     vec![
         ("hello".into(), hello(None)),
         (
@@ -231,13 +231,13 @@
             welcome(true, Some(learner())),
         ),
         record_with("plain", record()),
-        record_with("empty", Record::default()),
+        record_with("empty", AcceptorReport::default()),
         record_with("introduced", introduced(false)),
         record_with("joint", introduced(true)),
         record_with("learner", learner()),
         record_with(
             "learner-former",
-            Record {
+            AcceptorReport {
                 deltas: false,
                 ..learner()
             },
@@ -411,10 +411,10 @@
 /// Agreement on plans.
 fn plan_messages() -> Vec<(String, Message)> {
     let (follows, wanted, list) = (version(6), version(7), 41);
-    let ask = |joint| Order::Ask {
+    let ask = |joint| ConfigRequest::Query {
         stamp: stamp(joint),
     };
-    let by_delta = |step| Order::ByDelta {
+    let by_delta = |step| ConfigRequest::ByDelta {
         step,
         delta: delta(),
         list,
@@ -429,21 +429,21 @@
         ("ask-joint", ask(true)),
         (
             "fetch",
-            Order::Fetch {
+            ConfigRequest::Fetch {
                 version: wanted,
                 have: None,
             },
         ),
         (
             "fetch-delta",
-            Order::Fetch {
+            ConfigRequest::Fetch {
                 version: wanted,
                 have: Some(follows),
             },
         ),
         (
             "prepare",
-            Order::Prepare {
+            ConfigRequest::Prepare {
                 follows,
                 ballot: ballot(),
                 list,
@@ -451,7 +451,7 @@
         ),
         (
             "accept",
-            Order::Accept {
+            ConfigRequest::Accept {
                 follows,
                 ballot: ballot(),
                 version: wanted,
@@ -461,7 +461,7 @@
         ),
         (
             "joint",
-            Order::Joint {
+            ConfigRequest::EnterJoint {
                 follows,
                 version: wanted,
                 text: text(),
@@ -470,7 +470,7 @@
         ),
         (
             "joint-without-text",
-            Order::Joint {
+            ConfigRequest::EnterJoint {
                 follows,
                 version: wanted,
                 text: String::new(),
@@ -479,7 +479,7 @@
         ),
         (
             "force",
-            Order::Force {
+            ConfigRequest::Commit {
                 version: wanted,
                 text: text(),
                 list,
@@ -487,7 +487,7 @@
         ),
         (
             "force-without-text",
-            Order::Force {
+            ConfigRequest::Commit {
                 version: wanted,
                 text: String::new(),
                 list,
@@ -495,7 +495,7 @@
         ),
         (
             "raise",
-            Order::Raise {
+            ConfigRequest::RaiseFloor {
                 stamp: stamp(false),
             },
         ),
@@ -503,12 +503,12 @@
             "by-delta-accept",
             by_delta(DeltaStep::Accept { ballot: ballot() }),
         ),
-        ("by-delta-joint", by_delta(DeltaStep::Joint)),
-        ("by-delta-force", by_delta(DeltaStep::Force)),
+        ("by-delta-joint", by_delta(DeltaStep::EnterJoint)),
+        ("by-delta-force", by_delta(DeltaStep::Commit)),
         (
             "by-delta-empty",
-            Order::ByDelta {
-                step: DeltaStep::Joint,
+            ConfigRequest::ByDelta {
+                step: DeltaStep::EnterJoint,
                 delta: empty,
                 list,
             },
@@ -516,23 +516,23 @@
     ];
     let mut all: Vec<(String, Message)> = orders
         .into_iter()
-        .map(|(name, order)| (format!("plan-{name}"), Message::Plan(order)))
+        .map(|(name, order)| (format!("plan-{name}"), Message::ConfigRequest(order)))
         .collect();
     all.push((
         "plan-text".into(),
-        Message::PlanText {
+        Message::ConfigText {
             version: wanted,
             text: text(),
         },
     ));
     all.push((
         "plan-text-none".into(),
-        Message::PlanText {
+        Message::ConfigText {
             version: wanted,
             text: String::new(),
         },
     ));
-    all.push(("plan-delta".into(), Message::PlanDelta(delta())));
+    all.push(("plan-delta".into(), Message::ConfigDelta(delta())));
     all
 }
 
--- a/crates/placer/src/links.rs
+++ b/crates/placer/src/links.rs
@@ -8,7 +8,7 @@
 use reedring_audit::Event;
 use reedring_core::Input;
 use reedring_core::reconnect::{Failure, LinkId};
-use reedring_nodeproto::{AttemptId, Message, Order, Reader, Traffic, encode};
+use reedring_nodeproto::{AttemptId, ConfigRequest, Message, Reader, Traffic, encode};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
@@ -367,7 +367,10 @@
             .unwrap_or_else(PoisonError::into_inner)
             .unwrap_or_default();
         if self
-            .write(write, &[Message::Plan(Order::Ask { stamp })])
+            .write(
+                write,
+                &[Message::ConfigRequest(ConfigRequest::Query { stamp })],
+            )
             .await
             .is_err()
         {
@@ -378,7 +381,7 @@
             match reader.next_message() {
                 Ok(Some((message, bytes))) => {
                     self.count_read(&message, bytes.len());
-                    if matches!(message, Message::Record(_)) {
+                    if matches!(message, Message::AcceptorReport(_)) {
                         return true;
                     }
                     continue;
--- a/crates/placer/src/run.rs
+++ b/crates/placer/src/run.rs
@@ -11,7 +11,7 @@
 
 use reedring_audit::{Event, Recorder};
 use reedring_core::{Core, Input, Level, Output, Start};
-use reedring_nodeproto::{PeerTraffic, Stamp};
+use reedring_nodeproto::{PeerTraffic, VersionStamp};
 use reedring_settings::{Address, Settings};
 use tokio::net::{TcpListener, UnixListener};
 use tokio::sync::{mpsc, oneshot, watch};
@@ -80,7 +80,7 @@
     pub life: u64,
     pub connect_timeout: Duration,
     /// By what it acts, where it tells nodes: each greeting says so.
-    pub acts: Mutex<Option<Stamp>>,
+    pub acts: Mutex<Option<VersionStamp>>,
     recorder: Option<Arc<Recorder>>,
     /// Counters of the links' messages, by node.
     pub traffic: Option<Arc<PeerTraffic>>,
@@ -116,7 +116,7 @@
     }
 }
 
-enum Order {
+enum ConfigRequest {
     /// Stand still for so long, as a placer does whose host is overloaded.
     Stall(Duration),
 }
@@ -135,7 +135,7 @@
     name: String,
     contact: String,
     life: u64,
-    orders: mpsc::UnboundedSender<Order>,
+    orders: mpsc::UnboundedSender<ConfigRequest>,
     stop: Option<oneshot::Sender<End>>,
     thread: Option<JoinHandle<()>>,
     recorder: Option<Arc<Recorder>>,
@@ -254,7 +254,7 @@
 
     /// Makes it stand still.
     pub fn stall(&self, time: Duration) {
-        let _ = self.orders.send(Order::Stall(time));
+        let _ = self.orders.send(ConfigRequest::Stall(time));
     }
 
     /// Ends it at once; whatever it knew and had not kept is lost.
@@ -329,7 +329,10 @@
     listener: Listener,
     (life, unix): (u64, Duration),
     folder: Option<Folder>,
-    (mut orders, mut stopped): (mpsc::UnboundedReceiver<Order>, oneshot::Receiver<End>),
+    (mut orders, mut stopped): (
+        mpsc::UnboundedReceiver<ConfigRequest>,
+        oneshot::Receiver<End>,
+    ),
     shut_out: Arc<AtomicBool>,
 ) {
     // The core's clock starts at the time of day, so that it can name moments before its start.
@@ -401,7 +404,7 @@
             _ = coming.recv_many(&mut batch, BATCH) => {}
             Some(update) = lists.recv() => shell.listed(&mut core, now(), update),
             Some(update) = changes.recv() => shell.file_changed(&mut core, now(), update),
-            Some(Order::Stall(time)) = orders.recv() => {
+            Some(ConfigRequest::Stall(time)) = orders.recv() => {
                 shell.shared.record(Event::PlacerStalled, "", time.as_micros() as u64, b"");
                 std::thread::sleep(time);
             }
--- a/crates/plan/src/compact.rs
+++ b/crates/plan/src/compact.rs
@@ -1,6 +1,6 @@
 //! Orders to nodes without what the node has already: a delta in place of a text, or neither.
 
-use reedring_nodeproto::{Delta, DeltaStep, Order, Record, Version};
+use reedring_nodeproto::{AcceptorReport, ConfigRequest, ConfigVersion, Delta, DeltaStep};
 
 use crate::delta;
 use crate::text::ConfigDocument;
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Compactor {
     /// The last delta that was made, or that there is none, and between which plans.
-    made: Option<(Version, Version, Option<Delta>)>,
+    made: Option<(ConfigVersion, ConfigVersion, Option<Delta>)>,
 }
 
 impl Compactor {
@@ -24,38 +24,42 @@
     /// | any | else | left as it is |
     pub fn compact(
         &mut self,
-        order: Order,
-        record: &Record,
+        order: ConfigRequest,
+        record: &AcceptorReport,
         base: Option<&ConfigDocument>,
-    ) -> Order {
+    ) -> ConfigRequest {
         if !record.deltas {
             return order;
         }
-        let keeps = |version: Version| record.next.is_some_and(|next| next.version == version);
+        let keeps =
+            |version: ConfigVersion| record.next.is_some_and(|next| next.version == version);
         match order {
-            Order::Fetch { version, .. } => {
-                let before = |base: &Version| base.number.checked_add(1) == Some(version.number);
-                Order::Fetch {
+            ConfigRequest::Fetch { version, .. } => {
+                let before =
+                    |base: &ConfigVersion| base.number.checked_add(1) == Some(version.number);
+                ConfigRequest::Fetch {
                     version,
                     have: base.map(ConfigDocument::version).filter(before),
                 }
             }
-            Order::Joint {
+            ConfigRequest::EnterJoint {
                 follows,
                 version,
                 list,
                 ..
-            } if keeps(version) => Order::Joint {
+            } if keeps(version) => ConfigRequest::EnterJoint {
                 follows,
                 version,
                 text: String::new(),
                 list,
             },
-            Order::Force { version, list, .. } if keeps(version) => Order::Force {
-                version,
-                text: String::new(),
-                list,
-            },
+            ConfigRequest::Commit { version, list, .. } if keeps(version) => {
+                ConfigRequest::Commit {
+                    version,
+                    text: String::new(),
+                    list,
+                }
+            }
             order => match base.filter(|base| base.version() == record.force) {
                 Some(base) => self.by_delta(base, &order).unwrap_or(order),
                 None => order,
@@ -64,33 +68,38 @@
     }
 
     /// The same order with a delta from the plan that its node has in force, where that is shorter.
-    fn by_delta(&mut self, base: &ConfigDocument, order: &Order) -> Option<Order> {
+    fn by_delta(&mut self, base: &ConfigDocument, order: &ConfigRequest) -> Option<ConfigRequest> {
         let (step, version, text, list) = match order {
-            Order::Accept {
+            ConfigRequest::Accept {
                 ballot,
                 version,
                 text,
                 list,
                 ..
             } => (DeltaStep::Accept { ballot: *ballot }, *version, text, *list),
-            Order::Joint {
+            ConfigRequest::EnterJoint {
                 version,
                 text,
                 list,
                 ..
-            } => (DeltaStep::Joint, *version, text, *list),
-            Order::Force {
+            } => (DeltaStep::EnterJoint, *version, text, *list),
+            ConfigRequest::Commit {
                 version,
                 text,
                 list,
-            } => (DeltaStep::Force, *version, text, *list),
+            } => (DeltaStep::Commit, *version, text, *list),
             _ => return None,
         };
         let delta = self.delta(base, version, text)?;
-        Some(Order::ByDelta { step, delta, list })
+        Some(ConfigRequest::ByDelta { step, delta, list })
     }
 
-    fn delta(&mut self, base: &ConfigDocument, version: Version, text: &str) -> Option<Delta> {
+    fn delta(
+        &mut self,
+        base: &ConfigDocument,
+        version: ConfigVersion,
+        text: &str,
+    ) -> Option<Delta> {
         if let Some((from, to, delta)) = &self.made
             && (*from, *to) == (base.version(), version)
         {
--- a/crates/plan/src/delta.rs
+++ b/crates/plan/src/delta.rs
@@ -19,7 +19,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use reedring_nodeproto::{Delta, Edit, MAX_NAME, MAX_PLAN, SectionKey, Table, Version};
+use reedring_nodeproto::{ConfigVersion, Delta, Edit, MAX_NAME, MAX_PLAN, SectionKey, Table};
 
 use crate::text::{ConfigDocument, DocumentError};
 
@@ -30,9 +30,9 @@
     #[error("the delta changes plan {wanted}, not plan {found}")]
     OtherBase {
         /// The one that it changes.
-        wanted: Version,
+        wanted: ConfigVersion,
         /// The one at hand.
-        found: Version,
+        found: ConfigVersion,
     },
     /// The target's number does not follow.
     #[error("plan {target} can't follow plan {base}: the next number is {}", base.saturating_add(1))]
@@ -46,7 +46,7 @@
     #[error("plan {version}, line {line}: {wrong}")]
     Text {
         /// Whose text.
-        version: Version,
+        version: ConfigVersion,
         /// Where, from 1.
         line: usize,
         /// What is wrong.
@@ -265,7 +265,7 @@
     })
 }
 
-fn follows(base: Version, target: Version) -> Result<(), DeltaError> {
+fn follows(base: ConfigVersion, target: ConfigVersion) -> Result<(), DeltaError> {
     let (base, target) = (base.number, target.number);
     if base.checked_add(1) == Some(target) {
         Ok(())
--- a/crates/plan/src/fleet.rs
+++ b/crates/plan/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use reedring_nodeproto::{Record, Version};
+use reedring_nodeproto::{AcceptorReport, ConfigVersion};
 
 use crate::membership::{MemberRole, Membership};
 
@@ -15,12 +15,12 @@
     /// It speaks version 1 of the node protocol, and keeps nothing.
     Old,
     /// What it told last.
-    Told(Record),
+    Told(AcceptorReport),
 }
 
 impl PeerState {
     /// What it told.
-    pub fn record(&self) -> Option<&Record> {
+    pub fn record(&self) -> Option<&AcceptorReport> {
         match self {
             Self::Told(record) => Some(record),
             _ => None,
@@ -65,7 +65,7 @@
     }
 
     /// What nodes told that keep plans, whether they vote by this list or not.
-    pub fn keepers(&self) -> impl Iterator<Item = (u32, &Record)> {
+    pub fn keepers(&self) -> impl Iterator<Item = (u32, &AcceptorReport)> {
         let kept = self
             .nodes
             .iter()
@@ -74,7 +74,7 @@
     }
 
     /// What voters told that keep plans.
-    pub fn votes(&self) -> impl Iterator<Item = (u32, &Record)> {
+    pub fn votes(&self) -> impl Iterator<Item = (u32, &AcceptorReport)> {
         self.keepers()
             .filter(|(node, _)| self.member(*node) == MemberRole::Voter)
     }
@@ -89,7 +89,7 @@
 
     /// The newest plan in force that any node told of. One node's word is enough: it was told by somebody who had
     /// counted a majority.
-    pub fn force(&self) -> Version {
+    pub fn force(&self) -> ConfigVersion {
         self.keepers()
             .map(|(_, record)| record.force)
             .max()
@@ -97,7 +97,7 @@
     }
 
     /// The newest plan that learners know of: some placer acted by it, joint or alone, so it was decided.
-    pub fn learned(&self) -> Version {
+    pub fn learned(&self) -> ConfigVersion {
         let learners = self
             .nodes
             .values()
@@ -118,7 +118,7 @@
     /// | a majority of the voters kept it with one and the same ballot | yes |
     /// | a majority kept it, with several ballots | no: an older one may have been outbid on the way |
     /// | fewer | no |
-    pub fn decided(&self, follows: Version) -> Option<Version> {
+    pub fn decided(&self, follows: ConfigVersion) -> Option<ConfigVersion> {
         let mut votes = BTreeMap::new();
         for (node, record) in self.keepers().filter(|(_, record)| record.force == follows) {
             let Some(next) = record.next else { continue };
@@ -137,8 +137,8 @@
 
     /// Voters that have kept that placers act by the stricter of this plan and the one before, or by it alone, or by a
     /// later one.
-    pub fn joint_at(&self, version: Version) -> usize {
-        let joint = |record: &Record| {
+    pub fn joint_at(&self, version: ConfigVersion) -> usize {
+        let joint = |record: &AcceptorReport| {
             record
                 .next
                 .is_some_and(|next| next.joint && next.version == version)
@@ -163,12 +163,12 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use reedring_nodeproto::{Ballot, Digest, Introduced};
+    use reedring_nodeproto::{AcceptedVersion, Ballot, ConfigDigest};
 
-    fn version(number: u64, name: u8) -> Version {
-        Version {
+    fn version(number: u64, name: u8) -> ConfigVersion {
+        ConfigVersion {
             number,
-            digest: Digest([name; 16]),
+            digest: ConfigDigest([name; 16]),
         }
     }
 
@@ -176,9 +176,9 @@
     fn fleet(told: &[Option<(u8, u64, bool, bool)>; 5]) -> ClusterView {
         let kin = |told: &Option<(u8, u64, bool, bool)>| {
             let (mut record, mut stuck) = (
-                Record {
+                AcceptorReport {
                     force: version(1, 1),
-                    ..Record::default()
+                    ..AcceptorReport::default()
                 },
                 false,
             );
@@ -187,14 +187,14 @@
                     round: *round,
                     by: 1,
                 };
-                record.next = Some(Introduced {
+                record.next = Some(AcceptedVersion {
                     ballot,
                     version: version(2, *name),
                     joint: *joint,
                 });
                 stuck = *can_not;
             }
-            PeerState::Told(Record { stuck, ..record })
+            PeerState::Told(AcceptorReport { stuck, ..record })
         };
         let nodes = told
             .iter()
@@ -243,9 +243,9 @@
         assert_eq!(fleet.joint_at(version(2, 7)), 2);
         fleet.nodes.insert(
             4,
-            PeerState::Told(Record {
+            PeerState::Told(AcceptorReport {
                 force: version(3, 3),
-                ..Record::default()
+                ..AcceptorReport::default()
             }),
         );
         assert_eq!(fleet.joint_at(version(2, 7)), 3);
@@ -303,15 +303,15 @@
     #[test]
     fn what_learners_tell_is_no_vote_and_says_only_what_was_decided() {
         let mut fleet = control(fleet(&[None; 5]));
-        let next = Introduced {
+        let next = AcceptedVersion {
             ballot: Ballot::default(),
             version: version(9, 9),
             joint: true,
         };
-        let learner = Record {
+        let learner = AcceptorReport {
             next: Some(next),
             learns: true,
-            ..Record::default()
+            ..AcceptorReport::default()
         };
         for node in 1..5 {
             fleet.nodes.insert(node, PeerState::Told(learner));
@@ -322,7 +322,7 @@
         );
         assert_eq!(
             (
-                fleet.decided(Version::default()),
+                fleet.decided(ConfigVersion::default()),
                 fleet.joint_at(version(9, 9))
             ),
             (None, 0)
--- a/crates/plan/src/hold.rs
+++ b/crates/plan/src/hold.rs
@@ -1,6 +1,6 @@
 //! Which nodes a placer may send to: a node refuses what is under its floor, and is not pushed over between two plans.
 
-use reedring_nodeproto::{Record, level};
+use reedring_nodeproto::{AcceptorReport, version_level};
 
 use crate::fleet::PeerState;
 use crate::standing::{ActiveConfig, LeaseState, SuspendReason};
@@ -115,7 +115,7 @@
 /// The learner's rows of [`hold`].
 fn hold_learner(
     acts: &ActiveConfig,
-    record: &Record,
+    record: &AcceptorReport,
     cold: bool,
     window_ms: u64,
 ) -> Option<DispatchBlock> {
@@ -126,7 +126,7 @@
     if !cold {
         return None;
     }
-    if floor < level(acts.stamp().0, true) {
+    if floor < version_level(acts.stamp().0, true) {
         return Some(DispatchBlock::NotThere);
     }
     if acts.ahead.is_some() {
@@ -143,18 +143,18 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use reedring_nodeproto::{Ballot, Digest, Introduced, Version};
+    use reedring_nodeproto::{AcceptedVersion, Ballot, ConfigDigest, ConfigVersion};
 
-    fn version(number: u64) -> Version {
-        Version {
+    fn version(number: u64) -> ConfigVersion {
+        ConfigVersion {
             number,
-            digest: Digest([number as u8; 16]),
+            digest: ConfigDigest([number as u8; 16]),
         }
     }
 
     fn record(force: u64, joint: Option<u64>, floor_ms: u64) -> PeerState {
         let ballot = Ballot { round: 1, by: 1 };
-        let next = joint.map(|number| Introduced {
+        let next = joint.map(|number| AcceptedVersion {
             ballot,
             version: version(number),
             joint: true,
@@ -162,13 +162,13 @@
         let force = if force > 0 {
             version(force)
         } else {
-            Version::default()
+            ConfigVersion::default()
         };
-        PeerState::Told(Record {
+        PeerState::Told(AcceptorReport {
             force,
             next,
             floor_ms,
-            ..Record::default()
+            ..AcceptorReport::default()
         })
     }
 
@@ -291,18 +291,18 @@
 
     /// A learner whose floor is the joint form of this plan; 0 is none.
     fn learner(number: u64, floor_ms: u64) -> PeerState {
-        let introduced = Introduced {
+        let introduced = AcceptedVersion {
             ballot: Ballot::default(),
             version: version(number),
             joint: true,
         };
         let next = (number > 0).then_some(introduced);
-        PeerState::Told(Record {
+        PeerState::Told(AcceptorReport {
             next,
             floor_ms,
             learns: true,
             stuck: true,
-            ..Record::default()
+            ..AcceptorReport::default()
         })
     }
 
--- a/crates/plan/src/kept.rs
+++ b/crates/plan/src/kept.rs
@@ -10,7 +10,7 @@
 
 use std::collections::BTreeMap;
 
-use reedring_nodeproto::{Ballot, Digest, Version};
+use reedring_nodeproto::{Ballot, ConfigDigest, ConfigVersion};
 
 use crate::memory::{AcceptedConfig, AcceptorState, PlacerSighting};
 use crate::text::ConfigDocument;
@@ -139,11 +139,11 @@
 
     fn kept(&mut self) -> Result<ConfigDocument, CorruptState> {
         let number = self.u64("a plan's number")?;
-        let digest = Digest(self.number("a plan's digest")?);
+        let digest = ConfigDigest(self.number("a plan's digest")?);
         let length = u16::from_be_bytes(self.number("a plan's text")?);
         let text = self.take(usize::from(length), "a plan's text")?;
         let text = std::str::from_utf8(text).map_err(|_| self.wrong("a plan's text"))?;
-        ConfigDocument::checked(Version { number, digest }, text)
+        ConfigDocument::checked(ConfigVersion { number, digest }, text)
             .map_err(|_| self.wrong("a plan that does not fit its digest"))
     }
 }
--- a/crates/plan/src/learner.rs
+++ b/crates/plan/src/learner.rs
@@ -1,7 +1,9 @@
 //! The floor of a learner: a node that keeps no plan and casts no vote, and knows of plans by the stamps of what placers
 //! send it.
 
-use reedring_nodeproto::{Ballot, Introduced, Record, Stamp, Version, level};
+use reedring_nodeproto::{
+    AcceptedVersion, AcceptorReport, Ballot, ConfigVersion, VersionStamp, version_level,
+};
 
 use crate::memory::OfferRejection;
 
@@ -9,17 +11,17 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LearnerState {
     /// The newest plan that a placer acted by, joint or alone; number 0 before the first.
-    newest: Version,
+    newest: ConfigVersion,
 }
 
 impl LearnerState {
     /// Offers under this level are refused: the joint form of the newest plan that was seen.
     pub fn level(&self) -> u64 {
-        level(self.newest, true)
+        version_level(self.newest, true)
     }
 
     /// A placer acts by this stamp: the floor rises to the joint form of its plan, and never falls. Whether it rose.
-    pub fn raise(&mut self, stamp: &Stamp) -> bool {
+    pub fn raise(&mut self, stamp: &VersionStamp) -> bool {
         let rises = stamp.version.number > self.newest.number;
         if rises {
             self.newest = stamp.version;
@@ -41,7 +43,7 @@
     ///
     /// # Errors
     /// Why not. A refusal promises that nothing ran.
-    pub fn admits(&self, stamp: Option<&Stamp>) -> Result<(), OfferRejection> {
+    pub fn admits(&self, stamp: Option<&VersionStamp>) -> Result<(), OfferRejection> {
         let floor = self.level();
         let Some(stamp) = stamp else {
             return if floor == 0 {
@@ -64,18 +66,18 @@
 
     /// In few words, for placers. It is told as one that can't vote, which is what a placer of the former version
     /// understands. How long the floor stands and who is linked the caller knows.
-    pub fn record(&self) -> Record {
-        let introduced = Introduced {
+    pub fn record(&self) -> AcceptorReport {
+        let introduced = AcceptedVersion {
             ballot: Ballot::default(),
             version: self.newest,
             joint: true,
         };
         let next = (self.newest.number > 0).then_some(introduced);
-        Record {
+        AcceptorReport {
             next,
             stuck: true,
             learns: true,
-            ..Record::default()
+            ..AcceptorReport::default()
         }
     }
 }
@@ -83,17 +85,17 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use reedring_nodeproto::Digest;
+    use reedring_nodeproto::ConfigDigest;
 
-    fn stamp(number: u64, name: u8, joint: bool) -> Stamp {
-        let version = Version {
+    fn stamp(number: u64, name: u8, joint: bool) -> VersionStamp {
+        let version = ConfigVersion {
             number,
-            digest: Digest([name; 16]),
+            digest: ConfigDigest([name; 16]),
         };
-        Stamp {
+        VersionStamp {
             version,
             joint,
-            ..Stamp::default()
+            ..VersionStamp::default()
         }
     }
 
@@ -177,7 +179,7 @@
         );
         assert_eq!(
             record.force,
-            Version::default(),
+            ConfigVersion::default(),
             "it knows no plan to be in force"
         );
     }
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -39,8 +39,8 @@
 pub use memory::{AcceptedConfig, AcceptorState, OfferRejection, PlacerSighting, RequestRejection};
 pub use pace::ProposalBackoff;
 pub use reedring_nodeproto::{
-    Ballot, Delta, DeltaStep, Digest, Edit, Introduced, MAX_PLAN, Order, Record, SectionKey, Stamp,
-    Table, Version, level,
+    AcceptedVersion, AcceptorReport, Ballot, ConfigDigest, ConfigRequest, ConfigVersion, Delta,
+    DeltaStep, Edit, MAX_PLAN, SectionKey, Table, VersionStamp, version_level,
 };
 pub use standing::{
     ActiveConfig, LeaseState, LocalConfig, QuorumContact, SuspendReason, Usability, lease_state,
--- a/crates/plan/src/maker.rs
+++ b/crates/plan/src/maker.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use reedring_nodeproto::{Ballot, Order, Record, Version};
+use reedring_nodeproto::{AcceptorReport, Ballot, ConfigRequest, ConfigVersion};
 
 use crate::fleet::ClusterView;
 use crate::membership::MemberRole;
@@ -12,7 +12,7 @@
 
 /// Texts of plans that a placer has.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct DocumentCache(BTreeMap<Version, Arc<str>>);
+pub struct DocumentCache(BTreeMap<ConfigVersion, Arc<str>>);
 
 impl DocumentCache {
     /// Takes a plan in.
@@ -21,12 +21,12 @@
     }
 
     /// The text of a plan.
-    pub fn get(&self, version: Version) -> Option<&str> {
+    pub fn get(&self, version: ConfigVersion) -> Option<&str> {
         self.0.get(&version).map(AsRef::as_ref)
     }
 
     /// A plan, if its text is here.
-    pub fn kept(&self, version: Version) -> Option<ConfigDocument> {
+    pub fn kept(&self, version: ConfigVersion) -> Option<ConfigDocument> {
         ConfigDocument::checked(version, self.get(version)?).ok()
     }
 
@@ -39,10 +39,10 @@
 /// The ballot that a placer has in the running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Running {
-    follows: Version,
+    follows: ConfigVersion,
     ballot: Ballot,
     /// What it proposes, once a majority has answered: never another for the same ballot.
-    proposes: Option<Version>,
+    proposes: Option<ConfigVersion>,
 }
 
 /// Where a change stands, as one placer sees it.
@@ -53,7 +53,7 @@
     /// A plan is offered to nodes, and not decided.
     Offered,
     /// This plan is the next one; nodes become joint.
-    Joint(Version),
+    Joint(ConfigVersion),
 }
 
 /// Brings plans in force, by orders to nodes. It knows no time: [`ProposalBackoff`](crate::Pace) says when.
@@ -94,13 +94,13 @@
         &mut self,
         may_outbid: bool,
         fleet: &ClusterView,
-        force: Version,
+        force: ConfigVersion,
         proposes: Option<&ConfigDocument>,
         texts: &DocumentCache,
-    ) -> (ChangePhase, Vec<(u32, Order)>) {
+    ) -> (ChangePhase, Vec<(u32, ConfigRequest)>) {
         let mut orders = Vec::new();
         let force = force.max(fleet.force());
-        let records: Vec<(u32, Record)> = fleet
+        let records: Vec<(u32, AcceptorReport)> = fleet
             .keepers()
             .map(|(node, record)| (node, *record))
             .collect();
@@ -111,7 +111,7 @@
                         let text = text.to_owned();
                         orders.push((
                             *node,
-                            Order::Force {
+                            ConfigRequest::Commit {
                                 version: force,
                                 text,
                                 list: fleet.list,
@@ -120,7 +120,7 @@
                     }
                     None if record.force == force => orders.push((
                         *node,
-                        Order::Fetch {
+                        ConfigRequest::Fetch {
                             version: force,
                             have: None,
                         },
@@ -129,7 +129,7 @@
                 }
             }
         }
-        let here = |record: &Record| record.force == force;
+        let here = |record: &AcceptorReport| record.force == force;
         let step = match fleet.decided(force) {
             Some(next) => {
                 self.running = None;
@@ -167,19 +167,19 @@
     fn bring(
         &self,
         fleet: &ClusterView,
-        records: &[(u32, Record)],
-        force: Version,
-        next: Version,
+        records: &[(u32, AcceptorReport)],
+        force: ConfigVersion,
+        next: ConfigVersion,
         texts: &DocumentCache,
-        orders: &mut Vec<(u32, Order)>,
+        orders: &mut Vec<(u32, ConfigRequest)>,
     ) {
-        let has = |record: &Record| record.next.is_some_and(|kept| kept.version == next);
+        let has = |record: &AcceptorReport| record.next.is_some_and(|kept| kept.version == next);
         let Some(text) = texts.get(next) else {
             let fetch = records.iter().filter(|(_, record)| has(record));
             return orders.extend(fetch.map(|(node, _)| {
                 (
                     *node,
-                    Order::Fetch {
+                    ConfigRequest::Fetch {
                         version: next,
                         have: None,
                     },
@@ -195,7 +195,7 @@
             if !joint {
                 orders.push((
                     *node,
-                    Order::Joint {
+                    ConfigRequest::EnterJoint {
                         follows: force,
                         version,
                         text,
@@ -205,7 +205,7 @@
             } else if enough {
                 orders.push((
                     *node,
-                    Order::Force {
+                    ConfigRequest::Commit {
                         version,
                         text,
                         list,
@@ -221,11 +221,11 @@
         &mut self,
         may_outbid: bool,
         fleet: &ClusterView,
-        records: &[(u32, Record)],
-        force: Version,
+        records: &[(u32, AcceptorReport)],
+        force: ConfigVersion,
         proposes: Option<&ConfigDocument>,
         texts: &DocumentCache,
-        orders: &mut Vec<(u32, Order)>,
+        orders: &mut Vec<(u32, ConfigRequest)>,
     ) {
         let votes = |node: u32| fleet.member(node) == MemberRole::Voter;
         let here = || {
@@ -253,7 +253,7 @@
                 ballot,
                 proposes: None,
             });
-            let prepare = Order::Prepare {
+            let prepare = ConfigRequest::Prepare {
                 follows: force,
                 ballot,
                 list: fleet.list,
@@ -273,7 +273,7 @@
         }
         let Some(version) = running.proposes else {
             let open = here().filter(|(_, record)| record.promised < ballot);
-            let prepare = Order::Prepare {
+            let prepare = ConfigRequest::Prepare {
                 follows: force,
                 ballot,
                 list: fleet.list,
@@ -287,7 +287,7 @@
             return orders.extend(has.map(|(node, _)| {
                 (
                     *node,
-                    Order::Fetch {
+                    ConfigRequest::Fetch {
                         version,
                         have: None,
                     },
@@ -297,7 +297,7 @@
         let open =
             here().filter(|(_, record)| record.next.is_none_or(|next| next.ballot != ballot));
         let (text, list) = (text.to_owned(), fleet.list);
-        let accept = Order::Accept {
+        let accept = ConfigRequest::Accept {
             follows: force,
             ballot,
             version,
@@ -313,7 +313,7 @@
     use super::*;
     use crate::fleet::PeerState;
     use crate::membership::Membership;
-    use reedring_nodeproto::Introduced;
+    use reedring_nodeproto::AcceptedVersion;
 
     fn plan(number: u64, text: &str) -> ConfigDocument {
         ConfigDocument::new(number, text).unwrap()
@@ -327,21 +327,21 @@
         texts
     }
 
-    fn record(promised: Ballot, next: Option<(u64, &ConfigDocument, bool)>) -> Record {
-        let introduced = |(round, kept, joint): (u64, &ConfigDocument, bool)| Introduced {
+    fn record(promised: Ballot, next: Option<(u64, &ConfigDocument, bool)>) -> AcceptorReport {
+        let introduced = |(round, kept, joint): (u64, &ConfigDocument, bool)| AcceptedVersion {
             ballot: Ballot { round, by: 5 },
             version: kept.version(),
             joint,
         };
-        Record {
+        AcceptorReport {
             force: plan(1, "one").version(),
             promised,
             next: next.map(introduced),
-            ..Record::default()
+            ..AcceptorReport::default()
         }
     }
 
-    fn fleet(records: &[Record]) -> ClusterView {
+    fn fleet(records: &[AcceptorReport]) -> ClusterView {
         let nodes = records
             .iter()
             .enumerate()
@@ -357,8 +357,8 @@
         maker: &mut Proposer,
         fleet: &ClusterView,
         own: Option<&ConfigDocument>,
-    ) -> (ChangePhase, Vec<(u32, Order)>) {
-        maker.next(false, fleet, Version::default(), own, &texts())
+    ) -> (ChangePhase, Vec<(u32, ConfigRequest)>) {
+        maker.next(false, fleet, ConfigVersion::default(), own, &texts())
     }
 
     /// The ballot that a maker of life 9 begins with among nodes that have answered none.
@@ -381,7 +381,7 @@
             let (step, orders) = next(&mut maker, &fleet(&quiet), Some(&a));
             assert_eq!((step, orders.len()), (ChangePhase::Offered, 3));
             assert!(orders.iter().all(
-                |(_, order)| matches!(order, Order::Prepare { ballot, .. } if *ballot == FIRST)
+                |(_, order)| matches!(order, ConfigRequest::Prepare { ballot, .. } if *ballot == FIRST)
             ));
             // One answer is none yet.
             let one = [
@@ -393,7 +393,7 @@
             assert!(
                 orders
                     .iter()
-                    .all(|(_, order)| matches!(order, Order::Prepare { .. })),
+                    .all(|(_, order)| matches!(order, ConfigRequest::Prepare { .. })),
                 "{orders:?}"
             );
             let two = [
@@ -404,7 +404,7 @@
             let (_, orders) = next(&mut maker, &fleet(&two), Some(&a));
             assert!(!orders.is_empty());
             for (_, order) in &orders {
-                let Order::Accept {
+                let ConfigRequest::Accept {
                     ballot, version, ..
                 } = order
                 else {
@@ -415,7 +415,7 @@
             // Another answer that comes later changes nothing of that ballot.
             let three = [two[0], two[1], record(FIRST, Some((3, &b, false)))];
             let (_, orders) = next(&mut maker, &fleet(&three), Some(&a));
-            let same = |(_, order): &(u32, Order)| matches!(order, Order::Accept { version, .. } if *version == want.version());
+            let same = |(_, order): &(u32, ConfigRequest)| matches!(order, ConfigRequest::Accept { version, .. } if *version == want.version());
             assert!(orders.iter().all(same), "{kept:?}: {orders:?}");
         }
     }
@@ -436,7 +436,7 @@
             (
                 [
                     joint,
-                    Record {
+                    AcceptorReport {
                         stuck: true,
                         ..joint
                     },
@@ -448,33 +448,39 @@
         ] {
             let (step, orders) = next(&mut Proposer::new(9), &fleet(&records), None);
             assert_eq!(step, ChangePhase::Joint(a.version()));
-            let of = |wanted: fn(&Order) -> bool| {
+            let of = |wanted: fn(&ConfigRequest) -> bool| {
                 let nodes = orders
                     .iter()
                     .filter(|(_, order)| wanted(order))
                     .map(|(node, _)| *node);
                 nodes.collect::<Vec<u32>>()
             };
-            assert_eq!(of(|order| matches!(order, Order::Joint { .. })), joints);
-            assert_eq!(of(|order| matches!(order, Order::Force { .. })), forces);
+            assert_eq!(
+                of(|order| matches!(order, ConfigRequest::EnterJoint { .. })),
+                joints
+            );
+            assert_eq!(
+                of(|order| matches!(order, ConfigRequest::Commit { .. })),
+                forces
+            );
         }
     }
 
     #[test]
     fn nodes_that_are_behind_are_told_and_texts_that_are_missing_are_fetched() {
         let one = plan(1, "one");
-        let (there, behind) = (record(Ballot::default(), None), Record::default());
+        let (there, behind) = (record(Ballot::default(), None), AcceptorReport::default());
         let (step, orders) = next(&mut Proposer::new(9), &fleet(&[there, behind]), None);
         assert_eq!(step, ChangePhase::Quiet);
         assert!(
-            matches!(&orders[..], [(1, Order::Force { version, .. })] if *version == one.version()),
+            matches!(&orders[..], [(1, ConfigRequest::Commit { version, .. })] if *version == one.version()),
             "{orders:?}"
         );
         let none = DocumentCache::default();
         let (_, orders) = Proposer::new(9).next(
             false,
             &fleet(&[there, behind]),
-            Version::default(),
+            ConfigVersion::default(),
             None,
             &none,
         );
@@ -482,7 +488,7 @@
             orders,
             [(
                 0,
-                Order::Fetch {
+                ConfigRequest::Fetch {
                     version: one.version(),
                     have: None
                 }
@@ -505,23 +511,21 @@
         let (_, orders) = maker.next(
             true,
             &fleet(&records),
-            Version::default(),
+            ConfigVersion::default(),
             Some(&b),
             &texts(),
         );
         let mine = Ballot { round: 5, by: 9 };
-        assert!(
-            orders.iter().all(
-                |(_, order)| matches!(order, Order::Prepare { ballot, .. } if *ballot == mine)
-            )
-        );
+        assert!(orders.iter().all(
+            |(_, order)| matches!(order, ConfigRequest::Prepare { ballot, .. } if *ballot == mine)
+        ));
         let answered = [
             record(mine, Some((4, &a, false))),
             record(mine, None),
             record(mine, None),
         ];
         let (_, orders) = next(&mut maker, &fleet(&answered), Some(&b));
-        let carries = |(_, order): &(u32, Order)| matches!(order, Order::Accept { version, .. } if *version == a.version());
+        let carries = |(_, order): &(u32, ConfigRequest)| matches!(order, ConfigRequest::Accept { version, .. } if *version == a.version());
         assert!(
             !orders.is_empty() && orders.iter().all(carries),
             "{orders:?}"
@@ -529,14 +533,14 @@
     }
 
     /// Voters 0 to 2; what else there is keeps plans and does not vote, or learns.
-    fn control(records: &[Record]) -> ClusterView {
+    fn control(records: &[AcceptorReport]) -> ClusterView {
         ClusterView {
             membership: Membership::of([0, 1, 2].into()),
             ..fleet(records)
         }
     }
 
-    fn asked(orders: &[(u32, Order)], wanted: fn(&Order) -> bool) -> Vec<u32> {
+    fn asked(orders: &[(u32, ConfigRequest)], wanted: fn(&ConfigRequest) -> bool) -> Vec<u32> {
         orders
             .iter()
             .filter(|(_, order)| wanted(order))
@@ -548,10 +552,10 @@
     fn ballots_are_asked_of_voters_and_what_is_decided_is_told_to_all_that_keep_plans() {
         let a = plan(2, "a");
         let quiet = record(Ballot::default(), None);
-        let learner = Record {
+        let learner = AcceptorReport {
             learns: true,
             stuck: true,
-            ..Record::default()
+            ..AcceptorReport::default()
         };
         let mut maker = Proposer::new(9);
         let (_, orders) = next(
@@ -560,7 +564,10 @@
             Some(&a),
         );
         assert_eq!(
-            asked(&orders, |order| matches!(order, Order::Prepare { .. })),
+            asked(&orders, |order| matches!(
+                order,
+                ConfigRequest::Prepare { .. }
+            )),
             [0, 1, 2]
         );
         assert_eq!(orders.len(), 3, "{orders:?}");
@@ -574,7 +581,10 @@
             Some(&a),
         );
         assert_eq!(
-            asked(&orders, |order| matches!(order, Order::Accept { .. })),
+            asked(&orders, |order| matches!(
+                order,
+                ConfigRequest::Accept { .. }
+            )),
             Vec::<u32>::new()
         );
         let (_, orders) = next(
@@ -582,7 +592,7 @@
             &control(&[answered, answered, quiet, other, learner]),
             Some(&a),
         );
-        let own = |order: &Order| matches!(order, Order::Accept { version, .. } if version.digest == plan(2, "a").version().digest);
+        let own = |order: &ConfigRequest| matches!(order, ConfigRequest::Accept { version, .. } if version.digest == plan(2, "a").version().digest);
         assert_eq!((asked(&orders, own), orders.len()), (vec![0, 1, 2], 3));
         let kept = record(FIRST, Some((1, &a, false)));
         let (step, orders) = next(
@@ -592,7 +602,10 @@
         );
         assert_eq!(step, ChangePhase::Joint(a.version()));
         assert_eq!(
-            asked(&orders, |order| matches!(order, Order::Joint { .. })),
+            asked(&orders, |order| matches!(
+                order,
+                ConfigRequest::EnterJoint { .. }
+            )),
             [0, 1, 2, 3]
         );
         assert_eq!(orders.len(), 4, "{orders:?}");
@@ -605,7 +618,7 @@
             record(FIRST, Some((1, &a, false))),
             record(FIRST, Some((1, &a, true))),
         );
-        let force = |order: &Order| matches!(order, Order::Force { .. });
+        let force = |order: &ConfigRequest| matches!(order, ConfigRequest::Commit { .. });
         let (_, orders) = next(
             &mut Proposer::new(9),
             &control(&[joint, kept, kept, joint, joint]),
@@ -625,7 +638,7 @@
     #[test]
     fn empty_voters_are_taught_the_plan_in_force_and_asked_to_vote_for_nothing_before() {
         let (one, two) = (plan(1, "one"), plan(2, "a"));
-        let (empty, there) = (Record::default(), record(Ballot::default(), None));
+        let (empty, there) = (AcceptorReport::default(), record(Ballot::default(), None));
         let mut maker = Proposer::new(9);
         let (_, orders) = next(
             &mut maker,
@@ -635,7 +648,7 @@
         assert_eq!(orders.len(), 3, "{orders:?}");
         for (_, order) in &orders {
             assert!(
-                matches!(order, Order::Force { version, .. } if *version == one.version()),
+                matches!(order, ConfigRequest::Commit { version, .. } if *version == one.version()),
                 "{order:?}"
             );
         }
@@ -643,13 +656,19 @@
         let mut told = [there, empty, empty, there, there];
         let (_, orders) = next(&mut maker, &control(&told), Some(&two));
         assert_eq!(
-            asked(&orders, |order| matches!(order, Order::Force { .. })),
+            asked(&orders, |order| matches!(
+                order,
+                ConfigRequest::Commit { .. }
+            )),
             [1, 2]
         );
         told[0] = record(FIRST, None);
         let (_, orders) = next(&mut maker, &control(&told), Some(&two));
         assert_eq!(
-            asked(&orders, |order| matches!(order, Order::Accept { .. })),
+            asked(&orders, |order| matches!(
+                order,
+                ConfigRequest::Accept { .. }
+            )),
             Vec::<u32>::new()
         );
     }
--- a/crates/plan/src/memory.rs
+++ b/crates/plan/src/memory.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeMap;
 
 use reedring_nodeproto::{
-    Ballot, Delta, DeltaStep, Introduced, Order, Record, Stamp, Version, level,
+    AcceptedVersion, AcceptorReport, Ballot, ConfigRequest, ConfigVersion, Delta, DeltaStep,
+    VersionStamp, version_level,
 };
 
 use crate::delta::{self, DeltaError};
@@ -67,7 +68,7 @@
     },
     /// Another plan is in force here than the sender thinks.
     #[error("plan {0} is in force here")]
-    OtherForce(Version),
+    OtherForce(ConfigVersion),
     /// It lost its memory a moment ago: what it voted for then is not known.
     #[error("this node has lost what it voted for, and votes for nothing yet")]
     Fresh,
@@ -76,7 +77,7 @@
     Outbid,
     /// The next plan is decided.
     #[error("plan {0} is the next one already")]
-    Decided(Version),
+    Decided(ConfigVersion),
     /// A number that does not follow.
     #[error("plan {told} can't follow plan {force}: the next number is {}", force + 1)]
     Skips {
@@ -114,12 +115,12 @@
     },
     /// Another plan has that number here.
     #[error("plan {0} has that number here")]
-    Other(Version),
+    Other(ConfigVersion),
 }
 
 impl AcceptorState {
     /// The version in force; number 0 where there is none.
-    pub fn force(&self) -> Version {
+    pub fn force(&self) -> ConfigVersion {
         self.force
             .as_ref()
             .map(ConfigDocument::version)
@@ -132,29 +133,30 @@
 
     /// Offers under this level are refused.
     pub fn floor(&self) -> u64 {
-        self.joint().map_or(level(self.force(), false), |next| {
-            level(next.kept.version(), true)
-        })
+        self.joint()
+            .map_or(version_level(self.force(), false), |next| {
+                version_level(next.kept.version(), true)
+            })
     }
 
     /// In few words, for placers. How long the floor stands and who is linked the caller knows.
-    pub fn record(&self) -> Record {
-        let introduced = |next: &AcceptedConfig| Introduced {
+    pub fn record(&self) -> AcceptorReport {
+        let introduced = |next: &AcceptedConfig| AcceptedVersion {
             ballot: next.ballot,
             version: next.kept.version(),
             joint: next.joint,
         };
-        Record {
+        AcceptorReport {
             force: self.force(),
             next: self.next.as_ref().map(introduced),
             promised: self.promised,
             list: self.list,
-            ..Record::default()
+            ..AcceptorReport::default()
         }
     }
 
     /// The text of a plan that is kept here.
-    pub fn text(&self, version: Version) -> Option<&str> {
+    pub fn text(&self, version: ConfigVersion) -> Option<&str> {
         let kept = self
             .force
             .iter()
@@ -166,7 +168,7 @@
 
     /// What changed from a plan that somebody has to one that is kept here, where that is known and shorter than the
     /// text.
-    pub fn delta(&self, have: Version, wanted: Version) -> Option<Delta> {
+    pub fn delta(&self, have: ConfigVersion, wanted: ConfigVersion) -> Option<Delta> {
         let base = self.force.as_ref().filter(|kept| kept.version() == have)?;
         let target = self
             .next
@@ -177,7 +179,7 @@
     }
 
     /// The plan that an order is about: of its text, or as it is kept here where the sender left the text out.
-    fn told(&self, version: Version, text: &str) -> Result<ConfigDocument, DocumentError> {
+    fn told(&self, version: ConfigVersion, text: &str) -> Result<ConfigDocument, DocumentError> {
         let kept = self
             .next
             .as_ref()
@@ -195,7 +197,7 @@
         step: DeltaStep,
         changed: &Delta,
         list: u64,
-    ) -> Result<Order, RequestRejection> {
+    ) -> Result<ConfigRequest, RequestRejection> {
         let base = self
             .force
             .as_ref()
@@ -206,20 +208,20 @@
         )?;
         let (follows, version, text) = (changed.base, target.version(), target.text().to_owned());
         Ok(match step {
-            DeltaStep::Accept { ballot } => Order::Accept {
+            DeltaStep::Accept { ballot } => ConfigRequest::Accept {
                 follows,
                 ballot,
                 version,
                 text,
                 list,
             },
-            DeltaStep::Joint => Order::Joint {
+            DeltaStep::EnterJoint => ConfigRequest::EnterJoint {
                 follows,
                 version,
                 text,
                 list,
             },
-            DeltaStep::Force => Order::Force {
+            DeltaStep::Commit => ConfigRequest::Commit {
                 version,
                 text,
                 list,
@@ -255,22 +257,22 @@
     ///
     /// # Errors
     /// Why nothing changes.
-    pub fn after(&self, order: &Order, settled: bool) -> Result<Self, RequestRejection> {
-        if let Order::ByDelta { step, delta, list } = order {
+    pub fn after(&self, order: &ConfigRequest, settled: bool) -> Result<Self, RequestRejection> {
+        if let ConfigRequest::ByDelta { step, delta, list } = order {
             return self.after(&self.with_text(*step, delta, *list)?, settled);
         }
         let (force, mut new) = (self.force(), self.clone());
         let told = match order {
-            Order::Ask { .. }
-            | Order::Fetch { .. }
-            | Order::Raise { .. }
-            | Order::ByDelta { .. } => {
+            ConfigRequest::Query { .. }
+            | ConfigRequest::Fetch { .. }
+            | ConfigRequest::RaiseFloor { .. }
+            | ConfigRequest::ByDelta { .. } => {
                 return Err(RequestRejection::Same);
             }
-            Order::Prepare { list, .. }
-            | Order::Accept { list, .. }
-            | Order::Joint { list, .. }
-            | Order::Force { list, .. } => *list,
+            ConfigRequest::Prepare { list, .. }
+            | ConfigRequest::Accept { list, .. }
+            | ConfigRequest::EnterJoint { list, .. }
+            | ConfigRequest::Commit { list, .. } => *list,
         };
         if told < self.list {
             return Err(RequestRejection::OldList {
@@ -279,24 +281,28 @@
             });
         }
         new.list = told;
-        if let Order::Prepare { follows, .. }
-        | Order::Accept { follows, .. }
-        | Order::Joint { follows, .. } = order
+        if let ConfigRequest::Prepare { follows, .. }
+        | ConfigRequest::Accept { follows, .. }
+        | ConfigRequest::EnterJoint { follows, .. } = order
             && *follows != force
         {
             return Err(RequestRejection::OtherForce(force));
         }
-        if matches!(order, Order::Prepare { .. } | Order::Accept { .. }) && self.taught && !settled
+        if matches!(
+            order,
+            ConfigRequest::Prepare { .. } | ConfigRequest::Accept { .. }
+        ) && self.taught
+            && !settled
         {
             return Err(RequestRejection::Fresh);
         }
         let decided = self.joint().map(|next| next.kept.version());
         match order {
-            Order::Ask { .. }
-            | Order::Fetch { .. }
-            | Order::Raise { .. }
-            | Order::ByDelta { .. } => {}
-            Order::Prepare { ballot, .. } => {
+            ConfigRequest::Query { .. }
+            | ConfigRequest::Fetch { .. }
+            | ConfigRequest::RaiseFloor { .. }
+            | ConfigRequest::ByDelta { .. } => {}
+            ConfigRequest::Prepare { ballot, .. } => {
                 if let Some(decided) = decided {
                     return Err(RequestRejection::Decided(decided));
                 }
@@ -306,7 +312,7 @@
                     std::cmp::Ordering::Greater => new.promised = *ballot,
                 }
             }
-            Order::Accept {
+            ConfigRequest::Accept {
                 ballot,
                 version,
                 text,
@@ -327,7 +333,7 @@
                     joint: false,
                 });
             }
-            Order::Joint { version, text, .. } => {
+            ConfigRequest::EnterJoint { version, text, .. } => {
                 match decided {
                     Some(decided) if decided == *version => return Err(RequestRejection::Same),
                     Some(decided) => return Err(RequestRejection::Decided(decided)),
@@ -342,7 +348,7 @@
                     joint: true,
                 });
             }
-            Order::Force { version, text, .. } => {
+            ConfigRequest::Commit { version, text, .. } => {
                 if *version == force {
                     return Err(RequestRejection::Same);
                 }
@@ -379,7 +385,7 @@
     ///
     /// # Errors
     /// Why not. A refusal promises that nothing ran.
-    pub fn admits(&self, stamp: Option<&Stamp>) -> Result<(), OfferRejection> {
+    pub fn admits(&self, stamp: Option<&VersionStamp>) -> Result<(), OfferRejection> {
         let floor = self.floor();
         let Some(stamp) = stamp else {
             let first = self.changes == 0 && (self.force.is_none() || self.joint().is_none());
@@ -428,7 +434,7 @@
     }
 }
 
-fn follows(force: Version, next: Version) -> Result<(), RequestRejection> {
+fn follows(force: ConfigVersion, next: ConfigVersion) -> Result<(), RequestRejection> {
     if force.number > 0 && next.number != force.number + 1 {
         return Err(RequestRejection::Skips {
             told: next.number,
@@ -450,9 +456,9 @@
         Ballot { round, by: 7 }
     }
 
-    fn accept(after: Version, round: u64, kept: &ConfigDocument) -> Order {
+    fn accept(after: ConfigVersion, round: u64, kept: &ConfigDocument) -> ConfigRequest {
         let text = kept.text().to_owned();
-        Order::Accept {
+        ConfigRequest::Accept {
             follows: after,
             ballot: ballot(round),
             version: kept.version(),
@@ -461,8 +467,8 @@
         }
     }
 
-    fn joint(after: Version, kept: &ConfigDocument) -> Order {
-        Order::Joint {
+    fn joint(after: ConfigVersion, kept: &ConfigDocument) -> ConfigRequest {
+        ConfigRequest::EnterJoint {
             follows: after,
             version: kept.version(),
             text: kept.text().to_owned(),
@@ -470,8 +476,8 @@
         }
     }
 
-    fn force(kept: &ConfigDocument) -> Order {
-        Order::Force {
+    fn force(kept: &ConfigDocument) -> ConfigRequest {
+        ConfigRequest::Commit {
             version: kept.version(),
             text: kept.text().to_owned(),
             list: 0,
@@ -483,7 +489,7 @@
         let (one, two) = (kept(1, "one"), kept(2, "two"));
         let empty = AcceptorState::default();
         let first = empty.after(&force(&one), true).unwrap();
-        let prepare = Order::Prepare {
+        let prepare = ConfigRequest::Prepare {
             follows: one.version(),
             ballot: ballot(3),
             list: 0,
@@ -501,8 +507,8 @@
             .collect()
     }
 
-    fn orders() -> Vec<Order> {
-        let none = Version::default();
+    fn orders() -> Vec<ConfigRequest> {
+        let none = ConfigVersion::default();
         let (one, two, rival, four) = (
             kept(1, "one"),
             kept(2, "two"),
@@ -510,23 +516,23 @@
             kept(4, "four"),
         );
         let mut all = vec![
-            Order::Ask {
-                stamp: Stamp::default(),
+            ConfigRequest::Query {
+                stamp: VersionStamp::default(),
             },
-            Order::Fetch {
+            ConfigRequest::Fetch {
                 version: two.version(),
                 have: None,
             },
         ];
-        all.push(Order::Raise {
-            stamp: Stamp {
+        all.push(ConfigRequest::RaiseFloor {
+            stamp: VersionStamp {
                 version: four.version(),
-                ..Stamp::default()
+                ..VersionStamp::default()
             },
         });
         for after in [none, one.version(), two.version()] {
             for round in [1, 3, 5] {
-                all.push(Order::Prepare {
+                all.push(ConfigRequest::Prepare {
                     follows: after,
                     ballot: ballot(round),
                     list: 0,
@@ -582,7 +588,7 @@
     fn a_vote_is_cast_for_the_next_number_alone_and_never_under_a_greater_ballot() {
         let states: BTreeMap<&str, AcceptorState> = states().into_iter().collect();
         let (one, two, four) = (kept(1, "one"), kept(2, "two"), kept(4, "four"));
-        let vote = |state: &str, order: Order| states[state].after(&order, true).map(drop);
+        let vote = |state: &str, order: ConfigRequest| states[state].after(&order, true).map(drop);
         assert_eq!(vote("promised", accept(one.version(), 3, &two)), Ok(()));
         assert_eq!(
             vote("promised", accept(one.version(), 1, &two)),
@@ -591,7 +597,7 @@
         let skips = RequestRejection::Skips { told: 4, force: 1 };
         assert_eq!(vote("first", accept(one.version(), 1, &four)), Err(skips));
         assert_eq!(
-            vote("empty", accept(Version::default(), 1, &four)),
+            vote("empty", accept(ConfigVersion::default(), 1, &four)),
             Ok(()),
             "any number begins"
         );
@@ -608,7 +614,7 @@
         let (one, two) = (kept(1, "one"), kept(2, "two"));
         let first = AcceptorState::default().after(&force(&one), true).unwrap();
         let version = two.version();
-        let wrong = Order::Force {
+        let wrong = ConfigRequest::Commit {
             version,
             text: "tow".into(),
             list: 0,
@@ -620,7 +626,7 @@
                 .to_string()
                 .starts_with("plan 2: the text has digest")
         );
-        let long = Order::Force {
+        let long = ConfigRequest::Commit {
             version,
             text: "x".repeat(reedring_nodeproto::MAX_PLAN + 1),
             list: 0,
@@ -638,7 +644,7 @@
     fn a_node_that_lost_its_memory_votes_for_nothing_before_it_has_settled() {
         let (one, two) = (kept(1, "one"), kept(2, "two"));
         let first = AcceptorState::default().after(&force(&one), false).unwrap();
-        let prepare = Order::Prepare {
+        let prepare = ConfigRequest::Prepare {
             follows: one.version(),
             ballot: ballot(3),
             list: 0,
@@ -654,8 +660,8 @@
             "what is decided it takes"
         );
         // Where nothing is in force there is nothing that it could have voted after.
-        let begin = Order::Prepare {
-            follows: Version::default(),
+        let begin = ConfigRequest::Prepare {
+            follows: ConfigVersion::default(),
             ballot: ballot(1),
             list: 0,
         };
@@ -665,7 +671,7 @@
     #[test]
     fn whoever_goes_by_an_older_list_changes_nothing() {
         let one = kept(1, "one");
-        let order = |list| Order::Force {
+        let order = |list| ConfigRequest::Commit {
             version: one.version(),
             text: "one".into(),
             list,
@@ -685,10 +691,10 @@
     #[test]
     fn an_offer_is_admitted_at_the_floor_and_half_a_step_over_it_alone() {
         let (one, two, rival) = (kept(1, "one"), kept(2, "two"), kept(2, "rival"));
-        let stamp = |kept: &ConfigDocument, joint| Stamp {
+        let stamp = |kept: &ConfigDocument, joint| VersionStamp {
             version: kept.version(),
             joint,
-            ..Stamp::default()
+            ..VersionStamp::default()
         };
         // By none, one, joint two, two, joint rival, rival.
         let stamps = [
--- a/crates/plan/src/pace.rs
+++ b/crates/plan/src/pace.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
 
-use reedring_nodeproto::{Ballot, DeltaStep, Order, Version};
+use reedring_nodeproto::{Ballot, ConfigRequest, ConfigVersion, DeltaStep};
 
 use crate::fleet::ClusterView;
 
@@ -20,11 +20,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct ProposalBackoff {
     /// The greatest ballot for the successor of which plan, and since when it is that.
-    rival: (Version, Ballot, u64),
+    rival: (ConfigVersion, Ballot, u64),
     /// The plan in force and the decided one, as they were seen last, and since when.
-    seen: (Version, Option<Version>, u64),
+    seen: (ConfigVersion, Option<ConfigVersion>, u64),
     /// The plan whose text or delta was asked for last, and when.
-    fetched: Option<(Version, u64)>,
+    fetched: Option<(ConfigVersion, u64)>,
     /// What was sent to each node, and when.
     sent: BTreeMap<(u32, u64), u64>,
 }
@@ -33,39 +33,43 @@
 const KIND_BITS: u32 = 4;
 
 /// Tells two orders to a node apart.
-fn mark(order: &Order) -> u64 {
+fn mark(order: &ConfigRequest) -> u64 {
     match order {
-        Order::Ask { stamp } => 1 + (stamp.level() << KIND_BITS),
-        Order::Fetch {
+        ConfigRequest::Query { stamp } => 1 + (stamp.level() << KIND_BITS),
+        ConfigRequest::Fetch {
             version,
             have: None,
         } => 2 + (version.number << KIND_BITS),
-        Order::Prepare { ballot, .. } => 3 + (ballot.round << KIND_BITS),
-        Order::Accept { ballot, .. }
-        | Order::ByDelta {
+        ConfigRequest::Prepare { ballot, .. } => 3 + (ballot.round << KIND_BITS),
+        ConfigRequest::Accept { ballot, .. }
+        | ConfigRequest::ByDelta {
             step: DeltaStep::Accept { ballot },
             ..
         } => 4 + (ballot.round << KIND_BITS),
-        Order::ByDelta {
-            step: DeltaStep::Joint,
+        ConfigRequest::ByDelta {
+            step: DeltaStep::EnterJoint,
             delta,
             ..
         } => 5 + (delta.target.number << KIND_BITS),
-        Order::ByDelta {
-            step: DeltaStep::Force,
+        ConfigRequest::ByDelta {
+            step: DeltaStep::Commit,
             delta,
             ..
         } => 6 + (delta.target.number << KIND_BITS),
-        Order::Joint { version, text, .. } if !text.is_empty() => 5 + (version.number << KIND_BITS),
-        Order::Force { version, text, .. } if !text.is_empty() => 6 + (version.number << KIND_BITS),
-        Order::Raise { stamp } => 7 + (stamp.version.number << KIND_BITS),
+        ConfigRequest::EnterJoint { version, text, .. } if !text.is_empty() => {
+            5 + (version.number << KIND_BITS)
+        }
+        ConfigRequest::Commit { version, text, .. } if !text.is_empty() => {
+            6 + (version.number << KIND_BITS)
+        }
+        ConfigRequest::RaiseFloor { stamp } => 7 + (stamp.version.number << KIND_BITS),
         // A node that lacks what was left out is sent the whole at once.
-        Order::Fetch {
+        ConfigRequest::Fetch {
             version,
             have: Some(_),
         } => 8 + (version.number << KIND_BITS),
-        Order::Joint { version, .. } => 9 + (version.number << KIND_BITS),
-        Order::Force { version, .. } => 10 + (version.number << KIND_BITS),
+        ConfigRequest::EnterJoint { version, .. } => 9 + (version.number << KIND_BITS),
+        ConfigRequest::Commit { version, .. } => 10 + (version.number << KIND_BITS),
     }
 }
 
@@ -105,11 +109,15 @@
     }
 
     /// Leaves out what was asked of a node, and has not had its time.
-    pub fn due(&mut self, now: u64, orders: Vec<(u32, Order)>) -> Vec<(u32, Order)> {
+    pub fn due(
+        &mut self,
+        now: u64,
+        orders: Vec<(u32, ConfigRequest)>,
+    ) -> Vec<(u32, ConfigRequest)> {
         self.sent.retain(|_, at| now < at.saturating_add(AGAIN_US));
         let mut due = orders;
         due.retain(|(node, order)| {
-            if let Order::Fetch { version, .. } = order
+            if let ConfigRequest::Fetch { version, .. } = order
                 && self
                     .fetched
                     .is_some_and(|(plan, at)| plan == *version && now < at.saturating_add(FETCH_US))
@@ -120,7 +128,7 @@
                 Entry::Occupied(_) => false,
                 Entry::Vacant(entry) => {
                     entry.insert(now);
-                    if let Order::Fetch { version, .. } = order {
+                    if let ConfigRequest::Fetch { version, .. } = order {
                         self.fetched = Some((*version, now));
                     }
                     true
@@ -141,13 +149,13 @@
 mod tests {
     use super::*;
     use crate::fleet::PeerState;
-    use reedring_nodeproto::Record;
+    use reedring_nodeproto::AcceptorReport;
 
     #[test]
     fn the_same_is_not_asked_again_before_its_time_and_something_else_is() {
         let mut pace = ProposalBackoff::default();
-        let one = Order::Ask {
-            stamp: reedring_nodeproto::Stamp::default(),
+        let one = ConfigRequest::Query {
+            stamp: reedring_nodeproto::VersionStamp::default(),
         };
         let ask = || vec![(1, one.clone()), (2, one.clone())];
         assert_eq!(pace.due(0, ask()).len(), 2);
@@ -161,8 +169,8 @@
                 (7, one.clone()),
                 (
                     7,
-                    Order::Fetch {
-                        version: reedring_nodeproto::Version::default(),
+                    ConfigRequest::Fetch {
+                        version: reedring_nodeproto::ConfigVersion::default(),
                         have: None,
                     },
                 ),
@@ -171,8 +179,8 @@
         assert_eq!(pace.due(AGAIN_US, both()).len(), 2);
         assert_eq!(pace.due(AGAIN_US + 1, both()).len(), 0);
         // One node at a time is asked for a plan; another one once the first has had its time.
-        let fetch = Order::Fetch {
-            version: reedring_nodeproto::Version::default(),
+        let fetch = ConfigRequest::Fetch {
+            version: reedring_nodeproto::ConfigVersion::default(),
             have: None,
         };
         assert_eq!(
@@ -192,14 +200,14 @@
     #[test]
     fn a_ballot_after_another_plan_has_a_time_of_its_own() {
         let told = |number, round| {
-            let force = Version {
+            let force = ConfigVersion {
                 number,
-                ..Version::default()
+                ..ConfigVersion::default()
             };
-            let record = Record {
+            let record = AcceptorReport {
                 force,
                 promised: Ballot { round, by: 9 },
-                ..Record::default()
+                ..AcceptorReport::default()
             };
             ClusterView {
                 nodes: [(0, PeerState::Told(record))].into(),
@@ -217,9 +225,9 @@
     #[test]
     fn a_ballot_is_left_alone_and_two_placers_do_not_wait_for_the_same_time() {
         let told = |round, by| {
-            let record = Record {
+            let record = AcceptorReport {
                 promised: Ballot { round, by },
-                ..Record::default()
+                ..AcceptorReport::default()
             };
             ClusterView {
                 nodes: [(0, PeerState::Told(record))].into(),
--- a/crates/plan/src/standing.rs
+++ b/crates/plan/src/standing.rs
@@ -1,6 +1,6 @@
 //! How a placer stands: by which plan it acts, or why it sends nothing.
 
-use reedring_nodeproto::Version;
+use reedring_nodeproto::ConfigVersion;
 
 use crate::fleet::ClusterView;
 
@@ -19,7 +19,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LocalConfig {
     /// The plan of its file.
-    pub version: Version,
+    pub version: ConfigVersion,
     /// It takes no other.
     pub pinned: bool,
 }
@@ -72,23 +72,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ActiveConfig {
     /// The plan in force; number 0 where the first one is only decided.
-    pub force: Version,
+    pub force: ConfigVersion,
     /// The one decided to follow: it acts by the stricter of both.
-    pub next: Option<Version>,
+    pub next: Option<ConfigVersion>,
     /// Its own file has a plan that is not in force yet, and that it stays under as well.
-    pub ahead: Option<Version>,
+    pub ahead: Option<ConfigVersion>,
 }
 
 impl ActiveConfig {
     /// The plan that its offers name, and whether it is joint with the one before.
-    pub fn stamp(&self) -> (Version, bool) {
+    pub fn stamp(&self) -> (ConfigVersion, bool) {
         self.next.map_or((self.force, false), |next| (next, true))
     }
 
     /// The level of its offers.
     pub fn level(&self) -> u64 {
         let (version, joint) = self.stamp();
-        reedring_nodeproto::level(version, joint)
+        reedring_nodeproto::version_level(version, joint)
     }
 }
 
@@ -123,9 +123,9 @@
 pub fn lease_state(
     own: LocalConfig,
     fleet: &ClusterView,
-    force: Version,
+    force: ConfigVersion,
     heard: QuorumContact,
-    can: impl Fn(Version) -> Usability,
+    can: impl Fn(ConfigVersion) -> Usability,
 ) -> LeaseState {
     if fleet.is_old() {
         return LeaseState::Unmanaged;
@@ -146,7 +146,7 @@
             Usability::Usable => {}
         }
     }
-    let refused = |next: Version| own.pinned && next != own.version;
+    let refused = |next: ConfigVersion| own.pinned && next != own.version;
     let next = match next.map(|next| (next, can(next))) {
         Some((next, Usability::Usable)) if !refused(next) => Some(next),
         Some((_, Usability::Missing)) if force.number == 0 => {
@@ -165,27 +165,27 @@
 mod tests {
     use super::*;
     use crate::fleet::PeerState;
-    use reedring_nodeproto::{Ballot, Digest, Introduced, Record};
+    use reedring_nodeproto::{AcceptedVersion, AcceptorReport, Ballot, ConfigDigest};
 
-    fn version(number: u64, name: u8) -> Version {
-        Version {
+    fn version(number: u64, name: u8) -> ConfigVersion {
+        ConfigVersion {
             number,
-            digest: Digest([name; 16]),
+            digest: ConfigDigest([name; 16]),
         }
     }
 
     /// Three nodes that all tell the same.
-    fn fleet(force: Version, next: Option<Version>, joint: bool) -> ClusterView {
+    fn fleet(force: ConfigVersion, next: Option<ConfigVersion>, joint: bool) -> ClusterView {
         let ballot = Ballot { round: 1, by: 1 };
-        let next = next.map(|version| Introduced {
+        let next = next.map(|version| AcceptedVersion {
             ballot,
             version,
             joint,
         });
-        let record = Record {
+        let record = AcceptorReport {
             force,
             next,
-            ..Record::default()
+            ..AcceptorReport::default()
         };
         ClusterView {
             nodes: (0..3).map(|n| (n, PeerState::Told(record))).collect(),
@@ -197,7 +197,7 @@
     #[test]
     fn a_placer_acts_only_by_plans_that_it_can_use_and_that_a_majority_stands_behind() {
         let (none, one, two, rival) = (
-            Version::default(),
+            ConfigVersion::default(),
             version(1, 1),
             version(2, 2),
             version(2, 3),
@@ -218,8 +218,9 @@
                                     [Usability::Missing, Usability::Usable, Usability::Unusable]
                                 {
                                     let fleet = fleet(force, next, false);
-                                    let can =
-                                        |v: Version| if v.number == 1 { first } else { second };
+                                    let can = |v: ConfigVersion| {
+                                        if v.number == 1 { first } else { second }
+                                    };
                                     let own = LocalConfig {
                                         version: own,
                                         pinned,
@@ -241,10 +242,10 @@
     fn check(
         got: LeaseState,
         own: LocalConfig,
-        force: Version,
-        next: Option<Version>,
+        force: ConfigVersion,
+        next: Option<ConfigVersion>,
         heard: QuorumContact,
-        can: impl Fn(Version) -> Usability,
+        can: impl Fn(ConfigVersion) -> Usability,
         case: &str,
     ) {
         match got {
@@ -300,7 +301,7 @@
             lease_state(
                 own,
                 fleet,
-                Version::default(),
+                ConfigVersion::default(),
                 QuorumContact::Recent,
                 |_| Usability::Usable,
             )
@@ -319,7 +320,7 @@
             version: version(1, 1),
             pinned: false,
         };
-        let empty = fleet(Version::default(), None, false);
+        let empty = fleet(ConfigVersion::default(), None, false);
         let got = lease_state(own, &empty, version(2, 2), QuorumContact::Recent, |_| {
             Usability::Usable
         });
@@ -340,7 +341,7 @@
             lease_state(
                 own,
                 &fleet(one, next, true),
-                Version::default(),
+                ConfigVersion::default(),
                 QuorumContact::Recent,
                 |_| Usability::Usable,
             )
--- a/crates/plan/src/text.rs
+++ b/crates/plan/src/text.rs
@@ -2,13 +2,13 @@
 
 use std::sync::Arc;
 
-use reedring_nodeproto::{Digest, MAX_PLAN, Version};
+use reedring_nodeproto::{ConfigDigest, ConfigVersion, MAX_PLAN};
 use sha2::{Digest as _, Sha256};
 
 /// A plan whose text fits its version.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ConfigDocument {
-    version: Version,
+    version: ConfigVersion,
     text: Arc<str>,
 }
 
@@ -25,13 +25,13 @@
     },
     /// It has another digest.
     #[error("plan {number}: the text has digest {found}, not {wanted}")]
-    Digest {
+    ConfigDigest {
         /// The plan's number.
         number: u64,
         /// That of the text.
-        found: Digest,
+        found: ConfigDigest,
         /// That of the version.
-        wanted: Digest,
+        wanted: ConfigDigest,
     },
     /// Plans are numbered from 1.
     #[error("plan 0: plans are numbered from 1")]
@@ -39,11 +39,11 @@
 }
 
 /// The digest of a text.
-fn digest(text: &str) -> Digest {
+fn digest(text: &str) -> ConfigDigest {
     let whole: [u8; 32] = Sha256::digest(text.as_bytes()).into();
     let mut half = [0; 16];
     half.copy_from_slice(&whole[..16]);
-    Digest(half)
+    ConfigDigest(half)
 }
 
 impl ConfigDocument {
@@ -53,7 +53,7 @@
     /// Where the text is over its bound, or the number is 0.
     pub fn new(number: u64, text: &str) -> Result<Self, DocumentError> {
         Self::checked(
-            Version {
+            ConfigVersion {
                 number,
                 digest: digest(text),
             },
@@ -65,7 +65,7 @@
     ///
     /// # Errors
     /// See [`DocumentError`].
-    pub fn checked(version: Version, text: &str) -> Result<Self, DocumentError> {
+    pub fn checked(version: ConfigVersion, text: &str) -> Result<Self, DocumentError> {
         let (number, bytes) = (version.number, text.len());
         if number == 0 {
             return Err(DocumentError::Number);
@@ -75,7 +75,7 @@
         }
         let found = digest(text);
         if found != version.digest {
-            return Err(DocumentError::Digest {
+            return Err(DocumentError::ConfigDigest {
                 number,
                 found,
                 wanted: version.digest,
@@ -88,7 +88,7 @@
     }
 
     /// Its version.
-    pub fn version(&self) -> Version {
+    pub fn version(&self) -> ConfigVersion {
         self.version
     }
 
--- a/crates/plan/tests/compact.rs
+++ b/crates/plan/tests/compact.rs
@@ -1,8 +1,8 @@
 //! Orders without what their nodes have already, and what a node makes of them.
 
 use reedring_plan::{
-    AcceptorState, Ballot, Compactor, ConfigDocument, DeltaStep, Edit, Introduced, Order, Record,
-    RequestRejection, Version, delta,
+    AcceptedVersion, AcceptorReport, AcceptorState, Ballot, Compactor, ConfigDocument,
+    ConfigRequest, ConfigVersion, DeltaStep, Edit, RequestRejection, delta,
 };
 
 const BALLOT: Ballot = Ballot { round: 3, by: 9 };
@@ -29,9 +29,9 @@
     plan(2, &["a", "c"])
 }
 
-fn accept(kept: &ConfigDocument) -> Order {
+fn accept(kept: &ConfigDocument) -> ConfigRequest {
     let (version, text) = (kept.version(), kept.text().to_owned());
-    Order::Accept {
+    ConfigRequest::Accept {
         follows: one().version(),
         ballot: BALLOT,
         version,
@@ -40,8 +40,8 @@
     }
 }
 
-fn joint(kept: &ConfigDocument, text: &str) -> Order {
-    Order::Joint {
+fn joint(kept: &ConfigDocument, text: &str) -> ConfigRequest {
+    ConfigRequest::EnterJoint {
         follows: one().version(),
         version: kept.version(),
         text: text.to_owned(),
@@ -49,30 +49,30 @@
     }
 }
 
-fn force(kept: &ConfigDocument, text: &str) -> Order {
-    Order::Force {
+fn force(kept: &ConfigDocument, text: &str) -> ConfigRequest {
+    ConfigRequest::Commit {
         version: kept.version(),
         text: text.to_owned(),
         list: 4,
     }
 }
 
-fn fetch(version: Version, have: Option<Version>) -> Order {
-    Order::Fetch { version, have }
+fn fetch(version: ConfigVersion, have: Option<ConfigVersion>) -> ConfigRequest {
+    ConfigRequest::Fetch { version, have }
 }
 
 /// A node of version 3 that has plan 1 in force, and keeps this one beside it.
-fn record(next: Option<&ConfigDocument>) -> Record {
-    let introduced = |kept: &ConfigDocument| Introduced {
+fn record(next: Option<&ConfigDocument>) -> AcceptorReport {
+    let introduced = |kept: &ConfigDocument| AcceptedVersion {
         ballot: BALLOT,
         version: kept.version(),
         joint: false,
     };
-    Record {
+    AcceptorReport {
         force: one().version(),
         next: next.map(introduced),
         deltas: true,
-        ..Record::default()
+        ..AcceptorReport::default()
     }
 }
 
@@ -82,7 +82,7 @@
     let (one, two, rival, three) = (one(), two(), plan(2, &["a", "d"]), plan(3, &[]));
     let all_new = ConfigDocument::new(2, "[site]\nplacers = 9\n").unwrap();
     let delta = delta::between(&one, &two).unwrap();
-    let by_delta = |step| Order::ByDelta {
+    let by_delta = |step| ConfigRequest::ByDelta {
         step,
         delta: delta.clone(),
         list: 4,
@@ -91,7 +91,7 @@
     let without = record(None);
     let keeps = record(Some(&two));
     let keeps_rival = record(Some(&rival));
-    let elsewhere = Record {
+    let elsewhere = AcceptorReport {
         force: rival.version(),
         ..without
     };
@@ -109,20 +109,28 @@
         (accept(&two), elsewhere, accept(&two)),
         (accept(&all_new), without, accept(&all_new)),
         (joint(&two, two.text()), keeps, joint(&two, "")),
-        (joint(&two, two.text()), without, by_delta(DeltaStep::Joint)),
+        (
+            joint(&two, two.text()),
+            without,
+            by_delta(DeltaStep::EnterJoint),
+        ),
         (joint(&two, two.text()), elsewhere, joint(&two, two.text())),
         (
             joint(&two, two.text()),
             keeps_rival,
-            by_delta(DeltaStep::Joint),
+            by_delta(DeltaStep::EnterJoint),
         ),
         (force(&two, two.text()), keeps, force(&two, "")),
-        (force(&two, two.text()), without, by_delta(DeltaStep::Force)),
+        (
+            force(&two, two.text()),
+            without,
+            by_delta(DeltaStep::Commit),
+        ),
         (force(&two, two.text()), elsewhere, force(&two, two.text())),
         (
             force(&two, two.text()),
             keeps_rival,
-            by_delta(DeltaStep::Force),
+            by_delta(DeltaStep::Commit),
         ),
     ] {
         let mut compactor = Compactor::default();
@@ -130,14 +138,18 @@
         // The same for the next node, of what was kept.
         assert_eq!(compactor.compact(order.clone(), &record, Some(&one)), want);
         // One that reads no deltas is asked as it always was.
-        let former = Record {
+        let former = AcceptorReport {
             deltas: false,
             ..record
         };
         assert_eq!(compactor.compact(order.clone(), &former, Some(&one)), order);
         // Where the text of no plan is here, nothing is asked by it.
         let without_base = compactor.compact(order.clone(), &record, None);
-        if matches!(order, Order::Fetch { .. } | Order::Accept { .. }) || record.next.is_none() {
+        if matches!(
+            order,
+            ConfigRequest::Fetch { .. } | ConfigRequest::Accept { .. }
+        ) || record.next.is_none()
+        {
             assert_eq!(without_base, order);
         }
     }
@@ -151,7 +163,7 @@
     let start = AcceptorState::default()
         .after(&force(&one, one.text()), true)
         .unwrap();
-    let prepare = |round| Order::Prepare {
+    let prepare = |round| ConfigRequest::Prepare {
         follows: one.version(),
         ballot: Ballot { round, by: 9 },
         list: 4,
@@ -165,10 +177,10 @@
     };
     for (step, with_text) in [
         (DeltaStep::Accept { ballot: BALLOT }, accept(&two)),
-        (DeltaStep::Joint, joint(&two, two.text())),
-        (DeltaStep::Force, force(&two, two.text())),
+        (DeltaStep::EnterJoint, joint(&two, two.text())),
+        (DeltaStep::Commit, force(&two, two.text())),
     ] {
-        let by_delta = Order::ByDelta {
+        let by_delta = ConfigRequest::ByDelta {
             step,
             delta: delta.clone(),
             list: 4,
@@ -189,7 +201,7 @@
 fn a_delta_that_does_not_fit_is_declined_and_changes_nothing() {
     let (one, two, other) = (one(), two(), plan(1, &["x"]));
     let right = delta::between(&one, &two).unwrap();
-    let order = |delta| Order::ByDelta {
+    let order = |delta| ConfigRequest::ByDelta {
         step: DeltaStep::Accept { ballot: BALLOT },
         delta,
         list: 4,
@@ -197,7 +209,7 @@
     let empty = AcceptorState::default();
     assert_eq!(
         empty.after(&order(right.clone()), true),
-        Err(RequestRejection::OtherForce(Version::default()))
+        Err(RequestRejection::OtherForce(ConfigVersion::default()))
     );
     let elsewhere = empty.after(&force(&other, other.text()), true).unwrap();
     assert_eq!(
@@ -221,7 +233,7 @@
         .after(&force(&one, one.text()), true)
         .unwrap();
     let kept = start.after(&accept(&two), true).unwrap();
-    for order in [joint as fn(&ConfigDocument, &str) -> Order, force] {
+    for order in [joint as fn(&ConfigDocument, &str) -> ConfigRequest, force] {
         assert_eq!(
             kept.after(&order(&two, ""), true),
             kept.after(&order(&two, two.text()), true)
--- a/crates/plan/tests/delta.rs
+++ b/crates/plan/tests/delta.rs
@@ -4,7 +4,8 @@
 use reedring_nodeproto::{Message, Reader, decode, encode};
 use reedring_plan::delta::{DeltaError, SectionError, apply, between};
 use reedring_plan::{
-    ConfigDocument, Delta, Digest, DocumentError, Edit, MAX_PLAN, SectionKey, Table, Version,
+    ConfigDigest, ConfigDocument, ConfigVersion, Delta, DocumentError, Edit, MAX_PLAN, SectionKey,
+    Table,
 };
 
 /// Teams of the target size.
@@ -99,9 +100,9 @@
             let made = apply(&base, &delta).unwrap();
             prop_assert_eq!(made.text(), target.text());
             prop_assert_eq!(made.version(), target.version());
-            let frame = encode(&Message::PlanDelta(delta.clone()));
+            let frame = encode(&Message::ConfigDelta(delta.clone()));
             prop_assert_eq!(frame.len(), 12 + delta.encoded_len());
-            prop_assert_eq!(decode(&frame).unwrap(), Message::PlanDelta(delta));
+            prop_assert_eq!(decode(&frame).unwrap(), Message::ConfigDelta(delta));
         }
     }
 
@@ -214,7 +215,7 @@
         .collect();
     for target in [added, renamed, removed] {
         let delta = between(&base, &kept(2, &teams(&target, 100))).unwrap();
-        let bytes = encode(&Message::PlanDelta(delta)).len();
+        let bytes = encode(&Message::ConfigDelta(delta)).len();
         println!(
             "a delta of {bytes} bytes beside a text of {}",
             base.text().len()
@@ -250,15 +251,15 @@
         key: tenant_key(name),
     };
     let numbered = |number| Delta {
-        target: Version {
+        target: ConfigVersion {
             number,
             ..right.target
         },
         ..right.clone()
     };
-    let other = Version {
+    let other = ConfigVersion {
         number: 1,
-        digest: Digest([9; 16]),
+        digest: ConfigDigest([9; 16]),
     };
     let section = |name: &str, line, wrong| DeltaError::Section {
         key: tenant_key(name),
@@ -390,7 +391,7 @@
         ),
         (
             with(vec![remove("b")]),
-            DeltaError::Target(DocumentError::Digest {
+            DeltaError::Target(DocumentError::ConfigDigest {
                 number: 2,
                 found: kept(2, &text_of(&[site(3), class("web", 100), tenant("a")]))
                     .version()
@@ -422,9 +423,9 @@
         table: Table::Constraint,
         name: "\"more\"".to_owned(),
     };
-    let target = Version {
+    let target = ConfigVersion {
         number: 2,
-        digest: Digest::default(),
+        digest: ConfigDigest::default(),
     };
     let edits = vec![Edit::Put {
         key,
@@ -521,7 +522,7 @@
         );
     }
     for number in [0, 1, 3] {
-        let version = Version {
+        let version = ConfigVersion {
             number,
             digest: good.version().digest,
         };
@@ -555,7 +556,7 @@
         2,
         &text_of(&[site(4), class("web", 100), tenant("c"), tenant("a")]),
     );
-    let frame = encode(&Message::PlanDelta(between(&base, &target).unwrap()));
+    let frame = encode(&Message::ConfigDelta(between(&base, &target).unwrap()));
     for cut in 0..frame.len() {
         assert!(decode(&frame[..cut]).is_err(), "cut at {cut}");
         let mut reader = Reader::default();
--- a/crates/plan/tests/golden.rs
+++ b/crates/plan/tests/golden.rs
@@ -29,18 +29,18 @@
     let (one, two) = (plan(1, first_text()), plan(2, second_text()));
     let (follows, version) = (one.version(), two.version());
     let text = || second_text().to_owned();
-    let force = |kept: &ConfigDocument, list| Order::Force {
+    let force = |kept: &ConfigDocument, list| ConfigRequest::Commit {
         version: kept.version(),
         text: kept.text().to_owned(),
         list,
     };
-    let after = |memory: &AcceptorState, order: Order| memory.after(&order, true).unwrap();
+    let after = |memory: &AcceptorState, order: ConfigRequest| memory.after(&order, true).unwrap();
 
     let empty = AcceptorState::default();
     let first = after(&empty, force(&one, 40));
     let promised = after(
         &first,
-        Order::Prepare {
+        ConfigRequest::Prepare {
             follows,
             ballot: ballot(3),
             list: 41,
@@ -48,7 +48,7 @@
     );
     let accepted = after(
         &promised,
-        Order::Accept {
+        ConfigRequest::Accept {
             follows,
             ballot: ballot(4),
             version,
@@ -58,7 +58,7 @@
     );
     let joint = after(
         &accepted,
-        Order::Joint {
+        ConfigRequest::EnterJoint {
             follows,
             version,
             text: text(),
@@ -133,7 +133,7 @@
 fn golden_digests_are_those_of_their_texts() {
     let digests = [(first_text(), FIRST_DIGEST), (second_text(), SECOND_DIGEST)];
     for (text, digest) in digests {
-        assert_eq!(plan(1, text).version().digest, Digest(digest));
+        assert_eq!(plan(1, text).version().digest, ConfigDigest(digest));
     }
 }
 
--- a/crates/plan/tests/learners.rs
+++ b/crates/plan/tests/learners.rs
@@ -9,9 +9,9 @@
 use std::collections::BTreeSet;
 
 use reedring_plan::{
-    AcceptorState, ActiveConfig, Ballot, ClusterView, ConfigDocument, DocumentCache, LearnerState,
-    LeaseState, LocalConfig, Membership, Order, PeerState, Proposer, QuorumContact, Stamp,
-    Usability, Version, dispatch_block, lease_state, must_raise,
+    AcceptorState, ActiveConfig, Ballot, ClusterView, ConfigDocument, ConfigRequest, ConfigVersion,
+    DocumentCache, LearnerState, LeaseState, LocalConfig, Membership, PeerState, Proposer,
+    QuorumContact, Usability, VersionStamp, dispatch_block, lease_state, must_raise,
 };
 use stateright::{Checker, Model, Property};
 
@@ -35,10 +35,10 @@
 struct Placer {
     maker: Proposer,
     /// By what it acts, as it saw the voters when it last looked: the plan, and whether joint.
-    acts: (Version, bool),
+    acts: (ConfigVersion, bool),
     told: [Told; LEARNERS],
     /// Offers that have not arrived, and to which learner.
-    late: Vec<(usize, (Version, bool))>,
+    late: Vec<(usize, (ConfigVersion, bool))>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -139,11 +139,11 @@
     texts
 }
 
-fn stamp((version, joint): (Version, bool)) -> Stamp {
-    Stamp {
+fn stamp((version, joint): (ConfigVersion, bool)) -> VersionStamp {
+    VersionStamp {
         version,
         joint,
-        ..Stamp::default()
+        ..VersionStamp::default()
     }
 }
 
@@ -184,14 +184,14 @@
     }
 
     /// What a placer asks next, and what it has become by asking.
-    fn orders(&self, world: &World, placer: usize) -> (Proposer, Vec<(u32, Order)>) {
+    fn orders(&self, world: &World, placer: usize) -> (Proposer, Vec<(u32, ConfigRequest)>) {
         let fleet = self.fleet(world, placer);
         let mut maker = world.placers[placer].maker.clone();
         let own = self.own(placer);
         let (_, orders) = maker.next(
             self.rivals,
             &fleet,
-            Version::default(),
+            ConfigVersion::default(),
             own.as_ref(),
             &texts(),
         );
@@ -199,7 +199,7 @@
     }
 
     /// By what a placer acts once it has looked; nothing where it hears no majority of the voters.
-    fn looks(&self, world: &World, placer: usize) -> Option<(Version, bool)> {
+    fn looks(&self, world: &World, placer: usize) -> Option<(ConfigVersion, bool)> {
         let fleet = self.fleet(world, placer);
         let hears = |node: u32| {
             self.heard[placer]
@@ -217,7 +217,7 @@
             version: self.own(placer).map_or(version, |own| own.version()),
             pinned: false,
         };
-        match lease_state(own, &fleet, Version::default(), heard, |_| {
+        match lease_state(own, &fleet, ConfigVersion::default(), heard, |_| {
             Usability::Usable
         }) {
             LeaseState::Active(acts) => Some(acts.stamp()),
@@ -256,7 +256,13 @@
     }
 
     /// An offer reaches a learner. Where it is refused, its placer is told why.
-    fn arrive(&self, world: &mut World, placer: usize, learner: usize, acts: (Version, bool)) {
+    fn arrive(
+        &self,
+        world: &mut World,
+        placer: usize,
+        learner: usize,
+        acts: (ConfigVersion, bool),
+    ) {
         let (stamp, tick) = (stamp(acts), world.tick);
         let at = &mut world.learners[learner];
         if at.now.floor.admits(Some(&stamp)).is_err() {
@@ -280,7 +286,7 @@
 
     fn init_states(&self) -> Vec<World> {
         let one = plan(1, "one");
-        let force = Order::Force {
+        let force = ConfigRequest::Commit {
             version: one.version(),
             text: "one".into(),
             list: 0,
@@ -292,7 +298,7 @@
         let two = plan(2, "a");
         let (follows, ballot) = (one.version(), Ballot { round: 1, by: 1 });
         let (version, text) = (two.version(), two.text().to_owned());
-        let accept = Order::Accept {
+        let accept = ConfigRequest::Accept {
             follows,
             ballot,
             version,
@@ -432,7 +438,7 @@
             Property::always(
                 "at most one plan of a number is in force",
                 |_, world: &World| {
-                    let mut all: Vec<Version> = world
+                    let mut all: Vec<ConfigVersion> = world
                         .voters
                         .iter()
                         .map(|voter| voter.record().force)
--- a/crates/plan/tests/model.rs
+++ b/crates/plan/tests/model.rs
@@ -6,8 +6,8 @@
 //! same model with a rule taken away must fail.
 
 use reedring_plan::{
-    AcceptorState, ClusterView, ConfigDocument, DocumentCache, Order, PeerState, Proposer, Record,
-    Stamp, Version,
+    AcceptorReport, AcceptorState, ClusterView, ConfigDocument, ConfigRequest, ConfigVersion,
+    DocumentCache, PeerState, Proposer, VersionStamp,
 };
 use stateright::{Checker, Model, Property};
 
@@ -22,7 +22,7 @@
 
 /// An order, as a model's state can have it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Late(Order);
+struct Late(ConfigRequest);
 
 impl std::hash::Hash for Late {
     fn hash<H: std::hash::Hasher>(&self, state: &mut H) {
@@ -105,7 +105,7 @@
 
 impl Rules {
     /// What a placer asks next, and what it has become by asking.
-    fn orders(&self, world: &World, which: usize) -> (Proposer, Vec<(u32, Order)>) {
+    fn orders(&self, world: &World, which: usize) -> (Proposer, Vec<(u32, ConfigRequest)>) {
         let placer = &world.placers[which];
         let known = |n: usize| {
             if !self.heard[which][n] {
@@ -124,11 +124,11 @@
         }
         let own = plan(2, ["a", "b"][which]);
         let mut maker = placer.maker.clone();
-        let (_, orders) = maker.next(true, &fleet, Version::default(), Some(&own), &texts());
+        let (_, orders) = maker.next(true, &fleet, ConfigVersion::default(), Some(&own), &texts());
         (maker, orders)
     }
 
-    fn order(&self, world: &mut World, placer: usize, node: usize) -> Option<Order> {
+    fn order(&self, world: &mut World, placer: usize, node: usize) -> Option<ConfigRequest> {
         let (maker, orders) = self.orders(world, placer);
         world.placers[placer].maker = maker;
         orders
@@ -137,7 +137,7 @@
             .map(|(_, order)| order)
     }
 
-    fn arrive(&self, world: &mut World, node: usize, order: &Order) {
+    fn arrive(&self, world: &mut World, node: usize, order: &ConfigRequest) {
         let mut memory = world.nodes[node].clone();
         if !self.promises {
             memory.promised = Default::default();
@@ -155,7 +155,7 @@
 
     fn init_states(&self) -> Vec<World> {
         let one = plan(1, "one");
-        let force = Order::Force {
+        let force = ConfigRequest::Commit {
             version: one.version(),
             text: "one".into(),
             list: 0,
@@ -228,8 +228,11 @@
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
-        fn versions(world: &World, of: impl Fn(&Record) -> Option<Version>) -> Vec<Version> {
-            let mut all: Vec<Version> = world
+        fn versions(
+            world: &World,
+            of: impl Fn(&AcceptorReport) -> Option<ConfigVersion>,
+        ) -> Vec<ConfigVersion> {
+            let mut all: Vec<ConfigVersion> = world
                 .nodes
                 .iter()
                 .filter_map(|node| of(&node.record()))
@@ -247,7 +250,7 @@
                 },
             ),
             Property::always("at most one is decided", |_, world: &World| {
-                let joint = |record: &Record| {
+                let joint = |record: &AcceptorReport| {
                     record
                         .next
                         .filter(|next| next.joint)
@@ -259,12 +262,12 @@
                 "no node takes offers by two plans without the joint form",
                 |_, world: &World| {
                     let plans = [plan(1, "one"), plan(2, "a"), plan(2, "b")];
-                    let stamp = |kept: &ConfigDocument, joint| Stamp {
+                    let stamp = |kept: &ConfigDocument, joint| VersionStamp {
                         version: kept.version(),
                         joint,
-                        ..Stamp::default()
+                        ..VersionStamp::default()
                     };
-                    let stamps: Vec<Stamp> = plans
+                    let stamps: Vec<VersionStamp> = plans
                         .iter()
                         .flat_map(|kept| [stamp(kept, false), stamp(kept, true)])
                         .collect();
@@ -272,7 +275,7 @@
                         let taken = stamps
                             .iter()
                             .filter(|stamp| node.admits(Some(stamp)).is_ok());
-                        let levels: Vec<u64> = taken.map(Stamp::level).collect();
+                        let levels: Vec<u64> = taken.map(VersionStamp::level).collect();
                         levels
                             .iter()
                             .max()
--- a/crates/standin/src/model/links.rs
+++ b/crates/standin/src/model/links.rs
@@ -1,6 +1,6 @@
 //! Links: greetings, what a placer is told that is held for it, and which link may speak.
 
-use reedring_nodeproto::{Held, HeldState, Message, Stamp};
+use reedring_nodeproto::{Held, HeldState, Message, VersionStamp};
 
 use super::types::{Effect, LinkId, State};
 use super::{Node, PAGE};
@@ -43,7 +43,7 @@
                 acts.map(|(stamp, _)| stamp),
             );
         }
-        if matches!(message, Message::Plan(_)) && !self.config.plans {
+        if matches!(message, Message::ConfigRequest(_)) && !self.config.plans {
             // A frame of another version: nothing after it can be trusted.
             return self.effects.push(Effect::Close(link));
         }
@@ -67,7 +67,7 @@
             } => {
                 self.offered(now_us, placer, attempt, *task, within_ms, stamp, groups);
             }
-            Message::Plan(order) => self.ordered(now_us, link, &order),
+            Message::ConfigRequest(order) => self.ordered(now_us, link, &order),
             Message::Stop { attempt } => self.stop(now_us, &placer, attempt, groups),
             Message::Probe { nonce } => {
                 let report = if self.config.reports == Reports::Never {
@@ -96,7 +96,7 @@
         link: LinkId,
         name: &str,
         newest: (u64, u64),
-        stamp: Option<Stamp>,
+        stamp: Option<VersionStamp>,
     ) {
         let placer = self.placers.entry(name.to_owned()).or_default();
         if newest < placer.newest {
--- a/crates/standin/src/model/offers.rs
+++ b/crates/standin/src/model/offers.rs
@@ -2,7 +2,7 @@
 
 use rand_core::Rng;
 use reedring_drmaa::JobSpec;
-use reedring_nodeproto::{AttemptId, End, Message, Reason, Repeat, Stamp, Task};
+use reedring_nodeproto::{AttemptId, End, Message, Reason, Repeat, Task, VersionStamp};
 
 use super::Node;
 use super::types::{Effect, Job, State, Waiting};
@@ -17,7 +17,7 @@
         attempt: AttemptId,
         task: Task,
         within_ms: u32,
-        stamp: Option<Stamp>,
+        stamp: Option<VersionStamp>,
         groups: &mut Groups,
     ) {
         if self
--- a/crates/standin/src/model/plans.rs
+++ b/crates/standin/src/model/plans.rs
@@ -4,10 +4,10 @@
 use std::io;
 
 use reedring::names::machine_id;
-use reedring_nodeproto::{Message, Order, Reason, Record, Stamp};
+use reedring_nodeproto::{AcceptorReport, ConfigRequest, Message, Reason, VersionStamp};
 use reedring_plan::{
-    AcceptorState, ConfigDocument, Delta, DeltaStep, LearnerState, OfferRejection, PlacerSighting,
-    RequestRejection, Version, delta,
+    AcceptorState, ConfigDocument, ConfigVersion, Delta, DeltaStep, LearnerState, OfferRejection,
+    PlacerSighting, RequestRejection, delta,
 };
 
 use super::Node;
@@ -72,7 +72,7 @@
     }
 
     /// What changed from a plan that a placer has to the one that it asks for, where that is known and shorter.
-    fn delta(&self, have: Version, wanted: Version) -> Option<Delta> {
+    fn delta(&self, have: ConfigVersion, wanted: ConfigVersion) -> Option<Delta> {
         let former = || {
             let base = self.former.as_ref().filter(|kept| kept.version() == have)?;
             delta::shorter(
@@ -102,7 +102,7 @@
     }
 
     /// What it keeps of plans, as placers are told.
-    pub fn record(&self, now_us: u64) -> Record {
+    pub fn record(&self, now_us: u64) -> AcceptorReport {
         let kept = if self.config.votes {
             self.plans.acts.record()
         } else {
@@ -119,7 +119,7 @@
         let floor_ms = now_us.saturating_sub(self.plans.floor_us) / 1_000;
         let stuck =
             kept.stuck || self.plans.stuck || self.plans.acts.taught && !self.has_settled(now_us);
-        Record {
+        AcceptorReport {
             floor_ms,
             linked,
             behind,
@@ -140,7 +140,7 @@
     }
 
     /// Remembers by what a placer acts; a row that can't be written is no reason to turn it away.
-    pub(super) fn sees(&mut self, now_us: u64, placer: &str, stamp: Option<Stamp>) {
+    pub(super) fn sees(&mut self, now_us: u64, placer: &str, stamp: Option<VersionStamp>) {
         if !self.config.votes {
             return;
         }
@@ -175,17 +175,17 @@
         self.effects.extend(
             links
                 .into_iter()
-                .map(|link| Effect::Send(link, Message::Record(record))),
+                .map(|link| Effect::Send(link, Message::AcceptorReport(record))),
         );
     }
 
     /// An order to the node's memory.
-    pub(super) fn ordered(&mut self, now_us: u64, link: LinkId, order: &Order) {
-        if let Order::Fetch { version, have } = order {
+    pub(super) fn ordered(&mut self, now_us: u64, link: LinkId, order: &ConfigRequest) {
+        if let ConfigRequest::Fetch { version, have } = order {
             if let Some(delta) = have.and_then(|have| self.plans.delta(have, *version)) {
                 return self
                     .effects
-                    .push(Effect::Send(link, Message::PlanDelta(delta)));
+                    .push(Effect::Send(link, Message::ConfigDelta(delta)));
             }
             let text = self
                 .plans
@@ -195,13 +195,13 @@
                 .to_owned();
             return self.effects.push(Effect::Send(
                 link,
-                Message::PlanText {
+                Message::ConfigText {
                     version: *version,
                     text,
                 },
             ));
         }
-        if let Order::Ask { stamp } = order
+        if let ConfigRequest::Query { stamp } = order
             && let Some(name) = self.links.get(&link).cloned()
         {
             self.sees(now_us, &name, Some(*stamp));
@@ -215,9 +215,9 @@
             Ok(new) => {
                 let vote = matches!(
                     order,
-                    Order::Prepare { .. }
-                        | Order::Accept { .. }
-                        | Order::ByDelta {
+                    ConfigRequest::Prepare { .. }
+                        | ConfigRequest::Accept { .. }
+                        | ConfigRequest::ByDelta {
                             step: DeltaStep::Accept { .. },
                             ..
                         }
@@ -229,10 +229,12 @@
                 if self.plans.acts.floor() != floor {
                     self.plans.floor_us = now_us;
                 }
-                if let Order::Prepare { .. } = order {
+                if let ConfigRequest::Prepare { .. } = order {
                     // A promise concerns the placer that asked for it alone.
-                    self.effects
-                        .push(Effect::Send(link, Message::Record(self.record(now_us))));
+                    self.effects.push(Effect::Send(
+                        link,
+                        Message::AcceptorReport(self.record(now_us)),
+                    ));
                 } else {
                     self.tell_record(now_us);
                 }
@@ -246,25 +248,26 @@
             Err(_) => {
                 let record = self.record(now_us);
                 self.effects
-                    .push(Effect::Send(link, Message::Record(record)));
+                    .push(Effect::Send(link, Message::AcceptorReport(record)));
             }
         }
     }
 
     /// A placer acts by this stamp: a learner's floor rises to the joint form of its plan. Nobody is told: whoever is
     /// behind hears of it where it sends something, so that a change costs no message a learner.
-    pub(super) fn learn(&mut self, now_us: u64, stamp: &Stamp) {
+    pub(super) fn learn(&mut self, now_us: u64, stamp: &VersionStamp) {
         if !self.config.votes && self.plans.learned.raise(stamp) {
             self.plans.floor_us = now_us;
         }
     }
 
     /// An order to a learner: it casts no vote, and takes what its sender acts by or says is decided for its floor.
-    fn ordered_learner(&mut self, now_us: u64, link: LinkId, order: &Order) {
+    fn ordered_learner(&mut self, now_us: u64, link: LinkId, order: &ConfigRequest) {
         match order {
-            Order::Raise { stamp } => self.learn(now_us, stamp),
-            Order::Joint { version, list, .. } | Order::Force { version, list, .. } => {
-                let stamp = Stamp {
+            ConfigRequest::RaiseFloor { stamp } => self.learn(now_us, stamp),
+            ConfigRequest::EnterJoint { version, list, .. }
+            | ConfigRequest::Commit { version, list, .. } => {
+                let stamp = VersionStamp {
                     version: *version,
                     joint: true,
                     list: *list,
@@ -272,12 +275,12 @@
                 };
                 self.learn(now_us, &stamp);
             }
-            Order::ByDelta {
-                step: DeltaStep::Joint | DeltaStep::Force,
+            ConfigRequest::ByDelta {
+                step: DeltaStep::EnterJoint | DeltaStep::Commit,
                 delta,
                 list,
             } => {
-                let stamp = Stamp {
+                let stamp = VersionStamp {
                     version: delta.target,
                     joint: true,
                     list: *list,
@@ -285,21 +288,21 @@
                 };
                 self.learn(now_us, &stamp);
             }
-            Order::Ask { .. }
-            | Order::Fetch { .. }
-            | Order::Prepare { .. }
-            | Order::Accept { .. }
-            | Order::ByDelta {
+            ConfigRequest::Query { .. }
+            | ConfigRequest::Fetch { .. }
+            | ConfigRequest::Prepare { .. }
+            | ConfigRequest::Accept { .. }
+            | ConfigRequest::ByDelta {
                 step: DeltaStep::Accept { .. },
                 ..
             } => {}
         }
         let record = self.record(now_us);
         self.effects
-            .push(Effect::Send(link, Message::Record(record)));
+            .push(Effect::Send(link, Message::AcceptorReport(record)));
     }
 
-    fn admits(&self, stamp: Option<&Stamp>) -> Result<(), OfferRejection> {
+    fn admits(&self, stamp: Option<&VersionStamp>) -> Result<(), OfferRejection> {
         if self.config.votes {
             self.plans.acts.admits(stamp)
         } else {
@@ -312,7 +315,7 @@
         &mut self,
         now_us: u64,
         placer: &str,
-        stamp: Option<&Stamp>,
+        stamp: Option<&VersionStamp>,
     ) -> Option<Reason> {
         if !self.config.plans || self.admits(stamp).is_ok() {
             return None;
@@ -322,7 +325,7 @@
             return Some(Reason::NotHere);
         }
         let record = self.record(now_us);
-        self.tell(placer, Message::Record(record));
+        self.tell(placer, Message::AcceptorReport(record));
         Some(Reason::Superseded)
     }
 }
--- a/crates/standin/src/model/types.rs
+++ b/crates/standin/src/model/types.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use reedring_nodeproto::{AttemptId, End, Message, Stamp, Task};
+use reedring_nodeproto::{AttemptId, End, Message, Task, VersionStamp};
 
 /// A link, as the shell numbers it.
 pub type LinkId = u64;
@@ -61,14 +61,14 @@
     pub(super) placer: String,
     pub(super) task: Task,
     pub(super) too_late_us: u64,
-    pub(super) stamp: Option<Stamp>,
+    pub(super) stamp: Option<VersionStamp>,
 }
 
 #[derive(Debug, Default)]
 pub(super) struct Placer {
     pub(super) link: Option<LinkId>,
     /// By what it acts, where it says so.
-    pub(super) stamp: Option<Stamp>,
+    pub(super) stamp: Option<VersionStamp>,
     /// Lives and link numbers only go up; what is older is not read any more.
     pub(super) newest: (u64, u64),
     /// Ends that it has not acknowledged.
--- a/crates/standin/src/slots.rs
+++ b/crates/standin/src/slots.rs
@@ -95,13 +95,13 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use reedring_plan::{ConfigDocument, Order};
+    use reedring_plan::{ConfigDocument, ConfigRequest};
     use reedring_state::SimFolder;
 
     fn memories() -> Vec<AcceptorState> {
         let force = |number: u64, text: &str| {
             let kept = ConfigDocument::new(number, text).unwrap();
-            Order::Force {
+            ConfigRequest::Commit {
                 version: kept.version(),
                 text: text.to_owned(),
                 list: 0,
--- a/crates/standin/tests/golden.rs
+++ b/crates/standin/tests/golden.rs
@@ -1,7 +1,7 @@
 //! A node's folder that commit 073fcce wrote: its two slots open with equal values, and the same states kept again give
 //! files with equal bytes. The files are never written anew.
 
-use reedring_nodeproto::{Ballot, Order};
+use reedring_nodeproto::{Ballot, ConfigRequest};
 use reedring_plan::{ConfigDocument, AcceptorState, PlacerSighting, write};
 use reedring_standin::{Keep, Slots};
 use reedring_state::{Folder, SimFolder};
@@ -16,7 +16,7 @@
         plan(1, "[site]\nplacers = 3\n"),
         plan(2, "[site]\nplacers = 4\n"),
     );
-    let force = Order::Force {
+    let force = ConfigRequest::Commit {
         version: one.version(),
         text: one.text().to_owned(),
         list: 40,
@@ -33,14 +33,14 @@
     );
     let ballot = Ballot { round: 3, by: 9 };
     let (follows, version, text) = (one.version(), two.version(), two.text().to_owned());
-    let accept = Order::Accept {
+    let accept = ConfigRequest::Accept {
         follows,
         ballot,
         version,
         text: text.clone(),
         list: 41,
     };
-    let joint = Order::Joint {
+    let joint = ConfigRequest::EnterJoint {
         follows,
         version,
         text,
--- a/crates/standin/tests/greetings.rs
+++ b/crates/standin/tests/greetings.rs
@@ -1,14 +1,14 @@
 //! A crowd at one node.
 
-use reedring_nodeproto::{Digest, Message, Order, Stamp, Version};
+use reedring_nodeproto::{ConfigDigest, ConfigRequest, ConfigVersion, Message, VersionStamp};
 use reedring_plan::ConfigDocument;
 use reedring_standin::{Config, Effect, Groups, Node};
 
-fn stamp(number: u64) -> Stamp {
-    Stamp {
-        version: Version {
+fn stamp(number: u64) -> VersionStamp {
+    VersionStamp {
+        version: ConfigVersion {
             number,
-            digest: Digest([number as u8; 16]),
+            digest: ConfigDigest([number as u8; 16]),
         },
         joint: false,
         list: 1,
@@ -32,12 +32,12 @@
     };
     node.message(0, 0, hello(2), &mut groups);
     let kept = ConfigDocument::new(3, "the plan").unwrap();
-    let force = Order::Force {
+    let force = ConfigRequest::Commit {
         version: kept.version(),
         text: "the plan".to_owned(),
         list: 1,
     };
-    node.message(1, 0, Message::Plan(force), &mut groups);
+    node.message(1, 0, Message::ConfigRequest(force), &mut groups);
     node.effects();
     for n in 0..350 {
         node.message(2, 1 + n, hello(n), &mut groups);
@@ -48,7 +48,7 @@
             .count();
         let records = told
             .iter()
-            .filter(|effect| matches!(effect, Effect::Send(_, Message::Record(_))))
+            .filter(|effect| matches!(effect, Effect::Send(_, Message::AcceptorReport(_))))
             .count();
         assert_eq!(
             (welcomes, records),
--- a/crates/standin/tests/learners.rs
+++ b/crates/standin/tests/learners.rs
@@ -1,16 +1,17 @@
 //! Nodes that do not vote on plans: what they learn, what they refuse, and whom they tell.
 
 use reedring_nodeproto::{
-    AttemptId, Ballot, Group, Message, Order, Reason, Record, Repeat, Stamp, Task, Version, level,
+    AcceptorReport, AttemptId, Ballot, ConfigRequest, ConfigVersion, Group, Message, Reason,
+    Repeat, Task, VersionStamp, version_level,
 };
 use reedring_plan::ConfigDocument;
 use reedring_standin::{Config, Effect, Fleet, Groups, Node};
 
-fn stamp(number: u64, joint: bool) -> Stamp {
-    Stamp {
+fn stamp(number: u64, joint: bool) -> VersionStamp {
+    VersionStamp {
         version: plan(number).version(),
         joint,
-        ..Stamp::default()
+        ..VersionStamp::default()
     }
 }
 
@@ -66,7 +67,7 @@
         site
     }
 
-    fn greet(&mut self, link: u64, stamp: Option<Stamp>) -> Option<Record> {
+    fn greet(&mut self, link: u64, stamp: Option<VersionStamp>) -> Option<AcceptorReport> {
         let acts = stamp.map(|stamp| (stamp, "build".to_owned()));
         let hello = Message::Hello {
             placer: format!("placer-{link}"),
@@ -101,7 +102,11 @@
     }
 
     /// Whether an offer was accepted, else why not; and the floor that its placer was told with that.
-    fn offer(&mut self, link: u64, stamp: Option<Stamp>) -> (Result<(), Reason>, Option<u64>) {
+    fn offer(
+        &mut self,
+        link: u64,
+        stamp: Option<VersionStamp>,
+    ) -> (Result<(), Reason>, Option<u64>) {
         self.offers += 1;
         let attempt = AttemptId {
             life: 1,
@@ -123,7 +128,7 @@
             "nobody else is told: {sent:?}"
         );
         let floor = sent.iter().find_map(|(_, message)| match message {
-            Message::Record(record) => Some(record.floor()),
+            Message::AcceptorReport(record) => Some(record.floor()),
             _ => None,
         });
         let answer = sent.iter().find_map(|(_, message)| match message {
@@ -134,9 +139,9 @@
         (answer.expect("an answer"), floor)
     }
 
-    fn order(&mut self, link: u64, order: Order) -> Record {
-        let sent = self.send(link, Message::Plan(order));
-        let [(to, Message::Record(record))] = &sent[..] else {
+    fn order(&mut self, link: u64, order: ConfigRequest) -> AcceptorReport {
+        let sent = self.send(link, Message::ConfigRequest(order));
+        let [(to, Message::AcceptorReport(record))] = &sent[..] else {
             panic!("{sent:?}")
         };
         assert_eq!(*to, link);
@@ -158,9 +163,9 @@
         (Err(Reason::Superseded), Some(3))
     );
     assert_eq!(site.offer(1, Some(stamp(2, true))), (Ok(()), None));
-    let rival = Stamp {
+    let rival = VersionStamp {
         version: ConfigDocument::new(2, "rival").unwrap().version(),
-        ..Stamp::default()
+        ..VersionStamp::default()
     };
     assert_eq!(
         site.offer(1, Some(rival)),
@@ -196,7 +201,7 @@
     assert_eq!(
         site.order(
             1,
-            Order::Ask {
+            ConfigRequest::Query {
                 stamp: stamp(9, false)
             }
         )
@@ -209,11 +214,11 @@
 #[test]
 fn ballots_are_not_voted_on_and_what_is_decided_raises_the_floor() {
     let mut site = Site::new();
-    let (follows, ballot, list) = (Version::default(), Ballot { round: 1, by: 1 }, 0);
+    let (follows, ballot, list) = (ConfigVersion::default(), Ballot { round: 1, by: 1 }, 0);
     let (version, text) = (plan(1).version(), plan(1).text().to_owned());
     let record = site.order(
         1,
-        Order::Prepare {
+        ConfigRequest::Prepare {
             follows,
             ballot,
             list,
@@ -222,7 +227,7 @@
     assert_eq!((record.promised, record.floor()), (Ballot::default(), 0));
     let record = site.order(
         1,
-        Order::Accept {
+        ConfigRequest::Accept {
             follows,
             ballot,
             version,
@@ -234,26 +239,29 @@
     // From a placer of the former version, which takes it for one that keeps plans.
     let record = site.order(
         1,
-        Order::Joint {
+        ConfigRequest::EnterJoint {
             follows,
             version,
             text: text.clone(),
             list,
         },
     );
-    assert_eq!(record.floor(), level(version, true));
+    assert_eq!(record.floor(), version_level(version, true));
     let record = site.order(
         1,
-        Order::Force {
+        ConfigRequest::Commit {
             version,
             text,
             list,
         },
     );
-    assert_eq!((record.floor(), record.force), (1, Version::default()));
+    assert_eq!(
+        (record.floor(), record.force),
+        (1, ConfigVersion::default())
+    );
     let sent = site.send(
         1,
-        Message::Plan(Order::Fetch {
+        Message::ConfigRequest(ConfigRequest::Fetch {
             version,
             have: None,
         }),
@@ -262,7 +270,7 @@
         sent,
         [(
             1,
-            Message::PlanText {
+            Message::ConfigText {
                 version,
                 text: String::new()
             }
@@ -277,7 +285,7 @@
     let mut site = Site::new();
     let record = site.order(
         1,
-        Order::Raise {
+        ConfigRequest::RaiseFloor {
             stamp: stamp(2, true),
         },
     );
@@ -285,7 +293,7 @@
     site.now_us += 500_000;
     let record = site.order(
         2,
-        Order::Raise {
+        ConfigRequest::RaiseFloor {
             stamp: stamp(2, false),
         },
     );
@@ -297,7 +305,7 @@
     assert_eq!(
         site.order(
             1,
-            Order::Raise {
+            ConfigRequest::RaiseFloor {
                 stamp: stamp(1, false)
             }
         )
