--- a/crates/cli/src/state.rs
+++ b/crates/cli/src/state.rs
@@ -6,7 +6,7 @@
 
 use clap::{Args, Subcommand};
 use jiff::Timestamp;
-use reedring_state::{Disk, Export, LearnedError, Phase};
+use reedring_state::{BeliefError, Disk, Export, Phase};
 
 use crate::Failure;
 use crate::programs::read;
@@ -44,7 +44,7 @@
     },
 }
 
-fn open(dir: &Path) -> Result<(Export, Vec<LearnedError>), Failure> {
+fn open(dir: &Path) -> Result<(Export, Vec<BeliefError>), Failure> {
     if !dir.is_dir() {
         return Err(format!("{}: there is no such folder", dir.display()).into());
     }
@@ -69,7 +69,7 @@
     }
 }
 
-fn show(export: &Export, passed_by: &[LearnedError]) {
+fn show(export: &Export, passed_by: &[BeliefError]) {
     let ledger = &export.ledger;
     println!("placer {}, format {}", export.placer, export.format);
     println!(
--- a/crates/core/src/constrain.rs
+++ b/crates/core/src/constrain.rs
@@ -98,7 +98,7 @@
 }
 
 /// Machines of a request, for the module.
-pub(crate) type Opened = (RequestId, Vec<MachineId>);
+pub(crate) type EligibilityChange = (RequestId, Vec<MachineId>);
 
 /// From what copies count as to whose constraint speaks of it.
 #[derive(Debug)]
@@ -290,7 +290,7 @@
     }
 
     /// A request waits. What the module must be told at once is returned.
-    pub fn asked(&mut self, request: RequestId, subject: Subject) -> Opened {
+    pub fn asked(&mut self, request: RequestId, subject: Subject) -> EligibilityChange {
         let turns = subject.bound.takes_turns();
         self.by_topic.add(&subject.bound.depends, request);
         let told = if turns {
@@ -325,7 +325,7 @@
     }
 
     /// An offer left: until its end is known the request gets no machine, and the next one its turn.
-    pub fn offered(&mut self, request: RequestId) -> Option<Opened> {
+    pub fn offered(&mut self, request: RequestId) -> Option<EligibilityChange> {
         let waiting = self.waiting.get_mut(&request)?;
         waiting.out = true;
         if !waiting.subject.bound.takes_turns() {
@@ -445,8 +445,8 @@
     /// What the module must be told next: the request whose turn it was is closed, and the next one that has
     /// machines is opened. Each is open for one step of the module alone, so that no other draw of that step
     /// can take from it what it was told. Empty where nothing changed.
-    pub fn next(&mut self) -> Vec<Opened> {
-        let mut tell: Vec<Opened> = self.close().into_iter().collect();
+    pub fn next(&mut self) -> Vec<EligibilityChange> {
+        let mut tell: Vec<EligibilityChange> = self.close().into_iter().collect();
         while let Some(request) = self.dirty.pop_first() {
             let Some(waiting) = self.waiting.get(&request).filter(|waiting| !waiting.out) else {
                 continue;
@@ -474,7 +474,7 @@
     }
 
     /// The request whose turn it was is open no more.
-    pub fn close(&mut self) -> Option<Opened> {
+    pub fn close(&mut self) -> Option<EligibilityChange> {
         let before = self.turn.take()?;
         self.last = Some(before);
         let waiting = self.waiting.get_mut(&before)?;
@@ -483,7 +483,12 @@
         Some((before, Vec::new()))
     }
 
-    fn tell(&mut self, request: RequestId, machines: Vec<MachineId>, tell: &mut Vec<Opened>) {
+    fn tell(
+        &mut self,
+        request: RequestId,
+        machines: Vec<MachineId>,
+        tell: &mut Vec<EligibilityChange>,
+    ) {
         if let Some(waiting) = self
             .waiting
             .get_mut(&request)
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -12,7 +12,7 @@
 use reedring_settings::Settings;
 use reedring_state::Change;
 
-use crate::constrain::{Constrainer, Opened, TURNS};
+use crate::constrain::{Constrainer, EligibilityChange, TURNS};
 use crate::decide::{self, Known, Loss};
 use crate::holds::Holds;
 use crate::io::{ConnId, Input, Level, Output};
@@ -76,7 +76,7 @@
     /// Every offer of the former life to a cold node is known.
     pub(crate) budgets_known: bool,
     /// What a former life learned of nodes that are not met yet.
-    pub(crate) recall: BTreeMap<String, reedring_state::Known>,
+    pub(crate) recall: BTreeMap<String, reedring_state::NodeBeliefs>,
     /// Copies of a former life whose constraints are judged once nodes have told.
     pub(crate) restored_copies: Vec<(JobNo, AttemptId)>,
     /// A sweep is due.
@@ -755,8 +755,8 @@
     }
 }
 
-pub(crate) fn opened_event((request, machines): Opened) -> Event {
-    Event::Opened { request, machines }
+pub(crate) fn opened_event((request, machines): EligibilityChange) -> Event {
+    Event::EligibilityChanged { request, machines }
 }
 
 /// The number of the key that a job's repeats share.
--- a/crates/core/src/holds.rs
+++ b/crates/core/src/holds.rs
@@ -142,7 +142,8 @@
         if !self.holds.machines.is_empty() {
             self.holds.narrowed.insert(request);
             let machines = self.not_held();
-            self.events.push(Event::Opened { request, machines });
+            self.events
+                .push(Event::EligibilityChanged { request, machines });
         }
     }
 
@@ -166,7 +167,7 @@
                 .collect()
         };
         let open = self.not_held();
-        let opened = plain.iter().map(|request| Event::Opened {
+        let opened = plain.iter().map(|request| Event::EligibilityChanged {
             request: *request,
             machines: open.clone(),
         });
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -5,7 +5,7 @@
 use reedring_drmaa::rpc::{Call, Response};
 use reedring_nodeproto::{AcceptorReport, AttemptId, Message, VersionStamp};
 use reedring_settings::{NodeList, Settings};
-use reedring_state::{Batch, Learned};
+use reedring_state::{Batch, BeliefSnapshot};
 
 /// A client's connection, as the shell numbers it.
 pub type ConnId = u64;
@@ -129,7 +129,7 @@
         whole: bool,
     },
     /// Replace the file of what was learned. Nothing waits for it.
-    Learn(Box<Learned>),
+    Learn(Box<BeliefSnapshot>),
     /// By what the placer acts from now on; it greets nodes with it.
     Acts(VersionStamp),
     /// The settings that it acts by from now on; the node list is read by them.
--- a/crates/core/src/keep.rs
+++ b/crates/core/src/keep.rs
@@ -10,7 +10,9 @@
 use reedring_drmaa::rpc::Answer;
 use reedring_nodeproto::{self as wire, Message};
 use reedring_settings::{DISK_WAIT_US, Health, WhenLost};
-use reedring_state::{self as state, Batch, Change, Gate, Image, Known as NodeKnown, Learned};
+use reedring_state::{
+    self as state, Batch, BeliefSnapshot, Change, DurabilityBarrier, Image, NodeBeliefs,
+};
 
 use crate::core::Core;
 use crate::decide::Known;
@@ -24,7 +26,7 @@
     /// What was promised.
     pub image: Image,
     /// What was learned, aged to this moment.
-    pub learned: (Vec<NodeKnown>, Beliefs),
+    pub learned: (Vec<NodeBeliefs>, Beliefs),
     /// Why the folder can't be written, if that is so from the start.
     pub lost: Option<String>,
 }
@@ -74,7 +76,7 @@
     seq: u64,
     changes: Vec<Change>,
     staged: Vec<Staged>,
-    gate: Gate<Dest, (Micros, Output)>,
+    gate: DurabilityBarrier<Dest, (Micros, Output)>,
     /// Calls whose templates are kept.
     asks: BTreeSet<(SessionNo, u64)>,
     /// Acknowledgements that are owed until what they acknowledge is durable.
@@ -625,7 +627,7 @@
             let node = self.nodes.all.get(&self.nodes.of_machine(machine)?)?;
             Some((node.name.clone(), node.life))
         };
-        let learned = Learned::of(self.unix_us(now), beliefs, named);
+        let learned = BeliefSnapshot::of(self.unix_us(now), beliefs, named);
         self.outputs.push_back(Output::Learn(Box::new(learned)));
     }
 }
--- a/crates/core/src/recover.rs
+++ b/crates/core/src/recover.rs
@@ -26,19 +26,19 @@
         core.restore(start.now, restored.image);
         let (nodes, beliefs) = restored.learned;
         if beliefs != Beliefs::default() {
-            core.events.push(Event::Recalled(beliefs));
+            core.events.push(Event::BeliefsRestored(beliefs));
         }
         for known in nodes {
-            let spent = core
-                .recall
-                .entry(known.node.clone())
-                .or_insert_with(|| state::Known {
-                    belief: Belief {
-                        machine: known.belief.machine,
-                        ..Belief::default()
-                    },
-                    ..known.clone()
-                });
+            let spent =
+                core.recall
+                    .entry(known.node.clone())
+                    .or_insert_with(|| state::NodeBeliefs {
+                        belief: Belief {
+                            machine: known.belief.machine,
+                            ..Belief::default()
+                        },
+                        ..known.clone()
+                    });
             // The ledger's count of offers to cold nodes is exact; the file's may be older.
             let cold_offers = std::mem::take(&mut spent.belief.cold_offers);
             spent.life = known.life;
@@ -86,7 +86,7 @@
             };
             self.recall.insert(
                 node.clone(),
-                state::Known {
+                state::NodeBeliefs {
                     node: node.clone(),
                     life: None,
                     belief,
@@ -440,7 +440,7 @@
                 ..Belief::default()
             }
         };
-        self.events.push(Event::Recalled(Beliefs {
+        self.events.push(Event::BeliefsRestored(Beliefs {
             machines: vec![belief],
             ..Beliefs::default()
         }));
--- a/crates/core/src/versions.rs
+++ b/crates/core/src/versions.rs
@@ -592,12 +592,13 @@
         }
         if changed {
             let (plan, digest) = (stamp.version.number, stamp.version.digest.to_string());
-            self.keep.change(Change::Acts(state::Acts {
-                plan,
-                digest,
-                joint: stamp.joint,
-                list: stamp.list,
-            }));
+            self.keep
+                .change(Change::ActiveConfig(state::ActiveConfigRow {
+                    plan,
+                    digest,
+                    joint: stamp.joint,
+                    list: stamp.list,
+                }));
         }
         let held = self.hold_by_plans(now, &versions);
         orders.extend(
@@ -680,7 +681,7 @@
             .clone()
             .map(|hall| self.nodes.halls.number(&hall));
         self.events
-            .push(Event::Told(Box::new(self.settings.module(hall))));
+            .push(Event::SettingsChanged(Box::new(self.settings.module(hall))));
         self.outputs
             .push_back(Output::Settings(Box::new(self.settings.clone())));
     }
--- a/crates/core/src/words.rs
+++ b/crates/core/src/words.rs
@@ -743,7 +743,7 @@
             Topic::Served => Note::Served(amount),
             Topic::Pressure => Note::Pressure(amount),
         };
-        self.events.push(Event::Noted {
+        self.events.push(Event::TaskSignal {
             attempt: id,
             machine,
             note,
--- a/crates/core/tests/world/mod.rs
+++ b/crates/core/tests/world/mod.rs
@@ -15,7 +15,7 @@
 use reedring_nodeproto::{AttemptId, End, Message, Repeat, encode};
 use reedring_settings::{Health, NodeEntry, NodeList, Settings};
 use reedring_standin::{Config, Effect, Groups, Node};
-use reedring_state::{Batch, HalfLives, Keeper, Opened, SimFolder};
+use reedring_state::{Batch, HalfLives, LedgerWriter, OpenedLedger, SimFolder};
 
 use digest::Digest;
 
@@ -78,7 +78,7 @@
 /// A state folder on a simulated disk.
 struct Kept {
     folder: SimFolder,
-    keeper: Option<Keeper<SimFolder>>,
+    keeper: Option<LedgerWriter<SimFolder>>,
     queue: Vec<(Batch, bool)>,
     busy: bool,
     /// The disk answers nothing.
@@ -329,8 +329,8 @@
     /// Opens the state folder as a placer does that starts now.
     fn open_state(&mut self) -> Option<Restored> {
         let kept = self.kept.as_mut()?;
-        let restored = match Keeper::open(kept.folder.clone(), "p") {
-            Ok(Opened {
+        let restored = match LedgerWriter::open(kept.folder.clone(), "p") {
+            Ok(OpenedLedger {
                 keeper,
                 image,
                 learned,
--- a/crates/nodeproto/tests/golden.rs
+++ b/crates/nodeproto/tests/golden.rs
@@ -209,7 +209,8 @@
         can_suspend,
         record,
     };
-    let record_with = |name: &str, record| (format!("record-{name}"), Message::AcceptorReport(record));
+    let record_with =
+        |name: &str, record| (format!("record-{name}"), Message::AcceptorReport(record));
     vec![
         ("hello".into(), hello(None)),
         (
--- a/crates/placer/src/state.rs
+++ b/crates/placer/src/state.rs
@@ -8,7 +8,9 @@
 
 use reedring_core::{Input, Restored};
 use reedring_settings::{Settings, State};
-use reedring_state::{Batch, Disk, HalfLives, Keeper, Learned, LockError, Opened, StoreError};
+use reedring_state::{
+    Batch, BeliefSnapshot, Disk, HalfLives, LedgerWriter, LockError, OpenedLedger, StoreError,
+};
 use tokio::sync::mpsc;
 
 use crate::clients::Came;
@@ -30,12 +32,12 @@
 /// What the thread is asked to do, in order.
 enum Write {
     Batch(Batch, bool),
-    Learned(Box<Learned>),
+    Beliefs(Box<BeliefSnapshot>),
 }
 
 /// A folder that was opened and is not written yet.
 pub(crate) struct Folder {
-    keeper: Option<Keeper<Disk>>,
+    keeper: Option<LedgerWriter<Disk>>,
     pub restored: Restored,
     retry: Duration,
 }
@@ -63,12 +65,12 @@
             Err(error @ LockError::Taken { .. }) => return Err(error.into()),
             Err(error) => return lost(error.to_string()),
         };
-        let Opened {
+        let OpenedLedger {
             keeper,
             image,
             learned,
             passed_by,
-        } = match Keeper::open(disk, &settings.name) {
+        } = match LedgerWriter::open(disk, &settings.name) {
             Ok(opened) => opened,
             Err(error @ StoreError::Io { .. }) => return lost(error.to_string()),
             Err(error) => return Err(error.into()),
@@ -133,8 +135,8 @@
         self.ask(Write::Batch(batch, whole));
     }
 
-    pub fn learn(&self, learned: Box<Learned>) {
-        self.ask(Write::Learned(learned));
+    pub fn learn(&self, learned: Box<BeliefSnapshot>) {
+        self.ask(Write::Beliefs(learned));
     }
 
     fn ask(&self, write: Write) {
@@ -160,7 +162,7 @@
 }
 
 fn run<F: reedring_state::Folder>(
-    mut keeper: Keeper<F>,
+    mut keeper: LedgerWriter<F>,
     asked: &Receiver<Write>,
     retry: Duration,
     came: &mpsc::Sender<Came>,
@@ -201,7 +203,7 @@
                     group.clear();
                     said = Some(keeper.write_whole(batch));
                 }
-                Write::Learned(learned) => {
+                Write::Beliefs(learned) => {
                     // While nothing can be kept that is told already.
                     if let (Err(error), None) = (keeper.learn(&learned), next_try) {
                         tracing::warn!(%error, "state: what was learned can't be kept");
@@ -228,7 +230,7 @@
 
 #[cfg(test)]
 mod tests {
-    use reedring_state::{Change, Opened, SimFolder};
+    use reedring_state::{Change, OpenedLedger, SimFolder};
 
     use super::*;
 
@@ -236,7 +238,7 @@
     #[test]
     fn a_folder_is_tried_again_however_much_is_asked_meanwhile() {
         let folder = SimFolder::default();
-        let Opened { keeper, .. } = Keeper::open(folder.clone(), "p").unwrap();
+        let OpenedLedger { keeper, .. } = LedgerWriter::open(folder.clone(), "p").unwrap();
         let (writes, asked) = channel();
         let (came, mut coming) = mpsc::channel(64);
         let abandon = AtomicBool::new(false);
@@ -255,7 +257,7 @@
                 lost,
                 Came::Input(Input::StateLost { marked: true, .. })
             ));
-            let nothing = Learned {
+            let nothing = BeliefSnapshot {
                 at: 1,
                 nodes: Vec::new(),
                 answers: Vec::new(),
@@ -272,7 +274,7 @@
                     "it was never tried again"
                 );
                 writes
-                    .send(Write::Learned(Box::new(nothing.clone())))
+                    .send(Write::Beliefs(Box::new(nothing.clone())))
                     .unwrap();
                 // Well under the time between two tries.
                 std::thread::sleep(Duration::from_millis(5));
--- a/crates/platform/src/hosts/messages.rs
+++ b/crates/platform/src/hosts/messages.rs
@@ -56,7 +56,7 @@
                 let phase = request.and_then(|request| Some(self.requests.get(&request)?.phase));
                 if let (Some(request), Some(Phase::Standing { number, .. })) = (request, phase) {
                     let attempt = AttemptId { request, number };
-                    self.events.push(Event::Noted {
+                    self.events.push(Event::TaskSignal {
                         attempt,
                         machine,
                         note,
--- a/crates/site/src/restart.rs
+++ b/crates/site/src/restart.rs
@@ -15,7 +15,7 @@
 use reedring_client::{Operator, Session};
 use reedring_nodeproto::{Message, decode};
 use reedring_standin::Fault;
-use reedring_state::Learned;
+use reedring_state::BeliefSnapshot;
 
 use crate::badday::BadDayError;
 use crate::load;
@@ -201,10 +201,9 @@
             }
         }
         Found::WeekOld => {
-            let wrong =
-                |error: reedring_state::LearnedError| BadDayError::Script(error.to_string());
+            let wrong = |error: reedring_state::BeliefError| BadDayError::Script(error.to_string());
             let mut learned =
-                Learned::decode(&std::fs::read(&path)?, "learned", PLACER).map_err(wrong)?;
+                BeliefSnapshot::decode(&std::fs::read(&path)?, "learned", PLACER).map_err(wrong)?;
             learned.at -= WEEK_US;
             std::fs::write(&path, learned.encode(PLACER))?;
         }
--- a/crates/standin/tests/golden.rs
+++ b/crates/standin/tests/golden.rs
@@ -2,7 +2,7 @@
 //! files with equal bytes. The files are never written anew.
 
 use reedring_nodeproto::{Ballot, ConfigRequest};
-use reedring_plan::{ConfigDocument, AcceptorState, PlacerSighting, write};
+use reedring_plan::{AcceptorState, ConfigDocument, PlacerSighting, write};
 use reedring_standin::{Keep, Slots};
 use reedring_state::{Folder, SimFolder};
 
--- a/crates/state/benches/stores.rs
+++ b/crates/state/benches/stores.rs
@@ -7,7 +7,7 @@
 use std::io::Write;
 use std::time::Instant;
 
-use reedring_state::{Batch, Change, Disk, Job, Keeper, Phase};
+use reedring_state::{Batch, Change, Disk, Job, LedgerWriter, Phase};
 
 fn job(index: u64) -> Box<Job> {
     Box::new(Job {
@@ -45,7 +45,9 @@
         let commits = if rows == 1 { 1_000 } else { 100 };
         let dir = tempfile::tempdir_in(".").expect("a folder");
         let folder = Disk::lock(dir.path()).expect("a lock");
-        let mut keeper = Keeper::open(folder, "bench").expect("a ledger").keeper;
+        let mut keeper = LedgerWriter::open(folder, "bench")
+            .expect("a ledger")
+            .keeper;
         let began = Instant::now();
         for seq in 1..=commits {
             let changes = (0..rows)
--- a/crates/state/src/gate.rs
+++ b/crates/state/src/gate.rs
@@ -7,12 +7,12 @@
 /// Each destination keeps its order: an output behind one that waits, waits too. Destinations do not wait for
 /// each other.
 #[derive(Debug)]
-pub struct Gate<D, T> {
+pub struct DurabilityBarrier<D, T> {
     durable: u64,
     waiting: BTreeMap<D, VecDeque<(u64, T)>>,
 }
 
-impl<D: Ord + Clone, T> Default for Gate<D, T> {
+impl<D: Ord + Clone, T> Default for DurabilityBarrier<D, T> {
     fn default() -> Self {
         Self {
             durable: 0,
@@ -21,7 +21,7 @@
     }
 }
 
-impl<D: Ord + Clone, T> Gate<D, T> {
+impl<D: Ord + Clone, T> DurabilityBarrier<D, T> {
     /// Passes an output through, or keeps it until batch `needs` is durable; 0 needs none.
     pub fn pass(&mut self, to: D, needs: u64, output: T) -> Option<T> {
         if needs <= self.durable && !self.waiting.contains_key(&to) {
@@ -93,7 +93,7 @@
 
     #[test]
     fn nothing_passes_before_its_batch_nor_before_its_elders() {
-        let mut gate = Gate::default();
+        let mut gate = DurabilityBarrier::default();
         assert_eq!(gate.pass('a', 0, 1), Some(1));
         assert_eq!(gate.pass('a', 2, 2), None);
         assert_eq!(gate.pass('a', 0, 3), None, "it would overtake");
@@ -110,7 +110,7 @@
 
     #[test]
     fn what_is_taken_out_leaves_the_rest_in_order() {
-        let mut gate = Gate::default();
+        let mut gate = DurabilityBarrier::default();
         (1..=3).for_each(|n| assert_eq!(gate.pass('a', n, n), None));
         assert_eq!(gate.take(&'a', |n| *n == 2), Some(2));
         assert_eq!(gate.take_all(|n| *n == 9), []);
--- a/crates/state/src/keeper.rs
+++ b/crates/state/src/keeper.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::folder::Folder;
-use crate::learned::{Learned, LearnedError};
+use crate::learned::{BeliefError, BeliefSnapshot};
 use crate::rows::{Batch, Image};
 use crate::store::{FORMAT, Pending, Store, StoreError};
 
@@ -23,7 +23,7 @@
 
 /// The ledger can't be written.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Lost {
+pub struct LedgerWriteError {
     /// Why, for the staff.
     pub why: String,
     /// The folder says so too: a later life will know that promises are missing.
@@ -32,15 +32,15 @@
 
 /// What a folder held when it was opened.
 #[derive(Debug)]
-pub struct Opened<F: Folder> {
+pub struct OpenedLedger<F: Folder> {
     /// Keeps it from now on.
-    pub keeper: Keeper<F>,
+    pub keeper: LedgerWriter<F>,
     /// What was promised.
     pub image: Image,
     /// What was learned, if a file has it.
-    pub learned: Option<Learned>,
+    pub learned: Option<BeliefSnapshot>,
     /// What was wrong with files that were passed by.
-    pub passed_by: Vec<LearnedError>,
+    pub passed_by: Vec<BeliefError>,
 }
 
 /// All that a folder holds, for those who only look at it or move it.
@@ -54,7 +54,7 @@
     /// What was promised.
     pub ledger: Image,
     /// What was learned, if a whole file has it.
-    pub learned: Option<Learned>,
+    pub learned: Option<BeliefSnapshot>,
 }
 
 impl Export {
@@ -62,7 +62,7 @@
     ///
     /// # Errors
     /// See [`StoreError`]; a folder without a ledger is one too.
-    pub fn read<F: Folder>(folder: F) -> Result<(Self, Vec<LearnedError>), StoreError> {
+    pub fn read<F: Folder>(folder: F) -> Result<(Self, Vec<BeliefError>), StoreError> {
         let io = |error: io::Error| StoreError::Io {
             file: folder.shown(),
             what: error.to_string(),
@@ -118,7 +118,7 @@
         if let Some(wrong) = self.ledger.check().first() {
             return Err(io(format!("the export can't be a placer's: {wrong}")));
         }
-        let mut keeper = Keeper::open(folder, &self.placer)?.keeper;
+        let mut keeper = LedgerWriter::open(folder, &self.placer)?.keeper;
         keeper
             .write(self.ledger.batches())
             .map_err(|lost| io(lost.why))?;
@@ -137,7 +137,7 @@
 
 /// The files of one placer's state.
 #[derive(Debug)]
-pub struct Keeper<F: Folder> {
+pub struct LedgerWriter<F: Folder> {
     folder: Arc<F>,
     placer: String,
     store: Option<Store>,
@@ -153,12 +153,12 @@
     learned_stays: bool,
 }
 
-impl<F: Folder> Keeper<F> {
+impl<F: Folder> LedgerWriter<F> {
     /// Opens a folder's files, or makes them. Nothing is written over that can't be read.
     ///
     /// # Errors
     /// See [`StoreError`].
-    pub fn open(folder: F, placer: &str) -> Result<Opened<F>, StoreError> {
+    pub fn open(folder: F, placer: &str) -> Result<OpenedLedger<F>, StoreError> {
         let folder = Arc::new(folder);
         let io = |error: io::Error| StoreError::Io {
             file: folder.shown(),
@@ -178,7 +178,7 @@
         let (learned, passed_by) = read_learned(&*folder, placer);
         let (store, fresh, pending, why) = (Some(store), None, Pending::default(), String::new());
         let (at, asked, durable) = (0, 0, 0);
-        let learned_stays = passed_by.iter().any(LearnedError::is_newer);
+        let learned_stays = passed_by.iter().any(BeliefError::is_newer);
         let placer = placer.to_owned();
         let keeper = Self {
             folder,
@@ -193,7 +193,7 @@
             why,
             learned_stays,
         };
-        Ok(Opened {
+        Ok(OpenedLedger {
             keeper,
             image,
             learned,
@@ -204,8 +204,11 @@
     /// Makes batches durable, in one transaction; answers the last of them.
     ///
     /// # Errors
-    /// [`Lost`]: from here on nothing is durable until [`Keeper::begin_anew`].
-    pub fn write(&mut self, batches: impl IntoIterator<Item = Batch>) -> Result<u64, Lost> {
+    /// [`LedgerWriteError`]: from here on nothing is durable until [`LedgerWriter::begin_anew`].
+    pub fn write(
+        &mut self,
+        batches: impl IntoIterator<Item = Batch>,
+    ) -> Result<u64, LedgerWriteError> {
         for batch in batches {
             (self.at, self.asked) = (self.at.max(batch.at), batch.seq);
             if self.store.is_some() {
@@ -237,8 +240,8 @@
     /// After a loss: tries whether a new ledger can be written. If so the next batch must have every row.
     ///
     /// # Errors
-    /// [`Lost`], still.
-    pub fn begin_anew(&mut self) -> Result<(), Lost> {
+    /// [`LedgerWriteError`], still.
+    pub fn begin_anew(&mut self) -> Result<(), LedgerWriteError> {
         if !self.marked {
             self.marked = self.mark(HOLES).is_ok();
         }
@@ -257,8 +260,8 @@
     /// Writes a whole ledger in place of the one that was lost.
     ///
     /// # Errors
-    /// [`Lost`], still.
-    pub fn write_whole(&mut self, batch: Batch) -> Result<u64, Lost> {
+    /// [`LedgerWriteError`], still.
+    pub fn write_whole(&mut self, batch: Batch) -> Result<u64, LedgerWriteError> {
         let Some(mut store) = self.fresh.take() else {
             return Err(self.lost());
         };
@@ -296,8 +299,8 @@
         self.durable
     }
 
-    fn lost(&self) -> Lost {
-        Lost {
+    fn lost(&self) -> LedgerWriteError {
+        LedgerWriteError {
             why: self.why.clone(),
             marked: self.marked,
         }
@@ -312,7 +315,7 @@
     ///
     /// # Errors
     /// What the file system says; the files are whole all the same.
-    pub fn learn(&self, learned: &Learned) -> io::Result<()> {
+    pub fn learn(&self, learned: &BeliefSnapshot) -> io::Result<()> {
         if self.learned_stays {
             return Ok(());
         }
@@ -364,22 +367,18 @@
 }
 
 /// The newest of the files that is whole.
-fn read_learned<F: Folder>(folder: &F, placer: &str) -> (Option<Learned>, Vec<LearnedError>) {
+fn read_learned<F: Folder>(folder: &F, placer: &str) -> (Option<BeliefSnapshot>, Vec<BeliefError>) {
     let mut passed_by = Vec::new();
     for name in [LEARNED, LEARNED_OLD] {
         let bytes = match folder.read(name) {
             Ok(Some(bytes)) => bytes,
             Ok(None) => continue,
             Err(error) => {
-                passed_by.push(LearnedError::new(
-                    &shown(folder, name),
-                    0,
-                    error.to_string(),
-                ));
+                passed_by.push(BeliefError::new(&shown(folder, name), 0, error.to_string()));
                 continue;
             }
         };
-        match Learned::decode(&bytes, &shown(folder, name), placer) {
+        match BeliefSnapshot::decode(&bytes, &shown(folder, name), placer) {
             Ok(learned) => return (Some(learned), passed_by),
             Err(error) => passed_by.push(error),
         }
--- a/crates/state/src/learned.rs
+++ b/crates/state/src/learned.rs
@@ -14,11 +14,11 @@
 
 /// What was learned, as it was when it was kept.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Learned {
+pub struct BeliefSnapshot {
     /// Microseconds since 1970 at which it was kept.
     pub at: u64,
     /// Of nodes.
-    pub nodes: Vec<Known>,
+    pub nodes: Vec<NodeBeliefs>,
     /// Answer times, the oldest first.
     pub answers: Vec<Micros>,
     /// How long before `at` own tasks arrived, and their sizes, the oldest first.
@@ -29,7 +29,7 @@
 
 /// What was learned of one node.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Known {
+pub struct NodeBeliefs {
     /// Its name.
     pub node: String,
     /// Its life then: what was learned of another life is void.
@@ -41,13 +41,13 @@
 /// Why a file of what was learned is passed by.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}: {what}")]
-pub struct LearnedError {
+pub struct BeliefError {
     file: String,
     version: u16,
     what: String,
 }
 
-impl LearnedError {
+impl BeliefError {
     pub(crate) fn new(file: &str, version: u16, what: impl Into<String>) -> Self {
         Self {
             file: file.to_owned(),
@@ -106,13 +106,13 @@
     if left < FAINT { 0.0 } else { left }
 }
 
-impl Learned {
+impl BeliefSnapshot {
     /// What it comes to at this time, in microseconds since 1970. A file from the future counts as old.
     ///
     /// Load is drawn towards the mean of the fleet as it ages, and the ratio towards what the settings say,
     /// so that what is left of an old file is what a placer without one would believe. Spent budgets of cold
     /// nodes are not aged but only grow older; where the age can't be told they count as just spent.
-    pub fn aged(&self, now: u64, half: &HalfLives) -> (Vec<Known>, Beliefs) {
+    pub fn aged(&self, now: u64, half: &HalfLives) -> (Vec<NodeBeliefs>, Beliefs) {
         let ahead = self.at > now;
         let age = if ahead {
             Micros::MAX / 4
@@ -143,7 +143,7 @@
             ))
         };
         let fresh = weight(age, half.refusal) > 0.0;
-        let node = |known: &Known| {
+        let node = |known: &NodeBeliefs| {
             let belief = &known.belief;
             let cold = belief
                 .cold_offers
@@ -167,13 +167,13 @@
                 barred_us: belief.barred_us.saturating_sub(age),
                 cold_offers: cold.filter(|ago| *ago < COLD_US).collect(),
             };
-            Known {
+            NodeBeliefs {
                 node: known.node.clone(),
                 life: known.life,
                 belief,
             }
         };
-        let told = |known: &Known| {
+        let told = |known: &NodeBeliefs| {
             let nothing = Belief {
                 machine: known.belief.machine,
                 ..Belief::default()
@@ -220,8 +220,8 @@
     ///
     /// # Errors
     /// What is wrong with them: damaged, of a newer program, or of another placer.
-    pub fn decode(bytes: &[u8], file: &str, placer: &str) -> Result<Self, LearnedError> {
-        let wrong = |version, what: String| LearnedError::new(file, version, what);
+    pub fn decode(bytes: &[u8], file: &str, placer: &str) -> Result<Self, BeliefError> {
+        let wrong = |version, what: String| BeliefError::new(file, version, what);
         let (told, sum) = bytes
             .split_last_chunk::<4>()
             .ok_or_else(|| wrong(0, "it is empty or cut short".to_owned()))?;
@@ -284,7 +284,7 @@
             let finite = |(ago, cores, memory): (Micros, f64, f64)| {
                 (ago, cores.min(f64::MAX), memory.min(f64::MAX))
             };
-            Some(Known {
+            Some(NodeBeliefs {
                 node,
                 life,
                 belief: Belief {
@@ -317,7 +317,7 @@
         prior: (0.5, 0.5),
     };
 
-    fn sample() -> Learned {
+    fn sample() -> BeliefSnapshot {
         let belief = |machine, cores| Belief {
             machine: MachineId(machine),
             asked: Some((SECOND, cores, 4.0)),
@@ -328,12 +328,12 @@
             cold_offers: vec![SECOND],
             ..Belief::default()
         };
-        let known = |node: &str, machine, cores| Known {
+        let known = |node: &str, machine, cores| NodeBeliefs {
             node: node.to_owned(),
             life: Some(9),
             belief: belief(machine, cores),
         };
-        Learned {
+        BeliefSnapshot {
             at: 1_000 * SECOND,
             nodes: vec![known("a", 1, 2.0), known("b", 2, 10.0)],
             answers: vec![1_000; 64],
@@ -390,18 +390,18 @@
     #[test]
     fn every_flipped_bit_and_every_cut_is_found() {
         let bytes = sample().encode("p");
-        assert_eq!(Learned::decode(&bytes, "f", "p"), Ok(sample()));
+        assert_eq!(BeliefSnapshot::decode(&bytes, "f", "p"), Ok(sample()));
         for at in 0..bytes.len() {
             for bit in 0..8 {
                 let mut bytes = bytes.clone();
                 bytes[at] ^= 1 << bit;
                 assert!(
-                    Learned::decode(&bytes, "f", "p").is_err(),
+                    BeliefSnapshot::decode(&bytes, "f", "p").is_err(),
                     "byte {at}, bit {bit}"
                 );
             }
             assert!(
-                Learned::decode(&bytes[..at], "f", "p").is_err(),
+                BeliefSnapshot::decode(&bytes[..at], "f", "p").is_err(),
                 "cut at {at}"
             );
         }
@@ -411,7 +411,7 @@
     fn a_newer_file_and_another_placers_are_told_apart_from_damage() {
         let mut bytes = sample().encode("p");
         assert!(
-            Learned::decode(&bytes, "f", "q")
+            BeliefSnapshot::decode(&bytes, "f", "q")
                 .unwrap_err()
                 .to_string()
                 .contains("`p`'s, not `q`'s")
@@ -420,7 +420,7 @@
         let end = bytes.len() - 4;
         let sum = crc32c::crc32c(&bytes[..end]).to_le_bytes();
         bytes[end..].copy_from_slice(&sum);
-        let error = Learned::decode(&bytes, "f", "p").unwrap_err();
+        let error = BeliefSnapshot::decode(&bytes, "f", "p").unwrap_err();
         assert!(error.is_newer(), "{error}");
     }
 }
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,12 +1,12 @@
 //! What a placer keeps over restarts.
 //!
 //! Two kinds of state, kept differently. What it **promised** - sessions, calls, jobs, attempts - is the
-//! [`Image`]: rows that the core changes and that a [`Keeper`] makes durable in an embedded store, one
+//! [`Image`]: rows that the core changes and that a [`LedgerWriter`] makes durable in an embedded store, one
 //! transaction for all that came while the last was written. What it **learned** - the beliefs of the
-//! decision module - is [`Learned`]: a small file that is replaced whole, and counts for less the older it is.
+//! decision module - is [`BeliefSnapshot`]: a small file that is replaced whole, and counts for less the older it is.
 //!
 //! What this crate is not: it knows neither sockets nor clocks nor threads. Rows, the order in which answers
-//! wait for them ([`Gate`]) and the ageing of beliefs are values; files are behind [`Folder`], of which
+//! wait for them ([`DurabilityBarrier`]) and the ageing of beliefs are values; files are behind [`Folder`], of which
 //! [`Disk`] is the real one and [`SimFolder`] one that loses power. `docs/state.md` has the formats.
 //!
 //! ```
@@ -30,12 +30,12 @@
 mod store;
 
 pub use crate::folder::{Disk, Folder, LockError};
-pub use crate::gate::Gate;
-pub use crate::keeper::{Export, Keeper, Lost, Opened};
-pub use crate::learned::{HalfLives, Known, Learned, LearnedError};
+pub use crate::gate::DurabilityBarrier;
+pub use crate::keeper::{Export, LedgerWriteError, LedgerWriter, OpenedLedger};
+pub use crate::learned::{BeliefError, BeliefSnapshot, HalfLives, NodeBeliefs};
 pub use crate::rows::{
-    Acts, Answer, Ask, Attempt, Batch, Change, Ending, Image, Job, JobNo, Link, Outcome, Phase,
-    Session, SessionNo, Trial,
+    ActiveConfigRow, Answer, Ask, Attempt, Batch, Change, Ending, Image, Job, JobNo, Link, Outcome,
+    Phase, Session, SessionNo, Trial,
 };
 pub use crate::sim::SimFolder;
 pub use crate::store::{FORMAT, StoreError};
--- a/crates/state/src/rows.rs
+++ b/crates/state/src/rows.rs
@@ -221,7 +221,7 @@
 
 /// By what a placer decided from a time on: with an attempt's own time it says by which plan that was decided.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Acts {
+pub struct ActiveConfigRow {
     /// The plan's number.
     pub plan: u64,
     /// The first bytes of its digest, as lines for the staff have them.
@@ -252,7 +252,7 @@
     /// An offer went to a node that was cold.
     Cold(String),
     /// The placer decides by another plan.
-    Acts(Acts),
+    ActiveConfig(ActiveConfigRow),
 }
 
 /// Changes that become durable together or not at all.
@@ -287,7 +287,7 @@
     pub cold: BTreeMap<String, Vec<u64>>,
     /// By what the placer decided, from each time on, in microseconds since 1970.
     #[serde(default)]
-    pub acts: BTreeMap<u64, Acts>,
+    pub acts: BTreeMap<u64, ActiveConfigRow>,
 }
 
 impl Image {
@@ -358,7 +358,7 @@
         let acts = self
             .acts
             .iter()
-            .map(|(at, acts)| (*at, vec![Change::Acts(acts.clone())]));
+            .map(|(at, acts)| (*at, vec![Change::ActiveConfig(acts.clone())]));
         batches.extend(acts.map(|(at, changes)| Batch {
             seq: 1,
             at,
--- a/crates/state/src/store.rs
+++ b/crates/state/src/store.rs
@@ -10,7 +10,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::rows::{Acts, Answer, Ask, Batch, Change, Image, Job, Link, Session};
+use crate::rows::{ActiveConfigRow, Answer, Ask, Batch, Change, Image, Job, Link, Session};
 
 /// The version of the tables that this program writes.
 pub const FORMAT: u32 = 2;
@@ -280,7 +280,7 @@
             image.cold.entry(node.to_owned()).or_default().extend(times);
         }
         match read.open_table(ACTS) {
-            Ok(_) => Self::each(&read, ACTS, |at, row: Acts| {
+            Ok(_) => Self::each(&read, ACTS, |at, row: ActiveConfigRow| {
                 drop(image.acts.insert(at, row))
             })?,
             Err(redb::TableError::TableDoesNotExist(_)) => {}
@@ -431,7 +431,7 @@
     jobs: BTreeMap<u64, Option<Box<Job>>>,
     drained: BTreeMap<String, bool>,
     cold: BTreeMap<(String, u64), u32>,
-    acts: BTreeMap<u64, Acts>,
+    acts: BTreeMap<u64, ActiveConfigRow>,
 }
 
 impl Pending {
@@ -457,7 +457,7 @@
                 Change::Ask(session, call, row) => drop(self.asks.insert((session, call), row)),
                 Change::Job(number, row) => drop(self.jobs.insert(number, row)),
                 Change::Drained(node, drains) => drop(self.drained.insert(node, drains)),
-                Change::Acts(acts) => drop(self.acts.insert(batch.at, acts)),
+                Change::ActiveConfig(acts) => drop(self.acts.insert(batch.at, acts)),
                 Change::Cold(node) => *self.cold.entry((node, batch.at)).or_default() += 1,
             }
         }
--- a/crates/state/tests/golden.rs
+++ b/crates/state/tests/golden.rs
@@ -92,7 +92,7 @@
         (&export.ledger, &export.learned)
     );
     assert_eq!(export.ledger.check(), Vec::<String>::new());
-    let opened = Keeper::open(golden_folder(), PLACER).unwrap();
+    let opened = LedgerWriter::open(golden_folder(), PLACER).unwrap();
     assert_eq!(
         (&opened.image, &opened.learned),
         (&export.ledger, &export.learned)
@@ -105,7 +105,7 @@
     assert_eq!(rows(&golden_folder()), ROWS);
     let image = serde_json::from_str::<Export>(EXPORT).unwrap().ledger;
     let folder = SimFolder::default();
-    let mut keeper = Keeper::open(folder.clone(), PLACER).unwrap().keeper;
+    let mut keeper = LedgerWriter::open(folder.clone(), PLACER).unwrap().keeper;
     for link in &image.lives {
         let changes = vec![Change::Life(link.life)];
         keeper
@@ -133,7 +133,7 @@
 
 #[test]
 fn the_belief_file_is_decoded_and_encoded_to_the_same_bytes() {
-    let beliefs = Learned::decode(BELIEFS, "learned", PLACER).unwrap();
+    let beliefs = BeliefSnapshot::decode(BELIEFS, "learned", PLACER).unwrap();
     assert_eq!(
         Some(&beliefs),
         serde_json::from_str::<Export>(EXPORT)
@@ -143,7 +143,7 @@
     );
     assert_eq!(beliefs.encode(PLACER), BELIEFS);
     let folder = SimFolder::default();
-    let keeper = Keeper::open(folder.clone(), PLACER).unwrap().keeper;
+    let keeper = LedgerWriter::open(folder.clone(), PLACER).unwrap().keeper;
     keeper.learn(&beliefs).unwrap();
     assert_eq!(Folder::read(&folder, "learned").unwrap().unwrap(), BELIEFS);
 }
--- a/crates/state/tests/power.rs
+++ b/crates/state/tests/power.rs
@@ -93,18 +93,18 @@
     changes.into_iter().enumerate().map(batch).collect()
 }
 
-fn learned(n: u64) -> Learned {
+fn learned(n: u64) -> BeliefSnapshot {
     let belief = Belief {
         machine: MachineId(1),
         strikes: n as u32,
         ..Belief::default()
     };
-    let nodes = vec![Known {
+    let nodes = vec![NodeBeliefs {
         node: "n".to_owned(),
         life: Some(1),
         belief,
     }];
-    Learned {
+    BeliefSnapshot {
         at: n,
         nodes,
         answers: vec![n; 64],
@@ -118,12 +118,12 @@
     let mut images = Vec::new();
     for count in 0..=run().len() {
         let folder = SimFolder::default();
-        let mut keeper = Keeper::open(folder.clone(), "p").unwrap().keeper;
+        let mut keeper = LedgerWriter::open(folder.clone(), "p").unwrap().keeper;
         for batch in run().into_iter().take(count) {
             keeper.write([batch]).unwrap();
         }
         keeper.close();
-        let image = Keeper::open(folder, "p").unwrap().image;
+        let image = LedgerWriter::open(folder, "p").unwrap().image;
         assert_eq!(image.check(), Vec::<String>::new());
         images.push(image);
     }
@@ -133,7 +133,7 @@
 /// Runs until the power goes out; how many batches, and which learned file, were said to be durable.
 fn until_cut(folder: &SimFolder) -> (usize, Option<u64>) {
     let (mut durable, mut kept) = (0, None);
-    let Ok(Opened { mut keeper, .. }) = Keeper::open(folder.clone(), "p") else {
+    let Ok(OpenedLedger { mut keeper, .. }) = LedgerWriter::open(folder.clone(), "p") else {
         return (0, None);
     };
     for batch in run() {
@@ -162,7 +162,7 @@
         let (durable, kept) = until_cut(&folder);
         for _ in 0..3 {
             let after = folder.power_on(|| draw.next_u32());
-            let opened = Keeper::open(after.clone(), "p")
+            let opened = LedgerWriter::open(after.clone(), "p")
                 .unwrap_or_else(|error| panic!("step {step}: {error}"));
             let found = images
                 .iter()
@@ -195,7 +195,7 @@
                 }])
                 .unwrap();
             keeper.close();
-            assert_eq!(Keeper::open(after, "p").unwrap().image.last_life(), 8);
+            assert_eq!(LedgerWriter::open(after, "p").unwrap().image.last_life(), 8);
         }
     }
 }
@@ -203,7 +203,7 @@
 #[test]
 fn a_disk_that_fails_a_sync_and_then_reports_success_loses_nothing_that_was_told() {
     let folder = SimFolder::default();
-    let mut keeper = Keeper::open(folder.clone(), "p").unwrap().keeper;
+    let mut keeper = LedgerWriter::open(folder.clone(), "p").unwrap().keeper;
     let mut batches = run().into_iter();
     keeper.write(batches.next()).unwrap();
     folder.fail_sync();
@@ -218,7 +218,7 @@
     );
     let mut draw = Pcg32::new(2, 1);
     for _ in 0..20 {
-        let found = Keeper::open(folder.power_on(|| draw.next_u32()), "p")
+        let found = LedgerWriter::open(folder.power_on(|| draw.next_u32()), "p")
             .unwrap()
             .image;
         assert!(
@@ -241,7 +241,7 @@
         Ok(4)
     );
     for _ in 0..20 {
-        let found = Keeper::open(folder.power_on(|| draw.next_u32()), "p")
+        let found = LedgerWriter::open(folder.power_on(|| draw.next_u32()), "p")
             .unwrap()
             .image;
         assert_eq!(
@@ -254,7 +254,7 @@
 #[test]
 fn a_full_disk_and_a_read_only_folder_are_told_and_a_full_one_can_still_be_marked() {
     let folder = SimFolder::default();
-    let mut keeper = Keeper::open(folder.clone(), "p").unwrap().keeper;
+    let mut keeper = LedgerWriter::open(folder.clone(), "p").unwrap().keeper;
     keeper
         .write([Batch {
             seq: 1,
@@ -309,17 +309,17 @@
 
 fn flip(which: impl Fn(usize) -> bool) {
     let folder = SimFolder::default();
-    let mut keeper = Keeper::open(folder.clone(), "p").unwrap().keeper;
+    let mut keeper = LedgerWriter::open(folder.clone(), "p").unwrap().keeper;
     keeper.write(run().into_iter().take(4)).unwrap();
     keeper.close();
-    let whole = Keeper::open(folder.clone(), "p").unwrap().image;
+    let whole = LedgerWriter::open(folder.clone(), "p").unwrap().image;
     let bytes = Folder::read(&folder, "ledger").unwrap().unwrap();
     let used: Vec<usize> = (0..bytes.len()).filter(|at| bytes[*at] != 0).collect();
     let (mut found, mut harmless) = (0, 0);
     for at in used.iter().filter(|at| which(**at)) {
         let spoilt = folder.power_on(|| 0);
         spoilt.spoil("ledger", |bytes| bytes[*at] ^= 0x10);
-        match Keeper::open(spoilt.clone(), "p") {
+        match LedgerWriter::open(spoilt.clone(), "p") {
             Ok(opened) => {
                 assert_eq!(opened.image, whole, "byte {at}");
                 harmless += 1;
@@ -338,8 +338,11 @@
 #[test]
 fn empty_foreign_and_newer_files_are_refused_and_left_as_they_are() {
     let folder = SimFolder::default();
-    Keeper::open(folder.clone(), "p").unwrap().keeper.close();
-    let error = Keeper::open(folder.clone(), "q").unwrap_err();
+    LedgerWriter::open(folder.clone(), "p")
+        .unwrap()
+        .keeper
+        .close();
+    let error = LedgerWriter::open(folder.clone(), "q").unwrap_err();
     assert!(
         matches!(error, StoreError::Foreign { .. }) && error.to_string().contains("placer `p`"),
         "{error}"
@@ -347,13 +350,13 @@
     let cut = folder.power_on(|| 0);
     cut.spoil("ledger", |bytes| bytes.truncate(700));
     assert!(matches!(
-        Keeper::open(cut, "p").unwrap_err(),
+        LedgerWriter::open(cut, "p").unwrap_err(),
         StoreError::Damaged { .. }
     ));
     let empty = folder.power_on(|| 0);
     empty.spoil("ledger", Vec::clear);
     assert!(
-        Keeper::open(empty, "p")
+        LedgerWriter::open(empty, "p")
             .unwrap_err()
             .to_string()
             .contains("it is empty")
@@ -365,7 +368,7 @@
     let sum = crc32c::crc32c(&newer[..end]).to_le_bytes();
     newer[end..].copy_from_slice(&sum);
     Folder::write(&folder, "learned", &newer).unwrap();
-    let opened = Keeper::open(folder.clone(), "p").unwrap();
+    let opened = LedgerWriter::open(folder.clone(), "p").unwrap();
     assert!(opened.learned.is_none() && opened.passed_by[0].is_newer());
     opened.keeper.learn(&learned(2)).unwrap();
     assert_eq!(Folder::read(&folder, "learned").unwrap().unwrap(), newer);
@@ -385,7 +388,7 @@
 
 #[test]
 fn an_older_ledger_is_migrated_with_all_its_rows_and_frees_no_budget() {
-    let opened = Keeper::open(sample(), "p").unwrap();
+    let opened = LedgerWriter::open(sample(), "p").unwrap();
     let whole = &images()[4];
     let cold = opened.image.cold.values().map(Vec::len).sum::<usize>();
     assert!(
@@ -405,16 +408,19 @@
 fn a_migration_that_is_cut_anywhere_is_made_again() {
     let folder = sample();
     let before = folder.steps();
-    Keeper::open(folder.clone(), "p").unwrap().keeper.close();
+    LedgerWriter::open(folder.clone(), "p")
+        .unwrap()
+        .keeper
+        .close();
     let mut draw = Pcg32::new(3, 1);
     for step in before..folder.steps() {
         let folder = sample();
         folder.cut_at(step);
-        if let Ok(opened) = Keeper::open(folder.clone(), "p") {
+        if let Ok(opened) = LedgerWriter::open(folder.clone(), "p") {
             opened.keeper.close();
         }
         for _ in 0..4 {
-            let opened = Keeper::open(folder.power_on(|| draw.next_u32()), "p").unwrap();
+            let opened = LedgerWriter::open(folder.power_on(|| draw.next_u32()), "p").unwrap();
             assert_eq!(opened.image.jobs, images()[4].jobs, "step {step}");
         }
     }
--- a/src/api.rs
+++ b/src/api.rs
@@ -387,10 +387,10 @@
 pub enum Event {
     /// Its settings changed while it runs. Classes, kinds and tenants keep their numbers: what is gone stays as it
     /// was, what is new comes after it. All that was learned stays.
-    Told(Box<Settings>),
+    SettingsChanged(Box<Settings>),
     /// What a former life of this scheduler learned, as long ago as its times say. Of machines that no list
     /// has named yet nothing is taken in.
-    Recalled(Beliefs),
+    BeliefsRestored(Beliefs),
     /// News of the machine list.
     Listed(Listing),
     /// A task needs a place and its owner one final answer.
@@ -402,7 +402,7 @@
     },
     /// From now on only these machines may take a request; in the order of their ids. Told again whenever
     /// they change; a request of which it is never told may go anywhere.
-    Opened {
+    EligibilityChanged {
         /// The request.
         request: RequestId,
         /// The machines.
@@ -425,7 +425,7 @@
         took_us: Micros,
     },
     /// News of a task that a machine holds.
-    Noted {
+    TaskSignal {
         /// The attempt.
         attempt: AttemptId,
         /// Where.
--- a/src/bin/reedring-drill/wire.rs
+++ b/src/bin/reedring-drill/wire.rs
@@ -238,7 +238,7 @@
                 5 => Note::Pressure(amount),
                 other => return Err(format!("topic: {other} is no topic")),
             };
-            Record::Event(Event::Noted {
+            Record::Event(Event::TaskSignal {
                 attempt,
                 machine,
                 note,
--- a/src/logic/placer/mod.rs
+++ b/src/logic/placer/mod.rs
@@ -128,7 +128,7 @@
     fn fold(&mut self, now: Micros, event: &Event, actions: &mut Vec<Action>) {
         match event {
             Event::Listed(listing) => self.listed(now, listing, actions),
-            Event::Told(settings) => {
+            Event::SettingsChanged(settings) => {
                 let machines = std::mem::take(&mut self.machines).into_iter();
                 self.machines = machines
                     .map(|(id, state)| (id, state.sized(settings)))
@@ -136,7 +136,7 @@
                 self.settings = (**settings).clone();
                 self.rank();
             }
-            Event::Recalled(beliefs) => self.restore(now, beliefs),
+            Event::BeliefsRestored(beliefs) => self.restore(now, beliefs),
             Event::Arrived { task, grace_us } => {
                 self.arrivals
                     .push_back((now, self.mean_size(Load::of(task))));
@@ -150,7 +150,7 @@
                 };
                 self.entries.insert(task.request, entry);
             }
-            Event::Opened { request, machines } => {
+            Event::EligibilityChanged { request, machines } => {
                 if let Some(entry) = self.entries.get_mut(request) {
                     // A held task that gets machines is drawn for at once, not at the next look.
                     let held = !machines.is_empty()
@@ -204,7 +204,7 @@
                         .map(|state| state.shut.insert(owner, now + SHUT_US));
                 }
             }
-            Event::Noted { attempt, note, .. } => self.noted(now, *attempt, *note),
+            Event::TaskSignal { attempt, note, .. } => self.noted(now, *attempt, *note),
             Event::Ended(end) => {
                 self.report(now, end.machine, &end.report);
                 self.ended(now, end);
--- a/tests/equal.rs
+++ b/tests/equal.rs
@@ -223,7 +223,7 @@
                         .filter(|n| n % 4 == id % 4)
                         .map(MachineId)
                         .collect();
-                    events.push(Event::Opened {
+                    events.push(Event::EligibilityChanged {
                         request: RequestId(id),
                         machines,
                     });
@@ -279,7 +279,7 @@
                 Note::Pressure(0.4),
             ];
             match below(6) {
-                kind @ 0..4 => events.push(Event::Noted {
+                kind @ 0..4 => events.push(Event::TaskSignal {
                     attempt,
                     machine,
                     note: notes[kind as usize],
@@ -343,7 +343,7 @@
                     .collect();
                 events.push(Event::Listed(Listing::Whole(left)));
             }
-            3 if round % 50 == 0 => events.push(Event::Recalled(placer.beliefs(now))),
+            3 if round % 50 == 0 => events.push(Event::BeliefsRestored(placer.beliefs(now))),
             3..=12 => events.push(Event::Woken(1)),
             _ => {}
         }
--- a/tests/recall.rs
+++ b/tests/recall.rs
@@ -17,7 +17,7 @@
         belief.cold_offers.iter_mut().for_each(|ago| *ago += later);
         belief.barred_us = belief.barred_us.saturating_sub(later);
     }
-    bed.step(&[Event::Recalled(beliefs)]);
+    bed.step(&[Event::BeliefsRestored(beliefs)]);
     bed
 }
 
@@ -100,6 +100,6 @@
         ratio: Some((0.4, 0.6)),
     };
     let mut bed = Bed::new(settings(), vec![machine(1, 0), machine(2, 0)]);
-    bed.step(&[Event::Recalled(beliefs.clone())]);
+    bed.step(&[Event::BeliefsRestored(beliefs.clone())]);
     assert_eq!(bed.placer.beliefs(bed.now), beliefs);
 }
--- a/tests/retold.rs
+++ b/tests/retold.rs
@@ -39,7 +39,7 @@
     let now = bed.now;
     bed.step(&[Event::Listed(Listing::Changes(vec![cold(now)]))]);
     assert_eq!(burst(&mut bed, 1), 8, "all of it is this scheduler's");
-    bed.step(&[Event::Told(Box::new(told(2, 8.0)))]);
+    bed.step(&[Event::SettingsChanged(Box::new(told(2, 8.0)))]);
     assert_eq!(burst(&mut bed, 20), 0, "eight of four are spent");
     bed.now += 3 * SECOND;
     assert_eq!(burst(&mut bed, 40), 4, "half of it from now on");
@@ -55,7 +55,7 @@
         cores: Some(1_000.0),
         memory: Some(1_000.0),
     };
-    bed.step(&[Event::Told(Box::new(more))]);
+    bed.step(&[Event::SettingsChanged(Box::new(more))]);
     let big = |n: u64| {
         let Event::Arrived { task, grace_us } = arrived(n, 0) else {
             unreachable!()
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -75,7 +75,7 @@
         placed(9, 3, MachineId(99)),
         Event::Withdrawn(RequestId(9)),
         Event::Woken(77),
-        Event::Noted {
+        Event::TaskSignal {
             attempt: attempt(9, 0),
             machine: MachineId(1),
             note: Note::Cores(f64::NAN),
--- a/tests/view.rs
+++ b/tests/view.rs
@@ -96,7 +96,7 @@
             let (_, at) = offers(&actions)[0];
             placer.step((102 + 2 * id) * SECOND, &[placed(id, 0, at)], &mut actions);
             let attempt = attempt(id, 0);
-            let runs = Event::Noted {
+            let runs = Event::TaskSignal {
                 attempt,
                 machine: at,
                 note: Note::Runs,
@@ -137,7 +137,7 @@
         machine: MachineId(1),
     }]);
     let note = Note::Pressure(0.95);
-    bed.step(&[Event::Noted {
+    bed.step(&[Event::TaskSignal {
         attempt: attempt(50, 0),
         machine: MachineId(1),
         note,
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -114,7 +114,7 @@
             } => {
                 self.push(19, &[of(attempt), host(*machine), time(*took_us)]);
             }
-            Event::Noted {
+            Event::TaskSignal {
                 attempt,
                 machine,
                 note,
@@ -168,7 +168,10 @@
                 self.push(24, &[from.to_be_bytes().to_vec(), span]);
             }
             Event::Listed(_) => unreachable!("lists travel as updates"),
-            Event::Opened { .. } | Event::Recalled(_) | Event::Told(_) | Event::Last(_) => {
+            Event::EligibilityChanged { .. }
+            | Event::BeliefsRestored(_)
+            | Event::SettingsChanged(_)
+            | Event::Last(_) => {
                 unreachable!("the simulator neither opens, recalls nor tells a last word")
             }
         }
@@ -289,7 +292,7 @@
             body: text.clone().into_bytes(),
         },
     ];
-    let notes = notes.map(|note| Event::Noted {
+    let notes = notes.map(|note| Event::TaskSignal {
         attempt,
         machine,
         note,
