--- a/crates/platform/src/attempts.rs
+++ b/crates/platform/src/attempts.rs
@@ -64,7 +64,7 @@
         let Some(setup) = self.requests.get(&request).map(|entry| &entry.setup) else {
             return;
         };
-        let message = ToHost::Setup {
+        let message = ToHost::PlacementRequest {
             id,
             class: setup.class.clone(),
             key: setup.key,
--- a/crates/platform/src/clients/arrivals.rs
+++ b/crates/platform/src/clients/arrivals.rs
@@ -3,8 +3,8 @@
 use reedring::names::machine_id;
 use reedring::{Event, Micros, RequestId, ServiceId, Task, TaskKey};
 use reedring_platproto::CUT;
-use reedring_platproto::board::number;
-use reedring_platproto::owner::{Setup, ToOwner};
+use reedring_platproto::client::{PlacementRequest, ToClient};
+use reedring_platproto::discovery::number;
 
 use crate::io::ConnId;
 use crate::state::{Engine, Phase, Request, Timer};
@@ -89,7 +89,7 @@
         }
     }
 
-    pub(super) fn setup(&mut self, now: Micros, conn: ConnId, setup: Setup) {
+    pub(super) fn setup(&mut self, now: Micros, conn: ConnId, setup: PlacementRequest) {
         let id = setup.id;
         let task = match self.task(&setup) {
             Ok(task) => task,
@@ -130,7 +130,7 @@
             Some(_) => return self.unusable(now, conn, id, "this id is open"),
         }
         if self.conns.get(&conn).is_some_and(|conn| conn.in_overflow) {
-            self.send_client(conn, ToOwner::failure(id, CUT));
+            self.send_client(conn, ToClient::failure(id, CUT));
             return self.close_client(conn);
         }
         if self.waiting + setup.description.len() > self.bounds.waiting {
@@ -138,7 +138,7 @@
                 "client {conn}: turned away: set-ups hold {} bytes",
                 self.waiting
             ));
-            return self.send_client(conn, ToOwner::failure(id, CUT));
+            return self.send_client(conn, ToClient::failure(id, CUT));
         }
         let request = self.new_request(now, setup, conn, Phase::Open);
         if self.has_backlog() {
@@ -157,7 +157,7 @@
     }
 
     /// The task of a set-up, as the module knows it; why it can't be one.
-    fn task(&self, setup: &Setup) -> Result<Task, String> {
+    fn task(&self, setup: &PlacementRequest) -> Result<Task, String> {
         let class = number(&self.settings.classes, &setup.class);
         let class = class.ok_or_else(|| format!("no class {:?}", setup.class))?;
         let tenant = match &setup.tenant {
--- a/crates/platform/src/clients/ends.rs
+++ b/crates/platform/src/clients/ends.rs
@@ -1,7 +1,7 @@
 //! Ends of tasks that clients are to hear of: on which connection each is told, and for how long it is owed.
 
 use reedring::Micros;
-use reedring_platproto::owner::ToOwner;
+use reedring_platproto::client::ToClient;
 
 use crate::decide::{self, Route};
 use crate::io::ConnId;
@@ -29,7 +29,7 @@
     fn tell_end(&mut self, now: Micros, end: End) {
         match self.route(end.home) {
             Some(conn) => {
-                self.send_client(conn, ToOwner::failure(end.id, end.cause));
+                self.send_client(conn, ToClient::failure(end.id, end.cause));
                 self.sent_ends
                     .insert(end.id, (conn, End { at: now, ..end }));
             }
--- a/crates/platform/src/clients/mod.rs
+++ b/crates/platform/src/clients/mod.rs
@@ -5,7 +5,7 @@
 mod leaving;
 
 use reedring::Micros;
-use reedring_platproto::owner::{FromOwner, ToOwner, Unusable};
+use reedring_platproto::client::{FromClient, InvalidMessage, ToClient};
 use reedring_platproto::{CUT, ERROR};
 
 use crate::decide::{Leaving, Parting};
@@ -22,7 +22,7 @@
 const MOST_UNUSABLE: u32 = 16;
 
 impl Engine {
-    pub(crate) fn send_client(&mut self, conn: ConnId, message: ToOwner) {
+    pub(crate) fn send_client(&mut self, conn: ConnId, message: ToClient) {
         if self.conns.get(&conn).is_some_and(|conn| !conn.closing) {
             self.outputs.push_back(Output::ToClient(conn, message));
         }
@@ -87,7 +87,7 @@
             return;
         };
         for id in std::mem::take(&mut entry.open) {
-            self.send_client(conn, ToOwner::failure(id, CUT));
+            self.send_client(conn, ToClient::failure(id, CUT));
             self.part(now, id, Leaving::Reset);
         }
         self.close_client(conn);
@@ -158,23 +158,23 @@
         &mut self,
         now: Micros,
         conn: ConnId,
-        message: Result<FromOwner, Unusable>,
+        message: Result<FromClient, InvalidMessage>,
     ) {
         let Some(entry) = self.conns.get_mut(&conn).filter(|entry| !entry.closing) else {
             return;
         };
         entry.leaving = false;
         match message {
-            Ok(FromOwner::Setup(setup)) => self.setup(now, conn, *setup),
-            Ok(FromOwner::Release { id, .. }) => self.client_releases(now, conn, id),
-            Ok(FromOwner::Test(id)) => {
+            Ok(FromClient::PlacementRequest(setup)) => self.setup(now, conn, *setup),
+            Ok(FromClient::Release { id, .. }) => self.client_releases(now, conn, id),
+            Ok(FromClient::Test(id)) => {
                 entry.heard_at = now;
                 let passed = self.ending.is_none();
-                self.send_client(conn, ToOwner::Tested { id, passed });
+                self.send_client(conn, ToClient::Tested { id, passed });
             }
-            Ok(FromOwner::Released(id)) => drop(self.sent_ends.remove(&id)),
-            Ok(FromOwner::Free) => {}
-            Err(Unusable { id, why }) => self.unusable(now, conn, id, &why),
+            Ok(FromClient::Released(id)) => drop(self.sent_ends.remove(&id)),
+            Ok(FromClient::Free) => {}
+            Err(InvalidMessage { id, why }) => self.unusable(now, conn, id, &why),
         }
     }
 
@@ -190,7 +190,7 @@
         {
             self.part(now, id, Leaving::Cancelled);
         }
-        self.send_client(conn, ToOwner::failure(id, ERROR));
+        self.send_client(conn, ToClient::failure(id, ERROR));
         let Some(entry) = self.conns.get_mut(&conn) else {
             return;
         };
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -9,7 +9,7 @@
 use hyper::{Request, StatusCode, header};
 use hyper_util::rt::TokioIo;
 use reedring_net::Backoff;
-use reedring_platproto::board::{Names, Told};
+use reedring_platproto::discovery::{Names, WatchResponse};
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, timeout};
@@ -108,7 +108,7 @@
     spare: &mut Spare,
     rev: u64,
     names: &Names,
-) -> Result<Told, String> {
+) -> Result<WatchResponse, String> {
     let most = LINGER + OVER;
     let asked = timeout(most, async {
         let mut open = match sender.take().filter(|sender| !sender.is_closed()) {
@@ -147,7 +147,7 @@
     address: SocketAddr,
     rev: u64,
     names: &Names,
-) -> Result<(Told, bool), String> {
+) -> Result<(WatchResponse, bool), String> {
     let request = Request::get(format!(
         "/board/poll?watch={rev}&linger={}",
         LINGER.as_millis()
@@ -167,6 +167,6 @@
         .collect()
         .await
         .map_err(|error| error.to_string())?;
-    let update = Told::read(&body.to_bytes(), names).map_err(|error| error.to_string())?;
+    let update = WatchResponse::read(&body.to_bytes(), names).map_err(|error| error.to_string())?;
     Ok((update, !sender.is_closed()))
 }
--- a/crates/platform/src/engine.rs
+++ b/crates/platform/src/engine.rs
@@ -5,9 +5,9 @@
 use reedring::settings::Deployment;
 use reedring::timers::Timers;
 use reedring::{Action, Event, Micros, Placer, RequestId};
+use reedring_platproto::client::ToClient;
 use reedring_platproto::host::{Figures, ToHost};
-use reedring_platproto::owner::ToOwner;
-use reedring_platproto::{CANCELLED, CUT, board};
+use reedring_platproto::{CANCELLED, CUT, discovery};
 
 use crate::bounds::Bounds;
 use crate::io::{Input, Output};
@@ -37,7 +37,7 @@
     /// The settings.
     pub settings: Deployment,
     /// Events of discovery up to now.
-    pub known: board::Told,
+    pub known: discovery::WatchResponse,
     /// What bounds it.
     pub bounds: Bounds,
 }
@@ -235,10 +235,10 @@
                 stay_away_us,
             } => {
                 self.answer(request, |id| {
-                    ToOwner::refusal(id, stay_away_us.map(|us| us.div_ceil(1_000)))
+                    ToClient::refusal(id, stay_away_us.map(|us| us.div_ceil(1_000)))
                 });
             }
-            Action::Fail(request) => self.answer(request, |id| ToOwner::failure(id, CUT)),
+            Action::Fail(request) => self.answer(request, |id| ToClient::failure(id, CUT)),
             Action::Move(request) => self.move_away(now, request),
             Action::Probe(machine) => self.probe(now, machine),
             Action::CloseIdle(machine) => self.close_idle(machine),
@@ -255,7 +255,7 @@
     }
 
     /// The final answer to a set-up, at once.
-    fn answer(&mut self, request: RequestId, answer: impl FnOnce(u64) -> ToOwner) {
+    fn answer(&mut self, request: RequestId, answer: impl FnOnce(u64) -> ToClient) {
         if let Some((conn, id)) = self.close(request) {
             self.send_client(conn, answer(id));
             self.closed_on(conn, id);
@@ -272,7 +272,7 @@
         };
         self.cut(now, request, CANCELLED);
         if let Some(conn) = self.route(conn) {
-            self.send_client(conn, ToOwner::Moved(id));
+            self.send_client(conn, ToClient::Moved(id));
         }
     }
 
--- a/crates/platform/src/follow.rs
+++ b/crates/platform/src/follow.rs
@@ -1,8 +1,8 @@
 //! What came and what was done, one line each, so that a task can be followed by its id through a placer's log. Off by
 //! default (`--log reedring_platform::follow=debug` turns it on), and made only where it is on.
 
+use reedring_platproto::client::{FromClient, ToClient};
 use reedring_platproto::host::{FromHost, ToHost};
-use reedring_platproto::owner::{FromOwner, ToOwner};
 
 use crate::io::{Input, Output};
 
@@ -15,7 +15,7 @@
         Input::ClientSpoilt(conn, why) => format!("client {conn} can't be read: {why}"),
         Input::ClientGone(conn) => format!("client {conn} went"),
         Input::Client(conn, Ok(message)) => match message {
-            FromOwner::Setup(setup) => {
+            FromClient::PlacementRequest(setup) => {
                 let (class, left) = (&setup.class, setup.left_ms);
                 let held = setup
                     .at
@@ -26,12 +26,12 @@
                     setup.id
                 )
             }
-            FromOwner::Release { id, cause } => {
+            FromClient::Release { id, cause } => {
                 format!("client {conn} ends {id:016x}: cause {cause}")
             }
-            FromOwner::Test(id) => format!("client {conn} tests {id:016x}"),
-            FromOwner::Released(id) => format!("client {conn} heard {id:016x}"),
-            FromOwner::Free => return None,
+            FromClient::Test(id) => format!("client {conn} tests {id:016x}"),
+            FromClient::Released(id) => format!("client {conn} heard {id:016x}"),
+            FromClient::Free => return None,
         },
         Input::Client(conn, Err(unusable)) => {
             format!("client {conn} says what can't be used: {unusable}")
@@ -72,12 +72,12 @@
 pub(crate) fn output(output: &Output) -> Option<String> {
     Some(match output {
         Output::ToClient(conn, message) => match message {
-            ToOwner::Answer { id, .. } => format!("to client {conn}: answer {id:016x}"),
-            ToOwner::Release { id, cause, .. } => {
+            ToClient::Answer { id, .. } => format!("to client {conn}: answer {id:016x}"),
+            ToClient::Release { id, cause, .. } => {
                 format!("to client {conn}: release {id:016x}: cause {cause}")
             }
-            ToOwner::Moved(id) => format!("to client {conn}: move {id:016x}"),
-            ToOwner::Tested { id, passed } => {
+            ToClient::Moved(id) => format!("to client {conn}: move {id:016x}"),
+            ToClient::Tested { id, passed } => {
                 format!("to client {conn}: tested {id:016x}: {passed}")
             }
         },
@@ -85,7 +85,7 @@
         Output::CloseIdleClient(conn) => format!("close client {conn} if it says nothing"),
         Output::Connect(link, address) => format!("link {link} to {address}"),
         Output::ToHost(link, message) => match message {
-            ToHost::Setup { id, left_ms, .. } => {
+            ToHost::PlacementRequest { id, left_ms, .. } => {
                 format!("to link {link}: set-up {id:016x}: {left_ms} ms")
             }
             ToHost::Release { id, cause } => {
--- a/crates/platform/src/hosts/links.rs
+++ b/crates/platform/src/hosts/links.rs
@@ -194,7 +194,7 @@
             return false;
         };
         link.queue
-            .retain(|message| !matches!(message, ToHost::Setup { id: other, .. } if *other == id));
+            .retain(|message| !matches!(message, ToHost::PlacementRequest { id: other, .. } if *other == id));
         true
     }
 
@@ -206,7 +206,7 @@
             .get_mut(&id)
             .map(|link| std::mem::take(&mut link.queue));
         for mut message in queue.unwrap_or_default() {
-            let ToHost::Setup {
+            let ToHost::PlacementRequest {
                 id: task, left_ms, ..
             } = &mut message
             else {
--- a/crates/platform/src/hosts/list.rs
+++ b/crates/platform/src/hosts/list.rs
@@ -4,7 +4,7 @@
 
 impl Engine {
     /// Takes in what the configuration said before the start.
-    pub(crate) fn known(&mut self, now: Micros, known: Told) {
+    pub(crate) fn known(&mut self, now: Micros, known: WatchResponse) {
         let (rev, notices) = (known.rev, known.notices);
         for notice in notices {
             self.notice(now, notice);
@@ -15,7 +15,7 @@
             .push(Event::Listed(Listing::Cached(self.lines())));
     }
 
-    pub(crate) fn discovery_update(&mut self, now: Micros, update: Told) {
+    pub(crate) fn discovery_update(&mut self, now: Micros, update: WatchResponse) {
         let before = self.events.len();
         for notice in update.notices {
             self.notice(now, notice);
@@ -48,13 +48,13 @@
         entries.filter_map(|entry| self.line(entry)).collect()
     }
 
-    pub(crate) fn notice(&mut self, now: Micros, Notice { rev, pool }: Notice) {
+    pub(crate) fn notice(&mut self, now: Micros, WatchEvent { rev, pool }: WatchEvent) {
         // An event is passed on once, whatever discovery repeats after it was moved.
         if rev <= self.rev {
             return;
         }
         self.rev = rev;
-        let Some(Pool { whole, hosts }) = pool else {
+        let Some(EndpointList { whole, hosts }) = pool else {
             return;
         };
         let lines: Vec<Machine> = hosts.iter().filter_map(|entry| self.line(entry)).collect();
--- a/crates/platform/src/hosts/messages.rs
+++ b/crates/platform/src/hosts/messages.rs
@@ -142,7 +142,7 @@
             machine,
             took_us,
         });
-        self.send_client(conn, ToOwner::Answer { id, description });
+        self.send_client(conn, ToClient::Answer { id, description });
         self.closed_on(conn, id);
         if let Some(conn) = self.conns.get_mut(&conn) {
             conn.answered = true;
--- a/crates/platform/src/hosts/mod.rs
+++ b/crates/platform/src/hosts/mod.rs
@@ -8,9 +8,11 @@
 
 use reedring::names::machine_id;
 use reedring::{AttemptId, Event, Health, Listing, Machine, MachineId, Micros, Outcome, RequestId};
-use reedring_platproto::board::{Entry, Notice, Pool, State, Told, number};
+use reedring_platproto::client::ToClient;
+use reedring_platproto::discovery::{
+    EndpointList, Entry, State, WatchEvent, WatchResponse, number,
+};
 use reedring_platproto::host::{FromHost, ToHost};
-use reedring_platproto::owner::ToOwner;
 use reedring_platproto::{CANCELLED, CUT, ERROR, FULL, GIVEN_UP, MOOT};
 
 use crate::decide::{self, Candidate, Choice, Down, Execution, Seen, Spent};
--- a/crates/platform/src/io.rs
+++ b/crates/platform/src/io.rs
@@ -2,9 +2,9 @@
 
 use std::net::SocketAddr;
 
-use reedring_platproto::board::Told;
+use reedring_platproto::client::{FromClient, InvalidMessage, ToClient};
+use reedring_platproto::discovery::WatchResponse;
 use reedring_platproto::host::{FromHost, ToHost};
-use reedring_platproto::owner::{FromOwner, ToOwner, Unusable};
 
 use crate::decide::Down;
 
@@ -19,7 +19,7 @@
     /// A client connected.
     ClientCame(ConnId),
     /// A client's message, or one that can't be used.
-    Client(ConnId, Result<FromOwner, Unusable>),
+    Client(ConnId, Result<FromClient, InvalidMessage>),
     /// All that a client had said was read, or (`more`) some of it still waits to be: a cancel or the end may be
     /// among that.
     ClientRead {
@@ -48,7 +48,7 @@
         begun: u64,
     },
     /// Discovery answered.
-    Discovery(Told),
+    Discovery(WatchResponse),
     /// Discovery can't be reached or understood.
     DiscoveryLost(String),
     /// The placer is to end.
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Write to a client.
-    ToClient(ConnId, ToOwner),
+    ToClient(ConnId, ToClient),
     /// Close a client's connection once all is written.
     CloseClient(ConnId),
     /// Close a client's connection if it said nothing that was not read yet: else that goes on.
--- a/crates/platform/src/run.rs
+++ b/crates/platform/src/run.rs
@@ -8,8 +8,8 @@
 
 use reedring_net::{Asked, Signals};
 use reedring_platproto::GIVEN_UP;
-use reedring_platproto::board::Names;
 use reedring_platproto::config::{self, Config};
+use reedring_platproto::discovery::Names;
 use reedring_platproto::host::ToHost;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot, watch};
--- a/crates/platform/src/run/tests.rs
+++ b/crates/platform/src/run/tests.rs
@@ -56,7 +56,7 @@
         shell.links.insert(link, sender);
         ends.push((listener.accept().await.unwrap().0, messages));
     }
-    let setup = ToHost::Setup {
+    let setup = ToHost::PlacementRequest {
         id: 7,
         class: "play".to_owned(),
         key: 1,
--- a/crates/platform/src/sockets.rs
+++ b/crates/platform/src/sockets.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use reedring_platproto::{host, owner};
+use reedring_platproto::{client, host};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc, oneshot};
 use tokio::time::{Instant, timeout};
@@ -153,7 +153,7 @@
 }
 
 /// Reads all that is there, up to two buffers: whatever a client says, takes back and ends in one go is known together.
-fn hear(conn: ConnId, stream: &TcpStream, reader: &mut owner::Reader) -> Heard {
+fn hear(conn: ConnId, stream: &TcpStream, reader: &mut client::Reader) -> Heard {
     let mut said = Vec::new();
     let mut more = false;
     for _ in 0..2 {
@@ -188,7 +188,7 @@
 
 async fn serve(conn: ConnId, stream: &TcpStream, messages: Outbox, came: &mpsc::Sender<Incoming>) {
     let _ = stream.set_nodelay(true);
-    let mut reader = owner::Reader::default();
+    let mut reader = client::Reader::default();
     // Since when a message in part waits for its rest, and what waits for the client, for it to read.
     let (mut begun, mut waits): (Option<Instant>, Option<Instant>) = (None, None);
     // It may still say something.
--- a/crates/platform/src/state/host.rs
+++ b/crates/platform/src/state/host.rs
@@ -6,7 +6,7 @@
 
 use reedring::{AttemptId, MachineId, Micros, RequestId};
 use reedring_net::Backoff;
-use reedring_platproto::board::{Entry, State};
+use reedring_platproto::discovery::{Entry, State};
 use reedring_platproto::host::ToHost;
 
 use crate::io::LinkId;
--- a/crates/platform/src/state/request.rs
+++ b/crates/platform/src/state/request.rs
@@ -1,7 +1,7 @@
 //! Requests and their attempts: the ledger that every part of the engine reads and writes.
 
 use reedring::{MachineId, Micros, RequestId};
-use reedring_platproto::owner::Setup;
+use reedring_platproto::client::PlacementRequest;
 
 use super::Engine;
 use crate::io::{ConnId, LinkId};
@@ -45,7 +45,7 @@
 }
 
 pub(crate) struct Request {
-    pub setup: Setup,
+    pub setup: PlacementRequest,
     /// The client's connection that it came on.
     pub conn: ConnId,
     pub deadline: Micros,
@@ -72,7 +72,7 @@
     pub(crate) fn new_request(
         &mut self,
         now: Micros,
-        setup: Setup,
+        setup: PlacementRequest,
         conn: ConnId,
         phase: Phase,
     ) -> RequestId {
--- a/crates/platform/tests/clients.rs
+++ b/crates/platform/tests/clients.rs
@@ -4,8 +4,8 @@
 
 use reedring_platform::Input;
 use reedring_platproto::FULL;
+use reedring_platproto::client::{FromClient, InvalidMessage, ToClient};
 use reedring_platproto::host::ToHost;
-use reedring_platproto::owner::{FromOwner, ToOwner, Unusable};
 use world::{MS, SECOND, World, end, hosts, setup};
 
 /// Who asks on the one connection that stands is told the end on it, also long after.
@@ -34,7 +34,7 @@
     let link = world.to_hosts[0].0;
     world.tell(Input::Host(link, end(1)));
     let told = |world: &World, id: u64| {
-        let tells = |m: &ToOwner| matches!(m, ToOwner::Release { id: told, .. } if *told == id);
+        let tells = |m: &ToClient| matches!(m, ToClient::Release { id: told, .. } if *told == id);
         world
             .to_clients
             .iter()
@@ -79,7 +79,9 @@
     world.run(2 * MS);
     world.tell(Input::Client(
         offender,
-        Ok(FromOwner::Setup(Box::new(setup(1, "print", 1_000)))),
+        Ok(FromClient::PlacementRequest(Box::new(setup(
+            1, "print", 1_000,
+        )))),
     ));
     world.run(SECOND);
     let got = |conn| {
@@ -91,11 +93,13 @@
             .collect::<Vec<_>>()
     };
     assert!(
-        matches!(got(client)[0], ToOwner::Answer { id: 1, .. }),
+        matches!(got(client)[0], ToClient::Answer { id: 1, .. }),
         "{:?}",
         got(client)
     );
-    assert!(matches!(got(offender)[..], [ToOwner::Release { id: 1, cause, .. }] if *cause != FULL));
+    assert!(
+        matches!(got(offender)[..], [ToClient::Release { id: 1, cause, .. }] if *cause != FULL)
+    );
 }
 
 #[test]
@@ -103,7 +107,9 @@
     let mut world = World::new(5, &hosts(2));
     let conn = world.connect();
     for _ in 0..2 {
-        let twice = Ok(FromOwner::Setup(Box::new(setup(1, "play", 1_000))));
+        let twice = Ok(FromClient::PlacementRequest(Box::new(setup(
+            1, "play", 1_000,
+        ))));
         world.engine.handle(world.now, Input::Client(conn, twice));
     }
     world.run(SECOND);
@@ -120,14 +126,14 @@
     let mut world = World::new(6, &hosts(2));
     let (bad, good) = (world.connect(), world.connect());
     let wrong = || {
-        Err(Unusable {
+        Err(InvalidMessage {
             id: 77,
             why: "no such type".to_owned(),
         })
     };
     world.tell(Input::Client(bad, wrong()));
     assert!(
-        matches!(world.to_clients[..], [(to, ToOwner::Release { id: 77, cause, .. })] if to == bad && cause != FULL)
+        matches!(world.to_clients[..], [(to, ToClient::Release { id: 77, cause, .. })] if to == bad && cause != FULL)
     );
     for mut odd in [
         setup(78, "sing", 1_000),
@@ -152,7 +158,7 @@
         world
             .to_hosts
             .iter()
-            .all(|(_, m)| matches!(m, ToHost::Setup { id: 1, .. })),
+            .all(|(_, m)| matches!(m, ToHost::PlacementRequest { id: 1, .. })),
         "{:?}",
         world.to_hosts
     );
--- a/crates/platform/tests/digest.rs
+++ b/crates/platform/tests/digest.rs
@@ -8,8 +8,8 @@
 
 use reedring_platform::Input;
 use reedring_platform::decide::Down;
-use reedring_platproto::board::Told;
-use reedring_platproto::owner::{FromOwner, Unusable};
+use reedring_platproto::client::{FromClient, InvalidMessage};
+use reedring_platproto::discovery::WatchResponse;
 use world::digest::Digest;
 use world::{CLASSES, MS, SECOND, World, hosts, line, setup, told};
 
@@ -33,7 +33,7 @@
 
     fn publish(&mut self, world: &mut World) {
         self.revision += 1;
-        let event: Told = told(self.revision, false, &std::mem::take(&mut self.missed));
+        let event: WatchResponse = told(self.revision, false, &std::mem::take(&mut self.missed));
         world.tell(Input::Discovery(event));
     }
 
@@ -108,13 +108,13 @@
                 [None, None, Some(Down::Refused), Some(Down::Unmade)][world.below(4) as usize]
         }
         11 => world.mute = !world.mute,
-        13 => world.tell(Input::Client(conn, Ok(FromOwner::Test(id)))),
-        14 => world.tell(Input::Client(conn, Ok(FromOwner::Released(id)))),
+        13 => world.tell(Input::Client(conn, Ok(FromClient::Test(id)))),
+        14 => world.tell(Input::Client(conn, Ok(FromClient::Released(id)))),
         15 => {
             // On an id of its own, or on one that nobody uses.
             let is_own = world.heard.get(&id).is_some_and(|heard| heard.conn == conn);
             let id = if is_own { id } else { id + (1 << 40) };
-            let unusable = Unusable {
+            let unusable = InvalidMessage {
                 id,
                 why: "no such type".to_owned(),
             };
--- a/crates/platform/tests/engine.rs
+++ b/crates/platform/tests/engine.rs
@@ -4,8 +4,8 @@
 
 use proptest::prelude::*;
 use reedring_platform::Input;
+use reedring_platproto::client::{FromClient, ToClient};
 use reedring_platproto::host::FromHost;
-use reedring_platproto::owner::{FromOwner, ToOwner};
 use world::{CLASSES, MS, SECOND, World, end, hosts, line, setup, told};
 
 /// Everybody does as they please: clients come and go, hosts answer, refuse, err, say nothing or break.
@@ -120,10 +120,10 @@
     let conn = world.connect();
     world.ask(conn, setup(1, "play", 1_000));
     world.tell(Input::Terminate);
-    world.tell(Input::Client(conn, Ok(FromOwner::Test(5))));
+    world.tell(Input::Client(conn, Ok(FromClient::Test(5))));
     assert!(world.to_clients.contains(&(
         conn,
-        ToOwner::Tested {
+        ToClient::Tested {
             id: 5,
             passed: false
         }
--- a/crates/platform/tests/hosts.rs
+++ b/crates/platform/tests/hosts.rs
@@ -4,7 +4,7 @@
 
 use reedring_platform::Input;
 use reedring_platform::decide::Down;
-use reedring_platproto::owner::{FromOwner, Setup, ToOwner};
+use reedring_platproto::client::{FromClient, PlacementRequest, ToClient};
 use reedring_platproto::{CUT, GIVEN_UP};
 use world::{MS, SECOND, World, end, hosts, line, setup, told};
 
@@ -26,7 +26,7 @@
         world.to_clients.last(),
         Some((
             _,
-            ToOwner::Release {
+            ToClient::Release {
                 id: 1,
                 cause: CUT,
                 ..
@@ -137,7 +137,7 @@
     let conn = world.connect();
     world.ask(
         conn,
-        Setup {
+        PlacementRequest {
             at: Some("h-9".to_owned()),
             ..setup(5, "print", 4_294_967)
         },
@@ -149,7 +149,7 @@
         world.to_clients[..],
         [(
             _,
-            ToOwner::Release {
+            ToClient::Release {
                 id: 5,
                 cause: CUT,
                 ..
@@ -169,7 +169,7 @@
     world.deaf = true;
     world.tell(Input::Client(
         conn,
-        Ok(FromOwner::Release {
+        Ok(FromClient::Release {
             id: 1,
             cause: GIVEN_UP,
         }),
--- a/crates/platform/tests/leaving.rs
+++ b/crates/platform/tests/leaving.rs
@@ -4,8 +4,8 @@
 
 use reedring_platform::Input;
 use reedring_platform::decide::Down;
+use reedring_platproto::client::ToClient;
 use reedring_platproto::host::ToHost;
-use reedring_platproto::owner::ToOwner;
 use reedring_platproto::{CUT, FULL, GIVEN_UP};
 use world::{MS, SECOND, World, line, setup, told};
 
@@ -30,13 +30,13 @@
     world
         .to_hosts
         .iter()
-        .filter(|(_, message)| matches!(message, ToHost::Setup { .. }))
+        .filter(|(_, message)| matches!(message, ToHost::PlacementRequest { .. }))
         .count()
 }
 
 fn causes(world: &World) -> Vec<u8> {
-    let cause = |message: &ToOwner| match message {
-        ToOwner::Release { cause, .. } => Some(*cause),
+    let cause = |message: &ToClient| match message {
+        ToClient::Release { cause, .. } => Some(*cause),
         _ => None,
     };
     world
@@ -155,8 +155,7 @@
         });
         world.run(6 * SECOND);
         let sent = |id: u64| {
-            let of =
-                |message: &ToHost| matches!(message, ToHost::Setup { id: of, .. } if *of == id);
+            let of = |message: &ToHost| matches!(message, ToHost::PlacementRequest { id: of, .. } if *of == id);
             world
                 .to_hosts
                 .iter()
@@ -226,9 +225,9 @@
     let conn = world.connect();
     for id in 1..=3 {
         world.heard.entry(id).or_default().class = "play".to_owned();
-        let asks = Ok(reedring_platproto::owner::FromOwner::Setup(Box::new(
-            setup(id, "play", 5_000),
-        )));
+        let asks = Ok(reedring_platproto::client::FromClient::PlacementRequest(
+            Box::new(setup(id, "play", 5_000)),
+        ));
         world.engine.handle(world.now, Input::Client(conn, asks));
     }
     world.engine.handle(world.now, Input::ClientEnded(conn));
@@ -244,11 +243,11 @@
 /// A flood, all of which is taken back before the module's turn for it came: nothing of that is sent.
 #[test]
 fn a_flood_that_is_taken_back_costs_no_attempt_once_that_is_read() {
-    use reedring_platproto::owner::FromOwner;
+    use reedring_platproto::client::FromClient;
     let mut world = world("active");
     let (flood, usual) = (world.connect(), world.connect());
     let setups_of = |world: &World, most: u64| {
-        let of = |message: &ToHost| matches!(message, ToHost::Setup { id, .. } if *id <= most);
+        let of = |message: &ToHost| matches!(message, ToHost::PlacementRequest { id, .. } if *id <= most);
         world
             .to_hosts
             .iter()
@@ -257,7 +256,7 @@
     };
     let count = 600;
     for id in 1..=count {
-        let asks = FromOwner::Setup(Box::new(setup(id, "play", 5_000)));
+        let asks = FromClient::PlacementRequest(Box::new(setup(id, "play", 5_000)));
         world
             .engine
             .handle(world.now, Input::Client(flood, Ok(asks)));
@@ -270,7 +269,7 @@
         },
     );
     world.heard.entry(9_000).or_default().class = "play".to_owned();
-    let asks = FromOwner::Setup(Box::new(setup(9_000, "play", 5_000)));
+    let asks = FromClient::PlacementRequest(Box::new(setup(9_000, "play", 5_000)));
     world
         .engine
         .handle(world.now, Input::Client(usual, Ok(asks)));
@@ -282,7 +281,7 @@
             world.now,
             Input::Client(
                 flood,
-                Ok(FromOwner::Release {
+                Ok(FromClient::Release {
                     id,
                     cause: GIVEN_UP,
                 }),
@@ -305,11 +304,11 @@
 /// A flood that is meant: others get their turn beside it, and what it holds is bounded.
 #[test]
 fn a_flood_takes_turns_with_others_and_what_waits_is_bounded() {
-    use reedring_platproto::owner::FromOwner;
+    use reedring_platproto::client::FromClient;
     let mut world = world("active");
     let (flood, usual) = (world.connect(), world.connect());
     let tell = |world: &mut World, conn, id| {
-        let asks = FromOwner::Setup(Box::new(setup(id, "play", 5_000)));
+        let asks = FromClient::PlacementRequest(Box::new(setup(id, "play", 5_000)));
         world
             .engine
             .handle(world.now, Input::Client(conn, Ok(asks)));
@@ -325,7 +324,7 @@
     let turned = first.iter().filter(|output| {
         matches!(
             output,
-            reedring_platform::Output::ToClient(_, ToOwner::Release { cause: CUT, .. })
+            reedring_platform::Output::ToClient(_, ToClient::Release { cause: CUT, .. })
         )
     });
     assert!(turned.count() > 1_000, "a bound of 1 MiB is reached");
@@ -350,7 +349,7 @@
         .to_hosts
         .iter()
         .find_map(|(_, message)| match message {
-            ToHost::Setup { left_ms, .. } => Some(*left_ms),
+            ToHost::PlacementRequest { left_ms, .. } => Some(*left_ms),
             _ => None,
         });
     assert!(left.is_some_and(|left| left <= 4_600), "{left:?}");
@@ -360,12 +359,12 @@
 #[test]
 fn what_is_overdue_behind_a_flood_is_answered_in_time() {
     use reedring_platform::Output;
-    use reedring_platproto::owner::FromOwner;
+    use reedring_platproto::client::FromClient;
     let mut world = world("active");
     let conn = world.connect();
     for id in 1..=1_000 {
         let left = if id == 1_000 { 30 } else { 5_000 };
-        let asks = FromOwner::Setup(Box::new(setup(id, "print", left)));
+        let asks = FromClient::PlacementRequest(Box::new(setup(id, "print", left)));
         world
             .engine
             .handle(world.now, Input::Client(conn, Ok(asks)));
@@ -375,10 +374,10 @@
     for turn in 0..3 {
         world.engine.flush(world.now + turn * 10 * MS);
         while let Some(output) = world.engine.poll() {
-            let of = |message: &ToOwner| {
+            let of = |message: &ToClient| {
                 matches!(
                     message,
-                    ToOwner::Release {
+                    ToClient::Release {
                         id: 1_000,
                         cause: FULL,
                         ..
--- a/crates/platform/tests/links.rs
+++ b/crates/platform/tests/links.rs
@@ -5,8 +5,8 @@
 use reedring_platform::Input;
 use reedring_platform::decide::Down;
 use reedring_platproto::GIVEN_UP;
+use reedring_platproto::client::{FromClient, PlacementRequest, ToClient};
 use reedring_platproto::host::ToHost;
-use reedring_platproto::owner::{FromOwner, Setup, ToOwner};
 use world::{CLASSES, MS, SECOND, World, hosts, line, setup, told};
 
 #[test]
@@ -44,7 +44,7 @@
     for n in hosts {
         world.ask(
             conn,
-            Setup {
+            PlacementRequest {
                 at: Some(format!("h-{n}")),
                 ..setup(u64::from(n), "play", 4_294_967)
             },
@@ -59,7 +59,7 @@
         world
             .to_clients
             .iter()
-            .any(|(_, m)| matches!(m, ToOwner::Release { id: told, .. } if *told == id))
+            .any(|(_, m)| matches!(m, ToClient::Release { id: told, .. } if *told == id))
     };
     (1..=u64::from(count)).all(told)
 }
@@ -117,7 +117,7 @@
     // Its client does not wait for it, and neither does a second one whose time ends.
     world.tell(Input::Client(
         conn,
-        Ok(FromOwner::Release {
+        Ok(FromClient::Release {
             id: 1,
             cause: GIVEN_UP,
         }),
@@ -127,7 +127,7 @@
     let setups = world
         .to_hosts
         .iter()
-        .filter(|(_, m)| matches!(m, ToHost::Setup { .. }))
+        .filter(|(_, m)| matches!(m, ToHost::PlacementRequest { .. }))
         .count();
     assert_eq!(
         (setups, world.to_hosts.len()),
@@ -173,7 +173,9 @@
         world.run(2 * SECOND);
         let after = &world.to_hosts[before..];
         assert!(
-            !after.iter().any(|(_, m)| matches!(m, ToHost::Setup { .. })),
+            !after
+                .iter()
+                .any(|(_, m)| matches!(m, ToHost::PlacementRequest { .. })),
             "{again}: {after:?}"
         );
     }
@@ -189,14 +191,14 @@
     assert_eq!(up.len(), world.most_links());
     world.ask(
         conn,
-        Setup {
+        PlacementRequest {
             at: Some("h-nowhere".to_owned()),
             ..setup(30, "play", 4_294_967)
         },
     );
     world.tell(Input::Client(
         conn,
-        Ok(FromOwner::Release {
+        Ok(FromClient::Release {
             id: 30,
             cause: GIVEN_UP,
         }),
--- a/crates/platform/tests/world/mod.rs
+++ b/crates/platform/tests/world/mod.rs
@@ -10,9 +10,9 @@
 use reedring::settings::Deployment;
 use reedring_platform::decide::Down;
 use reedring_platform::{Bounds, ConnId, Engine, Input, LinkId, Output, Start};
-use reedring_platproto::board::{Names, Told};
+use reedring_platproto::client::{FromClient, PlacementRequest, ToClient};
+use reedring_platproto::discovery::{Names, WatchResponse};
 use reedring_platproto::host::{FromHost, ToHost};
-use reedring_platproto::owner::{FromOwner, Setup, ToOwner};
 use reedring_platproto::{CANCELLED, CUT, ERROR, FULL, GIVEN_UP};
 
 use digest::Digest;
@@ -29,7 +29,7 @@
     )
 }
 
-pub fn told(rev: u64, whole: bool, lines: &[String]) -> Told {
+pub fn told(rev: u64, whole: bool, lines: &[String]) -> WatchResponse {
     let names = Names {
         zones: vec!["east".into(), "west".into()],
         kinds: vec!["std".into()],
@@ -38,11 +38,11 @@
     let text = format!(
         r#"{{"rev":{rev},"notices":[{{"rev":{rev},"pool":{{"whole":{whole},"hosts":[{lines}]}}}}]}}"#
     );
-    Told::read(text.as_bytes(), &names).expect("the world words it well")
+    WatchResponse::read(text.as_bytes(), &names).expect("the world words it well")
 }
 
-pub fn setup(id: u64, class: &str, left_ms: u64) -> Setup {
-    Setup {
+pub fn setup(id: u64, class: &str, left_ms: u64) -> PlacementRequest {
+    PlacementRequest {
         id,
         class: class.to_owned(),
         left_ms,
@@ -122,7 +122,7 @@
     planned: u64,
     pub finished: bool,
     pub to_hosts: Vec<(LinkId, ToHost)>,
-    pub to_clients: Vec<(ConnId, ToOwner)>,
+    pub to_clients: Vec<(ConnId, ToClient)>,
     /// Hosts do as they please; else they answer each set-up.
     pub unruly: bool,
     /// How every new connection to a host ends; `None`: it stands.
@@ -243,12 +243,15 @@
         conn
     }
 
-    pub fn ask(&mut self, conn: ConnId, setup: Setup) {
+    pub fn ask(&mut self, conn: ConnId, setup: PlacementRequest) {
         if setup.at.is_none() {
             let heard = self.heard.entry(setup.id).or_default();
             (heard.class, heard.conn) = (setup.class.clone(), conn);
         }
-        self.tell(Input::Client(conn, Ok(FromOwner::Setup(Box::new(setup)))));
+        self.tell(Input::Client(
+            conn,
+            Ok(FromClient::PlacementRequest(Box::new(setup))),
+        ));
     }
 
     fn leave(&mut self, conn: ConnId) {
@@ -270,7 +273,7 @@
         }
         self.tell(Input::Client(
             conn,
-            Ok(FromOwner::Release {
+            Ok(FromClient::Release {
                 id,
                 cause: GIVEN_UP,
             }),
@@ -454,13 +457,13 @@
         }
     }
 
-    fn hear(&mut self, conn: ConnId, message: &ToOwner) {
+    fn hear(&mut self, conn: ConnId, message: &ToClient) {
         assert!(
             self.clients.contains(&conn),
             "written to a connection that was closed"
         );
         match message {
-            ToOwner::Answer { id, description } => {
+            ToClient::Answer { id, description } => {
                 let heard = self.heard.entry(*id).or_default();
                 heard.answers += 1;
                 assert_eq!(
@@ -469,7 +472,7 @@
                     "not what the host gave"
                 );
             }
-            ToOwner::Release { id, cause, .. } => {
+            ToClient::Release { id, cause, .. } => {
                 let Some(heard) = self.heard.get_mut(id) else {
                     return;
                 };
@@ -486,7 +489,7 @@
                     );
                 }
             }
-            ToOwner::Moved(_) | ToOwner::Tested { .. } => {}
+            ToClient::Moved(_) | ToClient::Tested { .. } => {}
         }
     }
 
@@ -496,7 +499,7 @@
             return;
         };
         match message {
-            ToHost::Setup { id, class, .. } => {
+            ToHost::PlacementRequest { id, class, .. } => {
                 let id = *id;
                 let heard = self.heard.entry(id).or_default();
                 assert!(
--- a/crates/platproto/src/owner.rs
+++ b/crates/platproto/src/client.rs
@@ -41,7 +41,7 @@
 
 /// A set-up, as its owner worded it; whether its class and tenant exist is not looked at here.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Setup {
+pub struct PlacementRequest {
     /// Its id.
     pub id: u64,
     /// The class's name.
@@ -70,9 +70,9 @@
 
 /// A message of an owner.
 #[derive(Clone, Debug, PartialEq)]
-pub enum FromOwner {
+pub enum FromClient {
     /// A task needs a place, or stands already.
-    Setup(Box<Setup>),
+    PlacementRequest(Box<PlacementRequest>),
     /// A set-up is given up, or a standing task ends.
     Release {
         /// The task.
@@ -91,7 +91,7 @@
 /// A message that could be told apart but not used; its sender is told so on this id.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("message on {id:016x}: {why}")]
-pub struct Unusable {
+pub struct InvalidMessage {
     /// The task it names.
     pub id: u64,
     /// What is wrong.
@@ -122,7 +122,9 @@
     ///
     /// # Errors
     /// [`Unreadable`] where the length can't be one; the connection is of no further use.
-    pub fn next_message(&mut self) -> Result<Option<Result<FromOwner, Unusable>>, Unreadable> {
+    pub fn next_message(
+        &mut self,
+    ) -> Result<Option<Result<FromClient, InvalidMessage>>, Unreadable> {
         let rest = self.0.rest();
         let Some(length) = rest.first_chunk::<2>() else {
             return Ok(None);
@@ -140,21 +142,21 @@
     }
 }
 
-fn read(body: &[u8]) -> Result<FromOwner, Unusable> {
+fn read(body: &[u8]) -> Result<FromClient, InvalidMessage> {
     let (kind, id) = (
         body[0],
         body[1..LEAST]
             .iter()
             .fold(0, |id, byte| id << 8 | u64::from(*byte)),
     );
-    let unusable = |why: String| Unusable { id, why };
+    let unusable = |why: String| InvalidMessage { id, why };
     let parameters = parameters(&body[LEAST..]).map_err(unusable)?;
     if id == 0 && kind == SETUP {
         return Err(unusable("a set-up without an id".to_owned()));
     }
     match kind {
         SETUP => setup(id, &parameters)
-            .map(|setup| FromOwner::Setup(Box::new(setup)))
+            .map(|setup| FromClient::PlacementRequest(Box::new(setup)))
             .map_err(unusable),
         RELEASE => {
             let cause = match parameters.get(&CAUSE) {
@@ -162,11 +164,11 @@
                 Some(_) => return Err(unusable("cause: not one byte".to_owned())),
                 None => GIVEN_UP,
             };
-            Ok(FromOwner::Release { id, cause })
+            Ok(FromClient::Release { id, cause })
         }
-        TEST => Ok(FromOwner::Test(id)),
-        RELEASED => Ok(FromOwner::Released(id)),
-        PROGRESS | NOTE | MOVE | TESTED => Ok(FromOwner::Free),
+        TEST => Ok(FromClient::Test(id)),
+        RELEASED => Ok(FromClient::Released(id)),
+        PROGRESS | NOTE | MOVE | TESTED => Ok(FromClient::Free),
         ANSWER => Err(unusable("an answer, and nobody asked".to_owned())),
         other => Err(unusable(format!("type {other} is no message"))),
     }
@@ -192,7 +194,7 @@
     Ok(all)
 }
 
-fn setup(id: u64, parameters: &Parameters) -> Result<Setup, String> {
+fn setup(id: u64, parameters: &Parameters) -> Result<PlacementRequest, String> {
     let text = |code: u8| -> Result<Option<&str>, String> {
         let text = parameters
             .get(&code)
@@ -213,7 +215,7 @@
     let key = due(KEY)?;
     let key = hex(key).ok_or_else(|| format!("parameter {KEY}: {key:?} is not 16 hex digits"))?;
     let extras = Extras::read(due(EXTRAS)?)?;
-    Ok(Setup {
+    Ok(PlacementRequest {
         id,
         class: due(CLASS)?.to_owned(),
         left_ms,
@@ -281,7 +283,7 @@
 
 /// A message to an owner.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ToOwner {
+pub enum ToClient {
     /// The task stands.
     Answer {
         /// The set-up.
@@ -309,7 +311,7 @@
     },
 }
 
-impl ToOwner {
+impl ToClient {
     /// A refusal, which promises that asking again is harmless.
     pub fn refusal(id: u64, stay_away_ms: Option<u64>) -> Self {
         Self::Release {
--- a/crates/platproto/src/config.rs
+++ b/crates/platproto/src/config.rs
@@ -6,7 +6,7 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-use crate::board::{Names, Told};
+use crate::discovery::{Names, WatchResponse};
 use crate::hex;
 
 /// What a placer is told when it starts.
@@ -23,7 +23,7 @@
     /// Where the notice board is.
     pub board: SocketAddr,
     /// Events of the board up to now.
-    pub known: Told,
+    pub known: WatchResponse,
     /// The settings of the module, and the names and times around them.
     pub settings: Settings,
 }
@@ -46,7 +46,7 @@
     seed: String,
     limits: Limits,
     board: SocketAddr,
-    known: Told,
+    known: WatchResponse,
     #[serde(borrow)]
     settings: &'a RawValue,
 }
@@ -65,7 +65,7 @@
     Seed(String),
     /// The known events don't fit.
     #[error("known: {0}; give the board's events up to now")]
-    Known(#[from] crate::board::Error),
+    Known(#[from] crate::discovery::Error),
     /// A limit leaves no room to work in.
     #[error("limits.sockets: {0} are too few; give at least {LEAST_SOCKETS}")]
     Sockets(usize),
--- a/crates/platproto/src/board.rs
+++ b/crates/platproto/src/discovery.rs
@@ -7,25 +7,25 @@
 
 /// Events, numbered from 1 at each start of a placer.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
-pub struct Told {
+pub struct WatchResponse {
     /// The number of the last one.
     pub rev: u64,
     /// Those that were not told yet, in order.
-    pub notices: Vec<Notice>,
+    pub notices: Vec<WatchEvent>,
 }
 
 /// One event.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct Notice {
+pub struct WatchEvent {
     /// Its number.
     pub rev: u64,
     /// What it says of the list of hosts.
-    pub pool: Option<Pool>,
+    pub pool: Option<EndpointList>,
 }
 
 /// What an event says of the list of hosts.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct Pool {
+pub struct EndpointList {
     /// It is the whole list; a host that it lacks is gone.
     pub whole: bool,
     /// Its lines.
@@ -120,7 +120,7 @@
     },
 }
 
-impl Told {
+impl WatchResponse {
     /// Reads an answer of the board whole.
     ///
     /// # Errors
--- a/crates/platproto/src/host.rs
+++ b/crates/platproto/src/host.rs
@@ -217,7 +217,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum ToHost {
     /// A task is offered.
-    Setup {
+    PlacementRequest {
         /// The owner's id.
         id: u64,
         /// The class's name.
@@ -263,7 +263,7 @@
     pub fn encode(&self) -> Vec<u8> {
         let mut fields = BTreeMap::new();
         let (r#type, id, cause, sdp) = match self {
-            Self::Setup {
+            Self::PlacementRequest {
                 id,
                 class,
                 key,
--- a/crates/platproto/src/lib.rs
+++ b/crates/platproto/src/lib.rs
@@ -5,10 +5,10 @@
 //! [`MAX`] bytes is ever kept.
 #![forbid(unsafe_code)]
 
-pub mod board;
+pub mod client;
 pub mod config;
+pub mod discovery;
 pub mod host;
-pub mod owner;
 
 /// Bytes of a message, its length field and line feed included.
 pub const MAX: usize = 16 * 1024;
--- a/crates/platproto/tests/golden.rs
+++ b/crates/platproto/tests/golden.rs
@@ -4,14 +4,14 @@
 //! `messages.rs` has refusals, answers, moves and test results to clients as bytes, and set-ups, answers, releases and
 //! probe results of hosts as values; they are not written twice here.
 
-use reedring_platproto::board::{self, Names, Told};
+use reedring_platproto::client::{self, FromClient, ToClient};
 use reedring_platproto::config::Config;
+use reedring_platproto::discovery::{self, Names, WatchResponse};
 use reedring_platproto::host::{self, FromHost, ToHost};
-use reedring_platproto::owner::{self, FromOwner, ToOwner};
 use reedring_platproto::{CANCELLED, CUT, ERROR, FULL, GIVEN_UP, MOOT};
 
-fn from_client(bytes: &[u8]) -> FromOwner {
-    let mut reader = owner::Reader::default();
+fn from_client(bytes: &[u8]) -> FromClient {
+    let mut reader = client::Reader::default();
     reader.push(bytes);
     let message = reader
         .next_message()
@@ -33,7 +33,7 @@
         \xb9\x00\x3ccores:0.5;memory:2.25;service:00000000b4d65521;at:host-00017\
         \xc1\x00\x205c0f5c0f5c0f5c0f5c0f5c0f5c0f5c0f\
         \xc3\x00\x10v=0\r\nm=audio 9\r\n";
-    let FromOwner::Setup(setup) = from_client(bytes) else {
+    let FromClient::PlacementRequest(setup) = from_client(bytes) else {
         panic!("no set-up")
     };
     assert_eq!(
@@ -65,7 +65,7 @@
     let bytes = |kind: u8| [&[0, 9, kind], [1, 2, 3, 4, 5, 6, 7, 8].as_slice()].concat();
     assert_eq!(
         from_client(&bytes(12)),
-        FromOwner::Release {
+        FromClient::Release {
             id,
             cause: GIVEN_UP
         }
@@ -73,15 +73,15 @@
     let release = b"\x00\x0d\x0c\x01\x02\x03\x04\x05\x06\x07\x08\xc2\x00\x01\x1f";
     assert_eq!(
         from_client(release),
-        FromOwner::Release {
+        FromClient::Release {
             id,
             cause: CANCELLED
         }
     );
-    assert_eq!(from_client(&bytes(52)), FromOwner::Test(id));
-    assert_eq!(from_client(&bytes(16)), FromOwner::Released(id));
+    assert_eq!(from_client(&bytes(52)), FromClient::Test(id));
+    assert_eq!(from_client(&bytes(16)), FromClient::Released(id));
     for ignored in [6, 44, 51, 53] {
-        assert_eq!(from_client(&bytes(ignored)), FromOwner::Free, "{ignored}");
+        assert_eq!(from_client(&bytes(ignored)), FromClient::Free, "{ignored}");
     }
 }
 
@@ -97,19 +97,19 @@
 fn messages_to_clients_that_messages_rs_lacks() {
     let id = 0x0102_0304_0506_0708;
     let failure = b"\x00\x0d\x0c\x01\x02\x03\x04\x05\x06\x07\x08\xc2\x00\x01\x29";
-    assert_eq!(ToOwner::failure(id, CUT).encode(), failure);
+    assert_eq!(ToClient::failure(id, CUT).encode(), failure);
     let refusal = b"\x00\x0d\x0c\x01\x02\x03\x04\x05\x06\x07\x08\xc2\x00\x01\x22";
-    assert_eq!(ToOwner::refusal(id, None).encode(), refusal);
+    assert_eq!(ToClient::refusal(id, None).encode(), refusal);
     let not_in_service = b"\x00\x0d\x35\x01\x02\x03\x04\x05\x06\x07\x08\xc2\x00\x01\x00";
     assert_eq!(
-        ToOwner::Tested { id, passed: false }.encode(),
+        ToClient::Tested { id, passed: false }.encode(),
         not_in_service
     );
 }
 
 #[test]
 fn lines_to_hosts() {
-    let setup = |idem: Option<&str>| ToHost::Setup {
+    let setup = |idem: Option<&str>| ToHost::PlacementRequest {
         id: 0x9b1f,
         class: "play".to_owned(),
         key: 0x7f,
@@ -239,7 +239,7 @@
     }
 }
 
-fn check_events(events: &Told) {
+fn check_events(events: &WatchResponse) {
     assert_eq!(events.rev, 9);
     assert_eq!(
         events
@@ -250,7 +250,7 @@
         [7, 8, 9]
     );
     assert_eq!(events.notices[1].pool, None);
-    let lists: Vec<&board::Pool> = events
+    let lists: Vec<&discovery::EndpointList> = events
         .notices
         .iter()
         .filter_map(|event| event.pool.as_ref())
@@ -275,7 +275,7 @@
         (first.born_ms, first.room),
         (1_700_000_000_123, Some([1.5, -2.0]))
     );
-    assert_eq!(first.health, board::State::Active);
+    assert_eq!(first.health, discovery::State::Active);
     assert_eq!(
         (second.host.as_str(), second.dial.to_string().as_str()),
         ("h-2", "[::1]:9001")
@@ -286,14 +286,14 @@
     );
     assert_eq!(
         (second.health, last.health),
-        (board::State::Leaving, board::State::Left)
+        (discovery::State::Leaving, discovery::State::Left)
     );
     assert_eq!((last.block, last.room), (2, None));
 }
 
 #[test]
 fn events_of_discovery() {
-    check_events(&Told::read(EVENTS.as_bytes(), &names()).expect("they fit"));
+    check_events(&WatchResponse::read(EVENTS.as_bytes(), &names()).expect("they fit"));
 }
 
 #[test]
--- a/crates/platproto/tests/messages.rs
+++ b/crates/platproto/tests/messages.rs
@@ -3,9 +3,9 @@
 mod wire;
 
 use proptest::prelude::*;
-use reedring_platproto::board::{Names, Told};
+use reedring_platproto::client::{self, FromClient, InvalidMessage, ToClient};
+use reedring_platproto::discovery::{Names, WatchResponse};
 use reedring_platproto::host::{self, FromHost, ToHost};
-use reedring_platproto::owner::{self, FromOwner, ToOwner, Unusable};
 use reedring_platproto::{FULL, MAX, config};
 use wire::message;
 
@@ -28,8 +28,8 @@
     message(1, 5, &parameters)
 }
 
-fn one(bytes: &[u8]) -> Result<FromOwner, Unusable> {
-    let mut reader = owner::Reader::default();
+fn one(bytes: &[u8]) -> Result<FromClient, InvalidMessage> {
+    let mut reader = client::Reader::default();
     reader.push(bytes);
     let message = reader
         .next_message()
@@ -41,7 +41,7 @@
 
 #[test]
 fn a_set_up_is_read_whole() {
-    let Ok(FromOwner::Setup(setup)) = one(&message(1, 5, &SETUP)) else {
+    let Ok(FromClient::PlacementRequest(setup)) = one(&message(1, 5, &SETUP)) else {
         panic!("no set-up")
     };
     assert_eq!(
@@ -61,7 +61,7 @@
         185,
         Some(b"cores:1;memory:2;service:00000000b4d65521;at:h-1"),
     );
-    let Ok(FromOwner::Setup(setup)) = one(&handed) else {
+    let Ok(FromClient::PlacementRequest(setup)) = one(&handed) else {
         panic!("no set-up")
     };
     assert_eq!(setup.at.as_deref(), Some("h-1"));
@@ -127,7 +127,7 @@
 #[test]
 fn lengths_that_are_none_end_a_connection() {
     for length in (0..9).chain([MAX as u16 - 1, MAX as u16, u16::MAX]) {
-        let mut reader = owner::Reader::default();
+        let mut reader = client::Reader::default();
         reader.push(&length.to_be_bytes());
         assert!(reader.next_message().is_err(), "{length}");
     }
@@ -135,23 +135,23 @@
 
 #[test]
 fn what_owners_are_told_has_the_platforms_numbers() {
-    let refusal = ToOwner::refusal(5, Some(250)).encode();
+    let refusal = ToClient::refusal(5, Some(250)).encode();
     assert_eq!(refusal, message(12, 5, &[(186, b"250"), (194, &[FULL])]));
-    let answer = ToOwner::Answer {
+    let answer = ToClient::Answer {
         id: 5,
         description: "a\r\nb".to_owned(),
     }
     .encode();
     assert_eq!(answer, message(9, 5, &[(195, b"a\r\nb")]));
     assert_eq!(
-        ToOwner::Tested {
+        ToClient::Tested {
             id: 7,
             passed: true
         }
         .encode(),
         message(53, 7, &[(194, &[1])])
     );
-    assert_eq!(ToOwner::Moved(7).encode(), message(51, 7, &[]));
+    assert_eq!(ToClient::Moved(7).encode(), message(51, 7, &[]));
 }
 
 fn line(text: &str) -> Result<Option<FromHost>, host::Unreadable> {
@@ -253,7 +253,7 @@
 
 #[test]
 fn a_set_up_goes_on_as_the_owner_worded_it() {
-    let setup = ToHost::Setup {
+    let setup = ToHost::PlacementRequest {
         id: 0x9b1f,
         class: "play".to_owned(),
         key: 0x7f,
@@ -289,7 +289,7 @@
 #[test]
 fn the_board_is_read_whole_or_not_at_all() {
     let read = |rev: u64, notices: &str| {
-        Told::read(
+        WatchResponse::read(
             format!(r#"{{"rev":{rev},"notices":[{notices}]}}"#).as_bytes(),
             &names(),
         )
@@ -325,7 +325,7 @@
     }
     let whole = format!(r#"{{"rev":4,"notices":[{}]}}"#, notice(4, ""));
     for cut in 0..whole.len() {
-        assert!(Told::read(&whole.as_bytes()[..cut], &names()).is_err());
+        assert!(WatchResponse::read(&whole.as_bytes()[..cut], &names()).is_err());
     }
 }
 
@@ -347,7 +347,7 @@
 proptest! {
     #[test]
     fn no_bytes_of_an_owner_make_the_reader_panic(chunks in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..80), 0..20)) {
-        let mut reader = owner::Reader::default();
+        let mut reader = client::Reader::default();
         for chunk in chunks {
             reader.push(&chunk);
             while let Ok(Some(_)) = reader.next_message() {}
@@ -364,13 +364,13 @@
     #[test]
     fn cuts_change_nothing(cuts in prop::collection::vec(1_usize..40, 1..30), count in 1_usize..5) {
         let all: Vec<u8> = (0..count as u64).flat_map(|n| message(1, n + 1, &SETUP)).collect();
-        let (mut reader, mut at, mut ids) = (owner::Reader::default(), 0, Vec::new());
+        let (mut reader, mut at, mut ids) = (client::Reader::default(), 0, Vec::new());
         for cut in cuts.into_iter().chain([all.len()]) {
             let end = (at + cut).min(all.len());
             reader.push(&all[at..end]);
             at = end;
             while let Some(message) = reader.next_message().unwrap() {
-                let Ok(FromOwner::Setup(setup)) = message else { panic!("no set-up") };
+                let Ok(FromClient::PlacementRequest(setup)) = message else { panic!("no set-up") };
                 ids.push(setup.id);
             }
         }
@@ -392,6 +392,6 @@
 
     #[test]
     fn no_answer_of_the_board_makes_the_reader_panic(text in prop::collection::vec(any::<u8>(), 0..200)) {
-        let _ = Told::read(&text, &names());
+        let _ = WatchResponse::read(&text, &names());
     }
 }
--- a/fuzz/fuzz_targets/platform.rs
+++ b/fuzz/fuzz_targets/platform.rs
@@ -2,18 +2,18 @@
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
-use reedring_platproto::board::{Names, Told};
-use reedring_platproto::{config::Config, host, owner};
+use reedring_platproto::discovery::{Names, WatchResponse};
+use reedring_platproto::{config::Config, host, client};
 
 fuzz_target!(|input: (Vec<u8>, u8)| {
     let (bytes, size) = input;
-    let (mut owners, mut hosts) = (owner::Reader::default(), host::Reader::default());
+    let (mut owners, mut hosts) = (client::Reader::default(), host::Reader::default());
     for chunk in bytes.chunks(usize::from(size).max(1)) {
         owners.push(chunk);
         while let Ok(Some(_)) = owners.next_message() {}
         hosts.push(chunk);
         while let Ok(Some(_)) = hosts.next_message() {}
     }
-    let _ = Told::read(&bytes, &Names::default());
+    let _ = WatchResponse::read(&bytes, &Names::default());
     let _ = std::str::from_utf8(&bytes).map(Config::read);
 });
