--- a/crates/audit/src/judge/known.rs
+++ b/crates/audit/src/judge/known.rs
@@ -4,7 +4,7 @@
 
 use reedring_constraint::Place;
 use reedring_drmaa::native::Native;
-use reedring_nodeproto::{AttemptId, Group, Repeat};
+use reedring_node_protocol::{AttemptId, Group, Repeat};
 use serde_json::Value;
 
 use super::SLACK_US;
--- a/crates/audit/src/judge/mod.rs
+++ b/crates/audit/src/judge/mod.rs
@@ -18,7 +18,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use reedring_drmaa::framing;
-use reedring_nodeproto::{AttemptId, Message, decode};
+use reedring_node_protocol::{AttemptId, Message, decode};
 use serde_json::Value;
 
 use self::known::{Attempt, Closed, Even, Job, NodeLife, Pending, Placer};
--- a/crates/audit/src/judge/nodes.rs
+++ b/crates/audit/src/judge/nodes.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use reedring_nodeproto::{AttemptId, End, HeldState, Message, Repeat};
+use reedring_node_protocol::{AttemptId, End, HeldState, Message, Repeat};
 
 use super::known::{Attempt, Closed};
 use super::told::{Class, time};
--- a/crates/audit/src/judge/outcome.rs
+++ b/crates/audit/src/judge/outcome.rs
@@ -1,6 +1,6 @@
 //! Rule 1: each task taken gets exactly one outcome before its owner gives up.
 
-use reedring_nodeproto::AttemptId;
+use reedring_node_protocol::AttemptId;
 use serde_json::Value;
 
 use super::known::Pending;
--- a/crates/audit/src/judge/second.rs
+++ b/crates/audit/src/judge/second.rs
@@ -1,6 +1,6 @@
 //! Rule 2: no second live attempt, and nothing is sent again but as its class allows.
 
-use reedring_nodeproto::{AttemptId, Group, Repeat};
+use reedring_node_protocol::{AttemptId, Group, Repeat};
 
 use super::known::{Attempt, Closed};
 use super::told::time;
--- a/crates/audit/src/judge/spread.rs
+++ b/crates/audit/src/judge/spread.rs
@@ -1,7 +1,7 @@
 //! Rule 5: services stay spread, by class and by constraint.
 
 use reedring_constraint::{self as constraint, Constraint, Strength};
-use reedring_nodeproto::AttemptId;
+use reedring_node_protocol::AttemptId;
 
 use super::known::{Attempt, Even};
 use super::{EVEN_SLACK_US, Judge, Rule, SLACK_US};
--- a/crates/audit/src/judge/told.rs
+++ b/crates/audit/src/judge/told.rs
@@ -4,7 +4,7 @@
 
 use reedring_constraint::Attr;
 use reedring_drmaa::native::{Native, duration_us};
-use reedring_nodeproto::{Group, Repeat};
+use reedring_node_protocol::{Group, Repeat};
 use serde::Deserialize;
 use serde_json::Value;
 
--- a/crates/audit/src/judge/versions.rs
+++ b/crates/audit/src/judge/versions.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use reedring_nodeproto::{
+use reedring_node_protocol::{
     AcceptorReport, AttemptId, ConfigRequest, ConfigVersion, Delta, DeltaStep, Edit, Message,
     Reason, SectionKey, VersionStamp, version_level,
 };
--- a/crates/audit/tests/rules.rs
+++ b/crates/audit/tests/rules.rs
@@ -2,7 +2,7 @@
 
 use reedring_audit::{Event, Frame, Recorder, Report, Rule, audit, read};
 use reedring_drmaa::framing::wrap;
-use reedring_nodeproto::{
+use reedring_node_protocol::{
     AcceptedVersion, AcceptorReport, AttemptId, Ballot, ConfigDigest, ConfigRequest, ConfigVersion,
     End, Held, HeldState, Message, Reason, Task, VersionStamp, decode, encode,
 };
--- a/crates/cli/src/programs.rs
+++ b/crates/cli/src/programs.rs
@@ -7,11 +7,11 @@
 
 use clap::Args;
 use reedring_audit::Recorder;
-use reedring_net::Signals;
+use reedring_connection::Signals;
+use reedring_local_cluster::{Plan, Site};
+use reedring_node_simulator::{Fleet, Groups, serve};
 use reedring_placer::{FileSource, Options, Placer, SettingsFile};
 use reedring_settings::{Settings, State};
-use reedring_site::{Plan, Site};
-use reedring_standin::{Fleet, Groups, serve};
 
 use crate::Failure;
 
--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -5,9 +5,9 @@
 
 use clap::Args;
 use reedring_audit::{Frame, Report, audit};
-use reedring_site::badday::{DEFAULT, Script};
-use reedring_site::kills::Kills;
-use reedring_site::load::{self, Size};
+use reedring_local_cluster::badday::{DEFAULT, Script};
+use reedring_local_cluster::kills::Kills;
+use reedring_local_cluster::load::{self, Size};
 
 use crate::Failure;
 use crate::programs::read;
@@ -130,7 +130,7 @@
         link,
         bytes,
     } = frame;
-    let what = match reedring_nodeproto::decode(bytes) {
+    let what = match reedring_node_protocol::decode(bytes) {
         Ok(message) => format!("{message:?}"),
         Err(_) => String::from_utf8_lossy(bytes).replace("\r\n", " "),
     };
@@ -168,7 +168,11 @@
 impl Bench {
     pub fn run(self) -> Result<ExitCode, Failure> {
         if let Some(seeds) = self.state {
-            reedring_site::restart::bench(seeds.max(1), self.live, &mut std::io::stdout())?;
+            reedring_local_cluster::restart::bench(
+                seeds.max(1),
+                self.live,
+                &mut std::io::stdout(),
+            )?;
             return Ok(ExitCode::SUCCESS);
         }
         let program = std::env::current_exe()?;
--- a/crates/cli/tests/churn.rs
+++ b/crates/cli/tests/churn.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use reedring_processes::Program;
+use reedring_test_processes::Program;
 use standins::{Client, Discovery, Host, config, message, setup, soon};
 
 const ROUNDS: u64 = 60;
--- a/crates/cli/tests/cli.rs
+++ b/crates/cli/tests/cli.rs
@@ -5,7 +5,7 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::Duration;
 
-use reedring_processes::{Program, Signal};
+use reedring_test_processes::{Program, Signal};
 
 /// No wait in a test is longer; one that is has failed.
 const LONG: Duration = Duration::from_secs(20);
@@ -308,7 +308,7 @@
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("config.json");
     let config = path.to_str().unwrap();
-    let listen = reedring_processes::free_address().unwrap();
+    let listen = reedring_test_processes::free_address().unwrap();
     let good = serde_json::json!({"name": "n1", "listen": listen, "seed": "00000000000000aa",
         "limits": {"cores": 1.0, "memory_mb": 32, "sockets": 256}, "board": "127.0.0.1:1",
         "known": {"rev": 0, "notices": []}, "more": {"of": "what the platform may tell"},
--- a/crates/cli/tests/descriptors.rs
+++ b/crates/cli/tests/descriptors.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use reedring_processes::{Program, free_address};
+use reedring_test_processes::{Program, free_address};
 use standins::{Client, Discovery, Host, LONG, config_at, message, setup};
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
--- a/crates/core/benches/constraints.rs
+++ b/crates/core/benches/constraints.rs
@@ -7,7 +7,7 @@
 use reedring_core::{Core, Input, Output, Start};
 use reedring_drmaa::JobSpec;
 use reedring_drmaa::rpc::{Call, CallKey, Range};
-use reedring_nodeproto::{End, Message};
+use reedring_node_protocol::{End, Message};
 use reedring_settings::{Health, NodeEntry, NodeList, Settings};
 
 const SETTINGS: &str = r#"
--- a/crates/core/benches/plans.rs
+++ b/crates/core/benches/plans.rs
@@ -10,7 +10,7 @@
 use reedring_core::Input;
 use reedring_drmaa::JobSpec;
 use reedring_drmaa::rpc::{Call, CallKey, Range};
-use reedring_nodeproto::{Message, encode};
+use reedring_node_protocol::{Message, encode};
 
 fn change(placers: usize, nodes: usize) {
     let began = Instant::now();
@@ -94,7 +94,7 @@
             if let Due::AtNode(_, _, message @ Message::Offer { .. }) = due {
                 let frame = encode(message);
                 bytes += frame.len();
-                made += usize::from(reedring_nodeproto::decode(&frame).is_ok());
+                made += usize::from(reedring_node_protocol::decode(&frame).is_ok());
             }
         }
         world.until_all(9, 4 * MS);
--- a/crates/core/src/ask.rs
+++ b/crates/core/src/ask.rs
@@ -7,7 +7,7 @@
 use reedring_drmaa::native::Native;
 use reedring_drmaa::template::nearest;
 use reedring_drmaa::{Error, ErrorCode, JobSpec, Result};
-use reedring_nodeproto::{MAX_NAME, MAX_PAYLOAD};
+use reedring_node_protocol::{MAX_NAME, MAX_PAYLOAD};
 use reedring_settings::Settings;
 use reedring_state as state;
 
--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -10,7 +10,7 @@
 };
 use reedring_drmaa::template::nearest;
 use reedring_drmaa::{Control, Error, ErrorCode, JobSpec, Result, VERSION};
-use reedring_nodeproto::Message;
+use reedring_node_protocol::Message;
 
 use crate::ask::Ask;
 use crate::constrain::{Bound, Subject};
--- a/crates/core/src/constrain.rs
+++ b/crates/core/src/constrain.rs
@@ -15,7 +15,7 @@
     Answer, Breach, Census, Compiled, Constraint, Explanation, Fleet, Line, Own, Topic, Verdict,
     broken,
 };
-use reedring_nodeproto as wire;
+use reedring_node_protocol as wire;
 use reedring_settings::Health;
 
 use crate::jobs::{JobNo, NodeNo};
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -8,7 +8,7 @@
 use reedring::{Action, AttemptId, Event, Micros, Outcome as Fate, Placer, RequestId};
 use reedring_drmaa::rpc::{Answer, Call, Response, Stats};
 use reedring_drmaa::{End, Result};
-use reedring_nodeproto::{self as wire, Message};
+use reedring_node_protocol::{self as wire, Message};
 use reedring_settings::Settings;
 use reedring_state::Change;
 
--- a/crates/core/src/decide.rs
+++ b/crates/core/src/decide.rs
@@ -5,7 +5,7 @@
 //! arguments alone, and `tests` goes through every case.
 
 use reedring::Effect;
-use reedring_nodeproto::{End, HeldState};
+use reedring_node_protocol::{End, HeldState};
 use reedring_settings::ComesAgain;
 
 /// What the ledger knows of an attempt.
--- a/crates/core/src/fates.rs
+++ b/crates/core/src/fates.rs
@@ -4,7 +4,7 @@
 
 use reedring::names::service_id;
 use reedring::{AttemptId, Ended, Event, Micros, Outcome as Fate, Reason, RequestId, Task};
-use reedring_nodeproto::{self as wire, Message};
+use reedring_node_protocol::{self as wire, Message};
 
 use crate::core::{Core, SWEEPS, opened_event};
 use crate::decide::{self, Loss};
--- a/crates/core/src/holds.rs
+++ b/crates/core/src/holds.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use reedring::{AttemptId, Event, MachineId, Micros, RequestId};
-use reedring_nodeproto as wire;
+use reedring_node_protocol as wire;
 
 use crate::core::Core;
 use crate::decide;
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use reedring_drmaa::rpc::{Call, Response};
-use reedring_nodeproto::{AcceptorReport, AttemptId, Message, VersionStamp};
+use reedring_node_protocol::{AcceptorReport, AttemptId, Message, VersionStamp};
 use reedring_settings::{NodeList, Settings};
 use reedring_state::{Batch, BeliefSnapshot};
 
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -7,7 +7,7 @@
 use reedring_constraint::Topic;
 use reedring_drmaa::rpc::{AttemptLine, JobDetail, JobLine};
 use reedring_drmaa::{End, JobInfo, JobState};
-use reedring_nodeproto as wire;
+use reedring_node_protocol as wire;
 use reedring_settings::Settings;
 pub(crate) use reedring_state::{Ending, Outcome};
 
--- a/crates/core/src/keep.rs
+++ b/crates/core/src/keep.rs
@@ -8,7 +8,7 @@
 
 use reedring::{AttemptId, Beliefs, Effect, Micros, Outcome as Fate};
 use reedring_drmaa::rpc::Answer;
-use reedring_nodeproto::{self as wire, Message};
+use reedring_node_protocol::{self as wire, Message};
 use reedring_settings::{DISK_WAIT_US, Health, WhenLost};
 use reedring_state::{
     self as state, Batch, BeliefSnapshot, Change, DurabilityBarrier, Image, NodeBeliefs,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -71,9 +71,9 @@
 /// where the file has no `[plan]`.
 pub fn first_stamp(
     settings: &reedring_settings::Settings,
-) -> Option<reedring_nodeproto::VersionStamp> {
+) -> Option<reedring_node_protocol::VersionStamp> {
     let version = settings.plan().ok().flatten()?.version();
-    Some(reedring_nodeproto::VersionStamp {
+    Some(reedring_node_protocol::VersionStamp {
         version,
         joint: false,
         list: 0,
--- a/crates/core/src/links.rs
+++ b/crates/core/src/links.rs
@@ -6,7 +6,7 @@
 use reedring::names::machine_id;
 use reedring::{self as module, AttemptId, MachineId, Micros};
 use reedring_drmaa::rpc::NodeLine;
-use reedring_nodeproto::{Held, Reason};
+use reedring_node_protocol::{Held, Reason};
 use reedring_settings::{Health, NodeEntry, Site};
 
 use crate::decide;
--- a/crates/core/src/recover.rs
+++ b/crates/core/src/recover.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use reedring::{AttemptId, Belief, Beliefs, Effect, Event, Micros, Outcome as Fate, TaskKey};
-use reedring_nodeproto as wire;
+use reedring_node_protocol as wire;
 use reedring_settings::Settings;
 use reedring_state::{self as state, Image};
 
--- a/crates/core/src/versions.rs
+++ b/crates/core/src/versions.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use reedring::{Event, Micros};
-use reedring_nodeproto::{AcceptorReport, ConfigRequest, ConfigVersion, Message, VersionStamp};
+use reedring_node_protocol::{AcceptorReport, ConfigRequest, ConfigVersion, Message, VersionStamp};
 use reedring_plan::{
     ActiveConfig, ChangePhase, ClusterView, Compactor, ConfigDocument, Delta, DispatchBlock,
     DocumentCache, LeaseState, LocalConfig, Membership, PeerState, ProposalBackoff, Proposer,
--- a/crates/core/src/words.rs
+++ b/crates/core/src/words.rs
@@ -6,7 +6,7 @@
 use reedring::{AttemptId, Event, Listing, Micros, Note, Outcome as Fate, Reason};
 use reedring_drmaa::End;
 use reedring_drmaa::info::signal_name;
-use reedring_nodeproto::{self as wire, AcceptorReport, Held, HeldState, Message, Topic};
+use reedring_node_protocol::{self as wire, AcceptorReport, Held, HeldState, Message, Topic};
 use reedring_settings::{Health, NodeList};
 
 use crate::constrain::News;
--- a/crates/core/tests/changes.rs
+++ b/crates/core/tests/changes.rs
@@ -5,7 +5,7 @@
 
 use plans::{MS, SETTINGS, World, settings, settings_of_teams};
 use reedring_core::Input;
-use reedring_nodeproto::{ConfigRequest, Delta, Message, encode};
+use reedring_node_protocol::{ConfigRequest, Delta, Message, encode};
 use reedring_settings::Settings;
 
 const SECOND: u64 = 1_000 * MS;
--- a/crates/core/tests/digest.rs
+++ b/crates/core/tests/digest.rs
@@ -11,7 +11,7 @@
 use rand_pcg::Pcg32;
 use reedring_drmaa::rpc::{Call, Jobs};
 use reedring_drmaa::{Control, JobSpec};
-use reedring_nodeproto::encode;
+use reedring_node_protocol::encode;
 use reedring_settings::Health;
 use world::digest::Digest;
 use world::{MS, SECOND, World};
--- a/crates/core/tests/model.rs
+++ b/crates/core/tests/model.rs
@@ -7,7 +7,7 @@
 
 use reedring::Effect;
 use reedring_core::decide::{self, Known, Recovered, Verdict};
-use reedring_nodeproto::{End, HeldState};
+use reedring_node_protocol::{End, HeldState};
 use stateright::{Checker, Model, Property};
 
 const NODES: usize = 2;
--- a/crates/core/tests/plans/mod.rs
+++ b/crates/core/tests/plans/mod.rs
@@ -6,10 +6,10 @@
 use rand_core::Rng;
 use rand_pcg::Pcg32;
 use reedring_core::{Core, Input, Output, Start, first_stamp};
-use reedring_nodeproto::{ConfigRequest, Message};
+use reedring_node_protocol::{ConfigRequest, Message};
+use reedring_node_simulator::{Config, Effect, Groups, Keep, Node};
 use reedring_plan::AcceptorState;
 use reedring_settings::{NodeEntry, NodeList, Settings};
-use reedring_standin::{Config, Effect, Groups, Keep, Node};
 
 pub const SETTINGS: &str = r#"
     placer = { name = "p", listen = "127.0.0.1:0", nodes = "nodes.toml" }
--- a/crates/core/tests/quiet.rs
+++ b/crates/core/tests/quiet.rs
@@ -5,7 +5,7 @@
 
 use plans::{MS, World};
 use reedring_core::{Input, Output};
-use reedring_nodeproto::{ConfigRequest, Message};
+use reedring_node_protocol::{ConfigRequest, Message};
 
 const SECOND: u64 = 1_000 * MS;
 
--- a/crates/core/tests/restart.rs
+++ b/crates/core/tests/restart.rs
@@ -7,7 +7,7 @@
 use rand_core::Rng;
 use reedring_drmaa::JobInfo;
 use reedring_drmaa::rpc::Call;
-use reedring_nodeproto::Repeat;
+use reedring_node_protocol::Repeat;
 use reedring_settings::Health;
 use world::{MS, SECOND, World};
 
@@ -431,8 +431,8 @@
 /// one with the greater life speak, and closes every link of the other: its word on the task is never read.
 #[test]
 fn of_two_placers_that_take_up_one_task_the_node_hears_the_newer_alone() {
-    use reedring_nodeproto::Message;
-    use reedring_standin::{Config, Effect, Groups, Node};
+    use reedring_node_protocol::Message;
+    use reedring_node_simulator::{Config, Effect, Groups, Node};
     let (mut node, mut groups) = (Node::new(Config::named("n"), 1, 1, 0), Groups::default());
     let hello = |life, link| Message::Hello {
         placer: "p".to_owned(),
@@ -458,7 +458,7 @@
     let mut node = Node::new(Config::named("n"), 1, 1, 0);
     node.message(1, 10, hello(5, 1), &mut groups);
     node.message(2, 11, hello(6, 1), &mut groups);
-    let attempt = reedring_nodeproto::AttemptId {
+    let attempt = reedring_node_protocol::AttemptId {
         life: 5,
         request: 1,
         number: 0,
--- a/crates/core/tests/simulation.rs
+++ b/crates/core/tests/simulation.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use rand_core::Rng;
-use reedring_nodeproto::Repeat;
+use reedring_node_protocol::Repeat;
 use reedring_settings::Health;
 use world::{MS, SECOND, World};
 
--- a/crates/core/tests/world/mod.rs
+++ b/crates/core/tests/world/mod.rs
@@ -12,9 +12,9 @@
 use reedring_core::{Core, Input, Output, Restored, Start};
 use reedring_drmaa::rpc::{Answer, Call, CallKey, Range, Response};
 use reedring_drmaa::{JobInfo, JobSpec};
-use reedring_nodeproto::{AttemptId, End, Message, Repeat, encode};
+use reedring_node_protocol::{AttemptId, End, Message, Repeat, encode};
+use reedring_node_simulator::{Config, Effect, Groups, Node};
 use reedring_settings::{Health, NodeEntry, NodeList, Settings};
-use reedring_standin::{Config, Effect, Groups, Node};
 use reedring_state::{Batch, HalfLives, LedgerWriter, OpenedLedger, SimFolder};
 
 use digest::Digest;
@@ -879,7 +879,7 @@
     }
 
     /// Works the offer's constraint out anew, with the copies that the placer knows.
-    fn judge_offer(&mut self, attempt: AttemptId, task: &reedring_nodeproto::Task, n: usize) {
+    fn judge_offer(&mut self, attempt: AttemptId, task: &reedring_node_protocol::Task, n: usize) {
         let native = |payload: &[u8]| {
             let spec: JobSpec = serde_json::from_slice(payload).unwrap();
             reedring_drmaa::native::Native::parse(&spec.native).unwrap()
--- a/crates/libdrmaa/tests/binding.rs
+++ b/crates/libdrmaa/tests/binding.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::process::Command;
 
-use reedring_site::{Plan, Site};
+use reedring_local_cluster::{Plan, Site};
 use support::{c_program, library, run};
 
 #[test]
--- a/crates/libdrmaa/tests/support/mod.rs
+++ b/crates/libdrmaa/tests/support/mod.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use reedring_audit::{Recorder, Report, audit, read};
-use reedring_site::{Plan, Site};
+use reedring_local_cluster::{Plan, Site};
 
 /// The shared library of this build.
 pub fn library() -> PathBuf {
--- a/crates/site/src/badday.rs
+++ b/crates/local-cluster/src/badday.rs
@@ -16,7 +16,7 @@
 use reedring_audit::{Event as Record, Recorder, Report};
 use reedring_client::{Operator, Session};
 use reedring_drmaa::native::duration_us;
-use reedring_standin::{Config, Fault};
+use reedring_node_simulator::{Config, Fault};
 use serde::Deserialize;
 
 use crate::owners::{Demand, Owners, Tally};
--- a/crates/site/src/kills.rs
+++ b/crates/local-cluster/src/kills.rs
@@ -16,8 +16,8 @@
 use reedring_client::Session;
 use reedring_client::drmaa::rpc::Range;
 use reedring_client::drmaa::{ErrorCode, JobTemplate};
-use reedring_processes::{Program, free_address};
 use reedring_state::{Disk, Export};
+use reedring_test_processes::{Program, free_address};
 
 use crate::badday::BadDayError;
 use crate::site::{Plan, Site, SiteError};
--- a/crates/site/src/restart.rs
+++ b/crates/local-cluster/src/restart.rs
@@ -13,8 +13,8 @@
 use reedring_client::drmaa::rpc::Range;
 use reedring_client::drmaa::{ErrorCode, JobTemplate};
 use reedring_client::{Operator, Session};
-use reedring_nodeproto::{Message, decode};
-use reedring_standin::Fault;
+use reedring_node_protocol::{Message, decode};
+use reedring_node_simulator::Fault;
 use reedring_state::BeliefSnapshot;
 
 use crate::badday::BadDayError;
--- a/crates/site/src/site.rs
+++ b/crates/local-cluster/src/site.rs
@@ -11,9 +11,9 @@
 
 use reedring_audit::Recorder;
 use reedring_client::Operator;
+use reedring_node_simulator::{Config, Groups, Handle, ServeError, serve};
 use reedring_placer::{FileSource, NodeSource, Options, Placer, StartError, Update};
 use reedring_settings::{Health, Problems, Settings};
-use reedring_standin::{Config, Groups, Handle, ServeError, serve};
 use tempfile::TempDir;
 use tokio::runtime::Runtime;
 use tokio::sync::mpsc;
--- a/crates/site/tests/badday.rs
+++ b/crates/local-cluster/tests/badday.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Mutex, PoisonError};
 
-use reedring_site::badday::{DEFAULT, Script};
+use reedring_local_cluster::badday::{DEFAULT, Script};
 
 /// Days are played one after another: each is a site of its own that keeps several cores busy.
 static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
--- a/crates/site/tests/constraints.rs
+++ b/crates/local-cluster/tests/constraints.rs
@@ -7,8 +7,8 @@
 use reedring_client::drmaa::rpc::Range;
 use reedring_client::drmaa::{End, JobInfo, JobTemplate};
 use reedring_client::{Operator, Session};
-use reedring_site::badday::{DEFAULT, Script};
-use reedring_site::{Plan, Site};
+use reedring_local_cluster::badday::{DEFAULT, Script};
+use reedring_local_cluster::{Plan, Site};
 
 const SOON: Option<Duration> = Some(Duration::from_secs(20));
 
--- a/crates/site/tests/guards.rs
+++ b/crates/local-cluster/tests/guards.rs
@@ -2,8 +2,8 @@
 //! without each one.
 
 use reedring_audit::Rule;
-use reedring_site::Sabotage;
-use reedring_site::badday::Script;
+use reedring_local_cluster::Sabotage;
+use reedring_local_cluster::badday::Script;
 
 const SETTINGS: &str = r#"
 lasts = "LASTS"
--- a/crates/site/tests/hard.rs
+++ b/crates/local-cluster/tests/hard.rs
@@ -12,7 +12,7 @@
     Answer, Call, CallKey, MAX_REQUEST, MAX_RESPONSE, Range, Request, Response,
 };
 use reedring_client::{Operator, Session};
-use reedring_site::{Plan, Site};
+use reedring_local_cluster::{Plan, Site};
 
 /// A client that can be rude: it chooses its call numbers, and may leave without reading.
 struct Raw {
--- a/crates/site/tests/path.rs
+++ b/crates/local-cluster/tests/path.rs
@@ -5,7 +5,7 @@
 use reedring_client::drmaa::rpc::{Jobs, Range};
 use reedring_client::drmaa::{Control, End, ErrorCode, JobState, JobTemplate};
 use reedring_client::{Operator, Session};
-use reedring_site::{Plan, Site};
+use reedring_local_cluster::{Plan, Site};
 
 fn template(command: &str, args: &[&str], native: &str) -> JobTemplate {
     let mut template = JobTemplate::new();
--- a/crates/nodeproto/tests/frames.rs
+++ b/crates/node-protocol/tests/frames.rs
@@ -1,7 +1,7 @@
 //! Messages survive their bytes; anything else is refused without a panic.
 
 use proptest::prelude::*;
-use reedring_nodeproto::*;
+use reedring_node_protocol::*;
 
 fn attempt() -> impl Strategy<Value = AttemptId> {
     (any::<u64>(), any::<u64>(), any::<u16>()).prop_map(|(life, request, number)| AttemptId {
--- a/crates/nodeproto/tests/golden.rs
+++ b/crates/node-protocol/tests/golden.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use reedring_nodeproto::*;
+use reedring_node_protocol::*;
 
 const FRAMES: &str = include_str!("golden/frames.txt");
 
--- a/crates/standin/src/groups.rs
+++ b/crates/node-simulator/src/groups.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use reedring_nodeproto::{AttemptId, Group, Task};
+use reedring_node_protocol::{AttemptId, Group, Task};
 
 /// Keyed tasks that stand, or stood within their window, by group and key. Nodes of one process share one.
 #[derive(Debug, Default)]
--- a/crates/standin/src/model/jobs.rs
+++ b/crates/node-simulator/src/model/jobs.rs
@@ -1,6 +1,6 @@
 //! Jobs: starts, lives, ends, eviction, stops, drains.
 
-use reedring_nodeproto::{AttemptId, End, Message, Repeat, Task, Topic};
+use reedring_node_protocol::{AttemptId, End, Message, Repeat, Task, Topic};
 
 use super::Node;
 use super::types::State;
--- a/crates/standin/src/model/links.rs
+++ b/crates/node-simulator/src/model/links.rs
@@ -1,6 +1,6 @@
 //! Links: greetings, what a placer is told that is held for it, and which link may speak.
 
-use reedring_nodeproto::{Held, HeldState, Message, VersionStamp};
+use reedring_node_protocol::{Held, HeldState, Message, VersionStamp};
 
 use super::types::{Effect, LinkId, State};
 use super::{Node, PAGE};
--- a/crates/standin/src/model/mod.rs
+++ b/crates/node-simulator/src/model/mod.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use rand_pcg::Pcg32;
-use reedring_nodeproto::{AttemptId, Message, Task};
+use reedring_node_protocol::{AttemptId, Message, Task};
 
 pub use self::plans::Keep;
 use self::plans::Plans;
--- a/crates/standin/src/model/offers.rs
+++ b/crates/node-simulator/src/model/offers.rs
@@ -2,7 +2,7 @@
 
 use rand_core::Rng;
 use reedring_drmaa::JobSpec;
-use reedring_nodeproto::{AttemptId, End, Message, Reason, Repeat, Task, VersionStamp};
+use reedring_node_protocol::{AttemptId, End, Message, Reason, Repeat, Task, VersionStamp};
 
 use super::Node;
 use super::types::{Effect, Job, State, Waiting};
--- a/crates/standin/src/model/plans.rs
+++ b/crates/node-simulator/src/model/plans.rs
@@ -4,7 +4,7 @@
 use std::io;
 
 use reedring::names::machine_id;
-use reedring_nodeproto::{AcceptorReport, ConfigRequest, Message, Reason, VersionStamp};
+use reedring_node_protocol::{AcceptorReport, ConfigRequest, Message, Reason, VersionStamp};
 use reedring_plan::{
     AcceptorState, ConfigDocument, ConfigVersion, Delta, DeltaStep, LearnerState, OfferRejection,
     PlacerSighting, RequestRejection, delta,
--- a/crates/standin/src/model/types.rs
+++ b/crates/node-simulator/src/model/types.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use reedring_nodeproto::{AttemptId, End, Message, Task, VersionStamp};
+use reedring_node_protocol::{AttemptId, End, Message, Task, VersionStamp};
 
 /// A link, as the shell numbers it.
 pub type LinkId = u64;
--- a/crates/standin/src/serve.rs
+++ b/crates/node-simulator/src/serve.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use reedring_audit::{Event, Recorder};
-use reedring_nodeproto::{Message, PeerTraffic, Reader, Traffic, encode};
+use reedring_node_protocol::{Message, PeerTraffic, Reader, Traffic, encode};
 use reedring_plan::AcceptorState;
 use reedring_state::Disk;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/standin/tests/golden.rs
+++ b/crates/node-simulator/tests/golden.rs
@@ -1,9 +1,9 @@
 //! A node's folder that commit 073fcce wrote: its two slots open with equal values, and the same states kept again give
 //! files with equal bytes. The files are never written anew.
 
-use reedring_nodeproto::{Ballot, ConfigRequest};
+use reedring_node_protocol::{Ballot, ConfigRequest};
+use reedring_node_simulator::{Keep, Slots};
 use reedring_plan::{AcceptorState, ConfigDocument, PlacerSighting, write};
-use reedring_standin::{Keep, Slots};
 use reedring_state::{Folder, SimFolder};
 
 const SLOT_A: &[u8] = include_bytes!("golden/plan.a");
--- a/crates/standin/tests/greetings.rs
+++ b/crates/node-simulator/tests/greetings.rs
@@ -1,8 +1,8 @@
 //! A crowd at one node.
 
-use reedring_nodeproto::{ConfigDigest, ConfigRequest, ConfigVersion, Message, VersionStamp};
+use reedring_node_protocol::{ConfigDigest, ConfigRequest, ConfigVersion, Message, VersionStamp};
+use reedring_node_simulator::{Config, Effect, Groups, Node};
 use reedring_plan::ConfigDocument;
-use reedring_standin::{Config, Effect, Groups, Node};
 
 fn stamp(number: u64) -> VersionStamp {
     VersionStamp {
--- a/crates/standin/tests/learners.rs
+++ b/crates/node-simulator/tests/learners.rs
@@ -1,11 +1,11 @@
 //! Nodes that do not vote on plans: what they learn, what they refuse, and whom they tell.
 
-use reedring_nodeproto::{
+use reedring_node_protocol::{
     AcceptorReport, AttemptId, Ballot, ConfigRequest, ConfigVersion, Group, Message, Reason,
     Repeat, Task, VersionStamp, version_level,
 };
+use reedring_node_simulator::{Config, Effect, Fleet, Groups, Node};
 use reedring_plan::ConfigDocument;
-use reedring_standin::{Config, Effect, Fleet, Groups, Node};
 
 fn stamp(number: u64, joint: bool) -> VersionStamp {
     VersionStamp {
--- a/crates/placer/src/clients.rs
+++ b/crates/placer/src/clients.rs
@@ -5,11 +5,11 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use reedring_audit::Event;
+use reedring_connection::accept_failed;
 use reedring_core::{ConnId, Input};
 use reedring_drmaa::ErrorCode;
 use reedring_drmaa::framing::{Reader, wrap};
 use reedring_drmaa::rpc::{DRMAA_BASE, INVALID_REQUEST, MAX_REQUEST, Response, read_request};
-use reedring_net::accept_failed;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::{TcpListener, UnixListener};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc};
--- a/crates/placer/src/links.rs
+++ b/crates/placer/src/links.rs
@@ -8,7 +8,7 @@
 use reedring_audit::Event;
 use reedring_core::Input;
 use reedring_core::reconnect::{Failure, LinkId};
-use reedring_nodeproto::{AttemptId, ConfigRequest, Message, Reader, Traffic, encode};
+use reedring_node_protocol::{AttemptId, ConfigRequest, Message, Reader, Traffic, encode};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
--- a/crates/placer/src/run.rs
+++ b/crates/placer/src/run.rs
@@ -11,7 +11,7 @@
 
 use reedring_audit::{Event, Recorder};
 use reedring_core::{Core, Input, Level, Output, Start};
-use reedring_nodeproto::{PeerTraffic, VersionStamp};
+use reedring_node_protocol::{PeerTraffic, VersionStamp};
 use reedring_settings::{Address, Settings};
 use tokio::net::{TcpListener, UnixListener};
 use tokio::sync::{mpsc, oneshot, watch};
--- a/crates/plan/src/bounds.rs
+++ b/crates/plan/src/bounds.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use reedring_nodeproto::{Group, Repeat};
+use reedring_node_protocol::{Group, Repeat};
 
 /// When a task that was placed and lost comes again, from the freest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/plan/src/compact.rs
+++ b/crates/plan/src/compact.rs
@@ -1,6 +1,6 @@
 //! Orders to nodes without what the node has already: a delta in place of a text, or neither.
 
-use reedring_nodeproto::{AcceptorReport, ConfigRequest, ConfigVersion, Delta, DeltaStep};
+use reedring_node_protocol::{AcceptorReport, ConfigRequest, ConfigVersion, Delta, DeltaStep};
 
 use crate::delta;
 use crate::text::ConfigDocument;
--- a/crates/plan/src/delta.rs
+++ b/crates/plan/src/delta.rs
@@ -19,7 +19,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use reedring_nodeproto::{ConfigVersion, Delta, Edit, MAX_NAME, MAX_PLAN, SectionKey, Table};
+use reedring_node_protocol::{ConfigVersion, Delta, Edit, MAX_NAME, MAX_PLAN, SectionKey, Table};
 
 use crate::text::{ConfigDocument, DocumentError};
 
--- a/crates/plan/src/fleet.rs
+++ b/crates/plan/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use reedring_nodeproto::{AcceptorReport, ConfigVersion};
+use reedring_node_protocol::{AcceptorReport, ConfigVersion};
 
 use crate::membership::{MemberRole, Membership};
 
@@ -163,7 +163,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use reedring_nodeproto::{AcceptedVersion, Ballot, ConfigDigest};
+    use reedring_node_protocol::{AcceptedVersion, Ballot, ConfigDigest};
 
     fn version(number: u64, name: u8) -> ConfigVersion {
         ConfigVersion {
--- a/crates/plan/src/hold.rs
+++ b/crates/plan/src/hold.rs
@@ -1,6 +1,6 @@
 //! Which nodes a placer may send to: a node refuses what is under its floor, and is not pushed over between two plans.
 
-use reedring_nodeproto::{AcceptorReport, version_level};
+use reedring_node_protocol::{AcceptorReport, version_level};
 
 use crate::fleet::PeerState;
 use crate::standing::{ActiveConfig, LeaseState, SuspendReason};
@@ -143,7 +143,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use reedring_nodeproto::{AcceptedVersion, Ballot, ConfigDigest, ConfigVersion};
+    use reedring_node_protocol::{AcceptedVersion, Ballot, ConfigDigest, ConfigVersion};
 
     fn version(number: u64) -> ConfigVersion {
         ConfigVersion {
--- a/crates/plan/src/joint.rs
+++ b/crates/plan/src/joint.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use reedring_nodeproto::{Group, Repeat};
+use reedring_node_protocol::{Group, Repeat};
 
 use crate::bounds::{Bounds, ClassBounds};
 
--- a/crates/plan/src/kept.rs
+++ b/crates/plan/src/kept.rs
@@ -10,7 +10,7 @@
 
 use std::collections::BTreeMap;
 
-use reedring_nodeproto::{Ballot, ConfigDigest, ConfigVersion};
+use reedring_node_protocol::{Ballot, ConfigDigest, ConfigVersion};
 
 use crate::memory::{AcceptedConfig, AcceptorState, PlacerSighting};
 use crate::text::ConfigDocument;
--- a/crates/plan/src/learner.rs
+++ b/crates/plan/src/learner.rs
@@ -1,7 +1,7 @@
 //! The floor of a learner: a node that keeps no plan and casts no vote, and knows of plans by the stamps of what placers
 //! send it.
 
-use reedring_nodeproto::{
+use reedring_node_protocol::{
     AcceptedVersion, AcceptorReport, Ballot, ConfigVersion, VersionStamp, version_level,
 };
 
@@ -85,7 +85,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use reedring_nodeproto::ConfigDigest;
+    use reedring_node_protocol::ConfigDigest;
 
     fn stamp(number: u64, name: u8, joint: bool) -> VersionStamp {
         let version = ConfigVersion {
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -38,7 +38,7 @@
 pub use membership::{MemberRole, Membership};
 pub use memory::{AcceptedConfig, AcceptorState, OfferRejection, PlacerSighting, RequestRejection};
 pub use pace::ProposalBackoff;
-pub use reedring_nodeproto::{
+pub use reedring_node_protocol::{
     AcceptedVersion, AcceptorReport, Ballot, ConfigDigest, ConfigRequest, ConfigVersion, Delta,
     DeltaStep, Edit, MAX_PLAN, SectionKey, Table, VersionStamp, version_level,
 };
--- a/crates/plan/src/maker.rs
+++ b/crates/plan/src/maker.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use reedring_nodeproto::{AcceptorReport, Ballot, ConfigRequest, ConfigVersion};
+use reedring_node_protocol::{AcceptorReport, Ballot, ConfigRequest, ConfigVersion};
 
 use crate::fleet::ClusterView;
 use crate::membership::MemberRole;
@@ -313,7 +313,7 @@
     use super::*;
     use crate::fleet::PeerState;
     use crate::membership::Membership;
-    use reedring_nodeproto::AcceptedVersion;
+    use reedring_node_protocol::AcceptedVersion;
 
     fn plan(number: u64, text: &str) -> ConfigDocument {
         ConfigDocument::new(number, text).unwrap()
--- a/crates/plan/src/memory.rs
+++ b/crates/plan/src/memory.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use reedring_nodeproto::{
+use reedring_node_protocol::{
     AcceptedVersion, AcceptorReport, Ballot, ConfigRequest, ConfigVersion, Delta, DeltaStep,
     VersionStamp, version_level,
 };
@@ -628,7 +628,7 @@
         );
         let long = ConfigRequest::Commit {
             version,
-            text: "x".repeat(reedring_nodeproto::MAX_PLAN + 1),
+            text: "x".repeat(reedring_node_protocol::MAX_PLAN + 1),
             list: 0,
         };
         assert!(
--- a/crates/plan/src/pace.rs
+++ b/crates/plan/src/pace.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
 
-use reedring_nodeproto::{Ballot, ConfigRequest, ConfigVersion, DeltaStep};
+use reedring_node_protocol::{Ballot, ConfigRequest, ConfigVersion, DeltaStep};
 
 use crate::fleet::ClusterView;
 
@@ -149,13 +149,13 @@
 mod tests {
     use super::*;
     use crate::fleet::PeerState;
-    use reedring_nodeproto::AcceptorReport;
+    use reedring_node_protocol::AcceptorReport;
 
     #[test]
     fn the_same_is_not_asked_again_before_its_time_and_something_else_is() {
         let mut pace = ProposalBackoff::default();
         let one = ConfigRequest::Query {
-            stamp: reedring_nodeproto::VersionStamp::default(),
+            stamp: reedring_node_protocol::VersionStamp::default(),
         };
         let ask = || vec![(1, one.clone()), (2, one.clone())];
         assert_eq!(pace.due(0, ask()).len(), 2);
@@ -170,7 +170,7 @@
                 (
                     7,
                     ConfigRequest::Fetch {
-                        version: reedring_nodeproto::ConfigVersion::default(),
+                        version: reedring_node_protocol::ConfigVersion::default(),
                         have: None,
                     },
                 ),
@@ -180,7 +180,7 @@
         assert_eq!(pace.due(AGAIN_US + 1, both()).len(), 0);
         // One node at a time is asked for a plan; another one once the first has had its time.
         let fetch = ConfigRequest::Fetch {
-            version: reedring_nodeproto::ConfigVersion::default(),
+            version: reedring_node_protocol::ConfigVersion::default(),
             have: None,
         };
         assert_eq!(
--- a/crates/plan/src/standing.rs
+++ b/crates/plan/src/standing.rs
@@ -1,6 +1,6 @@
 //! How a placer stands: by which plan it acts, or why it sends nothing.
 
-use reedring_nodeproto::ConfigVersion;
+use reedring_node_protocol::ConfigVersion;
 
 use crate::fleet::ClusterView;
 
@@ -88,7 +88,7 @@
     /// The level of its offers.
     pub fn level(&self) -> u64 {
         let (version, joint) = self.stamp();
-        reedring_nodeproto::version_level(version, joint)
+        reedring_node_protocol::version_level(version, joint)
     }
 }
 
@@ -165,7 +165,7 @@
 mod tests {
     use super::*;
     use crate::fleet::PeerState;
-    use reedring_nodeproto::{AcceptedVersion, AcceptorReport, Ballot, ConfigDigest};
+    use reedring_node_protocol::{AcceptedVersion, AcceptorReport, Ballot, ConfigDigest};
 
     fn version(number: u64, name: u8) -> ConfigVersion {
         ConfigVersion {
--- a/crates/plan/src/text.rs
+++ b/crates/plan/src/text.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use reedring_nodeproto::{ConfigDigest, ConfigVersion, MAX_PLAN};
+use reedring_node_protocol::{ConfigDigest, ConfigVersion, MAX_PLAN};
 use sha2::{Digest as _, Sha256};
 
 /// A plan whose text fits its version.
--- a/crates/plan/tests/delta.rs
+++ b/crates/plan/tests/delta.rs
@@ -1,7 +1,7 @@
 //! Deltas between plans: what they make, what they refuse, and their bytes.
 
 use proptest::prelude::*;
-use reedring_nodeproto::{Message, Reader, decode, encode};
+use reedring_node_protocol::{Message, Reader, decode, encode};
 use reedring_plan::delta::{DeltaError, SectionError, apply, between};
 use reedring_plan::{
     ConfigDigest, ConfigDocument, ConfigVersion, Delta, DocumentError, Edit, MAX_PLAN, SectionKey,
--- a/crates/platproto/tests/golden.rs
+++ b/crates/platform-protocol/tests/golden.rs
@@ -4,11 +4,11 @@
 //! `messages.rs` has refusals, answers, moves and test results to clients as bytes, and set-ups, answers, releases and
 //! probe results of hosts as values; they are not written twice here.
 
-use reedring_platproto::client::{self, FromClient, ToClient};
-use reedring_platproto::config::Config;
-use reedring_platproto::discovery::{self, Names, WatchResponse};
-use reedring_platproto::host::{self, FromHost, ToHost};
-use reedring_platproto::{CANCELLED, CUT, ERROR, FULL, GIVEN_UP, MOOT};
+use reedring_platform_protocol::client::{self, FromClient, ToClient};
+use reedring_platform_protocol::config::Config;
+use reedring_platform_protocol::discovery::{self, Names, WatchResponse};
+use reedring_platform_protocol::host::{self, FromHost, ToHost};
+use reedring_platform_protocol::{CANCELLED, CUT, ERROR, FULL, GIVEN_UP, MOOT};
 
 fn from_client(bytes: &[u8]) -> FromClient {
     let mut reader = client::Reader::default();
--- a/crates/platproto/tests/messages.rs
+++ b/crates/platform-protocol/tests/messages.rs
@@ -3,10 +3,10 @@
 mod wire;
 
 use proptest::prelude::*;
-use reedring_platproto::client::{self, FromClient, InvalidMessage, ToClient};
-use reedring_platproto::discovery::{Names, WatchResponse};
-use reedring_platproto::host::{self, FromHost, ToHost};
-use reedring_platproto::{FULL, MAX, config};
+use reedring_platform_protocol::client::{self, FromClient, InvalidMessage, ToClient};
+use reedring_platform_protocol::discovery::{Names, WatchResponse};
+use reedring_platform_protocol::host::{self, FromHost, ToHost};
+use reedring_platform_protocol::{FULL, MAX, config};
 use wire::message;
 
 const SETUP: [(u8, &[u8]); 6] = [
--- a/crates/platform/src/attempts.rs
+++ b/crates/platform/src/attempts.rs
@@ -1,8 +1,8 @@
 //! Attempts: made, taken back, given up; and probes.
 
 use reedring::{AttemptId, Ended, Event, MachineId, Micros, Outcome, Reason, RequestId};
-use reedring_platproto::GIVEN_UP;
-use reedring_platproto::host::{Figures, ToHost};
+use reedring_platform_protocol::GIVEN_UP;
+use reedring_platform_protocol::host::{Figures, ToHost};
 
 use crate::state::{Engine, Out, Phase, Probe, Timer, connect_us};
 
--- a/crates/platform/src/bounds.rs
+++ b/crates/platform/src/bounds.rs
@@ -1,6 +1,6 @@
 //! What bounds the engine: descriptors and memory.
 
-use reedring_platproto::config::Limits;
+use reedring_platform_protocol::config::Limits;
 
 /// What bounds the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/platform/src/clients/arrivals.rs
+++ b/crates/platform/src/clients/arrivals.rs
@@ -2,9 +2,9 @@
 
 use reedring::names::machine_id;
 use reedring::{Event, Micros, RequestId, ServiceId, Task, TaskKey};
-use reedring_platproto::CUT;
-use reedring_platproto::client::{PlacementRequest, ToClient};
-use reedring_platproto::discovery::number;
+use reedring_platform_protocol::CUT;
+use reedring_platform_protocol::client::{PlacementRequest, ToClient};
+use reedring_platform_protocol::discovery::number;
 
 use crate::io::ConnId;
 use crate::state::{Engine, Phase, Request, Timer};
--- a/crates/platform/src/clients/ends.rs
+++ b/crates/platform/src/clients/ends.rs
@@ -1,7 +1,7 @@
 //! Ends of tasks that clients are to hear of: on which connection each is told, and for how long it is owed.
 
 use reedring::Micros;
-use reedring_platproto::client::ToClient;
+use reedring_platform_protocol::client::ToClient;
 
 use crate::decide::{self, Route};
 use crate::io::ConnId;
--- a/crates/platform/src/clients/leaving.rs
+++ b/crates/platform/src/clients/leaving.rs
@@ -1,7 +1,7 @@
 //! Clients that leave, or leave one request: what becomes of it.
 
 use reedring::{Event, Micros, Outcome, RequestId};
-use reedring_platproto::CANCELLED;
+use reedring_platform_protocol::CANCELLED;
 
 use crate::decide::{self, Leaving, Parting, Stage};
 use crate::state::{Engine, Out, Phase, Request};
--- a/crates/platform/src/clients/mod.rs
+++ b/crates/platform/src/clients/mod.rs
@@ -5,8 +5,8 @@
 mod leaving;
 
 use reedring::Micros;
-use reedring_platproto::client::{FromClient, InvalidMessage, ToClient};
-use reedring_platproto::{CUT, ERROR};
+use reedring_platform_protocol::client::{FromClient, InvalidMessage, ToClient};
+use reedring_platform_protocol::{CUT, ERROR};
 
 use crate::decide::{Leaving, Parting};
 use crate::io::{ConnId, Output};
--- a/crates/platform/src/engine.rs
+++ b/crates/platform/src/engine.rs
@@ -5,9 +5,9 @@
 use reedring::settings::Deployment;
 use reedring::timers::Timers;
 use reedring::{Action, Event, Micros, Placer, RequestId};
-use reedring_platproto::client::ToClient;
-use reedring_platproto::host::{Figures, ToHost};
-use reedring_platproto::{CANCELLED, CUT, discovery};
+use reedring_platform_protocol::client::ToClient;
+use reedring_platform_protocol::host::{Figures, ToHost};
+use reedring_platform_protocol::{CANCELLED, CUT, discovery};
 
 use crate::bounds::Bounds;
 use crate::io::{Input, Output};
--- a/crates/platform/src/follow.rs
+++ b/crates/platform/src/follow.rs
@@ -1,8 +1,8 @@
 //! What came and what was done, one line each, so that a task can be followed by its id through a placer's log. Off by
 //! default (`--log reedring_platform::follow=debug` turns it on), and made only where it is on.
 
-use reedring_platproto::client::{FromClient, ToClient};
-use reedring_platproto::host::{FromHost, ToHost};
+use reedring_platform_protocol::client::{FromClient, ToClient};
+use reedring_platform_protocol::host::{FromHost, ToHost};
 
 use crate::io::{Input, Output};
 
--- a/crates/platform/src/hosts/mod.rs
+++ b/crates/platform/src/hosts/mod.rs
@@ -8,12 +8,12 @@
 
 use reedring::names::machine_id;
 use reedring::{AttemptId, Event, Health, Listing, Machine, MachineId, Micros, Outcome, RequestId};
-use reedring_platproto::client::ToClient;
-use reedring_platproto::discovery::{
+use reedring_platform_protocol::client::ToClient;
+use reedring_platform_protocol::discovery::{
     EndpointList, Entry, State, WatchEvent, WatchResponse, number,
 };
-use reedring_platproto::host::{FromHost, ToHost};
-use reedring_platproto::{CANCELLED, CUT, ERROR, FULL, GIVEN_UP, MOOT};
+use reedring_platform_protocol::host::{FromHost, ToHost};
+use reedring_platform_protocol::{CANCELLED, CUT, ERROR, FULL, GIVEN_UP, MOOT};
 
 use crate::decide::{self, Candidate, Choice, Down, Execution, Seen, Spent};
 use crate::io::{LinkId, Output};
--- a/crates/platform/src/io.rs
+++ b/crates/platform/src/io.rs
@@ -2,9 +2,9 @@
 
 use std::net::SocketAddr;
 
-use reedring_platproto::client::{FromClient, InvalidMessage, ToClient};
-use reedring_platproto::discovery::WatchResponse;
-use reedring_platproto::host::{FromHost, ToHost};
+use reedring_platform_protocol::client::{FromClient, InvalidMessage, ToClient};
+use reedring_platform_protocol::discovery::WatchResponse;
+use reedring_platform_protocol::host::{FromHost, ToHost};
 
 use crate::decide::Down;
 
--- a/crates/platform/src/run.rs
+++ b/crates/platform/src/run.rs
@@ -6,11 +6,11 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use reedring_net::{Asked, Signals};
-use reedring_platproto::GIVEN_UP;
-use reedring_platproto::config::{self, Config};
-use reedring_platproto::discovery::Names;
-use reedring_platproto::host::ToHost;
+use reedring_connection::{Asked, Signals};
+use reedring_platform_protocol::GIVEN_UP;
+use reedring_platform_protocol::config::{self, Config};
+use reedring_platform_protocol::discovery::Names;
+use reedring_platform_protocol::host::ToHost;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot, watch};
 
--- a/crates/platform/src/run/tests.rs
+++ b/crates/platform/src/run/tests.rs
@@ -1,6 +1,6 @@
 //! The order in which the loop takes in and writes.
 
-use reedring_platproto::config::Limits;
+use reedring_platform_protocol::config::Limits;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
--- a/crates/platform/src/sockets.rs
+++ b/crates/platform/src/sockets.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use reedring_platproto::{client, host};
+use reedring_platform_protocol::{client, host};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc, oneshot};
 use tokio::time::{Instant, timeout};
@@ -139,7 +139,7 @@
                     let _ = came.send(Incoming::Input(Input::ClientGone(conn))).await;
                 });
             }
-            Err(error) => reedring_net::accept_failed(&error).await,
+            Err(error) => reedring_connection::accept_failed(&error).await,
         }
     }
 }
--- a/crates/platform/src/sockets/tests.rs
+++ b/crates/platform/src/sockets/tests.rs
@@ -1,6 +1,6 @@
 //! Which connections are accepted, and what is read in one go.
 
-use reedring_platproto::config::Limits;
+use reedring_platform_protocol::config::Limits;
 
 use socket2::SockRef;
 
--- a/crates/platform/src/state/host.rs
+++ b/crates/platform/src/state/host.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use reedring::{AttemptId, MachineId, Micros, RequestId};
-use reedring_net::Backoff;
-use reedring_platproto::discovery::{Entry, State};
-use reedring_platproto::host::ToHost;
+use reedring_connection::Backoff;
+use reedring_platform_protocol::discovery::{Entry, State};
+use reedring_platform_protocol::host::ToHost;
 
 use crate::io::LinkId;
 
--- a/crates/platform/src/state/request.rs
+++ b/crates/platform/src/state/request.rs
@@ -1,7 +1,7 @@
 //! Requests and their attempts: the ledger that every part of the engine reads and writes.
 
 use reedring::{MachineId, Micros, RequestId};
-use reedring_platproto::client::PlacementRequest;
+use reedring_platform_protocol::client::PlacementRequest;
 
 use super::Engine;
 use crate::io::{ConnId, LinkId};
--- a/crates/platform/tests/clients.rs
+++ b/crates/platform/tests/clients.rs
@@ -3,9 +3,9 @@
 mod world;
 
 use reedring_platform::Input;
-use reedring_platproto::FULL;
-use reedring_platproto::client::{FromClient, InvalidMessage, ToClient};
-use reedring_platproto::host::ToHost;
+use reedring_platform_protocol::FULL;
+use reedring_platform_protocol::client::{FromClient, InvalidMessage, ToClient};
+use reedring_platform_protocol::host::ToHost;
 use world::{MS, SECOND, World, end, hosts, setup};
 
 /// Who asks on the one connection that stands is told the end on it, also long after.
--- a/crates/platform/tests/digest.rs
+++ b/crates/platform/tests/digest.rs
@@ -8,8 +8,8 @@
 
 use reedring_platform::Input;
 use reedring_platform::decide::Down;
-use reedring_platproto::client::{FromClient, InvalidMessage};
-use reedring_platproto::discovery::WatchResponse;
+use reedring_platform_protocol::client::{FromClient, InvalidMessage};
+use reedring_platform_protocol::discovery::WatchResponse;
 use world::digest::Digest;
 use world::{CLASSES, MS, SECOND, World, hosts, line, setup, told};
 
--- a/crates/platform/tests/ending.rs
+++ b/crates/platform/tests/ending.rs
@@ -2,8 +2,8 @@
 
 mod standins;
 
-use reedring_net::Asked;
-use reedring_platproto::FULL;
+use reedring_connection::Asked;
+use reedring_platform_protocol::FULL;
 use serde_json::json;
 use standins::{Client, Mood, alone, message, setup, soon};
 
--- a/crates/platform/tests/engine.rs
+++ b/crates/platform/tests/engine.rs
@@ -4,8 +4,8 @@
 
 use proptest::prelude::*;
 use reedring_platform::Input;
-use reedring_platproto::client::{FromClient, ToClient};
-use reedring_platproto::host::FromHost;
+use reedring_platform_protocol::client::{FromClient, ToClient};
+use reedring_platform_protocol::host::FromHost;
 use world::{CLASSES, MS, SECOND, World, end, hosts, line, setup, told};
 
 /// Everybody does as they please: clients come and go, hosts answer, refuse, err, say nothing or break.
--- a/crates/platform/tests/gone.rs
+++ b/crates/platform/tests/gone.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use reedring_platproto::FULL;
+use reedring_platform_protocol::FULL;
 use standins::{Client, Host, alone, message, placer, setup};
 use tokio::io::AsyncWriteExt;
 
--- a/crates/platform/tests/hosts.rs
+++ b/crates/platform/tests/hosts.rs
@@ -4,8 +4,8 @@
 
 use reedring_platform::Input;
 use reedring_platform::decide::Down;
-use reedring_platproto::client::{FromClient, PlacementRequest, ToClient};
-use reedring_platproto::{CUT, GIVEN_UP};
+use reedring_platform_protocol::client::{FromClient, PlacementRequest, ToClient};
+use reedring_platform_protocol::{CUT, GIVEN_UP};
 use world::{MS, SECOND, World, end, hosts, line, setup, told};
 
 #[test]
--- a/crates/platform/tests/leaving.rs
+++ b/crates/platform/tests/leaving.rs
@@ -4,9 +4,9 @@
 
 use reedring_platform::Input;
 use reedring_platform::decide::Down;
-use reedring_platproto::client::ToClient;
-use reedring_platproto::host::ToHost;
-use reedring_platproto::{CUT, FULL, GIVEN_UP};
+use reedring_platform_protocol::client::ToClient;
+use reedring_platform_protocol::host::ToHost;
+use reedring_platform_protocol::{CUT, FULL, GIVEN_UP};
 use world::{MS, SECOND, World, line, setup, told};
 
 /// How a client leaves: it ends, closes, or takes its one set-up back.
@@ -225,9 +225,11 @@
     let conn = world.connect();
     for id in 1..=3 {
         world.heard.entry(id).or_default().class = "play".to_owned();
-        let asks = Ok(reedring_platproto::client::FromClient::PlacementRequest(
-            Box::new(setup(id, "play", 5_000)),
-        ));
+        let asks = Ok(
+            reedring_platform_protocol::client::FromClient::PlacementRequest(Box::new(setup(
+                id, "play", 5_000,
+            ))),
+        );
         world.engine.handle(world.now, Input::Client(conn, asks));
     }
     world.engine.handle(world.now, Input::ClientEnded(conn));
@@ -243,7 +245,7 @@
 /// A flood, all of which is taken back before the module's turn for it came: nothing of that is sent.
 #[test]
 fn a_flood_that_is_taken_back_costs_no_attempt_once_that_is_read() {
-    use reedring_platproto::client::FromClient;
+    use reedring_platform_protocol::client::FromClient;
     let mut world = world("active");
     let (flood, usual) = (world.connect(), world.connect());
     let setups_of = |world: &World, most: u64| {
@@ -304,7 +306,7 @@
 /// A flood that is meant: others get their turn beside it, and what it holds is bounded.
 #[test]
 fn a_flood_takes_turns_with_others_and_what_waits_is_bounded() {
-    use reedring_platproto::client::FromClient;
+    use reedring_platform_protocol::client::FromClient;
     let mut world = world("active");
     let (flood, usual) = (world.connect(), world.connect());
     let tell = |world: &mut World, conn, id| {
@@ -359,7 +361,7 @@
 #[test]
 fn what_is_overdue_behind_a_flood_is_answered_in_time() {
     use reedring_platform::Output;
-    use reedring_platproto::client::FromClient;
+    use reedring_platform_protocol::client::FromClient;
     let mut world = world("active");
     let conn = world.connect();
     for id in 1..=1_000 {
--- a/crates/platform/tests/links.rs
+++ b/crates/platform/tests/links.rs
@@ -4,9 +4,9 @@
 
 use reedring_platform::Input;
 use reedring_platform::decide::Down;
-use reedring_platproto::GIVEN_UP;
-use reedring_platproto::client::{FromClient, PlacementRequest, ToClient};
-use reedring_platproto::host::ToHost;
+use reedring_platform_protocol::GIVEN_UP;
+use reedring_platform_protocol::client::{FromClient, PlacementRequest, ToClient};
+use reedring_platform_protocol::host::ToHost;
 use world::{CLASSES, MS, SECOND, World, hosts, line, setup, told};
 
 #[test]
--- a/crates/platform/tests/loopback.rs
+++ b/crates/platform/tests/loopback.rs
@@ -4,8 +4,8 @@
 
 use std::time::{Duration, Instant};
 
-use reedring_net::Asked;
-use reedring_platproto::FULL;
+use reedring_connection::Asked;
+use reedring_platform_protocol::FULL;
 use serde_json::json;
 use standins::{Client, Discovery, Host, Mood, alone, message, obliged, placer, setup, soon};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/platform/tests/standins/mod.rs
+++ b/crates/platform/tests/standins/mod.rs
@@ -1,7 +1,7 @@
 //! Small stand-ins on loopback: a client, a host and discovery, with an encoding of their own.
 #![allow(dead_code)]
 
-#[path = "../../../platproto/tests/wire/mod.rs"]
+#[path = "../../../platform-protocol/tests/wire/mod.rs"]
 mod wire;
 
 use std::net::SocketAddr;
@@ -9,8 +9,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use reedring_net::Asked;
-use reedring_platproto::config::Config;
+use reedring_connection::Asked;
+use reedring_platform_protocol::config::Config;
 use serde_json::{Value, json};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/platform/tests/world/mod.rs
+++ b/crates/platform/tests/world/mod.rs
@@ -10,10 +10,10 @@
 use reedring::settings::Deployment;
 use reedring_platform::decide::Down;
 use reedring_platform::{Bounds, ConnId, Engine, Input, LinkId, Output, Start};
-use reedring_platproto::client::{FromClient, PlacementRequest, ToClient};
-use reedring_platproto::discovery::{Names, WatchResponse};
-use reedring_platproto::host::{FromHost, ToHost};
-use reedring_platproto::{CANCELLED, CUT, ERROR, FULL, GIVEN_UP};
+use reedring_platform_protocol::client::{FromClient, PlacementRequest, ToClient};
+use reedring_platform_protocol::discovery::{Names, WatchResponse};
+use reedring_platform_protocol::host::{FromHost, ToHost};
+use reedring_platform_protocol::{CANCELLED, CUT, ERROR, FULL, GIVEN_UP};
 
 use digest::Digest;
 
--- a/crates/settings/src/settings/plan.rs
+++ b/crates/settings/src/settings/plan.rs
@@ -8,7 +8,7 @@
 use std::fmt::Write as _;
 
 use reedring::{Effect, Group, Place, ReportField, ReportStyle};
-use reedring_nodeproto as wire;
+use reedring_node_protocol as wire;
 use reedring_plan::{Bounds, ClassBounds, ConfigDocument, RepeatPolicy, SpreadDomain};
 
 use super::types::{Class, ComesAgain, Settings, Spread};
--- a/crates/trials/src/fleet.rs
+++ b/crates/system-tests/src/fleet.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use reedring_audit::{Event, Recorder, Report, TraceError};
-use reedring_processes::{ProcessError, Program, Signal, free_address};
+use reedring_test_processes::{ProcessError, Program, Signal, free_address};
 use tempfile::TempDir;
 
 use crate::relay::Relays;
--- a/crates/trials/src/lib.rs
+++ b/crates/system-tests/src/lib.rs
@@ -15,5 +15,5 @@
 
 pub use fleet::{Fleet, NodeFile, Site, TrialError};
 pub use load::{Load, Outcomes};
-pub use reedring_processes::{Program, Signal};
+pub use reedring_test_processes::{Program, Signal};
 pub use relay::{Mode, Relays};
--- a/crates/trials/src/main.rs
+++ b/crates/system-tests/src/main.rs
@@ -6,13 +6,13 @@
 use std::process::ExitCode;
 
 use clap::{Args, Parser, Subcommand};
-use reedring_trials::scale::slopes::{SlopeOptions, slopes};
-use reedring_trials::scale::{self, ScaleError, ScaleOptions};
-use reedring_trials::versions::Round;
+use reedring_system_tests::scale::slopes::{SlopeOptions, slopes};
+use reedring_system_tests::scale::{self, ScaleError, ScaleOptions};
+use reedring_system_tests::versions::Round;
 
 /// Trials of whole programs over loopback sockets.
 #[derive(Parser)]
-#[command(name = "reedring-trials")]
+#[command(name = "reedring-system-tests")]
 struct Cli {
     #[command(subcommand)]
     trial: Trial,
@@ -71,7 +71,7 @@
 const CANNOT_PLAY: u8 = 2;
 
 fn failed(error: impl std::fmt::Display) -> ExitCode {
-    eprintln!("reedring-trials: {error}");
+    eprintln!("reedring-system-tests: {error}");
     ExitCode::from(CANNOT_PLAY)
 }
 
@@ -173,7 +173,7 @@
 fn versions(program: &Path, rounds: &Rounds) -> ExitCode {
     let mut sums = Sums::default();
     for seed in rounds.seed..rounds.seed + rounds.rounds {
-        match reedring_trials::versions::round(program, seed) {
+        match reedring_system_tests::versions::round(program, seed) {
             Ok(round) => {
                 println!("{round}");
                 sums.add(&round);
@@ -187,7 +187,7 @@
 fn control(program: &Path, rounds: &Rounds) -> ExitCode {
     let (mut sums, mut kills) = (Sums::default(), 0);
     for seed in rounds.seed..rounds.seed + rounds.rounds {
-        match reedring_trials::control::round(program, seed) {
+        match reedring_system_tests::control::round(program, seed) {
             Ok(played) => {
                 println!("{played}");
                 kills += played.kills;
--- a/crates/trials/src/scale/cluster.rs
+++ b/crates/system-tests/src/scale/cluster.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use reedring_processes::Program;
+use reedring_test_processes::Program;
 use tempfile::TempDir;
 
 use super::ScaleError;
--- a/crates/trials/src/scale/cluster/nodes.rs
+++ b/crates/system-tests/src/scale/cluster/nodes.rs
@@ -1,6 +1,6 @@
 //! The nodes of a run, hollow and real: they are started, killed, told and asked.
 
-use reedring_processes::Program;
+use reedring_test_processes::Program;
 
 use super::{Cluster, NodeGroup, PATIENCE};
 use crate::scale::ScaleError;
--- a/crates/trials/src/scale/cluster/placers.rs
+++ b/crates/system-tests/src/scale/cluster/placers.rs
@@ -5,7 +5,7 @@
 
 use reedring_client::Operator;
 use reedring_drmaa::rpc::NodeLine;
-use reedring_processes::{ProcessError, Program};
+use reedring_test_processes::{ProcessError, Program};
 
 use super::{Cluster, PATIENCE};
 use crate::scale::ScaleError;
--- a/crates/trials/src/scale/counts.rs
+++ b/crates/system-tests/src/scale/counts.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use reedring_nodeproto::{Count, Counts, MessageKind, PeerTraffic};
+use reedring_node_protocol::{Count, Counts, MessageKind, PeerTraffic};
 
 /// How the line of a look begins.
 pub const COUNTS: &str = "counts ";
--- a/crates/trials/src/scale/counts/tests.rs
+++ b/crates/system-tests/src/scale/counts/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use reedring_nodeproto::Message;
+use reedring_node_protocol::Message;
 
 fn counts() -> PlacerCounts {
     let (traffic, mut all) = (PeerTraffic::default(), PlacerCounts::default());
--- a/crates/trials/src/scale/faults.rs
+++ b/crates/system-tests/src/scale/faults.rs
@@ -3,7 +3,7 @@
 use std::time::Instant;
 
 use reedring_drmaa::rpc::NodeLine;
-use reedring_processes::Signal;
+use reedring_test_processes::Signal;
 
 use super::ScaleError;
 use super::player::{Found, Player};
--- a/crates/trials/src/scale/files/tests.rs
+++ b/crates/system-tests/src/scale/files/tests.rs
@@ -1,7 +1,7 @@
 use super::super::topology;
 use super::*;
+use reedring_node_simulator::Fleet;
 use reedring_settings::{NodeList, Settings};
-use reedring_standin::Fleet;
 
 fn settings(plan: u64, teams: usize) -> Settings {
     let listen = topology::placer_address(0, 9_000);
@@ -43,7 +43,7 @@
 fn each_plan_has_a_text_of_its_own_that_fits_its_bound() {
     let texts = [1, 2, 3, 1_000].map(|plan| settings(plan, 590).plan_text());
     for (n, text) in texts.iter().enumerate() {
-        assert!(text.len() <= reedring_nodeproto::MAX_PLAN);
+        assert!(text.len() <= reedring_node_protocol::MAX_PLAN);
         assert!(texts[..n].iter().all(|other| other != text));
     }
 }
--- a/crates/trials/src/scale/hollow.rs
+++ b/crates/system-tests/src/scale/hollow.rs
@@ -5,10 +5,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-use reedring_nodeproto::PeerTraffic;
+use reedring_node_protocol::PeerTraffic;
+use reedring_node_simulator::{Config, Fleet, Groups, Handle, serve_counted};
 use reedring_placer::{FileSource, Options, Placer};
 use reedring_settings::Settings;
-use reedring_standin::{Config, Fleet, Groups, Handle, serve_counted};
 use tokio::runtime::Runtime;
 use tracing_subscriber::EnvFilter;
 
--- a/crates/trials/src/scale/interrupt.rs
+++ b/crates/system-tests/src/scale/interrupt.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Mutex, Once, PoisonError};
 
-use reedring_net::Signals;
+use reedring_connection::Signals;
 
 static FOLDERS: Mutex<Vec<PathBuf>> = Mutex::new(Vec::new());
 static WATCH: Once = Once::new();
--- a/crates/trials/src/scale/measure.rs
+++ b/crates/system-tests/src/scale/measure.rs
@@ -2,8 +2,8 @@
 
 use std::time::Instant;
 
-use reedring_nodeproto::MessageKind;
-use reedring_processes::Program;
+use reedring_node_protocol::MessageKind;
+use reedring_test_processes::Program;
 
 use super::ScaleError;
 use super::cluster::Cluster;
--- a/crates/trials/src/scale/mod.rs
+++ b/crates/system-tests/src/scale/mod.rs
@@ -37,7 +37,7 @@
 use std::path::Path;
 
 use reedring_capacity::measurement::{RunFileError, ValidationError};
-use reedring_processes::ProcessError;
+use reedring_test_processes::ProcessError;
 
 use crate::TrialError;
 use cluster::Cluster;
--- a/crates/trials/src/scale/options.rs
+++ b/crates/system-tests/src/scale/options.rs
@@ -103,7 +103,7 @@
     /// The command that repeats the run.
     pub fn command(&self) -> String {
         let mut text = format!(
-            "cargo run --release -p reedring-trials -- scale --nodes {} --placers {} --control {} --seed {} --teams {}",
+            "cargo run --release -p reedring-system-tests -- scale --nodes {} --placers {} --control {} --seed {} --teams {}",
             self.nodes, self.placers, self.control, self.seed, self.teams
         );
         text += &format!(
--- a/crates/trials/src/scale/phase.rs
+++ b/crates/system-tests/src/scale/phase.rs
@@ -4,7 +4,7 @@
 
 use clap::ValueEnum;
 use reedring_capacity::measurement::Phase;
-use reedring_nodeproto::MessageKind;
+use reedring_node_protocol::MessageKind;
 
 /// The phases, in the order in which they are played.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, ValueEnum)]
--- a/crates/trials/src/scale/player.rs
+++ b/crates/system-tests/src/scale/player.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, Instant};
 
 use reedring_client::Session;
-use reedring_nodeproto::{Counts, MessageKind};
-use reedring_processes::ProcessError;
+use reedring_node_protocol::{Counts, MessageKind};
+use reedring_test_processes::ProcessError;
 
 use super::ScaleError;
 use super::cluster::{Cluster, PATIENCE};
--- a/crates/trials/src/scale/work.rs
+++ b/crates/system-tests/src/scale/work.rs
@@ -5,7 +5,7 @@
 use reedring_client::drmaa::JobTemplate;
 use reedring_client::drmaa::rpc::Range;
 use reedring_client::{Operator, Session};
-use reedring_processes::ProcessError;
+use reedring_test_processes::ProcessError;
 
 use super::ScaleError;
 use super::cluster::PATIENCE;
--- a/crates/trials/tests/changes.rs
+++ b/crates/system-tests/tests/changes.rs
@@ -3,8 +3,8 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use reedring_trials::versions::{SETTLES, acts_by, keeping, settings};
-use reedring_trials::{Fleet, Site};
+use reedring_system_tests::versions::{SETTLES, acts_by, keeping, settings};
+use reedring_system_tests::{Fleet, Site};
 
 const PLACERS: u32 = 3;
 const NODES: u32 = 5;
@@ -12,7 +12,7 @@
 const AIM: Duration = Duration::from_secs(8);
 
 fn program() -> &'static Path {
-    Path::new(env!("CARGO_BIN_EXE_reedring-trials"))
+    Path::new(env!("CARGO_BIN_EXE_reedring-system-tests"))
 }
 
 /// Settings of a plan whose teams tell its number.
--- a/crates/trials/tests/control.rs
+++ b/crates/system-tests/tests/control.rs
@@ -3,14 +3,14 @@
 use std::path::Path;
 use std::time::Duration;
 
-use reedring_trials::control::{self, cold_learner, learner, learner_name, voter_name};
-use reedring_trials::versions::{SETTLES, acts_by, keeping, settings};
-use reedring_trials::{Fleet, Load, Mode, NodeFile, Outcomes};
+use reedring_system_tests::control::{self, cold_learner, learner, learner_name, voter_name};
+use reedring_system_tests::versions::{SETTLES, acts_by, keeping, settings};
+use reedring_system_tests::{Fleet, Load, Mode, NodeFile, Outcomes};
 
 const OWNERS: Duration = Duration::from_secs(40);
 
 fn program() -> &'static Path {
-    Path::new(env!("CARGO_BIN_EXE_reedring-trials"))
+    Path::new(env!("CARGO_BIN_EXE_reedring-system-tests"))
 }
 
 /// Three placers, and six learners, beside these control machines.
--- a/crates/trials/tests/scale.rs
+++ b/crates/system-tests/tests/scale.rs
@@ -5,12 +5,12 @@
 
 use clap::Parser;
 use reedring_capacity::measurement::{Phase, Quantity, Role, RunFile};
-use reedring_nodeproto::MessageKind;
-use reedring_trials::scale::layout::Layout;
-use reedring_trials::scale::needs::Resource;
-use reedring_trials::scale::phase::PhaseName;
-use reedring_trials::scale::{self, Report, ScaleError, ScaleOptions};
-use reedring_trials::{Program, Signal};
+use reedring_node_protocol::MessageKind;
+use reedring_system_tests::scale::layout::Layout;
+use reedring_system_tests::scale::needs::Resource;
+use reedring_system_tests::scale::phase::PhaseName;
+use reedring_system_tests::scale::{self, Report, ScaleError, ScaleOptions};
+use reedring_system_tests::{Program, Signal};
 
 /// How long a process may take to say something.
 const PATIENCE: Duration = Duration::from_secs(60);
@@ -22,7 +22,7 @@
 }
 
 fn program() -> &'static Path {
-    Path::new(env!("CARGO_BIN_EXE_reedring-trials"))
+    Path::new(env!("CARGO_BIN_EXE_reedring-system-tests"))
 }
 
 fn options(arguments: &str) -> ScaleOptions {
--- a/crates/trials/tests/versions.rs
+++ b/crates/system-tests/tests/versions.rs
@@ -4,11 +4,11 @@
 
 use std::time::Duration;
 
-use reedring_trials::versions::{self, SETTLES, acts_by, keeping, settings, settings_with};
-use reedring_trials::{Fleet, Load, NodeFile, Outcomes, Site};
+use reedring_system_tests::versions::{self, SETTLES, acts_by, keeping, settings, settings_with};
+use reedring_system_tests::{Fleet, Load, NodeFile, Outcomes, Site};
 
 fn program() -> &'static Path {
-    Path::new(env!("CARGO_BIN_EXE_reedring-trials"))
+    Path::new(env!("CARGO_BIN_EXE_reedring-system-tests"))
 }
 
 /// The need: each placer's own guard notwithstanding, one that was left on an older file pushes cold nodes over.
@@ -379,7 +379,7 @@
 fn unsafe_tasks_unanswered_at_the_last_placer_of_the_old_plan_have_one_outcome() {
     let mut fleet = fleet(2, vec![keeping(); 3]);
     let from = marks(&fleet);
-    let deaf = |held: bool| move |mode: &mut reedring_trials::Mode| mode.holds_back = held;
+    let deaf = |held: bool| move |mode: &mut reedring_system_tests::Mode| mode.holds_back = held;
     fleet
         .relays
         .set(|placer, _| placer == "placer-2", deaf(true));
--- a/fuzz/fuzz_targets/frames.rs
+++ b/fuzz/fuzz_targets/frames.rs
@@ -3,7 +3,7 @@
 
 use libfuzzer_sys::fuzz_target;
 use reedring_drmaa::framing;
-use reedring_nodeproto::{Reader, decode, encode};
+use reedring_node_protocol::{Reader, decode, encode};
 
 fuzz_target!(|bytes: &[u8]| {
     let mut reader = Reader::default();
--- a/fuzz/fuzz_targets/platform.rs
+++ b/fuzz/fuzz_targets/platform.rs
@@ -2,8 +2,8 @@
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
-use reedring_platproto::discovery::{Names, WatchResponse};
-use reedring_platproto::{config::Config, host, client};
+use reedring_platform_protocol::discovery::{Names, WatchResponse};
+use reedring_platform_protocol::{config::Config, host, client};
 
 fuzz_target!(|input: (Vec<u8>, u8)| {
     let (bytes, size) = input;
--- a/src/bin/reedring-drill/main.rs
+++ b/src/bin/reedring-bench-adapter/main.rs
@@ -29,7 +29,7 @@
     match run(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("reedring-drill: {fault}");
+            eprintln!("reedring-bench-adapter: {fault}");
             ExitCode::FAILURE
         }
     }
--- a/tests/drill.rs
+++ b/tests/bench_adapter.rs
@@ -66,7 +66,7 @@
 }
 
 fn run(input: &[u8]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_reedring-drill"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_reedring-bench-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The codec: every event survives a trip over the wire, and every action is laid out as told.
 
-#[path = "../src/bin/reedring-drill/wire.rs"]
+#[path = "../src/bin/reedring-bench-adapter/wire.rs"]
 #[allow(dead_code)]
 mod wire;
 
--- a/tools/plays.py
+++ b/tools/plays.py
@@ -22,7 +22,7 @@
     subprocess.run(["git", "clone", "-q", "--local", str(ROOT), str(folder)], check=True)
     build = folder / "target" / "release"
     build.mkdir(parents=True)
-    for name in ("reedring", "reedring-drill"):
+    for name in ("reedring", "reedring-bench-adapter"):
         shutil.copy2(ROOT / "target" / "release" / name, build / name)
 
 
