--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -40,8 +40,9 @@
     Serve(programs::Serve),
     /// Run one placer on the platform, by its protocol, until it is asked to end.
     Platform(platform::Platform),
-    /// Run stand-in nodes until interrupted.
-    Standin(programs::Standin),
+    /// Run simulated nodes until interrupted.
+    #[command(alias = "standin")]
+    NodeSimulator(programs::NodeSimulator),
     /// Run a placer and stand-in nodes on loopback until interrupted.
     Local(programs::Local),
     /// Check settings, and the node list that they name.
@@ -60,14 +61,16 @@
     Undrain(operator::Undrain),
     /// Check and explain constraints.
     Constraint(constraint::ConstraintArgs),
-    /// Play a script of troubles against placers and nodes, and audit it.
-    BadDay(trial::BadDay),
+    /// Play a script of faults against placers and nodes, and audit it.
+    #[command(alias = "bad-day")]
+    FaultScenario(trial::FaultScenario),
     /// Judge the five rules from a trace.
     Audit(trial::Audit),
     /// Measure the whole path on loopback.
     Bench(trial::Bench),
     /// Kill a placer process again and again under load, and audit it.
-    Kills(trial::KillsArgs),
+    #[command(alias = "kills")]
+    CrashTest(trial::CrashTest),
     /// Look at a placer's state folder, or move it, while no placer runs on it.
     State(state::State),
 }
@@ -93,7 +96,7 @@
     let result = match cli.command {
         Command::Serve(serve) => serve.run(),
         Command::Platform(platform) => platform.run(),
-        Command::Standin(standin) => standin.run(),
+        Command::NodeSimulator(simulator) => simulator.run(),
         Command::Local(local) => local.run(),
         Command::Check(check) => check.run(),
         Command::Submit(submit) => submit.run(),
@@ -103,10 +106,10 @@
         Command::Drain(drain) => drain.run(),
         Command::Undrain(undrain) => undrain.run(),
         Command::Constraint(constraint) => constraint.run(),
-        Command::BadDay(day) => day.run(),
+        Command::FaultScenario(scenario) => scenario.run(),
         Command::Audit(audit) => audit.run(),
         Command::Bench(bench) => bench.run(),
-        Command::Kills(kills) => kills.run(),
+        Command::CrashTest(test) => test.run(),
         Command::State(state) => state.run(),
     };
     match result {
--- a/crates/cli/src/programs.rs
+++ b/crates/cli/src/programs.rs
@@ -31,7 +31,7 @@
 
 /// Run stand-in nodes.
 #[derive(Args)]
-pub struct Standin {
+pub struct NodeSimulator {
     /// The nodes, one [[node]] table each.
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
@@ -55,7 +55,7 @@
     /// Where the placer listens; a free port on loopback unless told.
     #[arg(long, value_name = "ADDRESS")]
     listen: Option<String>,
-    /// Nodes in place of the built-in ones, as for `reedring standin`.
+    /// Nodes in place of the built-in ones, as for `reedring node-simulator`.
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
     /// Settings in place of the built-in ones, without a [placer] table.
@@ -126,7 +126,7 @@
     }
 }
 
-impl Standin {
+impl NodeSimulator {
     pub fn run(self) -> Result<ExitCode, Failure> {
         let fleet = Fleet::parse(&read(&self.config)?, &self.config.display().to_string())?;
         let runtime = tokio::runtime::Builder::new_multi_thread()
--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -14,7 +14,7 @@
 
 /// Play a script of troubles and audit it.
 #[derive(Args)]
-pub struct BadDay {
+pub struct FaultScenario {
     /// The script; the built-in day unless told.
     script: Option<PathBuf>,
     /// Seed, in place of the script's own.
@@ -27,7 +27,7 @@
 
 /// Kill a placer process again and again under load, and audit what nodes and clients saw.
 #[derive(Args)]
-pub struct KillsArgs {
+pub struct CrashTest {
     /// Kills.
     #[arg(long, default_value_t = 1_000)]
     count: u32,
@@ -100,7 +100,7 @@
     }
 }
 
-impl BadDay {
+impl FaultScenario {
     pub fn run(self) -> Result<ExitCode, Failure> {
         let script = match &self.script {
             Some(path) => Script::parse(&read(path)?, &path.display().to_string())?,
@@ -192,7 +192,7 @@
     }
 }
 
-impl KillsArgs {
+impl CrashTest {
     pub fn run(self) -> Result<ExitCode, Failure> {
         let program = std::env::current_exe()?;
         let kills = Kills {
--- a/crates/cli/tests/cli.rs
+++ b/crates/cli/tests/cli.rs
@@ -234,7 +234,7 @@
     );
 }
 
-/// The full run is `reedring kills`; a placer's files, and its owners' outcomes, outlive every SIGKILL.
+/// The full run is `reedring crash-test`; a placer's files, and its owners' outcomes, outlive every SIGKILL.
 #[test]
 fn a_placer_process_that_is_killed_over_and_over_loses_and_doubles_nothing() {
     let kills = reedring(&["kills", "--count", "25", "--life", "120"]);
