--- a/crates/capacity/src/fit.rs
+++ b/crates/capacity/src/fit.rs
@@ -1,11 +1,11 @@
 //! A straight line by least squares through the values of one quantity along one [`Axis`].
 
-mod foretold;
+mod prediction;
 
 use crate::axis::Axis;
 use crate::measurement::Size;
 
-pub use foretold::{AIM, Foretold, foretell_largest};
+pub use prediction::{ACCEPTED_ERROR, PredictedValue, predict_largest};
 
 /// A value of one quantity at one size.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/capacity/src/page/figure.rs
+++ b/crates/capacity/src/page/figure.rs
@@ -6,14 +6,14 @@
 /// Smaller numbers than this are printed with an exponent.
 const SMALLEST_PLAIN: f64 = 0.001;
 
-/// A unit as printed, and how many of the quantity's own unit it holds.
+/// A unit as printed, and how many of the quantity's own unit it is.
 struct PrintedUnit {
-    holds: f64,
+    size: f64,
     name: &'static str,
 }
 
-const fn unit(holds: f64, name: &'static str) -> PrintedUnit {
-    PrintedUnit { holds, name }
+const fn unit(size: f64, name: &'static str) -> PrintedUnit {
+    PrintedUnit { size, name }
 }
 
 /// Smallest first. Memory has binary units, traffic decimal ones.
@@ -65,13 +65,9 @@
     let printed_unit = units
         .iter()
         .rev()
-        .find(|unit| value.abs() >= unit.holds)
+        .find(|unit| value.abs() >= unit.size)
         .unwrap_or(&units[0]);
-    format!(
-        "{} {}",
-        plain(value / printed_unit.holds),
-        printed_unit.name
-    )
+    format!("{} {}", plain(value / printed_unit.size), printed_unit.name)
 }
 
 /// Prints a number without a unit.
--- a/crates/capacity/src/target.rs
+++ b/crates/capacity/src/target.rs
@@ -78,8 +78,8 @@
     }
 
     /// How much of the budget a predicted value takes: 1 is all of it, more is over it.
-    pub fn ratio(&self, foretold: f64) -> f64 {
-        foretold / self.most
+    pub fn ratio(&self, predicted: f64) -> f64 {
+        predicted / self.most
     }
 }
 
--- a/crates/capacity/tests/fit.rs
+++ b/crates/capacity/tests/fit.rs
@@ -5,7 +5,9 @@
 use common::nodes;
 use proptest::prelude::*;
 use reedring_capacity::axis::Axis;
-use reedring_capacity::fit::{AIM, Fit, FitError, Foretold, Point, foretell_largest};
+use reedring_capacity::fit::{
+    ACCEPTED_ERROR, Fit, FitError, Point, PredictedValue, predict_largest,
+};
 use reedring_capacity::measurement::Size;
 use reedring_capacity::target::TARGET;
 
@@ -239,11 +241,11 @@
 }
 
 #[test]
-fn a_prediction_is_within_the_aim_up_to_its_edge() {
+fn a_prediction_is_accurate_up_to_the_accepted_error() {
     let cases = [
         (100.0, Some(100.0), Some(0.0), Some(true)),
-        (115.0, Some(100.0), Some(AIM), Some(true)),
-        (85.0, Some(100.0), Some(AIM), Some(true)),
+        (115.0, Some(100.0), Some(ACCEPTED_ERROR), Some(true)),
+        (85.0, Some(100.0), Some(ACCEPTED_ERROR), Some(true)),
         (116.0, Some(100.0), Some(0.16), Some(false)),
         (84.0, Some(100.0), Some(0.16), Some(false)),
         (0.0, Some(0.0), Some(0.0), Some(true)),
@@ -251,13 +253,13 @@
         (f64::NAN, Some(1.0), None, Some(false)),
         (100.0, None, None, None),
     ];
-    for (foretold, played, error, within_aim) in cases {
-        let prediction = Foretold {
+    for (predicted, measured, error, is_accurate) in cases {
+        let prediction = PredictedValue {
             size: TARGET,
-            foretold,
-            played,
+            predicted,
+            measured,
         };
-        assert_eq!(prediction.within_aim(), within_aim, "{prediction:?}");
+        assert_eq!(prediction.is_accurate(), is_accurate, "{prediction:?}");
         if let Some(error) = error {
             assert_eq!(prediction.relative_error(), Some(error), "{prediction:?}");
         }
@@ -265,14 +267,14 @@
 }
 
 #[test]
-fn the_largest_size_is_foretold_from_the_others() {
+fn the_largest_size_is_predicted_from_the_others() {
     let mut points = points(&[(400, 30.0), (100, 10.0), (200, 20.0), (400, 50.0)]);
-    let prediction = foretell_largest(Axis::Nodes, &points).unwrap();
+    let prediction = predict_largest(Axis::Nodes, &points).unwrap();
     assert_eq!(prediction.size, nodes(400));
-    assert_close(prediction.foretold, 40.0, 1e-9);
-    assert_eq!(prediction.played, Some(40.0));
-    assert_eq!(prediction.within_aim(), Some(true));
-    let error = foretell_largest(Axis::Nodes, &points[..2]).unwrap_err();
+    assert_close(prediction.predicted, 40.0, 1e-9);
+    assert_eq!(prediction.measured, Some(40.0));
+    assert_eq!(prediction.is_accurate(), Some(true));
+    let error = predict_largest(Axis::Nodes, &points[..2]).unwrap_err();
     assert_eq!(
         error,
         FitError::TooFewSizes {
@@ -282,7 +284,7 @@
         }
     );
     points[3].size.teams += 1;
-    let error = foretell_largest(Axis::Nodes, &points).unwrap_err();
+    let error = predict_largest(Axis::Nodes, &points).unwrap_err();
     assert_eq!(
         error,
         FitError::OtherAxesDiffer {
--- a/crates/system-tests/src/scale/slopes.rs
+++ b/crates/system-tests/src/scale/slopes.rs
@@ -6,7 +6,7 @@
 
 use clap::{Args, ValueEnum};
 use reedring_capacity::axis::Axis;
-use reedring_capacity::fit::{Fit, Foretold, Point};
+use reedring_capacity::fit::{Fit, Point, PredictedValue};
 use reedring_capacity::measurement::{Run, RunFile, Size};
 use reedring_capacity::series::{Group, SeriesKey, groups};
 
@@ -86,7 +86,7 @@
     /// The line.
     pub fit: Fit,
     /// What it foretells, and what was played then.
-    pub foretold: Foretold,
+    pub foretold: PredictedValue,
 }
 
 impl fmt::Display for Prediction {
@@ -111,9 +111,10 @@
             f,
             ", residual {:.1}%; foretold {:.4e}",
             relative_residual * 100.0,
-            self.foretold.foretold
+            self.foretold.predicted
         )?;
-        if let (Some(played), Some(error)) = (self.foretold.played, self.foretold.relative_error())
+        if let (Some(played), Some(error)) =
+            (self.foretold.measured, self.foretold.relative_error())
         {
             write!(f, ", played {played:.4e}, error {:.1}%", error * 100.0)?;
         }
@@ -135,10 +136,10 @@
     let foretold = |group: Group| {
         let points = points(&group, axis);
         let fit = Fit::along(axis.axis(), &points).ok()?;
-        let foretold = Foretold {
+        let foretold = PredictedValue {
             size: points[0].size,
-            foretold: fit.at(f64::from(value)),
-            played: None,
+            predicted: fit.at(f64::from(value)),
+            measured: None,
         };
         Some(Prediction {
             key: group.key,
@@ -160,11 +161,11 @@
         let point = group.and_then(|group| points(group, axis).first().copied());
         if let Some(Point { size, value }) = point {
             // Changes come no faster than they can: the line is asked at the rate that was reached.
-            let foretold = prediction.fit.at(axis.axis().of(&size));
-            prediction.foretold = Foretold {
+            let predicted = prediction.fit.at(axis.axis().of(&size));
+            prediction.foretold = PredictedValue {
                 size,
-                foretold,
-                played: Some(value),
+                predicted,
+                measured: Some(value),
             };
         }
     }
--- a/crates/system-tests/src/scale/slopes/tests.rs
+++ b/crates/system-tests/src/scale/slopes/tests.rs
@@ -37,7 +37,7 @@
         panic!("{predictions:?}")
     };
     assert_eq!(
-        (prediction.fit.slope, prediction.foretold.foretold),
+        (prediction.fit.slope, prediction.foretold.predicted),
         (5.0, 2_500.0)
     );
     assert_eq!(prediction.foretold.relative_error(), None);
@@ -56,11 +56,11 @@
     let fast = [run(100, 1_000.0, 5.0), run(100, 3_000.0, 9.0)];
     let all: Vec<Run> = slow.iter().chain(&fast).cloned().collect();
     assert_eq!(
-        foretell(&all, AxisName::Nodes, 400)[0].foretold.foretold,
+        foretell(&all, AxisName::Nodes, 400)[0].foretold.predicted,
         4.0
     );
     let mut by_rate = foretell(&all, AxisName::ChangesPerHour, 10_000);
-    assert_eq!(by_rate[0].foretold.foretold, 23.0);
+    assert_eq!(by_rate[0].foretold.predicted, 23.0);
     compare(
         &mut by_rate,
         &run(100, 6_000.0, 15.0),
