--- a/crates/cli/src/state.rs
+++ b/crates/cli/src/state.rs
@@ -6,7 +6,7 @@
 
 use clap::{Args, Subcommand};
 use jiff::Timestamp;
-use reedring_state::{BeliefError, Disk, Export, Phase};
+use reedring_state::{BeliefError, Disk, FolderContents, Phase, StateExport};
 
 use crate::Failure;
 use crate::programs::read;
@@ -44,11 +44,11 @@
     },
 }
 
-fn open(dir: &Path) -> Result<(Export, Vec<BeliefError>), Failure> {
+fn open(dir: &Path) -> Result<FolderContents, Failure> {
     if !dir.is_dir() {
         return Err(format!("{}: there is no such folder", dir.display()).into());
     }
-    Ok(Export::read(Disk::lock(dir)?)?)
+    Ok(StateExport::read(Disk::lock(dir)?)?)
 }
 
 fn time(unix_us: u64) -> String {
@@ -60,7 +60,7 @@
     match phase {
         Phase::Held => "held",
         Phase::Delayed { .. } => "delayed",
-        Phase::Asked { .. } => "being placed",
+        Phase::Pending { .. } => "being placed",
         Phase::Placed => "placed",
         Phase::Running => "running",
         Phase::Suspended => "suspended",
@@ -69,16 +69,16 @@
     }
 }
 
-fn show(export: &Export, passed_by: &[BeliefError]) {
+fn show(export: &StateExport, passed_by: &[BeliefError]) {
     let ledger = &export.ledger;
     println!("placer {}, format {}", export.placer, export.format);
     println!(
         "last kept: {}, in life {} of {}",
-        time(ledger.last_at()),
-        ledger.last_life(),
-        ledger.lives.len()
+        time(ledger.last_write_at()),
+        ledger.last_incarnation(),
+        ledger.incarnations.len()
     );
-    if ledger.holes {
+    if ledger.incomplete {
         println!("promises of the last life are missing: its folder could not be written");
     }
     println!("sessions: {}", ledger.sessions.len());
@@ -91,17 +91,21 @@
     phases
         .iter()
         .for_each(|(phase, count)| println!("  {phase}: {count}"));
-    let open: usize = ledger.jobs.values().map(|job| job.attempts.len()).sum();
+    let open: usize = ledger
+        .jobs
+        .values()
+        .map(|job| job.open_attempts.len())
+        .sum();
     println!("attempts whose end is not known: {open}");
     ledger
-        .drained
+        .draining_nodes
         .iter()
         .for_each(|node| println!("drained by an operator: {node}"));
-    match &export.learned {
+    match &export.beliefs {
         Some(learned) => println!(
             "learned of {} nodes, kept {}",
             learned.nodes.len(),
-            time(learned.at)
+            time(learned.saved_at)
         ),
         None => println!("learned: nothing"),
     }
@@ -114,12 +118,18 @@
     pub fn run(self) -> Result<ExitCode, Failure> {
         match self.what {
             What::Show { dir } => {
-                let (export, passed_by) = open(&dir)?;
+                let FolderContents {
+                    export,
+                    skipped_belief_files: passed_by,
+                } = open(&dir)?;
                 show(&export, &passed_by);
             }
             What::Check { dir } => {
-                let (export, passed_by) = open(&dir)?;
-                let wrong = export.ledger.check();
+                let FolderContents {
+                    export,
+                    skipped_belief_files: passed_by,
+                } = open(&dir)?;
+                let wrong = export.ledger.violations();
                 wrong.iter().for_each(|wrong| println!("ledger: {wrong}"));
                 passed_by
                     .iter()
@@ -134,12 +144,12 @@
                 );
             }
             What::Export { dir } => {
-                serde_json::to_writer_pretty(std::io::stdout().lock(), &open(&dir)?.0)?;
+                serde_json::to_writer_pretty(std::io::stdout().lock(), &open(&dir)?.export)?;
                 println!();
             }
             What::Import { dir, file } => {
                 let text = read(&file)?;
-                let export: Export = serde_json::from_str(&text)
+                let export: StateExport = serde_json::from_str(&text)
                     .map_err(|error| format!("{}: {error}", file.display()))?;
                 export.write(Disk::lock(&dir)?)?;
                 println!(
--- a/crates/core/benches/keep.rs
+++ b/crates/core/benches/keep.rs
@@ -7,7 +7,7 @@
 use reedring_drmaa::JobSpec;
 use reedring_drmaa::rpc::{Call, CallKey, Range};
 use reedring_settings::{Settings, State};
-use reedring_state::{Change, Image};
+use reedring_state::{Change, LedgerSnapshot};
 
 const SETTINGS: &str = r#"
     placer = { name = "p", listen = "127.0.0.1:0", nodes = "nodes.toml" }
@@ -20,7 +20,7 @@
     began.elapsed().as_secs_f64() * 1e3
 }
 
-fn core(keeps: bool, image: Image) -> Core {
+fn core(keeps: bool, image: LedgerSnapshot) -> Core {
     let mut settings = Settings::parse(SETTINGS, "bench").expect("the bench's own settings");
     settings.state = keeps.then(|| State::in_folder("state".into()));
     let start = Start {
@@ -83,7 +83,7 @@
         longest = longest.max(ms(began));
         while let Some(output) = core.poll() {
             if let Output::Keep { batch, .. } = output {
-                core.handle(1_000_000, Input::Durable(batch.seq));
+                core.handle(1_000_000, Input::Durable(batch.sequence.0));
                 changes.extend(batch.changes);
             }
         }
@@ -97,7 +97,7 @@
         std::thread::available_parallelism().map_or(1, usize::from)
     );
     for keeps in [false, true] {
-        let mut core = core(keeps, Image::default());
+        let mut core = core(keeps, LedgerSnapshot::default());
         let began = Instant::now();
         let (longest, changes) = fill(&mut core);
         let word = if keeps { "kept" } else { "not kept" };
@@ -122,12 +122,16 @@
             "every row anew, after a loss: the loop stands for {:.1} ms",
             ms(began)
         );
-        let mut image = Image::default();
+        let mut image = LedgerSnapshot::default();
         for change in changes {
             match change {
                 Change::Session(number, Some(row)) => drop(image.sessions.insert(number, row)),
-                Change::Ask(session, call, Some(row)) => {
-                    image.asks.entry(session).or_default().insert(call, row);
+                Change::Template(session, call, Some(row)) => {
+                    image
+                        .templates
+                        .entry(session)
+                        .or_default()
+                        .insert(call, row);
                 }
                 Change::Job(number, Some(row)) => drop(image.jobs.insert(number, *row)),
                 _ => {}
--- a/crates/core/src/ask.rs
+++ b/crates/core/src/ask.rs
@@ -64,10 +64,10 @@
     /// What a job of a former life asks for, as it was then. An error has what is left of it, and what the
     /// settings no longer know.
     pub fn restore(
-        kept: Option<&state::Ask>,
+        kept: Option<&state::JobTemplate>,
         settings: &Settings,
     ) -> std::result::Result<Arc<Self>, (Arc<Self>, String)> {
-        let spec = kept.and_then(|kept| serde_json::from_str::<JobSpec>(&kept.spec).ok());
+        let spec = kept.and_then(|kept| serde_json::from_str::<JobSpec>(&kept.template_json).ok());
         let made = match (&kept, spec.clone()) {
             (Some(_), Some(spec)) => Self::new(spec, settings, None).map_err(|error| error.message),
             _ => Err("its template is missing".to_owned()),
@@ -87,7 +87,7 @@
                     return Err((Arc::new(ask), why));
                 };
                 (ask.class, ask.tenant) = (class as u16, tenant as u16);
-                (ask.cores, ask.memory, ask.life_us) = (kept.cores, kept.memory, kept.life_us);
+                (ask.cores, ask.memory, ask.life_us) = (kept.cores, kept.memory, kept.run_time_us);
                 ask.service = kept.service.clone();
                 Ok(Arc::new(ask))
             }
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -741,7 +741,10 @@
             return Err(self.no_node(name));
         };
         node.drained = drain;
-        self.keep.change(Change::Drained(name.to_owned(), drain));
+        self.keep.change(Change::Drain {
+            node: name.to_owned(),
+            draining: drain,
+        });
         self.recheck_waiting(now);
         self.constrain.listed(&self.nodes);
         self.tell_line(now, number);
--- a/crates/core/src/keep.rs
+++ b/crates/core/src/keep.rs
@@ -6,12 +6,13 @@
 
 use std::collections::{BTreeSet, VecDeque};
 
-use reedring::{AttemptId, Beliefs, Effect, Micros, Outcome as Fate};
+use reedring::{AttemptId, Effect, Micros, Outcome as Fate};
 use reedring_drmaa::rpc::Answer;
 use reedring_node_protocol::{self as wire, Message};
 use reedring_settings::{DISK_WAIT_US, Health, WhenLost};
 use reedring_state::{
-    self as state, Batch, BeliefSnapshot, Change, DurabilityBarrier, Image, NodeBeliefs,
+    self as state, AgedBeliefs, Batch, BatchSequence, BeliefSnapshot, Change, DurabilityBarrier,
+    LedgerSnapshot, NodeIdentity, Released,
 };
 
 use crate::core::Core;
@@ -24,9 +25,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Restored {
     /// What was promised.
-    pub image: Image,
+    pub image: LedgerSnapshot,
     /// What was learned, aged to this moment.
-    pub learned: (Vec<NodeBeliefs>, Beliefs),
+    pub learned: AgedBeliefs,
     /// Why the folder can't be written, if that is so from the start.
     pub lost: Option<String>,
 }
@@ -110,14 +111,14 @@
 
     /// A link ended or began: what waits for it is void.
     pub fn link_changed(&mut self, node: NodeNo) {
-        self.gate.drop_all(&Dest::Node(node));
+        self.gate.remove_destination(&Dest::Node(node));
         self.staged.retain(|staged| {
             staged.to != Dest::Node(node) || !matches!(staged.output, Output::Send { .. })
         });
     }
 
     pub fn client_gone(&mut self, conn: ConnId) {
-        self.gate.drop_all(&Dest::Conn(conn));
+        self.gate.remove_destination(&Dest::Conn(conn));
     }
 
     /// Turns an offer back that has not left.
@@ -125,7 +126,7 @@
         let wanted = |output: &Output| offered(output) == Some(attempt);
         if self
             .gate
-            .take(&Dest::Node(node), |(_, output)| wanted(output))
+            .remove_first(&Dest::Node(node), |(_, output)| wanted(output))
             .is_some()
         {
             return true;
@@ -162,7 +163,8 @@
             }
             None => Mode::On,
         };
-        self.keep.change(Change::Life(self.start.life));
+        self.keep
+            .change(Change::IncarnationStarted(self.start.life));
         let every = self.settings.state.as_ref().map(|state| state.learn_us);
         every
             .into_iter()
@@ -200,7 +202,7 @@
             Message::Offer { task, .. } => {
                 let cold = self.nodes.is_cold(number, now, &self.settings.site);
                 if cold {
-                    self.keep.change(Change::Cold(name.clone()));
+                    self.keep.change(Change::WarmUpOffer(name.clone()));
                 }
                 let row = self
                     .job_named(&task.job)
@@ -284,7 +286,12 @@
                 .is_none_or(|health| health != Health::Ready),
             _ => false,
         };
-        for (_, (_, output)) in self.keep.gate.take_all(|(_, output)| closed(output)) {
+        let closed = self.keep.gate.remove_matching(|(_, output)| closed(output));
+        for Released {
+            output: (_, output),
+            ..
+        } in closed
+        {
             self.never_left(now, &output, "its node drains");
         }
     }
@@ -309,7 +316,10 @@
             // Each destination keeps its order.
             match needs.filter(|_| !behind.contains(&staged.to)) {
                 Some(needs) => {
-                    let passed = self.keep.gate.pass(staged.to, needs, (now, staged.output));
+                    let passed =
+                        self.keep
+                            .gate
+                            .admit(staged.to, BatchSequence(needs), (now, staged.output));
                     self.outputs.extend(passed.map(|(_, output)| output));
                 }
                 None => {
@@ -339,7 +349,11 @@
                 Waits::For(seq) if on => seq,
                 _ => 0,
             };
-            if let Some((_, output)) = self.keep.gate.pass(to, needs, (now, output)) {
+            if let Some((_, output)) = self
+                .keep
+                .gate
+                .admit(to, BatchSequence(needs), (now, output))
+            {
                 self.outputs.push_back(output);
             }
         }
@@ -357,7 +371,7 @@
                 .get(session)
                 .is_some_and(|s| s.jobs.range((call, 0)..=(call, u64::MAX)).next().is_some());
             if !left && self.keep.asks.remove(&(session, call)) {
-                changes.push(Change::Ask(session, call, None));
+                changes.push(Change::Template(session, call, None));
             }
         }
         self.keep_batch(now, changes, false);
@@ -370,8 +384,11 @@
         self.ledger.changed.clear();
         self.ledger.forgotten.clear();
         self.keep.changes.clear();
-        let mut changes = vec![Change::Life(self.start.life)];
-        let covered = self.covered.iter().map(|life| Change::Life(*life));
+        let mut changes = vec![Change::IncarnationStarted(self.start.life)];
+        let covered = self
+            .covered
+            .iter()
+            .map(|life| Change::IncarnationStarted(*life));
         changes.splice(0..0, covered);
         changes.append(&mut self.sessions.rows());
         let numbers: Vec<JobNo> = self.ledger.jobs.keys().copied().collect();
@@ -379,7 +396,10 @@
             .into_iter()
             .for_each(|number| self.job_rows(number, &mut changes));
         let drained = self.nodes.all.values().filter(|node| node.drained);
-        changes.extend(drained.map(|node| Change::Drained(node.name.clone(), true)));
+        changes.extend(drained.map(|node| Change::Drain {
+            node: node.name.clone(),
+            draining: true,
+        }));
         self.keep_batch(now, changes, true);
     }
 
@@ -388,7 +408,7 @@
             self.keep.seq += 1;
             self.keep.cuts.push_back((self.keep.seq, now));
             let batch = Batch {
-                seq: self.keep.seq,
+                sequence: BatchSequence(self.keep.seq),
                 at: self.unix_us(now),
                 changes,
             };
@@ -403,7 +423,7 @@
         };
         let call = (job.session, job.name.call);
         if self.keep.asks.insert(call) {
-            changes.push(Change::Ask(call.0, call.1, Some(self.ask_row(job))));
+            changes.push(Change::Template(call.0, call.1, Some(self.ask_row(job))));
         }
         changes.push(Change::Job(number, Some(Box::new(self.job_row(job)))));
         if let Some(job) = self.ledger.jobs.get_mut(&number) {
@@ -414,16 +434,16 @@
         }
     }
 
-    fn ask_row(&self, job: &Job) -> state::Ask {
+    fn ask_row(&self, job: &Job) -> state::JobTemplate {
         let ask = &job.ask;
-        state::Ask {
-            spec: serde_json::to_string(&ask.spec).unwrap_or_default(),
+        state::JobTemplate {
+            template_json: serde_json::to_string(&ask.spec).unwrap_or_default(),
             class: self.settings.classes[usize::from(ask.class)].name.clone(),
             tenant: self.settings.tenants[usize::from(ask.tenant)].clone(),
             service: ask.service.clone(),
             cores: ask.cores,
             memory: ask.memory,
-            life_us: ask.life_us,
+            run_time_us: ask.life_us,
         }
     }
 
@@ -432,16 +452,16 @@
         let attempt = |id: &AttemptId| {
             let attempt = self.ledger.attempts.get(id)?;
             Some(state::Attempt {
-                life: attempt.wire.life,
+                incarnation: attempt.wire.life,
                 request: attempt.wire.request,
                 number: attempt.wire.number,
                 node: self.node_name(attempt.node),
-                node_life: attempt.node_life,
-                sent: unix(attempt.sent),
-                known: match attempt.known {
-                    Known::Out => state::Trial::Out,
-                    Known::Accepted => state::Trial::Accepted,
-                    Known::Stopping => state::Trial::Stopping,
+                node_incarnation: attempt.node_life,
+                sent_at: unix(attempt.sent),
+                state: match attempt.known {
+                    Known::Out => state::AttemptState::Offered,
+                    Known::Accepted => state::AttemptState::Accepted,
+                    Known::Stopping => state::AttemptState::Stopping,
                 },
                 accepted: attempt.accepted,
             })
@@ -450,17 +470,17 @@
             session: job.session,
             call: job.name.call,
             index: job.name.index,
-            key: job.key.0,
+            idempotency_key: job.key.0,
             phase: match &job.phase {
                 Phase::Held => state::Phase::Held,
-                Phase::Delayed if job.recovering => state::Phase::Asked {
-                    until: unix(job.until),
+                Phase::Delayed if job.recovering => state::Phase::Pending {
+                    deadline: unix(job.until),
                 },
                 Phase::Delayed => state::Phase::Delayed {
                     until: unix(job.until),
                 },
-                Phase::Asked(_) => state::Phase::Asked {
-                    until: unix(job.until),
+                Phase::Asked(_) => state::Phase::Pending {
+                    deadline: unix(job.until),
                 },
                 Phase::Placed(_) => state::Phase::Placed,
                 Phase::Running(_) => state::Phase::Running,
@@ -469,16 +489,16 @@
                 Phase::Ended(ending) => state::Phase::Ended(ending.clone()),
             },
             outcome: job.outcome,
-            again: job.again,
+            lost_before: job.again,
             may_have_run: job.may_have_run,
-            submitted: unix(job.submitted),
-            placed: job.placed.map(unix),
-            started: job.started.map(unix),
-            ended: job.ended.map(unix),
-            tries: job.tries,
-            node: job.history.last().map(|trial| self.node_name(trial.node)),
-            attempts: job.copies.iter().filter_map(attempt).collect(),
-            broken: job.broken.clone(),
+            submitted_at: unix(job.submitted),
+            placed_at: job.placed.map(unix),
+            started_at: job.started.map(unix),
+            ended_at: job.ended.map(unix),
+            attempt_count: job.tries,
+            last_node: job.history.last().map(|trial| self.node_name(trial.node)),
+            open_attempts: job.copies.iter().filter_map(attempt).collect(),
+            violated_clauses: job.broken.clone(),
         }
     }
 
@@ -494,7 +514,11 @@
         for (_, cut) in self.keep.cuts.drain(..done) {
             self.lag.note(now, now.saturating_sub(cut));
         }
-        for (to, (since, output)) in self.keep.gate.durable(seq) {
+        for Released {
+            destination: to,
+            output: (since, output),
+        } in self.keep.gate.advance(BatchSequence(seq))
+        {
             if let (Dest::Node(number), Some(wire)) = (to, offered(&output)) {
                 let ready = self
                     .nodes
@@ -537,7 +561,11 @@
             );
         }
         self.keep.mode = new;
-        for (to, (_, mut output)) in self.keep.gate.take_all(|_| true) {
+        for Released {
+            destination: to,
+            output: (_, mut output),
+        } in self.keep.gate.remove_matching(|_| true)
+        {
             if let Output::Reply { response, .. } = &mut output
                 && let Some(Answer::Submitted(submitted)) = &mut response.result
             {
@@ -625,9 +653,12 @@
         let beliefs = self.placer.beliefs(now);
         let named = |machine| {
             let node = self.nodes.all.get(&self.nodes.of_machine(machine)?)?;
-            Some((node.name.clone(), node.life))
+            Some(NodeIdentity {
+                name: node.name.clone(),
+                incarnation: node.life,
+            })
         };
-        let learned = BeliefSnapshot::of(self.unix_us(now), beliefs, named);
+        let learned = BeliefSnapshot::new(self.unix_us(now), beliefs, named);
         self.outputs.push_back(Output::Learn(Box::new(learned)));
     }
 }
--- a/crates/core/src/recover.rs
+++ b/crates/core/src/recover.rs
@@ -8,7 +8,7 @@
 use reedring::{AttemptId, Belief, Beliefs, Effect, Event, Micros, Outcome as Fate, TaskKey};
 use reedring_node_protocol as wire;
 use reedring_settings::Settings;
-use reedring_state::{self as state, Image};
+use reedring_state::{self as state, AgedBeliefs, LedgerSnapshot};
 
 use crate::ask::Ask;
 use crate::core::{Core, Start};
@@ -24,7 +24,10 @@
         let mut core = Self::new(settings, start);
         core.start_keeping(restored.lost);
         core.restore(start.now, restored.image);
-        let (nodes, beliefs) = restored.learned;
+        let AgedBeliefs {
+            nodes,
+            fleet: beliefs,
+        } = restored.learned;
         if beliefs != Beliefs::default() {
             core.events.push(Event::BeliefsRestored(beliefs));
         }
@@ -41,7 +44,7 @@
                     });
             // The ledger's count of offers to cold nodes is exact; the file's may be older.
             let cold_offers = std::mem::take(&mut spent.belief.cold_offers);
-            spent.life = known.life;
+            spent.incarnation = known.incarnation;
             spent.belief = known.belief;
             if !cold_offers.is_empty() {
                 spent.belief.cold_offers = cold_offers;
@@ -50,20 +53,20 @@
         core
     }
 
-    fn restore(&mut self, now: Micros, image: Image) {
+    fn restore(&mut self, now: Micros, image: LedgerSnapshot) {
         self.covered = image
-            .lives
+            .incarnations
             .iter()
-            .map(|link| link.life)
-            .filter(|life| image.covers(*life))
+            .map(|record| record.incarnation)
+            .filter(|life| image.is_complete_for(*life))
             .collect();
         // Every offer to a cold node was durable before it left, if nothing is missing.
-        self.budgets_known = !image.lives.is_empty() && !image.holes;
+        self.budgets_known = !image.incarnations.is_empty() && !image.incomplete;
         for (number, session) in &image.sessions {
             self.sessions
-                .restore(*number, session, image.calls.get(number), now);
+                .restore(*number, session, image.responses.get(number), now);
         }
-        for node in &image.drained {
+        for node in &image.draining_nodes {
             let number = self.nodes.remember(node);
             if let Some(node) = self.nodes.all.get_mut(&number) {
                 node.drained = true;
@@ -73,7 +76,7 @@
                 format!("node {node}: still drained by an operator"),
             );
         }
-        for (node, times) in &image.cold {
+        for (node, times) in &image.warm_up_offers {
             let machine = reedring::names::machine_id(node);
             let window = self.settings.site.cold_window_us.unwrap_or(0);
             let ago =
@@ -88,7 +91,7 @@
                 node.clone(),
                 state::NodeBeliefs {
                     node: node.clone(),
-                    life: None,
+                    incarnation: None,
                     belief,
                 },
             );
@@ -98,20 +101,23 @@
         for (number, row) in &image.jobs {
             let call = (row.session, row.call);
             let ask = asks.entry(call).or_insert_with(|| {
-                let kept = image.asks.get(&call.0).and_then(|asks| asks.get(&call.1));
+                let kept = image
+                    .templates
+                    .get(&call.0)
+                    .and_then(|templates| templates.get(&call.1));
                 Ask::restore(kept, &self.settings)
             });
             live += usize::from(!matches!(row.phase, state::Phase::Ended(_)));
-            open += usize::from(matches!(row.phase, state::Phase::Asked { .. }));
-            self.restore_job(now, *number, row, ask, image.holes);
+            open += usize::from(matches!(row.phase, state::Phase::Pending { .. }));
+            self.restore_job(now, *number, row, ask, image.incomplete);
         }
-        if !image.lives.is_empty() {
+        if !image.incarnations.is_empty() {
             let mut line = format!(
                 "state: took up {} sessions and {} jobs, of which {live} are not over and {open} wait for a place",
                 image.sessions.len(),
                 image.jobs.len()
             );
-            if image.holes {
+            if image.incomplete {
                 line += "; promises of the last life are missing, tasks that must not start twice are failed \
                          where nothing tells what became of them";
             }
@@ -143,14 +149,15 @@
             name,
             row.session,
             ask,
-            TaskKey(row.key),
-            self.at_unix(row.submitted),
+            TaskKey(row.idempotency_key),
+            self.at_unix(row.submitted_at),
         );
         let at = |unix: Option<u64>| unix.map(|unix| self.at_unix(unix));
-        (job.placed, job.started, job.ended) = (at(row.placed), at(row.started), at(row.ended));
-        (job.outcome, job.again, job.tries) = (row.outcome, row.again, row.tries);
-        (job.may_have_run, job.broken) = (row.may_have_run, row.broken.clone());
-        (job.kept, job.end_kept) = (Some(0), row.ended.map(|_| 0));
+        (job.placed, job.started, job.ended) =
+            (at(row.placed_at), at(row.started_at), at(row.ended_at));
+        (job.outcome, job.again, job.tries) = (row.outcome, row.lost_before, row.attempt_count);
+        (job.may_have_run, job.broken) = (row.may_have_run, row.violated_clauses.clone());
+        (job.kept, job.end_kept) = (Some(0), row.ended_at.map(|_| 0));
         let (effect, life_key) = (self.effect(&job), (job.name.call, job.name.index));
         let over = matches!(row.phase, state::Phase::Ended(_));
         self.ledger.restore(number, job);
@@ -160,7 +167,7 @@
                 session.over.insert(number);
             }
         }
-        if let Some(node) = &row.node {
+        if let Some(node) = &row.last_node {
             let node = self.nodes.remember(node);
             if let Some(job) = self.ledger.jobs.get_mut(&number) {
                 let id = AttemptId {
@@ -169,11 +176,11 @@
                 };
                 job.tried(id, node, now);
                 job.fate(id, "before a restart");
-                job.tries = row.tries;
+                job.tries = row.attempt_count;
             }
         }
         let copies: Vec<(AttemptId, Known)> = if unusable.is_none() {
-            row.attempts
+            row.open_attempts
                 .iter()
                 .map(|attempt| self.restore_attempt(now, number, attempt))
                 .collect()
@@ -192,7 +199,7 @@
                 self.set_until(number, at);
                 self.timers.set(at.max(now), Timer::Ask(number));
             }
-            (state::Phase::Asked { until }, _) => recovers = Some(self.at_unix(*until)),
+            (state::Phase::Pending { deadline: until }, _) => recovers = Some(self.at_unix(*until)),
             (state::Phase::Placed, Some(id)) => phase = Phase::Placed(id),
             (state::Phase::Running, Some(id)) => phase = Phase::Running(id),
             (state::Phase::Suspended, Some(id)) => phase = Phase::Suspended(id),
@@ -282,10 +289,10 @@
             request: self.ledger.new_request(),
             number: 0,
         };
-        let known = match row.known {
-            state::Trial::Out => Known::Out,
-            state::Trial::Accepted => Known::Accepted,
-            state::Trial::Stopping => Known::Stopping,
+        let known = match row.state {
+            state::AttemptState::Offered => Known::Out,
+            state::AttemptState::Accepted => Known::Accepted,
+            state::AttemptState::Stopping => Known::Stopping,
         };
         let topics = self
             .ledger
@@ -299,22 +306,22 @@
             node,
             machine: reedring::names::machine_id(&row.node),
             wire: wire::AttemptId {
-                life: row.life,
+                life: row.incarnation,
                 request: row.request,
                 number: row.number,
             },
-            sent: self.at_unix(row.sent),
+            sent: self.at_unix(row.sent_at),
             known,
             accepted: row.accepted,
             told: known == Known::Accepted,
-            node_life: row.node_life,
+            node_life: row.node_incarnation,
             topics,
         };
         self.ledger.open(self.start.life, id, attempt);
         if let Some(node) = self.nodes.all.get_mut(&node) {
             node.attempts.insert(id);
             // A node that was started anew since holds nothing of what it was given.
-            node.life = node.life.max(row.node_life);
+            node.life = node.life.max(row.node_incarnation);
         }
         match known {
             Known::Accepted => {
@@ -431,7 +438,7 @@
         };
         // What was learned of another life of the node is void, but for the spent budget: it was another start
         // of the node that spent it, and to count it again does no harm.
-        let belief = if known.life.is_none() || known.life == node.life {
+        let belief = if known.incarnation.is_none() || known.incarnation == node.life {
             known.belief
         } else {
             Belief {
--- a/crates/core/src/sessions.rs
+++ b/crates/core/src/sessions.rs
@@ -24,13 +24,13 @@
 
 impl Record {
     /// As it is kept. Answers are kept as they are sent.
-    fn kept(&self) -> state::Answer {
+    fn kept(&self) -> state::StoredResponse {
         match self {
             Self::Answer(result) => {
                 let response = Response::new(0, result.clone());
-                state::Answer::Told(serde_json::to_string(&response).unwrap_or_default())
+                state::StoredResponse::Json(serde_json::to_string(&response).unwrap_or_default())
             }
-            Self::Submission(Range { first, last, step }) => state::Answer::Submission {
+            Self::Submission(Range { first, last, step }) => state::StoredResponse::Submission {
                 first: *first,
                 last: *last,
                 step: *step,
@@ -38,14 +38,16 @@
         }
     }
 
-    fn restore(kept: &state::Answer) -> Option<Self> {
+    fn restore(kept: &state::StoredResponse) -> Option<Self> {
         match kept {
-            state::Answer::Submission { first, last, step } => Some(Self::Submission(Range {
-                first: *first,
-                last: *last,
-                step: *step,
-            })),
-            state::Answer::Told(text) => {
+            state::StoredResponse::Submission { first, last, step } => {
+                Some(Self::Submission(Range {
+                    first: *first,
+                    last: *last,
+                    step: *step,
+                }))
+            }
+            state::StoredResponse::Json(text) => {
                 let response: Response = serde_json::from_str(text).ok()?;
                 let result = match (response.result, response.error) {
                     (Some(answer), _) => Ok(answer),
@@ -118,7 +120,7 @@
     fn row(&self) -> Change {
         let row = state::Session {
             name: self.name.to_string(),
-            settled: self.settled,
+            deleted_below: self.settled,
         };
         Change::Session(self.number, Some(row))
     }
@@ -129,7 +131,7 @@
             self.settled = settled;
             // A successor must know of the calls that it finds no answer of.
             self.changes
-                .extend([Change::Settled(self.number, settled), self.row()]);
+                .extend([Change::CallsDeletedBelow(self.number, settled), self.row()]);
             self.records = self.records.split_off(&settled);
         }
     }
@@ -278,11 +280,11 @@
         &mut self,
         number: SessionNo,
         kept: &state::Session,
-        calls: Option<&BTreeMap<u64, state::Answer>>,
+        calls: Option<&BTreeMap<u64, state::StoredResponse>>,
         now: Micros,
     ) {
         let mut session = Session::new(&kept.name, number, now);
-        session.settled = kept.settled;
+        session.settled = kept.deleted_below;
         let records = calls.into_iter().flatten();
         session.records = records
             .filter_map(|(call, kept)| Some((*call, Record::restore(kept)?)))
--- a/crates/core/src/versions.rs
+++ b/crates/core/src/versions.rs
@@ -594,10 +594,10 @@
             let (plan, digest) = (stamp.version.number, stamp.version.digest.to_string());
             self.keep
                 .change(Change::ActiveConfig(state::ActiveConfigRow {
-                    plan,
+                    version_number: plan,
                     digest,
                     joint: stamp.joint,
-                    list: stamp.list,
+                    node_list_revision: stamp.list,
                 }));
         }
         let held = self.hold_by_plans(now, &versions);
--- a/crates/core/tests/world/mod.rs
+++ b/crates/core/tests/world/mod.rs
@@ -15,7 +15,7 @@
 use reedring_node_protocol::{AttemptId, End, Message, Repeat, encode};
 use reedring_node_simulator::{Config, Effect, Groups, Node};
 use reedring_settings::{Health, NodeEntry, NodeList, Settings};
-use reedring_state::{Batch, HalfLives, LedgerWriter, OpenedLedger, SimFolder};
+use reedring_state::{Batch, BeliefHalfLives, LedgerWriter, OpenedLedger, SimFolder};
 
 use digest::Digest;
 
@@ -331,14 +331,14 @@
         let kept = self.kept.as_mut()?;
         let restored = match LedgerWriter::open(kept.folder.clone(), "p") {
             Ok(OpenedLedger {
-                keeper,
-                image,
-                learned,
+                writer: keeper,
+                snapshot: image,
+                beliefs: learned,
                 ..
             }) => {
-                assert_eq!(image.check(), Vec::<String>::new());
+                assert_eq!(image.violations(), []);
                 kept.keeper = Some(keeper);
-                let half = HalfLives::told(&self.settings);
+                let half = BeliefHalfLives::from_settings(&self.settings);
                 let learned = learned
                     .map(|learned| learned.aged(self.now, &half))
                     .unwrap_or_default();
@@ -413,12 +413,12 @@
             kept.keeper.as_mut().unwrap(),
         );
         kept.busy = false;
-        let mut said = Ok(keeper.durable());
+        let mut said = Ok(keeper.durable_through());
         let mut plain = Vec::new();
         for (batch, whole) in queue {
             if whole {
                 plain.clear();
-                said = keeper.write_whole(batch);
+                said = keeper.write_replacement(batch);
             } else {
                 plain.push(batch);
             }
@@ -430,11 +430,11 @@
         kept.dark |= kept.ends_at.is_some_and(|step| kept.folder.steps() > step);
         match said {
             _ if kept.dark => {}
-            Ok(seq) => self.input(Input::Durable(seq)),
+            Ok(through) => self.input(Input::Durable(through.0)),
             Err(lost) => {
                 self.input(Input::StateLost {
-                    why: lost.why,
-                    marked: lost.marked,
+                    why: lost.reason,
+                    marked: lost.marked_incomplete,
                 });
                 self.later(50 * MS, Due::Retry(self.life));
             }
@@ -842,7 +842,7 @@
                 let _ = self
                     .kept
                     .as_ref()
-                    .and_then(|kept| kept.keeper.as_ref()?.learn(&learned).ok());
+                    .and_then(|kept| kept.keeper.as_ref()?.save_beliefs(&learned).ok());
             }
             Output::MoveZone { .. }
             | Output::Acts(_)
@@ -1069,7 +1069,7 @@
                     .as_mut()
                     .and_then(|kept| kept.keeper.as_mut())
                     .unwrap();
-                match keeper.begin_anew() {
+                match keeper.prepare_replacement() {
                     Ok(()) => self.input(Input::StateBack),
                     Err(_) => self.later(50 * MS, Due::Retry(self.life)),
                 }
--- a/crates/local-cluster/src/kills.rs
+++ b/crates/local-cluster/src/kills.rs
@@ -16,7 +16,7 @@
 use reedring_client::Session;
 use reedring_client::drmaa::rpc::Range;
 use reedring_client::drmaa::{ErrorCode, JobTemplate};
-use reedring_state::{Disk, Export};
+use reedring_state::{Disk, StateExport};
 use reedring_test_processes::{Program, free_address};
 
 use crate::badday::BadDayError;
@@ -205,14 +205,18 @@
             )));
             drop(placer);
             found.kills += 1;
-            match Export::read(
+            match StateExport::read(
                 Disk::lock(&folder).map_err(|error| BadDayError::Script(error.to_string()))?,
             ) {
-                Ok((export, passed_by)) => {
-                    found.damaged.extend(export.ledger.check());
+                Ok(contents) => {
+                    let violations = contents.export.ledger.violations();
+                    let skipped = &contents.skipped_belief_files;
                     found
                         .damaged
-                        .extend(passed_by.iter().map(ToString::to_string));
+                        .extend(violations.iter().map(ToString::to_string));
+                    found
+                        .damaged
+                        .extend(skipped.iter().map(ToString::to_string));
                 }
                 Err(error) => found.damaged.push(error.to_string()),
             }
--- a/crates/local-cluster/src/restart.rs
+++ b/crates/local-cluster/src/restart.rs
@@ -204,7 +204,7 @@
             let wrong = |error: reedring_state::BeliefError| BadDayError::Script(error.to_string());
             let mut learned =
                 BeliefSnapshot::decode(&std::fs::read(&path)?, "learned", PLACER).map_err(wrong)?;
-            learned.at -= WEEK_US;
+            learned.saved_at -= WEEK_US;
             std::fs::write(&path, learned.encode(PLACER))?;
         }
     }
--- a/crates/placer/src/run.rs
+++ b/crates/placer/src/run.rs
@@ -177,7 +177,7 @@
         })?;
         if let Some(folder) = &folder {
             // Nodes and clients take a greater life for the newer one, also where the clock went back.
-            life = life.max(folder.restored.image.last_life() + 1);
+            life = life.max(folder.restored.image.last_incarnation() + 1);
         }
         let (orders, ordered) = mpsc::unbounded_channel();
         let (stop, stopped) = oneshot::channel();
--- a/crates/placer/src/state.rs
+++ b/crates/placer/src/state.rs
@@ -9,7 +9,7 @@
 use reedring_core::{Input, Restored};
 use reedring_settings::{Settings, State};
 use reedring_state::{
-    Batch, BeliefSnapshot, Disk, HalfLives, LedgerWriter, LockError, OpenedLedger, StoreError,
+    Batch, BeliefHalfLives, BeliefSnapshot, Disk, LedgerWriter, LockError, OpenedLedger, StoreError,
 };
 use tokio::sync::mpsc;
 
@@ -66,10 +66,10 @@
             Err(error) => return lost(error.to_string()),
         };
         let OpenedLedger {
-            keeper,
-            image,
-            learned,
-            passed_by,
+            writer: keeper,
+            snapshot: image,
+            beliefs: learned,
+            skipped_belief_files: passed_by,
         } = match LedgerWriter::open(disk, &settings.name) {
             Ok(opened) => opened,
             Err(error @ StoreError::Io { .. }) => return lost(error.to_string()),
@@ -81,7 +81,7 @@
                 "state: what was learned is passed by: {error}"
             );
         }
-        let half = HalfLives::told(settings);
+        let half = BeliefHalfLives::from_settings(settings);
         let learned = learned
             .map(|learned| learned.aged(now_unix, &half))
             .unwrap_or_default();
@@ -184,7 +184,7 @@
             Ok(first) => first,
             Err(RecvTimeoutError::Disconnected) => return keeper.close(),
             Err(RecvTimeoutError::Timeout) => {
-                next_try = match keeper.begin_anew() {
+                next_try = match keeper.prepare_replacement() {
                     Ok(()) => {
                         tell(Input::StateBack);
                         None
@@ -201,11 +201,11 @@
                 Write::Batch(batch, false) => group.push(batch),
                 Write::Batch(batch, true) => {
                     group.clear();
-                    said = Some(keeper.write_whole(batch));
+                    said = Some(keeper.write_replacement(batch));
                 }
                 Write::Beliefs(learned) => {
                     // While nothing can be kept that is told already.
-                    if let (Err(error), None) = (keeper.learn(&learned), next_try) {
+                    if let (Err(error), None) = (keeper.save_beliefs(&learned), next_try) {
                         tracing::warn!(%error, "state: what was learned can't be kept");
                     }
                 }
@@ -215,12 +215,12 @@
             said = Some(keeper.write(group));
         }
         match said {
-            Some(Ok(seq)) => tell(Input::Durable(seq)),
+            Some(Ok(through)) => tell(Input::Durable(through.0)),
             Some(Err(why)) => {
                 next_try.get_or_insert_with(|| Instant::now() + retry);
                 tell(Input::StateLost {
-                    why: why.why,
-                    marked: why.marked,
+                    why: why.reason,
+                    marked: why.marked_incomplete,
                 });
             }
             None => {}
@@ -238,7 +238,7 @@
     #[test]
     fn a_folder_is_tried_again_however_much_is_asked_meanwhile() {
         let folder = SimFolder::default();
-        let OpenedLedger { keeper, .. } = LedgerWriter::open(folder.clone(), "p").unwrap();
+        let OpenedLedger { writer: keeper, .. } = LedgerWriter::open(folder.clone(), "p").unwrap();
         let (writes, asked) = channel();
         let (came, mut coming) = mpsc::channel(64);
         let abandon = AtomicBool::new(false);
@@ -247,9 +247,9 @@
             scope.spawn(move || run(keeper, &asked, Duration::from_millis(50), &came, abandon));
             folder.fail_sync();
             let batch = Batch {
-                seq: 1,
+                sequence: reedring_state::BatchSequence(1),
                 at: 1,
-                changes: vec![Change::Life(1)],
+                changes: vec![Change::IncarnationStarted(1)],
             };
             writes.send(Write::Batch(batch, false)).unwrap();
             let lost = coming.blocking_recv().unwrap();
@@ -258,11 +258,11 @@
                 Came::Input(Input::StateLost { marked: true, .. })
             ));
             let nothing = BeliefSnapshot {
-                at: 1,
+                saved_at: 1,
                 nodes: Vec::new(),
-                answers: Vec::new(),
+                answer_times: Vec::new(),
                 arrivals: Vec::new(),
-                ratio: None,
+                use_ratio: None,
             };
             let began = Instant::now();
             let back = loop {
--- a/crates/state/benches/stores.rs
+++ b/crates/state/benches/stores.rs
@@ -7,28 +7,28 @@
 use std::io::Write;
 use std::time::Instant;
 
-use reedring_state::{Batch, Change, Disk, Job, LedgerWriter, Phase};
+use reedring_state::{Batch, BatchSequence, Change, Disk, Job, LedgerWriter, Phase};
 
 fn job(index: u64) -> Box<Job> {
     Box::new(Job {
         session: 1,
         call: 1,
         index,
-        key: index,
-        phase: Phase::Asked {
-            until: 1_796_000_000_000_000,
+        idempotency_key: index,
+        phase: Phase::Pending {
+            deadline: 1_796_000_000_000_000,
         },
         outcome: None,
-        again: false,
+        lost_before: false,
         may_have_run: false,
-        submitted: 1_796_000_000_000_000,
-        placed: None,
-        started: None,
-        ended: None,
-        tries: 1,
-        node: Some("node-17".to_owned()),
-        attempts: Vec::new(),
-        broken: None,
+        submitted_at: 1_796_000_000_000_000,
+        placed_at: None,
+        started_at: None,
+        ended_at: None,
+        attempt_count: 1,
+        last_node: Some("node-17".to_owned()),
+        open_attempts: Vec::new(),
+        violated_clauses: None,
     })
 }
 
@@ -45,17 +45,17 @@
         let commits = if rows == 1 { 1_000 } else { 100 };
         let dir = tempfile::tempdir_in(".").expect("a folder");
         let folder = Disk::lock(dir.path()).expect("a lock");
-        let mut keeper = LedgerWriter::open(folder, "bench")
+        let mut writer = LedgerWriter::open(folder, "bench")
             .expect("a ledger")
-            .keeper;
+            .writer;
         let began = Instant::now();
         for seq in 1..=commits {
             let changes = (0..rows)
                 .map(|n| Change::Job(seq * rows + n, Some(job(n))))
                 .collect();
-            keeper
+            writer
                 .write([Batch {
-                    seq,
+                    sequence: BatchSequence(seq),
                     at: seq,
                     changes,
                 }])
@@ -93,6 +93,6 @@
             rate(store),
             rate(log)
         );
-        keeper.close();
+        writer.close();
     }
 }
--- /dev/null
+++ b/crates/state/src/beliefs/codec.rs
@@ -0,0 +1,102 @@
+//! The bytes of a belief file: magic, version, placer, body, and a checksum over everything before it.
+
+use super::error::{BeliefError, BeliefProblem};
+use super::snapshot::BeliefSnapshot;
+
+const MAGIC: &[u8; 8] = b"RRLEARN\0";
+/// The version of the file that this program writes.
+pub(super) const VERSION: u16 = 1;
+/// Bytes of the checksum at the end.
+const CHECKSUM_BYTES: usize = 4;
+
+/// Reads fields of known length from the front of a slice.
+struct Reader<'a> {
+    rest: &'a [u8],
+}
+
+impl<'a> Reader<'a> {
+    fn bytes(&mut self, count: usize) -> Result<&'a [u8], BeliefProblem> {
+        let (head, rest) = self
+            .rest
+            .split_at_checked(count)
+            .ok_or(BeliefProblem::Truncated)?;
+        self.rest = rest;
+        Ok(head)
+    }
+
+    fn array<const N: usize>(&mut self) -> Result<[u8; N], BeliefProblem> {
+        let bytes = self.bytes(N)?;
+        bytes.try_into().map_err(|_| BeliefProblem::Truncated)
+    }
+
+    fn u16(&mut self) -> Result<u16, BeliefProblem> {
+        Ok(u16::from_le_bytes(self.array()?))
+    }
+
+    fn u32(&mut self) -> Result<u32, BeliefProblem> {
+        Ok(u32::from_le_bytes(self.array()?))
+    }
+}
+
+/// The bytes before the checksum, if it fits.
+fn checked(bytes: &[u8]) -> Result<&[u8], BeliefProblem> {
+    let (content, checksum) = bytes
+        .split_last_chunk::<CHECKSUM_BYTES>()
+        .ok_or(BeliefProblem::Truncated)?;
+    if crc32c::crc32c(content) != u32::from_le_bytes(*checksum) {
+        return Err(BeliefProblem::Damaged);
+    }
+    Ok(content)
+}
+
+impl BeliefSnapshot {
+    /// The bytes of this placer's file.
+    pub fn encode(&self, placer: &str) -> Vec<u8> {
+        // A snapshot is plain data, and memory is the only thing that can run out.
+        let body = postcard::to_stdvec(self).unwrap_or_default();
+        let mut bytes = MAGIC.to_vec();
+        bytes.extend_from_slice(&VERSION.to_le_bytes());
+        bytes.extend_from_slice(&(placer.len() as u16).to_le_bytes());
+        bytes.extend_from_slice(placer.as_bytes());
+        bytes.extend_from_slice(&(body.len() as u32).to_le_bytes());
+        bytes.extend_from_slice(&body);
+        let checksum = crc32c::crc32c(&bytes);
+        bytes.extend_from_slice(&checksum.to_le_bytes());
+        bytes
+    }
+
+    /// Decodes the bytes of this placer's file; `file` is its name for errors.
+    ///
+    /// # Errors
+    /// What is wrong with them: damaged, of a newer program, or of another placer.
+    pub fn decode(bytes: &[u8], file: &str, placer: &str) -> Result<Self, BeliefError> {
+        decode_content(bytes, placer).map_err(|problem| BeliefError {
+            file: file.to_owned(),
+            problem,
+        })
+    }
+}
+
+fn decode_content(bytes: &[u8], placer: &str) -> Result<BeliefSnapshot, BeliefProblem> {
+    let mut reader = Reader {
+        rest: checked(bytes)?,
+    };
+    if reader.bytes(MAGIC.len()) != Ok(MAGIC.as_slice()) {
+        return Err(BeliefProblem::Damaged);
+    }
+    let version = reader.u16()?;
+    if version > VERSION {
+        return Err(BeliefProblem::NewerVersion { found: version });
+    }
+    let name_bytes = usize::from(reader.u16()?);
+    let found = String::from_utf8_lossy(reader.bytes(name_bytes)?).into_owned();
+    if found != placer {
+        let wanted = placer.to_owned();
+        return Err(BeliefProblem::OtherPlacer { found, wanted });
+    }
+    let body_bytes = reader.u32()? as usize;
+    let body = reader.bytes(body_bytes)?;
+    postcard::from_bytes(body).map_err(|error| BeliefProblem::InvalidBody {
+        reason: error.to_string(),
+    })
+}
--- a/crates/state/src/folder.rs
+++ b/crates/state/src/folder/disk.rs
@@ -1,69 +1,15 @@
-//! The few things that are done to files, so that tests can lose power between any two of them.
+//! A folder on a disk.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-use redb::StorageBackend;
 use redb::backends::FileBackend;
 
-/// A folder that one placer keeps its state in.
-pub trait Folder: Send + Sync + std::fmt::Debug + 'static {
-    /// The bytes of a database.
-    type Data: StorageBackend;
+use super::Folder;
 
-    /// Opens a database's file, or makes an empty one.
-    ///
-    /// # Errors
-    /// What the file system says.
-    fn database(&self, name: &str) -> io::Result<Self::Data>;
-
-    /// A file's bytes; `None` where there is none of that name.
-    ///
-    /// # Errors
-    /// What the file system says.
-    fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>>;
-
-    /// A file's length; `None` where there is none of that name.
-    ///
-    /// # Errors
-    /// What the file system says.
-    fn len(&self, name: &str) -> io::Result<Option<u64>>;
-
-    /// Writes a file from its start, in place: a file that is as long already needs no new room.
-    ///
-    /// # Errors
-    /// What the file system says.
-    fn write(&self, name: &str, bytes: &[u8]) -> io::Result<()>;
-
-    /// Waits until a file's bytes will outlive a power cut.
-    ///
-    /// # Errors
-    /// What the file system says. After an error nothing that was written since the last sync can be
-    /// trusted, nor made good by another sync.
-    fn sync(&self, name: &str) -> io::Result<()>;
-
-    /// Gives a file another name, in place of the file that had it.
-    ///
-    /// # Errors
-    /// What the file system says.
-    fn rename(&self, from: &str, to: &str) -> io::Result<()>;
-
-    /// Removes a file, if there is one.
-    ///
-    /// # Errors
-    /// What the file system says.
-    fn remove(&self, name: &str) -> io::Result<()>;
-
-    /// Waits until names will outlive a power cut.
-    ///
-    /// # Errors
-    /// What the file system says.
-    fn sync_names(&self) -> io::Result<()>;
-
-    /// What the folder is called, for messages.
-    fn shown(&self) -> String;
-}
+/// The file through which the folder is locked; it is empty.
+const LOCK_FILE: &str = "lock";
 
 /// Why a folder can't be used.
 #[derive(Debug, thiserror::Error)]
@@ -79,16 +25,16 @@
     Io {
         /// The folder.
         folder: String,
-        /// Why.
+        /// The error of the file system.
         error: io::Error,
     },
 }
 
-/// A folder on a disk. It is locked for as long as this value lives.
+/// A folder on a disk. It is locked until this value is dropped.
 #[derive(Debug)]
 pub struct Disk {
     folder: PathBuf,
-    _lock: Option<File>,
+    _lock: File,
 }
 
 impl Disk {
@@ -103,24 +49,11 @@
             error,
         };
         std::fs::create_dir_all(folder).map_err(io)?;
-        let path = folder.join("lock");
-        let lock = OpenOptions::new()
-            .write(true)
-            .create(true)
-            .truncate(false)
-            .open(path);
-        let lock = match lock {
-            Ok(lock) => lock,
-            // A folder that can only be read is locked through the file that its last placer left.
-            Err(_) if folder.join("lock").exists() => {
-                File::open(folder.join("lock")).map_err(io)?
-            }
-            Err(error) => return Err(io(error)),
-        };
+        let lock = open_lock_file(&folder.join(LOCK_FILE)).map_err(io)?;
         match lock.try_lock() {
             Ok(()) => Ok(Self {
                 folder: folder.to_owned(),
-                _lock: Some(lock),
+                _lock: lock,
             }),
             Err(TryLockError::WouldBlock) => Err(LockError::Taken { folder: shown }),
             Err(TryLockError::Error(error)) => Err(io(error)),
@@ -132,17 +65,29 @@
     }
 }
 
+fn open_lock_file(path: &Path) -> io::Result<File> {
+    let opened = OpenOptions::new()
+        .write(true)
+        .create(true)
+        .truncate(false)
+        .open(path);
+    match opened {
+        // A folder that is read-only is locked through the file that is there from an earlier run.
+        Err(_) if path.exists() => File::open(path),
+        opened => opened,
+    }
+}
+
 impl Folder for Disk {
     type Data = FileBackend;
 
     fn database(&self, name: &str) -> io::Result<FileBackend> {
-        let path = self.path(name);
         let file = OpenOptions::new()
             .read(true)
             .write(true)
             .create(true)
             .truncate(false)
-            .open(path)?;
+            .open(self.path(name))?;
         FileBackend::new(file).map_err(io::Error::other)
     }
 
@@ -165,12 +110,11 @@
     }
 
     fn write(&self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let path = self.path(name);
         let mut file = OpenOptions::new()
             .write(true)
             .create(true)
             .truncate(false)
-            .open(path)?;
+            .open(self.path(name))?;
         file.seek(SeekFrom::Start(0))?;
         file.write_all(bytes)?;
         if file.metadata()?.len() != bytes.len() as u64 {
@@ -180,10 +124,8 @@
     }
 
     fn sync(&self, name: &str) -> io::Result<()> {
-        OpenOptions::new()
-            .write(true)
-            .open(self.path(name))?
-            .sync_all()
+        let file = OpenOptions::new().write(true).open(self.path(name))?;
+        file.sync_all()
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
--- /dev/null
+++ b/crates/state/src/ledger/export.rs
@@ -0,0 +1,113 @@
+//! All that a state folder holds, for those who inspect or move it.
+
+use serde::{Deserialize, Serialize};
+
+use super::error::StoreError;
+use super::files::{Marker, has_ledger, open_ledger, read_beliefs};
+use super::store::OpenedStore;
+use super::tables::FORMAT;
+use super::writer::LedgerWriter;
+use crate::beliefs::{BeliefError, BeliefSnapshot};
+use crate::folder::Folder;
+use crate::rows::LedgerSnapshot;
+
+/// All that a folder holds.
+#[derive(Clone, Debug, Serialize, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct StateExport {
+    /// The format of the rows.
+    pub format: u32,
+    /// The placer to which the state belongs.
+    pub placer: String,
+    /// The rows of the ledger.
+    pub ledger: LedgerSnapshot,
+    /// The beliefs, if a file of them can be used.
+    #[serde(rename = "learned")]
+    pub beliefs: Option<BeliefSnapshot>,
+}
+
+/// The export of a folder, and the belief files that are not in it.
+#[derive(Clone, Debug)]
+pub struct FolderContents {
+    /// The export.
+    pub export: StateExport,
+    /// Belief files that can't be used.
+    pub skipped_belief_files: Vec<BeliefError>,
+}
+
+impl StateExport {
+    /// Reads a folder of any placer. Nothing is written but what a crash left to be repaired.
+    ///
+    /// # Errors
+    /// See [`StoreError`]; a folder without a ledger is one too.
+    pub fn read<F: Folder>(folder: F) -> Result<FolderContents, StoreError> {
+        if !has_ledger(&folder)? {
+            return Err(StoreError::NoLedger {
+                folder: folder.shown(),
+            });
+        }
+        let OpenedStore { store, snapshot } = open_ledger(&folder, None)?;
+        let placer = store.placer().to_owned();
+        store.close()?;
+        let marker =
+            Marker::read(&folder).map_err(|error| StoreError::io(&folder.shown(), error))?;
+        let found = read_beliefs(&folder, &placer);
+        let export = Self {
+            format: FORMAT,
+            placer,
+            ledger: LedgerSnapshot {
+                incomplete: marker == Marker::Incomplete,
+                ..snapshot
+            },
+            beliefs: found.beliefs,
+        };
+        Ok(FolderContents {
+            export,
+            skipped_belief_files: found.skipped,
+        })
+    }
+
+    /// Writes the export into a folder that has no ledger yet.
+    ///
+    /// # Errors
+    /// See [`StoreError`].
+    pub fn write<F: Folder>(&self, folder: F) -> Result<(), StoreError> {
+        let shown = folder.shown();
+        self.check(&shown)?;
+        if has_ledger(&folder)? {
+            return Err(StoreError::LedgerExists { folder: shown });
+        }
+        let mut writer = LedgerWriter::open(folder, &self.placer)?.writer;
+        writer
+            .write(self.ledger.to_batches())
+            .map_err(|error| StoreError::io(&shown, error.reason))?;
+        if self.ledger.incomplete {
+            writer
+                .write_marker(Marker::Incomplete)
+                .map_err(|error| StoreError::io(&shown, error))?;
+        }
+        if let Some(beliefs) = &self.beliefs {
+            writer
+                .save_beliefs(beliefs)
+                .map_err(|error| StoreError::io(&shown, error))?;
+        }
+        writer.close();
+        Ok(())
+    }
+
+    /// Checks that a placer may have written the export.
+    fn check(&self, folder: &str) -> Result<(), StoreError> {
+        let folder = folder.to_owned();
+        if self.format != FORMAT {
+            let found = self.format;
+            return Err(StoreError::ExportFormat { folder, found });
+        }
+        match self.ledger.violations().first() {
+            Some(violation) => Err(StoreError::InvalidExport {
+                folder,
+                violation: *violation,
+            }),
+            None => Ok(()),
+        }
+    }
+}
--- a/crates/state/tests/golden.rs
+++ b/crates/state/tests/golden.rs
@@ -79,54 +79,55 @@
 
 #[test]
 fn the_folder_opens_with_the_same_values() {
-    let (export, errors) = Export::read(golden_folder()).unwrap();
-    assert_eq!(errors, []);
+    let contents = StateExport::read(golden_folder()).unwrap();
+    assert_eq!(contents.skipped_belief_files, []);
+    let export = contents.export;
     assert_eq!(
         serde_json::to_string_pretty(&export).unwrap() + "\n",
         EXPORT
     );
-    let read = serde_json::from_str::<Export>(EXPORT).unwrap();
+    let read = serde_json::from_str::<StateExport>(EXPORT).unwrap();
     assert_eq!((read.format, &read.placer), (export.format, &export.placer));
     assert_eq!(
-        (&read.ledger, &read.learned),
-        (&export.ledger, &export.learned)
+        (&read.ledger, &read.beliefs),
+        (&export.ledger, &export.beliefs)
     );
-    assert_eq!(export.ledger.check(), Vec::<String>::new());
+    assert_eq!(export.ledger.violations(), []);
     let opened = LedgerWriter::open(golden_folder(), PLACER).unwrap();
     assert_eq!(
-        (&opened.image, &opened.learned),
-        (&export.ledger, &export.learned)
+        (&opened.snapshot, &opened.beliefs),
+        (&export.ledger, &export.beliefs)
     );
-    assert_eq!(opened.passed_by, []);
+    assert_eq!(opened.skipped_belief_files, []);
 }
 
 #[test]
 fn its_rows_are_stored_as_the_same_bytes() {
     assert_eq!(rows(&golden_folder()), ROWS);
-    let image = serde_json::from_str::<Export>(EXPORT).unwrap().ledger;
+    let snapshot = serde_json::from_str::<StateExport>(EXPORT).unwrap().ledger;
     let folder = SimFolder::default();
-    let mut keeper = LedgerWriter::open(folder.clone(), PLACER).unwrap().keeper;
-    for link in &image.lives {
-        let changes = vec![Change::Life(link.life)];
-        keeper
+    let mut writer = LedgerWriter::open(folder.clone(), PLACER).unwrap().writer;
+    for record in &snapshot.incarnations {
+        let changes = vec![Change::IncarnationStarted(record.incarnation)];
+        writer
             .write([Batch {
-                seq: 1,
-                at: link.until,
+                sequence: BatchSequence(1),
+                at: record.last_write_at,
                 changes,
             }])
             .unwrap();
     }
-    let last = image.lives.last().copied();
-    keeper
+    let last = snapshot.incarnations.last().copied();
+    writer
         .write(
-            Image {
-                lives: last.into_iter().collect(),
-                ..image
+            LedgerSnapshot {
+                incarnations: last.into_iter().collect(),
+                ..snapshot
             }
-            .batches(),
+            .to_batches(),
         )
         .unwrap();
-    keeper.close();
+    writer.close();
     assert_eq!(rows(&folder), ROWS);
     assert_eq!(Folder::read(&folder, "mark").unwrap().unwrap(), MARK);
 }
@@ -136,14 +137,14 @@
     let beliefs = BeliefSnapshot::decode(BELIEFS, "learned", PLACER).unwrap();
     assert_eq!(
         Some(&beliefs),
-        serde_json::from_str::<Export>(EXPORT)
+        serde_json::from_str::<StateExport>(EXPORT)
             .unwrap()
-            .learned
+            .beliefs
             .as_ref()
     );
     assert_eq!(beliefs.encode(PLACER), BELIEFS);
     let folder = SimFolder::default();
-    let keeper = LedgerWriter::open(folder.clone(), PLACER).unwrap().keeper;
-    keeper.learn(&beliefs).unwrap();
+    let writer = LedgerWriter::open(folder.clone(), PLACER).unwrap().writer;
+    writer.save_beliefs(&beliefs).unwrap();
     assert_eq!(Folder::read(&folder, "learned").unwrap().unwrap(), BELIEFS);
 }
--- a/crates/state/tests/power.rs
+++ b/crates/state/tests/power.rs
@@ -10,90 +10,97 @@
         session: 1,
         call: 1,
         index,
-        key: index,
+        idempotency_key: index,
         phase,
         outcome: None,
-        again: false,
+        lost_before: false,
         may_have_run: false,
-        submitted: 5,
-        placed: None,
-        started: None,
-        ended: None,
-        tries: 0,
-        node: None,
-        attempts: Vec::new(),
-        broken: None,
+        submitted_at: 5,
+        placed_at: None,
+        started_at: None,
+        ended_at: None,
+        attempt_count: 0,
+        last_node: None,
+        open_attempts: Vec::new(),
+        violated_clauses: None,
     })
 }
 
-fn ask() -> Ask {
+fn template() -> JobTemplate {
     let text = str::to_owned;
-    let (spec, class, tenant, service) = (text("{}"), text("play"), text("radio"), text("svc"));
-    Ask {
-        spec,
+    let (template_json, class, tenant, service) =
+        (text("{}"), text("play"), text("radio"), text("svc"));
+    JobTemplate {
+        template_json,
         class,
         tenant,
         service,
         cores: 1.0,
         memory: 2.0,
-        life_us: None,
+        run_time_us: None,
     }
 }
 
-/// A small run: a session, three jobs that go their ways, a drain, a cold offer, things forgotten.
+/// A small run: a session, three jobs that end differently, a drain, offers to a node that warms up, deleted rows.
 fn run() -> Vec<Batch> {
     let ended = || Phase::Ended(Ending::aborted("refused: no room"));
     let session = Session {
         name: "s".to_owned(),
-        settled: 0,
+        deleted_below: 0,
     };
-    let submission = Answer::Submission {
+    let submission = StoredResponse::Submission {
         first: 1,
         last: 3,
         step: 1,
     };
     let changes = vec![
-        vec![Change::Life(7)],
+        vec![Change::IncarnationStarted(7)],
         vec![Change::Session(1, Some(session))],
         vec![
-            Change::Ask(1, 1, Some(ask())),
-            Change::Job(1, Some(job(1, Phase::Asked { until: 9 }))),
+            Change::Template(1, 1, Some(template())),
+            Change::Job(1, Some(job(1, Phase::Pending { deadline: 9 }))),
             Change::Job(2, Some(job(2, Phase::Held))),
             Change::Job(3, Some(job(3, Phase::Delayed { until: 8 }))),
             Change::Call(1, 1, submission),
         ],
         vec![
-            Change::Cold("n".to_owned()),
-            Change::Cold("n".to_owned()),
+            Change::WarmUpOffer("n".to_owned()),
+            Change::WarmUpOffer("n".to_owned()),
             Change::Job(1, Some(job(1, ended()))),
         ],
         vec![
-            Change::Drained("n".to_owned(), true),
+            Change::Drain {
+                node: "n".to_owned(),
+                draining: true,
+            },
             Change::Job(2, Some(job(2, ended()))),
         ],
         vec![
             Change::Job(1, None),
-            Change::Call(1, 2, Answer::Told("{}".to_owned())),
+            Change::Call(1, 2, StoredResponse::Json("{}".to_owned())),
         ],
         vec![
-            Change::Settled(1, 2),
-            Change::Drained("n".to_owned(), false),
+            Change::CallsDeletedBelow(1, 2),
+            Change::Drain {
+                node: "n".to_owned(),
+                draining: false,
+            },
         ],
         vec![
             Change::Job(2, None),
             Change::Job(3, None),
-            Change::Ask(1, 1, None),
+            Change::Template(1, 1, None),
         ],
     ];
     let batch = |(n, changes)| Batch {
-        seq: n as u64 + 1,
+        sequence: BatchSequence(n as u64 + 1),
         at: 100 + n as u64,
         changes,
     };
     changes.into_iter().enumerate().map(batch).collect()
 }
 
-fn learned(n: u64) -> BeliefSnapshot {
+fn beliefs(n: u64) -> BeliefSnapshot {
     let belief = Belief {
         machine: MachineId(1),
         strikes: n as u32,
@@ -101,198 +108,215 @@
     };
     let nodes = vec![NodeBeliefs {
         node: "n".to_owned(),
-        life: Some(1),
+        incarnation: Some(1),
         belief,
     }];
     BeliefSnapshot {
-        at: n,
+        saved_at: n,
         nodes,
-        answers: vec![n; 64],
+        answer_times: vec![n; 64],
         arrivals: Vec::new(),
-        ratio: None,
+        use_ratio: None,
     }
 }
 
-/// The image after each number of batches, by a store that nothing happens to.
-fn images() -> Vec<Image> {
-    let mut images = Vec::new();
+/// The rows after each number of batches, by a store that nothing happens to.
+fn snapshots() -> Vec<LedgerSnapshot> {
+    let mut snapshots = Vec::new();
     for count in 0..=run().len() {
         let folder = SimFolder::default();
-        let mut keeper = LedgerWriter::open(folder.clone(), "p").unwrap().keeper;
+        let mut writer = LedgerWriter::open(folder.clone(), "p").unwrap().writer;
         for batch in run().into_iter().take(count) {
-            keeper.write([batch]).unwrap();
+            writer.write([batch]).unwrap();
         }
-        keeper.close();
-        let image = LedgerWriter::open(folder, "p").unwrap().image;
-        assert_eq!(image.check(), Vec::<String>::new());
-        images.push(image);
+        writer.close();
+        let snapshot = LedgerWriter::open(folder, "p").unwrap().snapshot;
+        assert_eq!(snapshot.violations(), []);
+        snapshots.push(snapshot);
     }
-    images
+    snapshots
 }
 
-/// Runs until the power goes out; how many batches, and which learned file, were said to be durable.
-fn until_cut(folder: &SimFolder) -> (usize, Option<u64>) {
-    let (mut durable, mut kept) = (0, None);
-    let Ok(OpenedLedger { mut keeper, .. }) = LedgerWriter::open(folder.clone(), "p") else {
-        return (0, None);
+/// What was reported as durable before the power was cut.
+#[derive(Default)]
+struct Reported {
+    /// How many batches.
+    batches: usize,
+    /// The time of the last belief file that was saved.
+    beliefs_at: Option<u64>,
+}
+
+/// Writes the batches of [`run`], and a belief file after each, until the power is cut.
+fn run_until_cut(folder: &SimFolder) -> Reported {
+    let mut reported = Reported::default();
+    let Ok(OpenedLedger { mut writer, .. }) = LedgerWriter::open(folder.clone(), "p") else {
+        return reported;
     };
     for batch in run() {
-        let seq = batch.seq;
-        match keeper.write([batch]) {
-            Ok(seq) => durable = seq as usize,
-            Err(_) => return (durable, kept),
+        let sequence = batch.sequence;
+        match writer.write([batch]) {
+            Ok(durable_through) => reported.batches = durable_through.0 as usize,
+            Err(_) => return reported,
         }
-        if keeper.learn(&learned(seq)).is_ok() {
-            kept = Some(seq);
+        if writer.save_beliefs(&beliefs(sequence.0)).is_ok() {
+            reported.beliefs_at = Some(sequence.0);
         }
     }
-    keeper.close();
-    (durable, kept)
+    writer.close();
+    reported
 }
 
 #[test]
-fn at_every_crash_point_a_prefix_is_found_that_holds_all_that_was_durable() {
-    let images = images();
+fn at_every_crash_point_a_prefix_is_found_with_every_durable_batch() {
+    let snapshots = snapshots();
     let whole = SimFolder::default();
-    until_cut(&whole);
+    run_until_cut(&whole);
     let mut draw = Pcg32::new(1, 1);
     for step in 0..whole.steps() {
         let folder = SimFolder::default();
         folder.cut_at(step);
-        let (durable, kept) = until_cut(&folder);
+        let reported = run_until_cut(&folder);
         for _ in 0..3 {
             let after = folder.power_on(|| draw.next_u32());
             let opened = LedgerWriter::open(after.clone(), "p")
                 .unwrap_or_else(|error| panic!("step {step}: {error}"));
-            let found = images
+            let found = snapshots
                 .iter()
-                .position(|image| image.lives == opened.image.lives);
-            let found = found.unwrap_or_else(|| panic!("step {step}: {:?}", opened.image));
-            assert_eq!(opened.image, images[found], "step {step}");
+                .position(|snapshot| snapshot.incarnations == opened.snapshot.incarnations);
+            let found = found.unwrap_or_else(|| panic!("step {step}: {:?}", opened.snapshot));
+            assert_eq!(opened.snapshot, snapshots[found], "step {step}");
             assert!(
-                found >= durable,
-                "step {step}: {durable} were durable, {found} are there"
+                found >= reported.batches,
+                "step {step}: {} were durable, {found} are there",
+                reported.batches
             );
-            // The last file said to be kept, or a newer one, whole.
-            let learned_at = opened.learned.as_ref().map(|learned| learned.at);
+            // The last file that was reported as saved, or a newer one, complete.
+            let beliefs_at = opened.beliefs.as_ref().map(|beliefs| beliefs.saved_at);
             assert!(
-                learned_at >= kept,
-                "step {step}: {kept:?} was kept, {learned_at:?} is there"
+                beliefs_at >= reported.beliefs_at,
+                "step {step}: {:?} was saved, {beliefs_at:?} is there",
+                reported.beliefs_at
             );
             assert!(
                 opened
-                    .learned
-                    .is_none_or(|found| found == learned(found.at)),
+                    .beliefs
+                    .is_none_or(|found| found == beliefs(found.saved_at)),
                 "step {step}"
             );
             // Whoever opened it can go on.
-            let mut keeper = opened.keeper;
-            keeper
+            let mut writer = opened.writer;
+            writer
                 .write([Batch {
-                    seq: 1,
+                    sequence: BatchSequence(1),
                     at: 999,
-                    changes: vec![Change::Life(8)],
+                    changes: vec![Change::IncarnationStarted(8)],
                 }])
                 .unwrap();
-            keeper.close();
-            assert_eq!(LedgerWriter::open(after, "p").unwrap().image.last_life(), 8);
+            writer.close();
+            assert_eq!(
+                LedgerWriter::open(after, "p")
+                    .unwrap()
+                    .snapshot
+                    .last_incarnation(),
+                8
+            );
         }
     }
 }
 
 #[test]
-fn a_disk_that_fails_a_sync_and_then_reports_success_loses_nothing_that_was_told() {
+fn a_disk_that_fails_a_sync_and_then_reports_success_loses_no_reported_batch() {
     let folder = SimFolder::default();
-    let mut keeper = LedgerWriter::open(folder.clone(), "p").unwrap().keeper;
+    let mut writer = LedgerWriter::open(folder.clone(), "p").unwrap().writer;
     let mut batches = run().into_iter();
-    keeper.write(batches.next()).unwrap();
+    writer.write(batches.next()).unwrap();
     folder.fail_sync();
-    let lost = keeper.write(batches.next()).unwrap_err();
+    let lost = writer.write(batches.next()).unwrap_err();
     assert!(
-        lost.marked && lost.why.contains("the disk failed"),
+        lost.marked_incomplete && lost.reason.contains("the disk failed"),
         "{lost:?}"
     );
     assert!(
-        keeper.write(batches.next()).is_err(),
-        "nothing is durable until all is written anew"
+        writer.write(batches.next()).is_err(),
+        "nothing is durable until every row is written to a new ledger"
     );
     let mut draw = Pcg32::new(2, 1);
     for _ in 0..20 {
         let found = LedgerWriter::open(folder.power_on(|| draw.next_u32()), "p")
             .unwrap()
-            .image;
+            .snapshot;
         assert!(
-            found.holes && !found.covers(7),
-            "a life whose promises may be missing covers nothing"
+            found.incomplete && !found.is_complete_for(7),
+            "an incarnation whose rows may be missing is not complete"
         );
     }
-    keeper.begin_anew().unwrap();
+    writer.prepare_replacement().unwrap();
     let all = run()
         .into_iter()
         .take(4)
         .flat_map(|batch| batch.changes)
         .collect();
     assert_eq!(
-        keeper.write_whole(Batch {
-            seq: 4,
+        writer.write_replacement(Batch {
+            sequence: BatchSequence(4),
             at: 103,
             changes: all
         }),
-        Ok(4)
+        Ok(BatchSequence(4))
     );
     for _ in 0..20 {
         let found = LedgerWriter::open(folder.power_on(|| draw.next_u32()), "p")
             .unwrap()
-            .image;
+            .snapshot;
         assert_eq!(
-            (found.holes, found.jobs.len(), found.covers(7)),
+            (found.incomplete, found.jobs.len(), found.is_complete_for(7)),
             (false, 3, true)
         );
     }
 }
 
 #[test]
-fn a_full_disk_and_a_read_only_folder_are_told_and_a_full_one_can_still_be_marked() {
+fn a_full_disk_and_a_read_only_folder_are_errors_and_a_full_one_can_still_be_marked() {
     let folder = SimFolder::default();
-    let mut keeper = LedgerWriter::open(folder.clone(), "p").unwrap().keeper;
-    keeper
+    let mut writer = LedgerWriter::open(folder.clone(), "p").unwrap().writer;
+    writer
         .write([Batch {
-            seq: 1,
+            sequence: BatchSequence(1),
             at: 1,
-            changes: vec![Change::Life(7)],
+            changes: vec![Change::IncarnationStarted(7)],
         }])
         .unwrap();
     folder.full(true);
     let many = (1..20_000)
         .map(|n| Change::Job(n, Some(job(n, Phase::Held))))
         .collect();
-    let lost = keeper
+    let lost = writer
         .write([Batch {
-            seq: 2,
+            sequence: BatchSequence(2),
             at: 2,
             changes: many,
         }])
         .unwrap_err();
-    assert!(lost.marked, "{lost:?}");
-    assert!(keeper.begin_anew().is_err());
+    assert!(lost.marked_incomplete, "{lost:?}");
+    assert!(writer.prepare_replacement().is_err());
     folder.full(false);
-    keeper.begin_anew().unwrap();
-    keeper
-        .write_whole(Batch {
-            seq: 3,
+    writer.prepare_replacement().unwrap();
+    writer
+        .write_replacement(Batch {
+            sequence: BatchSequence(3),
             at: 3,
-            changes: vec![Change::Life(7)],
+            changes: vec![Change::IncarnationStarted(7)],
         })
         .unwrap();
     folder.read_only(true);
-    let lost = keeper
+    let lost = writer
         .write([Batch {
-            seq: 4,
+            sequence: BatchSequence(4),
             at: 4,
-            changes: vec![Change::Life(7)],
+            changes: vec![Change::IncarnationStarted(7)],
         }])
         .unwrap_err();
-    assert!(!lost.marked, "{lost:?}");
+    assert!(!lost.marked_incomplete, "{lost:?}");
 }
 
 #[test]
@@ -309,10 +333,10 @@
 
 fn flip(which: impl Fn(usize) -> bool) {
     let folder = SimFolder::default();
-    let mut keeper = LedgerWriter::open(folder.clone(), "p").unwrap().keeper;
-    keeper.write(run().into_iter().take(4)).unwrap();
-    keeper.close();
-    let whole = LedgerWriter::open(folder.clone(), "p").unwrap().image;
+    let mut writer = LedgerWriter::open(folder.clone(), "p").unwrap().writer;
+    writer.write(run().into_iter().take(4)).unwrap();
+    writer.close();
+    let whole = LedgerWriter::open(folder.clone(), "p").unwrap().snapshot;
     let bytes = Folder::read(&folder, "ledger").unwrap().unwrap();
     let used: Vec<usize> = (0..bytes.len()).filter(|at| bytes[*at] != 0).collect();
     let (mut found, mut harmless) = (0, 0);
@@ -321,7 +345,7 @@
         spoilt.spoil("ledger", |bytes| bytes[*at] ^= 0x10);
         match LedgerWriter::open(spoilt.clone(), "p") {
             Ok(opened) => {
-                assert_eq!(opened.image, whole, "byte {at}");
+                assert_eq!(opened.snapshot, whole, "byte {at}");
                 harmless += 1;
             }
             Err(error) => {
@@ -336,11 +360,11 @@
 }
 
 #[test]
-fn empty_foreign_and_newer_files_are_refused_and_left_as_they_are() {
+fn empty_foreign_and_newer_files_are_errors_and_stay_as_they_are() {
     let folder = SimFolder::default();
     LedgerWriter::open(folder.clone(), "p")
         .unwrap()
-        .keeper
+        .writer
         .close();
     let error = LedgerWriter::open(folder.clone(), "q").unwrap_err();
     assert!(
@@ -361,16 +385,16 @@
             .to_string()
             .contains("it is empty")
     );
-    // A learned file of a newer program is passed by, and stays.
-    let mut newer = learned(1).encode("p");
+    // A belief file of a newer program is skipped, and stays.
+    let mut newer = beliefs(1).encode("p");
     newer[8] = 200;
     let end = newer.len() - 4;
     let sum = crc32c::crc32c(&newer[..end]).to_le_bytes();
     newer[end..].copy_from_slice(&sum);
     Folder::write(&folder, "learned", &newer).unwrap();
     let opened = LedgerWriter::open(folder.clone(), "p").unwrap();
-    assert!(opened.learned.is_none() && opened.passed_by[0].is_newer());
-    opened.keeper.learn(&learned(2)).unwrap();
+    assert!(opened.beliefs.is_none() && opened.skipped_belief_files[0].is_newer());
+    opened.writer.save_beliefs(&beliefs(2)).unwrap();
     assert_eq!(Folder::read(&folder, "learned").unwrap().unwrap(), newer);
 }
 
@@ -389,16 +413,21 @@
 #[test]
 fn an_older_ledger_is_migrated_with_all_its_rows_and_frees_no_budget() {
     let opened = LedgerWriter::open(sample(), "p").unwrap();
-    let whole = &images()[4];
-    let cold = opened.image.cold.values().map(Vec::len).sum::<usize>();
+    let whole = &snapshots()[4];
+    let cold = opened
+        .snapshot
+        .warm_up_offers
+        .values()
+        .map(Vec::len)
+        .sum::<usize>();
     assert!(
         cold > 1_000,
         "{cold}: an offer that was not counted stands for a whole budget"
     );
     assert_eq!(
-        Image {
-            cold: whole.cold.clone(),
-            ..opened.image
+        LedgerSnapshot {
+            warm_up_offers: whole.warm_up_offers.clone(),
+            ..opened.snapshot
         },
         *whole
     );
@@ -410,24 +439,24 @@
     let before = folder.steps();
     LedgerWriter::open(folder.clone(), "p")
         .unwrap()
-        .keeper
+        .writer
         .close();
     let mut draw = Pcg32::new(3, 1);
     for step in before..folder.steps() {
         let folder = sample();
         folder.cut_at(step);
         if let Ok(opened) = LedgerWriter::open(folder.clone(), "p") {
-            opened.keeper.close();
+            opened.writer.close();
         }
         for _ in 0..4 {
             let opened = LedgerWriter::open(folder.power_on(|| draw.next_u32()), "p").unwrap();
-            assert_eq!(opened.image.jobs, images()[4].jobs, "step {step}");
+            assert_eq!(opened.snapshot.jobs, snapshots()[4].jobs, "step {step}");
         }
     }
 }
 
 #[test]
-fn a_second_placer_on_a_folder_is_told_so() {
+fn a_second_placer_on_a_folder_gets_an_error() {
     let dir = tempfile::tempdir().unwrap();
     let first = Disk::lock(dir.path()).unwrap();
     let error = Disk::lock(dir.path()).unwrap_err();
