--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -5,7 +5,9 @@
 
 use reedring::names::task_key;
 use reedring::timers::Timers;
-use reedring::{Action, AttemptId, Event, Micros, Outcome as Fate, Placer, RequestId};
+use reedring::{
+    Action, AttemptId, Event as ModuleEvent, Micros, Outcome as Fate, Placer, RequestId,
+};
 use reedring_drmaa::rpc::{Answer, Call, Response, Stats};
 use reedring_drmaa::{End, Result};
 use reedring_node_protocol::{self as wire, Message};
@@ -14,8 +16,9 @@
 
 use crate::constrain::{Constrainer, EligibilityChange, TURNS};
 use crate::decide::{self, Known, Loss};
+use crate::event::Event;
 use crate::holds::Holds;
-use crate::io::{ConnId, Input, Level, Output};
+use crate::io::{ConnId, Input, Output};
 use crate::jobs::{Attempt, Ending, JobName, JobNo, Ledger, NodeNo, Outcome, Phase};
 use crate::keep::Keep;
 use crate::links::{Born, Nodes};
@@ -68,7 +71,7 @@
     /// Operators' long lists that are asked for. They are made one a flush, after all else, so that who
     /// asks for many of them holds nobody up.
     pub(crate) reads: VecDeque<(ConnId, u64, Call)>,
-    pub(crate) events: Vec<Event>,
+    pub(crate) events: Vec<ModuleEvent>,
     pub(crate) outputs: VecDeque<Output>,
     pub(crate) keep: Keep,
     /// Lives of this placer whose promises are all known.
@@ -251,11 +254,8 @@
         self.cut(now);
     }
 
-    pub(crate) fn log(&mut self, level: Level, line: impl Into<String>) {
-        self.outputs.push_back(Output::Log {
-            level,
-            line: line.into(),
-        });
+    pub(crate) fn log(&mut self, event: Event) {
+        self.outputs.push_back(Output::Event(event));
     }
 
     pub(crate) fn reply(&mut self, conn: ConnId, response: Response) {
@@ -331,7 +331,7 @@
             Action::Timer { token, after_us } => {
                 self.timers.set(now + after_us, Timer::Module(token))
             }
-            Action::Log(line) => self.log(Level::Info, line),
+            Action::Log(text) => self.log(Event::ModuleMessage { text }),
             // Links stay open, nobody listens, and the list comes without being asked for.
             Action::CloseIdle(_) | Action::Tell { .. } | Action::Watch(_) | Action::Fetch => {}
         }
@@ -564,7 +564,7 @@
             return;
         };
         let (answered, took_us) = (report.is_some(), now.saturating_sub(sent));
-        self.events.push(Event::Probed {
+        self.events.push(ModuleEvent::Probed {
             machine,
             answered,
             took_us,
@@ -578,7 +578,7 @@
         match timer {
             Timer::Module(token) => {
                 self.constrain.rotate();
-                self.events.push(Event::Woken(token));
+                self.events.push(ModuleEvent::Woken(token));
             }
             Timer::Attempt(id) => {
                 let out = self
@@ -700,13 +700,11 @@
             .get(&request)
             .is_some_and(|(of, _)| *of == job)
         {
-            self.log(
-                Level::Warn,
-                format!(
-                    "request {} had no answer in time; its job is failed",
-                    request.0
-                ),
-            );
+            let job_name = self.ledger.jobs.get(&job).map(|job| job.name.to_string());
+            self.log(Event::RequestOverdue {
+                request: request.0,
+                job: job_name.unwrap_or_default(),
+            });
             self.withdraw(job);
             self.ledger.requests.insert(request, (job, 0));
             self.answer(now, request, Outcome::Failed, None);
@@ -748,18 +746,18 @@
         self.recheck_waiting(now);
         self.constrain.listed(&self.nodes);
         self.tell_line(now, number);
-        let word = if drain {
-            "drained"
+        let node = name.to_owned();
+        self.log(if drain {
+            Event::NodeDrained { node }
         } else {
-            "no longer drained"
-        };
-        self.log(Level::Info, format!("node {name}: {word} by an operator"));
+            Event::NodeUndrained { node }
+        });
         Ok(Answer::Done)
     }
 }
 
-pub(crate) fn opened_event((request, machines): EligibilityChange) -> Event {
-    Event::EligibilityChanged { request, machines }
+pub(crate) fn opened_event((request, machines): EligibilityChange) -> ModuleEvent {
+    ModuleEvent::EligibilityChanged { request, machines }
 }
 
 /// The number of the key that a job's repeats share.
--- /dev/null
+++ b/crates/core/src/event.rs
@@ -0,0 +1,539 @@
+//! The log events of the core: what operators are told, as typed values.
+//!
+//! The shell records each event with its name, its level, its fields and its message, so that logs can be
+//! searched by event. A name is stable: dashboards and `docs/on-call.md` refer to it.
+
+use std::fmt;
+use std::net::SocketAddr;
+
+use reedring_node_protocol::{AttemptId, ConfigVersion};
+use reedring_plan::SuspendReason;
+
+/// How much an event matters to operators.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Level {
+    /// Something is wrong with the site, a node or this placer.
+    Warn,
+    /// A change of state that is worth a line.
+    Info,
+}
+
+/// What the settings file says beside the committed configuration, as far as operators have to act on it.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct FileStatus {
+    /// The configuration of the settings file, where an equally old or newer one is committed.
+    pub superseded: Option<ConfigVersion>,
+    /// Why the configuration of the settings file can't be proposed.
+    pub rejected: Option<String>,
+}
+
+impl fmt::Display for FileStatus {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        if let Some(version) = self.superseded {
+            write!(
+                f,
+                "; configuration {version} of the settings file is not the committed one"
+            )?;
+        }
+        self.rejected
+            .iter()
+            .try_for_each(|reason| write!(f, "; {reason}"))
+    }
+}
+
+/// Something that operators are told. Each variant says what it means, what causes it, and the first action.
+#[derive(Clone, Debug, PartialEq, Eq)]
+#[expect(
+    missing_docs,
+    reason = "each field is named after what it holds, and each variant is documented"
+)]
+pub enum Event {
+    /// An older node list was ignored. Cause: a copy of the list with a lower revision was put in place. First
+    /// action: put the newest list in place at every placer.
+    NodeListOutdated { revision: u64, known_revision: u64 },
+    /// A listed node is ignored. Cause: its name has the same machine id as another node's. First action: rename
+    /// the node.
+    NodeNameCollision { node: String },
+    /// A node is not used. Cause: what answers at its address names itself otherwise. First action: correct the
+    /// node list or the node's own configuration.
+    NodeNameMismatch {
+        node: String,
+        address: SocketAddr,
+        reported: String,
+    },
+    /// The connection to a node was lost, or could not be made. Cause: the reason in the event; a restart, a
+    /// crash or the network. First action: check the node's process, then the network to it.
+    NodeDisconnected { node: String, reason: String },
+    /// A node gets no new tasks. Cause: an operator drains it. First action: none.
+    NodeDrained { node: String },
+    /// A node gets tasks again. Cause: an operator ended its drain. First action: none.
+    NodeUndrained { node: String },
+    /// A node that was drained before a restart of the placer still is. Cause: the drain is persistent. First
+    /// action: end the drain if the node is to get tasks.
+    NodeStillDrained { node: String },
+    /// A task that runs at a node is stopped. Cause: its job belongs to a former incarnation of the placer, and
+    /// can't be reconstructed for the reason in the event. First action: submit the job again if it is needed.
+    AttemptNotAdopted {
+        node: String,
+        job: String,
+        attempt: AttemptId,
+        reason: String,
+    },
+    /// A placed job waits for a place again. Cause: its attempt was lost, and its class allows another. First
+    /// action: none for single jobs; for many, look for the node's own events.
+    JobRequeued {
+        job: String,
+        node: String,
+        attempt: AttemptId,
+        reason: &'static str,
+    },
+    /// A job failed because the decision module did not answer in time. Cause: a defect, or a machine far
+    /// overloaded. First action: check the load of the placer's machine, then report the defect.
+    RequestOverdue { request: u64, job: String },
+    /// A running job's placement constraint is violated. Cause: copies, the node list or labels changed. First
+    /// action: what the event names as the remedy.
+    ConstraintViolated {
+        job: String,
+        clause: String,
+        remedy: String,
+    },
+    /// A violated placement constraint is satisfied again. Cause: the site changed back. First action: none.
+    ConstraintRestored {
+        job: String,
+        clause: String,
+        violated_us: u64,
+    },
+    /// Nothing is persisted from the start on. Cause: the state folder could not be opened. First action: correct
+    /// the reason in the event, and restart the placer.
+    StateUnavailable { reason: String },
+    /// Nothing is persisted for now; tasks that must not start twice are rejected. Cause: a write to the state
+    /// folder failed. First action: free space on its disk or replace it; the placer resumes by itself.
+    StateWriteFailed { reason: String },
+    /// Everything is persisted again. Cause: the state folder takes writes again. First action: none.
+    StateWriteRestored,
+    /// A restarted placer loaded its state. Cause: a restart. First action: none if complete; where it is not,
+    /// expect failed jobs of classes that must not start twice.
+    StateLoaded {
+        sessions: usize,
+        jobs: usize,
+        unfinished: usize,
+        unplaced: usize,
+        incomplete: bool,
+    },
+    /// Changed tables of the settings file are not applied. Cause: these tables are read at the start alone.
+    /// First action: restart the placer to apply them.
+    SettingsRestartRequired { tables: Vec<&'static str> },
+    /// A change of the settings file is not applied. Cause: the placer was started without a `[plan]` table.
+    /// First action: restart the placer to apply it.
+    SettingsChangeIgnored,
+    /// A change of the settings file is not applied. Cause: the reason in the event. First action: correct the
+    /// file.
+    SettingsChangeRejected { reason: String },
+    /// A configuration text that a node sent is discarded. Cause: it does not match its version. First action:
+    /// none for one; if a node repeats it, update or replace the node.
+    ConfigurationTextInvalid { node: String, reason: String },
+    /// A configuration delta that a node sent is discarded, and the whole text is fetched. Cause: it does not
+    /// yield its version. First action: none for one; if a node repeats it, update or replace the node.
+    ConfigurationDeltaInvalid { node: String, reason: String },
+    /// The placer uses its settings file alone. Cause: most nodes speak a protocol without configurations. First
+    /// action: update the nodes.
+    ConfigurationUnsupported { file: FileStatus },
+    /// The placer dispatches nothing for now. Cause: the reason in the event, most often no majority of voters
+    /// within the lease. First action: check the network to the voters; it resumes by itself.
+    DispatchSuspended {
+        reason: SuspendReason,
+        file: FileStatus,
+    },
+    /// The placer accepts and dispatches nothing until an operator acts. Cause: its file is pinned to another
+    /// configuration, or it can't use the committed one. First action: unpin or update the file, or the build.
+    PlacerFenced {
+        reason: SuspendReason,
+        committed: ConfigVersion,
+        own: ConfigVersion,
+        detail: Option<String>,
+        file: FileStatus,
+    },
+    /// The first configuration is chosen and in use. Cause: the first start with a `[plan]` table. First action:
+    /// none.
+    ConfigurationFirst {
+        config_version: ConfigVersion,
+        file: FileStatus,
+    },
+    /// A configuration change is under way: the stricter of both configurations applies. Cause: a placer proposed
+    /// its file's. First action: none; if it lasts, look for lagging placers with `reedring nodes`.
+    ConfigurationJoint {
+        config_version: ConfigVersion,
+        previous: ConfigVersion,
+        file: FileStatus,
+    },
+    /// One configuration is committed and in use. Cause: a start, or the end of a change. First action: none; where
+    /// the settings file is behind or rejected, correct it as the event says.
+    ConfigurationActive {
+        config_version: ConfigVersion,
+        file: FileStatus,
+    },
+    /// Connection attempts to a zone are rate limited. Cause: many of its nodes do not answer. First action: check
+    /// the zone's network and power.
+    ZoneReconnectsLimited {
+        zone: String,
+        silent: usize,
+        nodes: usize,
+    },
+    /// Connection attempts to a zone are no longer rate limited. Cause: its nodes answer again. First action: none.
+    ZoneReconnectsRestored { zone: String, silent: usize },
+    /// A line of the decision module. Cause: the module's own. First action: as the line says.
+    ModuleMessage { text: String },
+}
+
+impl Event {
+    /// The names of all events, in the order of the variants.
+    pub const NAMES: &'static [&'static str] = &[
+        "node_list_outdated",
+        "node_name_collision",
+        "node_name_mismatch",
+        "node_disconnected",
+        "node_drained",
+        "node_undrained",
+        "node_still_drained",
+        "attempt_not_adopted",
+        "job_requeued",
+        "request_overdue",
+        "constraint_violated",
+        "constraint_restored",
+        "state_unavailable",
+        "state_write_failed",
+        "state_write_restored",
+        "state_loaded",
+        "settings_restart_required",
+        "settings_change_ignored",
+        "settings_change_rejected",
+        "configuration_text_invalid",
+        "configuration_delta_invalid",
+        "configuration_unsupported",
+        "dispatch_suspended",
+        "placer_fenced",
+        "configuration_first",
+        "configuration_joint",
+        "configuration_active",
+        "zone_reconnects_limited",
+        "zone_reconnects_restored",
+        "module_message",
+    ];
+
+    /// The stable name of the event, as logs record it in the field `event`.
+    pub const fn name(&self) -> &'static str {
+        match self {
+            Self::NodeListOutdated { .. } => "node_list_outdated",
+            Self::NodeNameCollision { .. } => "node_name_collision",
+            Self::NodeNameMismatch { .. } => "node_name_mismatch",
+            Self::NodeDisconnected { .. } => "node_disconnected",
+            Self::NodeDrained { .. } => "node_drained",
+            Self::NodeUndrained { .. } => "node_undrained",
+            Self::NodeStillDrained { .. } => "node_still_drained",
+            Self::AttemptNotAdopted { .. } => "attempt_not_adopted",
+            Self::JobRequeued { .. } => "job_requeued",
+            Self::RequestOverdue { .. } => "request_overdue",
+            Self::ConstraintViolated { .. } => "constraint_violated",
+            Self::ConstraintRestored { .. } => "constraint_restored",
+            Self::StateUnavailable { .. } => "state_unavailable",
+            Self::StateWriteFailed { .. } => "state_write_failed",
+            Self::StateWriteRestored => "state_write_restored",
+            Self::StateLoaded { .. } => "state_loaded",
+            Self::SettingsRestartRequired { .. } => "settings_restart_required",
+            Self::SettingsChangeIgnored => "settings_change_ignored",
+            Self::SettingsChangeRejected { .. } => "settings_change_rejected",
+            Self::ConfigurationTextInvalid { .. } => "configuration_text_invalid",
+            Self::ConfigurationDeltaInvalid { .. } => "configuration_delta_invalid",
+            Self::ConfigurationUnsupported { .. } => "configuration_unsupported",
+            Self::DispatchSuspended { .. } => "dispatch_suspended",
+            Self::PlacerFenced { .. } => "placer_fenced",
+            Self::ConfigurationFirst { .. } => "configuration_first",
+            Self::ConfigurationJoint { .. } => "configuration_joint",
+            Self::ConfigurationActive { .. } => "configuration_active",
+            Self::ZoneReconnectsLimited { .. } => "zone_reconnects_limited",
+            Self::ZoneReconnectsRestored { .. } => "zone_reconnects_restored",
+            Self::ModuleMessage { .. } => "module_message",
+        }
+    }
+
+    /// How much it matters to operators.
+    pub const fn level(&self) -> Level {
+        match self {
+            Self::NodeDrained { .. }
+            | Self::NodeUndrained { .. }
+            | Self::NodeStillDrained { .. }
+            | Self::JobRequeued { .. }
+            | Self::StateWriteRestored
+            | Self::StateLoaded { .. }
+            | Self::ConfigurationFirst { .. }
+            | Self::ConfigurationJoint { .. }
+            | Self::ConfigurationActive { .. }
+            | Self::ZoneReconnectsRestored { .. }
+            | Self::ModuleMessage { .. } => Level::Info,
+            _ => Level::Warn,
+        }
+    }
+
+    /// The node that it is about, by its name in the node list.
+    pub fn node(&self) -> Option<&str> {
+        match self {
+            Self::NodeNameCollision { node }
+            | Self::NodeNameMismatch { node, .. }
+            | Self::NodeDisconnected { node, .. }
+            | Self::NodeDrained { node }
+            | Self::NodeUndrained { node }
+            | Self::NodeStillDrained { node }
+            | Self::AttemptNotAdopted { node, .. }
+            | Self::JobRequeued { node, .. }
+            | Self::ConfigurationTextInvalid { node, .. }
+            | Self::ConfigurationDeltaInvalid { node, .. } => Some(node),
+            _ => None,
+        }
+    }
+
+    /// The job that it is about.
+    pub fn job(&self) -> Option<&str> {
+        match self {
+            Self::AttemptNotAdopted { job, .. }
+            | Self::JobRequeued { job, .. }
+            | Self::RequestOverdue { job, .. }
+            | Self::ConstraintViolated { job, .. }
+            | Self::ConstraintRestored { job, .. } => Some(job),
+            _ => None,
+        }
+    }
+
+    /// The attempt that it is about, as the wire names it.
+    pub const fn attempt(&self) -> Option<AttemptId> {
+        match self {
+            Self::AttemptNotAdopted { attempt, .. } | Self::JobRequeued { attempt, .. } => {
+                Some(*attempt)
+            }
+            _ => None,
+        }
+    }
+
+    /// The zone that it is about.
+    pub fn zone(&self) -> Option<&str> {
+        match self {
+            Self::ZoneReconnectsLimited { zone, .. }
+            | Self::ZoneReconnectsRestored { zone, .. } => Some(zone),
+            _ => None,
+        }
+    }
+
+    /// The configuration that the placer uses, or is fenced by.
+    pub const fn config_version(&self) -> Option<ConfigVersion> {
+        match self {
+            Self::ConfigurationFirst { config_version, .. }
+            | Self::ConfigurationJoint { config_version, .. }
+            | Self::ConfigurationActive { config_version, .. } => Some(*config_version),
+            Self::PlacerFenced { committed, .. } => Some(*committed),
+            _ => None,
+        }
+    }
+}
+
+impl fmt::Display for Event {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::NodeListOutdated {
+                revision,
+                known_revision,
+            } => {
+                write!(
+                    f,
+                    "node list ignored: its revision {revision} is older than {known_revision}"
+                )
+            }
+            Self::NodeNameCollision { node } => {
+                write!(
+                    f,
+                    "node {node}: its name has the machine id of another node; rename it"
+                )
+            }
+            Self::NodeNameMismatch {
+                node,
+                address,
+                reported,
+            } => {
+                write!(
+                    f,
+                    "node {node}: {address} names itself `{reported}`; correct the list or the node"
+                )
+            }
+            Self::NodeDisconnected { node, reason } => write!(f, "node {node}: {reason}"),
+            Self::NodeDrained { node } => write!(f, "node {node}: drained by an operator"),
+            Self::NodeUndrained { node } => {
+                write!(f, "node {node}: no longer drained by an operator")
+            }
+            Self::NodeStillDrained { node } => {
+                write!(f, "node {node}: still drained by an operator")
+            }
+            Self::AttemptNotAdopted {
+                node, job, reason, ..
+            } => {
+                write!(
+                    f,
+                    "node {node} runs job {job}, which can't be adopted: {reason}"
+                )
+            }
+            Self::JobRequeued {
+                job, node, reason, ..
+            } => {
+                write!(f, "job {job}: {reason} at {node}; it is queued again")
+            }
+            Self::RequestOverdue { request, job } => {
+                write!(
+                    f,
+                    "request {request} was not answered in time; job {job} failed"
+                )
+            }
+            Self::ConstraintViolated {
+                job,
+                clause,
+                remedy,
+            } => {
+                write!(f, "job {job}: constraint `{clause}` is violated; {remedy}")
+            }
+            Self::ConstraintRestored {
+                job,
+                clause,
+                violated_us,
+            } => {
+                let seconds = *violated_us as f64 / 1e6;
+                write!(
+                    f,
+                    "job {job}: constraint `{clause}` is satisfied again after {seconds:.1} s"
+                )
+            }
+            Self::StateUnavailable { reason } => {
+                write!(
+                    f,
+                    "state: {reason}; nothing is persisted across a restart of this placer"
+                )
+            }
+            Self::StateWriteFailed { reason } => {
+                write!(
+                    f,
+                    "state: {reason}; nothing is persisted until the folder can be written again"
+                )
+            }
+            Self::StateWriteRestored => {
+                write!(
+                    f,
+                    "state: the folder can be written again; everything is persisted anew"
+                )
+            }
+            Self::StateLoaded {
+                sessions,
+                jobs,
+                unfinished,
+                unplaced,
+                incomplete,
+            } => {
+                write!(
+                    f,
+                    "state: loaded {sessions} sessions and {jobs} jobs, of which {unfinished} are unfinished and \
+                     {unplaced} wait for a place"
+                )?;
+                if *incomplete {
+                    write!(
+                        f,
+                        "; records of the last incarnation are missing, tasks that must not start twice fail where \
+                         no node reports what became of them"
+                    )?;
+                }
+                Ok(())
+            }
+            Self::SettingsRestartRequired { tables } => {
+                write!(
+                    f,
+                    "settings: [{}] changed and needs a restart; the old values apply",
+                    tables.join("], [")
+                )
+            }
+            Self::SettingsChangeIgnored => write!(
+                f,
+                "settings: the file has changed; a placer started without a [plan] table applies no changes"
+            ),
+            Self::SettingsChangeRejected { reason } => {
+                write!(
+                    f,
+                    "settings: the changed file can't be applied, the old one stays in use: {reason}"
+                )
+            }
+            Self::ConfigurationTextInvalid { node, reason }
+            | Self::ConfigurationDeltaInvalid { node, reason } => {
+                write!(f, "configuration: node {node}: {reason}")
+            }
+            Self::ConfigurationUnsupported { file } => {
+                write!(
+                    f,
+                    "configuration: most nodes store none; the settings file alone is used{file}"
+                )
+            }
+            Self::DispatchSuspended { reason, file } => {
+                write!(
+                    f,
+                    "configuration: dispatch is suspended: {}{file}",
+                    reason.word()
+                )
+            }
+            Self::PlacerFenced {
+                reason,
+                committed,
+                own,
+                detail,
+                file,
+            } => {
+                write!(
+                    f,
+                    "configuration: this placer is fenced: {}; {committed} is committed, the settings file has {own}",
+                    reason.word()
+                )?;
+                detail
+                    .iter()
+                    .try_for_each(|detail| write!(f, ": {detail}"))?;
+                write!(f, "{file}")
+            }
+            Self::ConfigurationFirst {
+                config_version,
+                file,
+            } => {
+                write!(f, "configuration: {config_version} is the first one{file}")
+            }
+            Self::ConfigurationJoint {
+                config_version,
+                previous,
+                file,
+            } => write!(
+                f,
+                "configuration: {config_version} follows {previous}; the stricter of both applies{file}"
+            ),
+            Self::ConfigurationActive {
+                config_version,
+                file,
+            } => {
+                write!(f, "active configuration: {config_version}{file}")
+            }
+            Self::ZoneReconnectsLimited {
+                zone,
+                silent,
+                nodes,
+            } => write!(
+                f,
+                "zone {zone}: {silent} of {nodes} nodes do not answer; connection attempts are rate limited until \
+                 one answers"
+            ),
+            Self::ZoneReconnectsRestored { zone, silent } => write!(
+                f,
+                "zone {zone}: it answers again, {silent} nodes do not; connection attempts are no longer limited"
+            ),
+            Self::ModuleMessage { text } => f.write_str(text),
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/fates.rs
+++ b/crates/core/src/fates.rs
@@ -3,12 +3,14 @@
 use std::sync::Arc;
 
 use reedring::names::service_id;
-use reedring::{AttemptId, Ended, Event, Micros, Outcome as Fate, Reason, RequestId, Task};
+use reedring::{
+    AttemptId, Ended, Event as ModuleEvent, Micros, Outcome as Fate, Reason, RequestId, Task,
+};
 use reedring_node_protocol::{self as wire, Message};
 
 use crate::core::{Core, SWEEPS, opened_event};
 use crate::decide::{self, Loss};
-use crate::io::Level;
+use crate::event::Event;
 use crate::jobs::{Attempt, Ending, Job, JobName, JobNo, Outcome, Phase};
 use crate::sessions::{Sessions, ended};
 use crate::timers::Timer;
@@ -57,7 +59,7 @@
             self.constrain.free_again(id.request);
         }
         let machine = attempt.machine;
-        self.events.push(Event::Ended(Ended {
+        self.events.push(ModuleEvent::Ended(Ended {
             attempt: id,
             machine,
             outcome,
@@ -173,10 +175,13 @@
         );
         let node = self.node_name(attempt.node);
         if again {
-            self.log(
-                Level::Info,
-                format!("job {}: {word} at {node}; it is placed again", job.name),
-            );
+            let (job, reason) = (job.name.to_string(), word);
+            self.log(Event::JobRequeued {
+                job,
+                node,
+                attempt: attempt.wire,
+                reason,
+            });
             if let Some(job) = self.ledger.job_mut(attempt.job) {
                 (job.phase, job.again, job.until) = (Phase::Delayed, true, now + wait);
             }
@@ -296,7 +301,7 @@
                 request: request.0,
             },
         );
-        self.events.push(Event::Arrived {
+        self.events.push(ModuleEvent::Arrived {
             task,
             grace_us: grace_us - margin,
         });
@@ -321,7 +326,7 @@
         self.ledger.requests.remove(&request);
         self.constrain.answered(request);
         self.holds.answered(request);
-        self.events.push(Event::Withdrawn(request));
+        self.events.push(ModuleEvent::Withdrawn(request));
     }
 
     /// A job's owner has its answer: the first one stands, and is counted.
--- a/crates/core/src/holds.rs
+++ b/crates/core/src/holds.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use reedring::{AttemptId, Event, MachineId, Micros, RequestId};
+use reedring::{AttemptId, Event as ModuleEvent, MachineId, Micros, RequestId};
 use reedring_node_protocol as wire;
 
 use crate::core::Core;
@@ -143,7 +143,7 @@
             self.holds.narrowed.insert(request);
             let machines = self.not_held();
             self.events
-                .push(Event::EligibilityChanged { request, machines });
+                .push(ModuleEvent::EligibilityChanged { request, machines });
         }
     }
 
@@ -167,7 +167,7 @@
                 .collect()
         };
         let open = self.not_held();
-        let opened = plain.iter().map(|request| Event::EligibilityChanged {
+        let opened = plain.iter().map(|request| ModuleEvent::EligibilityChanged {
             request: *request,
             machines: open.clone(),
         });
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -7,6 +7,8 @@
 use reedring_settings::{NodeList, Settings};
 use reedring_state::{Batch, BeliefSnapshot};
 
+use crate::event::Event;
+
 /// A client's connection, as the shell numbers it.
 pub type ConnId = u64;
 
@@ -74,15 +76,6 @@
     Tick,
 }
 
-/// How much a line matters to the staff.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Level {
-    /// Something is wrong with the site or a node.
-    Warn,
-    /// Worth a line.
-    Info,
-}
-
 /// Something to do, in order.
 #[derive(Clone, Debug)]
 pub enum Output {
@@ -136,11 +129,6 @@
     Settings(Box<Settings>),
     /// It takes nothing new until its staff act, or does again.
     ShutOut(bool),
-    /// A line for the staff.
-    Log {
-        /// How much it matters.
-        level: Level,
-        /// The line.
-        line: String,
-    },
+    /// Record an event for operators.
+    Event(Event),
 }
--- a/crates/core/src/keep.rs
+++ b/crates/core/src/keep.rs
@@ -17,7 +17,8 @@
 
 use crate::core::Core;
 use crate::decide::Known;
-use crate::io::{ConnId, Level, Output};
+use crate::event::Event;
+use crate::io::{ConnId, Output};
 use crate::jobs::{Ending, Job, JobNo, NodeNo, Outcome, Phase, SessionNo};
 use crate::timers::Timer;
 
@@ -155,10 +156,9 @@
     pub(crate) fn start_keeping(&mut self, lost: Option<String>) {
         self.keep.mode = match lost {
             Some(why) => {
-                self.log(
-                    Level::Warn,
-                    format!("state: {why}; this placer keeps nothing over a restart"),
-                );
+                self.log(Event::StateUnavailable {
+                    reason: why.clone(),
+                });
                 Mode::Lost { why, marked: false }
             }
             None => Mode::On,
@@ -555,10 +555,7 @@
         self.keep.cuts.clear();
         self.keep.changes.clear();
         if self.keep.mode == Mode::On {
-            self.log(
-                Level::Warn,
-                format!("state: {why}; nothing is kept over a restart until it is mended"),
-            );
+            self.log(Event::StateWriteFailed { reason: why });
         }
         self.keep.mode = new;
         for Released {
@@ -602,10 +599,7 @@
     pub(crate) fn state_back(&mut self) {
         if self.keep.lost().is_some() {
             (self.keep.mode, self.keep.whole) = (Mode::On, true);
-            self.log(
-                Level::Info,
-                "state: the folder can be written again; everything is kept anew",
-            );
+            self.log(Event::StateWriteRestored);
         }
     }
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -41,6 +41,7 @@
 mod constrain;
 mod core;
 pub mod decide;
+pub mod event;
 mod fates;
 mod holds;
 mod io;
@@ -55,7 +56,8 @@
 mod words;
 
 pub use crate::core::{Core, Start};
-pub use crate::io::{ConnId, Input, Level, Output};
+pub use crate::event::{Event, Level};
+pub use crate::io::{ConnId, Input, Output};
 pub use crate::keep::Restored;
 pub use reedring::names::{machine_id, service_id};
 
--- a/crates/core/src/reconnect.rs
+++ b/crates/core/src/reconnect.rs
@@ -37,6 +37,8 @@
 
 use reedring::Micros;
 
+use crate::event::Event;
+
 const SECOND: Micros = 1_000_000;
 
 /// The wait after a link that stood has ended, in microseconds: a node that restarts is met within moments.
@@ -82,27 +84,6 @@
     Closed,
 }
 
-/// What the staff are told, once each time.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum News {
-    /// So many nodes of a zone are silent that they are tried one after another.
-    Slowed {
-        /// The zone.
-        zone: Arc<str>,
-        /// Its silent nodes.
-        silent: usize,
-        /// All its nodes.
-        of: usize,
-    },
-    /// Few nodes of the zone are silent: each is tried by its own backoff again.
-    Resumed {
-        /// The zone.
-        zone: Arc<str>,
-        /// Its silent nodes.
-        silent: usize,
-    },
-}
-
 /// A token bucket, as the time at which it will be full again.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
@@ -250,7 +231,7 @@
     zones: BTreeMap<Arc<str>, Zone>,
     blind: Bucket,
     sweeps: Bucket,
-    news: VecDeque<News>,
+    events: VecDeque<Event>,
 }
 
 impl ReconnectPacing {
@@ -264,7 +245,7 @@
             zones: BTreeMap::new(),
             blind: Bucket::a_second(PLACER_RATE),
             sweeps: Bucket::a_second(SWEEP_RATE),
-            news: VecDeque::new(),
+            events: VecDeque::new(),
         }
     }
 
@@ -418,9 +399,9 @@
         self.zones.values().filter_map(of_zone).min()
     }
 
-    /// The next thing to tell the staff.
-    pub fn news(&mut self) -> Option<News> {
-        self.news.pop_front()
+    /// The next event for operators. A zone whose attempts are limited is told once, and once where they are not.
+    pub fn next_event(&mut self) -> Option<Event> {
+        self.events.pop_front()
     }
 
     fn due_unpaced(&mut self, now: Micros, due: &mut Vec<LinkId>) {
@@ -475,10 +456,10 @@
             };
             if zone.blind.ready_at(ZONE_BURST) > now {
                 if zone.silent > FEW && !std::mem::replace(&mut zone.slow, true) {
-                    held_up.push(News::Slowed {
-                        zone: name.clone(),
+                    held_up.push(Event::ZoneReconnectsLimited {
+                        zone: name.to_string(),
                         silent: zone.silent,
-                        of: zone.nodes,
+                        nodes: zone.nodes,
                     });
                 }
             } else if chosen
@@ -488,7 +469,7 @@
                 chosen = Some((zone.served, name.clone(), id));
             }
         }
-        self.news.extend(held_up);
+        self.events.extend(held_up);
         let (_, name, id) = chosen.filter(|_| self.blind.ready_at(PLACER_BURST) <= now)?;
         self.served += 1;
         let zone = self.zones.get_mut(&name)?;
@@ -536,8 +517,8 @@
         };
         if zone.slow && zone.silent <= FEW / 2 {
             zone.slow = false;
-            self.news.push_back(News::Resumed {
-                zone: name.clone(),
+            self.events.push_back(Event::ZoneReconnectsRestored {
+                zone: name.to_string(),
                 silent: zone.silent,
             });
         }
--- a/crates/core/src/recover.rs
+++ b/crates/core/src/recover.rs
@@ -5,7 +5,9 @@
 
 use std::sync::Arc;
 
-use reedring::{AttemptId, Belief, Beliefs, Effect, Event, Micros, Outcome as Fate, TaskKey};
+use reedring::{
+    AttemptId, Belief, Beliefs, Effect, Event as ModuleEvent, Micros, Outcome as Fate, TaskKey,
+};
 use reedring_node_protocol as wire;
 use reedring_settings::Settings;
 use reedring_state::{self as state, AgedBeliefs, LedgerSnapshot};
@@ -13,7 +15,7 @@
 use crate::ask::Ask;
 use crate::core::{Core, Start};
 use crate::decide::{self, ANSWER_MARGIN_US, Known, Recovered};
-use crate::io::Level;
+use crate::event::Event;
 use crate::jobs::{Attempt, Ending, Job, JobName, JobNo, NodeNo, Outcome, Phase};
 use crate::keep::Restored;
 use crate::timers::Timer;
@@ -29,7 +31,7 @@
             fleet: beliefs,
         } = restored.learned;
         if beliefs != Beliefs::default() {
-            core.events.push(Event::BeliefsRestored(beliefs));
+            core.events.push(ModuleEvent::BeliefsRestored(beliefs));
         }
         for known in nodes {
             let spent =
@@ -71,10 +73,7 @@
             if let Some(node) = self.nodes.all.get_mut(&number) {
                 node.drained = true;
             }
-            self.log(
-                Level::Info,
-                format!("node {node}: still drained by an operator"),
-            );
+            self.log(Event::NodeStillDrained { node: node.clone() });
         }
         for (node, times) in &image.warm_up_offers {
             let machine = reedring::names::machine_id(node);
@@ -112,16 +111,13 @@
             self.restore_job(now, *number, row, ask, image.incomplete);
         }
         if !image.incarnations.is_empty() {
-            let mut line = format!(
-                "state: took up {} sessions and {} jobs, of which {live} are not over and {open} wait for a place",
-                image.sessions.len(),
-                image.jobs.len()
-            );
-            if image.incomplete {
-                line += "; promises of the last life are missing, tasks that must not start twice are failed \
-                         where nothing tells what became of them";
-            }
-            self.log(Level::Info, line);
+            self.log(Event::StateLoaded {
+                sessions: image.sessions.len(),
+                jobs: image.jobs.len(),
+                unfinished: live,
+                unplaced: open,
+                incomplete: image.incomplete,
+            });
         }
     }
 
@@ -260,7 +256,7 @@
                 .module_task(number, id.request)
                 .zip(self.ledger.attempts.get(&id).map(|a| a.machine))
             {
-                self.events.push(Event::Adopted { task, machine });
+                self.events.push(ModuleEvent::Adopted { task, machine });
             }
             if runs {
                 self.limit_run(number);
@@ -447,7 +443,7 @@
                 ..Belief::default()
             }
         };
-        self.events.push(Event::BeliefsRestored(Beliefs {
+        self.events.push(ModuleEvent::BeliefsRestored(Beliefs {
             machines: vec![belief],
             ..Beliefs::default()
         }));
--- a/crates/core/src/versions.rs
+++ b/crates/core/src/versions.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use reedring::{Event, Micros};
+use reedring::{Event as ModuleEvent, Micros};
 use reedring_node_protocol::{AcceptorReport, ConfigRequest, ConfigVersion, Message, VersionStamp};
 use reedring_plan::{
     ActiveConfig, ChangePhase, ClusterView, Compactor, ConfigDocument, Delta, DispatchBlock,
@@ -14,7 +14,8 @@
 use reedring_state::{self as state, Change};
 
 use crate::core::Core;
-use crate::io::{Level, Output};
+use crate::event::{Event, FileStatus};
+use crate::io::Output;
 use crate::jobs::NodeNo;
 use crate::timers::Timer;
 
@@ -62,8 +63,8 @@
     lease_state: LeaseState,
     /// What became of each plan's text: settings, or why it can't be acted by.
     plans: BTreeMap<ConfigVersion, Result<Settings, String>>,
-    /// The line that the staff were told last.
-    line: String,
+    /// What operators were told last.
+    last_event: Option<Event>,
     /// Something was told since the last look: it is looked at once a turn.
     dirty: bool,
     /// When the next look is due.
@@ -112,7 +113,7 @@
             ever: false,
             force: ConfigVersion::default(),
             lease_state: LeaseState::Suspended(reedring_plan::SuspendReason::NoMajority),
-            line: String::new(),
+            last_event: None,
             dirty: false,
             due: 0,
             asked: 0,
@@ -189,6 +190,49 @@
         }
     }
 
+    /// What operators are told of the configuration in use.
+    fn status(&self, rejected: Option<String>) -> Event {
+        let (own, committed) = (self.own.version(), self.force);
+        let behind = committed.number > 0 && own != committed && own.number <= committed.number;
+        let superseded = (behind && self.shut_out().is_none()).then_some(own);
+        let file = FileStatus {
+            superseded,
+            rejected,
+        };
+        match self.lease_state {
+            LeaseState::Unmanaged => Event::ConfigurationUnsupported { file },
+            LeaseState::Suspended(reason) if reason.is_shut_out() => {
+                let detail = match self.plans.get(&committed) {
+                    Some(Err(why)) => Some(why.replace('\n', "; ")),
+                    _ => None,
+                };
+                Event::PlacerFenced {
+                    reason,
+                    committed,
+                    own,
+                    detail,
+                    file,
+                }
+            }
+            LeaseState::Suspended(reason) => Event::DispatchSuspended { reason, file },
+            LeaseState::Active(ActiveConfig { force, next, .. }) => match next {
+                Some(next) if force.number == 0 => Event::ConfigurationFirst {
+                    config_version: next,
+                    file,
+                },
+                Some(next) => Event::ConfigurationJoint {
+                    config_version: next,
+                    previous: force,
+                    file,
+                },
+                None => Event::ConfigurationActive {
+                    config_version: force,
+                    file,
+                },
+            },
+        }
+    }
+
     /// By what it decides now, for a node that reads it.
     fn stamp(&self, list: u64) -> VersionStamp {
         let (version, joint) = match &self.lease_state {
@@ -405,8 +449,8 @@
                 versions.dirty = true;
             }
             Err(wrong) => {
-                let node = self.node_name(number);
-                self.log(Level::Warn, format!("plans: node {node}: {wrong}"));
+                let (node, reason) = (self.node_name(number), wrong.to_string());
+                self.log(Event::ConfigurationTextInvalid { node, reason });
             }
         }
     }
@@ -420,23 +464,15 @@
                 own.retain(|name| *name != "plan");
             }
             if !own.is_empty() {
-                let tables = own.join("], [");
-                self.log(
-                    Level::Warn,
-                    format!("settings: [{tables}] changed, which needs a restart; the old holds"),
-                );
+                self.log(Event::SettingsRestartRequired { tables: own });
             }
         }
         let Some(versions) = &mut self.versions else {
-            let line = "settings: the file has changed; without a [plan] table at its start a placer takes up nothing";
-            return self.log(Level::Warn, line.to_owned());
+            return self.log(Event::SettingsChangeIgnored);
         };
         if let Err(why) = versions.file_changed(settings) {
-            let why = why.replace('\n', "; ");
-            self.log(
-                Level::Warn,
-                format!("settings: the file can't be taken up, the old one holds: {why}"),
-            );
+            let reason = why.replace('\n', "; ");
+            self.log(Event::SettingsChangeRejected { reason });
         }
     }
 
@@ -456,8 +492,8 @@
             Ok(kept) => versions.texts.add(&kept),
             Err(wrong) => {
                 versions.whole = Some(delta.target);
-                let node = self.node_name(number);
-                self.log(Level::Warn, format!("plans: node {node}: {wrong}"));
+                let (node, reason) = (self.node_name(number), wrong.to_string());
+                self.log(Event::ConfigurationDeltaInvalid { node, reason });
             }
         }
     }
@@ -680,67 +716,21 @@
             .hall
             .clone()
             .map(|hall| self.nodes.halls.number(&hall));
-        self.events
-            .push(Event::SettingsChanged(Box::new(self.settings.module(hall))));
+        self.events.push(ModuleEvent::SettingsChanged(Box::new(
+            self.settings.module(hall),
+        )));
         self.outputs
             .push_back(Output::Settings(Box::new(self.settings.clone())));
     }
 
-    /// One line for the staff each time that something else is so.
-    fn tell_standing(&mut self, versions: &mut Versions, refused: Option<&String>) {
-        let (own, force) = (versions.own.version(), versions.force);
-        let why = |version: &ConfigVersion| match versions.plans.get(version) {
-            Some(Err(why)) => format!(": {}", why.replace('\n', "; ")),
-            _ => String::new(),
-        };
-        let (level, mut line) = match &versions.lease_state {
-            LeaseState::Unmanaged => (
-                Level::Warn,
-                "plans: most nodes keep none; acts by its file".to_owned(),
-            ),
-            LeaseState::Suspended(reason) if reason.is_shut_out() => {
-                let line = format!(
-                    "plans: shut out: {}; plan {force} is in force, its file has {own}",
-                    reason.word()
-                );
-                (Level::Warn, format!("{line}{}", why(&force)))
-            }
-            LeaseState::Suspended(reason) => (
-                Level::Warn,
-                format!("plans: sends nothing: {}", reason.word()),
-            ),
-            LeaseState::Active(ActiveConfig {
-                force: ConfigVersion { number: 0, .. },
-                next: Some(next),
-                ..
-            }) => (Level::Info, format!("plans: plan {next} is the first one")),
-            LeaseState::Active(ActiveConfig {
-                force,
-                next: Some(next),
-                ..
-            }) => (
-                Level::Info,
-                format!("plans: plan {next} follows {force}; acts by the stricter of both"),
-            ),
-            LeaseState::Active(ActiveConfig { force, .. }) => {
-                (Level::Info, format!("plans: acts by plan {force}"))
-            }
-        };
-        if force.number > 0
-            && own != force
-            && own.number <= force.number
-            && versions.shut_out().is_none()
-        {
-            line = format!("{line}; plan {own} of its file is not the one in force");
-        }
-        refused
-            .into_iter()
-            .for_each(|why| line = format!("{line}; {why}"));
-        if line != versions.line {
-            versions.line.clone_from(&line);
+    /// One event for operators each time that something else is so.
+    fn tell_standing(&mut self, versions: &mut Versions, rejected: Option<&String>) {
+        let event = versions.status(rejected.cloned());
+        if versions.last_event.as_ref() != Some(&event) {
+            versions.last_event = Some(event.clone());
             let shut_out = versions.shut_out().is_some();
             self.outputs.push_back(Output::ShutOut(shut_out));
-            self.log(level, line);
+            self.log(event);
         }
     }
 
--- a/crates/core/src/words.rs
+++ b/crates/core/src/words.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use reedring::{AttemptId, Event, Listing, Micros, Note, Outcome as Fate, Reason};
+use reedring::{AttemptId, Event as ModuleEvent, Listing, Micros, Note, Outcome as Fate, Reason};
 use reedring_drmaa::End;
 use reedring_drmaa::info::signal_name;
 use reedring_node_protocol::{self as wire, AcceptorReport, Held, HeldState, Message, Topic};
@@ -12,7 +12,8 @@
 use crate::constrain::News;
 use crate::core::Core;
 use crate::decide::{self, Known, LateCopy, Loss, Standing, Verdict};
-use crate::io::{Level, Output};
+use crate::event::Event;
+use crate::io::Output;
 use crate::jobs::{Attempt, Ending, Job, JobName, JobNo, NodeNo, Outcome, Phase};
 use crate::links::{Link, Relink};
 use crate::timers::Timer;
@@ -22,20 +23,18 @@
 
     pub(crate) fn listed(&mut self, now: Micros, list: NodeList) {
         if list.revision < self.list_revision {
-            let (told, known) = (list.revision, self.list_revision);
-            let line = format!(
-                "the node list goes back from revision {known} to {told}; the newer one holds"
-            );
-            return self.log(Level::Warn, line);
+            return self.log(Event::NodeListOutdated {
+                revision: list.revision,
+                known_revision: self.list_revision,
+            });
         }
         self.list_revision = list.revision;
         let (relinks, clashes) = self.nodes.list(list.nodes);
         self.constrain.listed(&self.nodes);
         self.holds_listed();
         self.recheck_waiting(now);
-        for name in clashes {
-            let line = format!("node {name}: its name can't be told from another's; rename it");
-            self.log(Level::Warn, line);
+        for node in clashes {
+            self.log(Event::NodeNameCollision { node });
         }
         for relink in relinks {
             match relink {
@@ -64,20 +63,22 @@
             let Some(job) = self.ledger.jobs.get(&job) else {
                 continue;
             };
-            let line = match mended {
-                None => format!(
-                    "job {}: `{}` no longer holds; {}",
-                    job.name, breach.text, breach.mends
-                ),
+            let (job, clause) = (job.name.to_string(), breach.text);
+            self.log(match mended {
+                None => Event::ConstraintViolated {
+                    job,
+                    clause,
+                    remedy: breach.mends,
+                },
                 Some(since) => {
-                    let after = now.saturating_sub(since) as f64 / 1e6;
-                    format!(
-                        "job {}: `{}` holds again after {after:.1} s",
-                        job.name, breach.text
-                    )
+                    let violated_us = now.saturating_sub(since);
+                    Event::ConstraintRestored {
+                        job,
+                        clause,
+                        violated_us,
+                    }
                 }
-            };
-            self.log(Level::Warn, line);
+            });
         }
     }
 
@@ -88,7 +89,8 @@
                 .iter()
                 .filter_map(|line| self.nodes.of_machine(line.id))
                 .collect();
-            self.events.push(Event::Listed(Listing::Changes(news)));
+            self.events
+                .push(ModuleEvent::Listed(Listing::Changes(news)));
             told.into_iter().for_each(|number| self.recall(number));
         }
     }
@@ -143,7 +145,7 @@
             .line(now, self.born(), number, &self.settings.site)
         {
             self.events
-                .push(Event::Listed(Listing::Changes(vec![line])));
+                .push(ModuleEvent::Listed(Listing::Changes(vec![line])));
         }
         self.recall(number);
     }
@@ -163,11 +165,12 @@
             return;
         };
         if called != name {
-            let line = format!(
-                "node {name}: {} answers as `{called}`; mend the list or the node",
-                node.address
-            );
-            self.log(Level::Warn, line);
+            let event = Event::NodeNameMismatch {
+                node: name.to_owned(),
+                address: node.address,
+                reported: called.to_owned(),
+            };
+            self.log(event);
             self.disconnect(number);
             return self.tell_line(now, number);
         }
@@ -212,7 +215,10 @@
                 .set(now + lost, Timer::LinkLost { node: number, link });
         }
         if !quiet {
-            self.log(Level::Warn, format!("node {name}: {why}"));
+            self.log(Event::NodeDisconnected {
+                node: name.to_owned(),
+                reason: why.to_owned(),
+            });
         }
         self.tell_line(now, number);
     }
@@ -429,15 +435,14 @@
             }
             None => match self.job_of_former_life(now, task) {
                 Ok(job) => job,
-                Err(why) => {
-                    let name = self.node_name(number);
-                    self.log(
-                        Level::Warn,
-                        format!(
-                            "node {name} holds job {}, which can't be taken up: {why}",
-                            task.job
-                        ),
-                    );
+                Err(reason) => {
+                    let (node, job) = (self.node_name(number), task.job.clone());
+                    self.log(Event::AttemptNotAdopted {
+                        node,
+                        job,
+                        attempt,
+                        reason,
+                    });
                     return false;
                 }
             },
@@ -450,7 +455,7 @@
         let Some(task) = self.module_task(job, request) else {
             return false;
         };
-        self.events.push(Event::Adopted { task, machine });
+        self.events.push(ModuleEvent::Adopted { task, machine });
         let known = Known::Accepted;
         let Some(topics) = self
             .ledger
@@ -608,18 +613,18 @@
         self.constrain.answered(id.request);
         self.holds.answered(id.request);
         if told {
-            self.events.push(Event::Placed {
+            self.events.push(ModuleEvent::Placed {
                 attempt: id,
                 machine,
                 took_us,
             });
         } else if let Some(task) = self.module_task(job, id.request) {
             // A former life offered it.
-            self.events.push(Event::Adopted { task, machine });
+            self.events.push(ModuleEvent::Adopted { task, machine });
         }
         self.recovered(job);
         if !report.is_empty() {
-            self.events.push(Event::Probed {
+            self.events.push(ModuleEvent::Probed {
                 machine,
                 answered: true,
                 took_us,
@@ -743,7 +748,7 @@
             Topic::Served => Note::Served(amount),
             Topic::Pressure => Note::Pressure(amount),
         };
-        self.events.push(Event::TaskSignal {
+        self.events.push(ModuleEvent::TaskSignal {
             attempt: id,
             machine,
             note,
--- a/crates/core/tests/agree.rs
+++ b/crates/core/tests/agree.rs
@@ -2,6 +2,8 @@
 
 mod plans;
 
+use reedring_core::event::Event;
+
 use plans::{MS, World, settings};
 
 const SECOND: u64 = 1_000 * MS;
@@ -28,9 +30,10 @@
         assert!(done < from + 120 * SECOND);
         assert!(
             world
-                .lines
+                .events
                 .iter()
-                .all(|(_, line)| !line.contains("no majority") || line.contains("plans"))
+                .filter(|(_, event)| event.to_string().contains("no majority"))
+                .all(|(_, event)| matches!(event, Event::DispatchSuspended { .. }))
         );
     }
 }
@@ -64,13 +67,9 @@
             "{force:?}"
         );
         let told = (0..4).filter(|placer| {
-            let last = world
-                .lines
-                .iter()
-                .rev()
-                .find(|(of, line)| of == placer && line.starts_with("plans:"));
-            last.is_some_and(|(_, line)| line.contains("is not the one in force"))
+            let last = world.last_configuration_message(*placer);
+            last.contains("is not the committed one")
         });
-        assert_eq!(told.count(), 2, "{:#?}", world.lines);
+        assert_eq!(told.count(), 2, "{:#?}", world.events);
     }
 }
--- a/crates/core/tests/changes.rs
+++ b/crates/core/tests/changes.rs
@@ -5,6 +5,7 @@
 
 use plans::{MS, SETTINGS, World, settings, settings_of_teams};
 use reedring_core::Input;
+use reedring_core::event::Event;
 use reedring_node_protocol::{ConfigRequest, Delta, Message, encode};
 use reedring_settings::Settings;
 
@@ -90,26 +91,21 @@
 
 /// Numbers of the plans that a placer told that it acts by, in order.
 fn acted_by(world: &World, placer: usize) -> Vec<u64> {
-    let lines = world.lines.iter().filter(|(of, _)| *of == placer);
-    let number = |line: &String| {
-        line.strip_prefix("plans: acts by plan ")?
-            .split('/')
-            .next()?
-            .parse()
-            .ok()
+    let number = |(of, event): &(usize, Event)| match event {
+        Event::ConfigurationActive { config_version, .. } if *of == placer => {
+            Some(config_version.number)
+        }
+        _ => None,
     };
-    let mut numbers: Vec<u64> = lines.filter_map(|(_, line)| number(line)).collect();
+    let mut numbers: Vec<u64> = world.events.iter().filter_map(number).collect();
     numbers.dedup();
     numbers
 }
 
-fn last_line(world: &World, placer: usize) -> &str {
+fn last_message(world: &World, placer: usize) -> String {
     world
-        .lines
-        .iter()
-        .rev()
-        .find(|(of, _)| *of == placer)
-        .map_or("", |(_, line)| line.as_str())
+        .last_event(placer)
+        .map_or(String::new(), Event::to_string)
 }
 
 /// One file after another, at placers in turn: every plan is in force everywhere, once and in order, without a restart.
@@ -234,9 +230,9 @@
     );
     world.turn(1);
     assert!(
-        last_line(&world, 1).contains("what comes of the delta"),
+        last_message(&world, 1).contains("what comes of the delta"),
         "{}",
-        last_line(&world, 1)
+        last_message(&world, 1)
     );
     world.records = true;
     world.change_file(0, settings_of_teams(2, PLACERS, &teams(2)));
@@ -259,17 +255,17 @@
     world.change_file(0, settings_of_teams(2, PLACERS, &teams(2)));
     world.until_all(2, 5 * SECOND).expect("in force");
     for (number, teams_of, wanted) in [
-        (1, 0, "is not the one in force"),
-        (2, 70, "is not the one in force"),
+        (1, 0, "is not the committed one"),
+        (2, 70, "is not the committed one"),
         (4, 4, "does not follow plan 2"),
         (9, 4, "it waits for plan 3, or is to be numbered so"),
     ] {
         world.change_file(0, settings_of_teams(number, PLACERS, &teams(teams_of)));
         world.until_all(99, 2 * SECOND);
         assert!(
-            last_line(&world, 0).contains(wanted),
+            last_message(&world, 0).contains(wanted),
             "{number}: {}",
-            last_line(&world, 0)
+            last_message(&world, 0)
         );
         assert!(
             world.acts.iter().all(|(plan, _)| *plan == 2),
@@ -280,9 +276,9 @@
     world.change_file(0, settings_of_teams(3, PLACERS - 1, &teams(3)));
     world.until_all(99, 2 * SECOND);
     assert!(
-        last_line(&world, 0).contains("site.placers"),
+        last_message(&world, 0).contains("site.placers"),
         "{}",
-        last_line(&world, 0)
+        last_message(&world, 0)
     );
     world.change_file(0, settings_of_teams(3, PLACERS, &teams(3)));
     world
@@ -305,15 +301,17 @@
     world.change_file(1, with(2, own));
     world.until_all(2, 5 * SECOND).expect("in force");
     world.change_file(1, with(3, own));
-    let told: Vec<&str> = world
-        .lines
+    let told: Vec<&Event> = world
+        .events
         .iter()
-        .filter(|(_, line)| line.contains("needs a restart"))
-        .map(|(_, line)| line.as_str())
+        .map(|(_, event)| event)
+        .filter(|event| matches!(event, Event::SettingsRestartRequired { .. }))
         .collect();
     assert_eq!(
         told,
-        ["settings: [limits], [links] changed, which needs a restart; the old holds"]
+        [&Event::SettingsRestartRequired {
+            tables: vec!["limits", "links"]
+        }]
     );
     // One that tells no plan takes up none.
     let mut world = World::new(0, NODES);
@@ -324,11 +322,11 @@
     world.until_all(9, SECOND);
     assert!(
         world
-            .lines
+            .events
             .iter()
-            .any(|(_, line)| line.contains("takes up nothing")),
+            .any(|(_, event)| *event == Event::SettingsChangeIgnored),
         "{:?}",
-        world.lines
+        world.events
     );
     assert!(
         world
--- a/crates/core/tests/control.rs
+++ b/crates/core/tests/control.rs
@@ -20,9 +20,11 @@
     world.until_all(9, 2 * SECOND);
     for placer in 0..world.cores.len() {
         assert!(
-            last_plan_line(world, placer).contains("acts by plan 1"),
+            world
+                .last_configuration_message(placer)
+                .contains("active configuration: 1/"),
             "{:#?}",
-            world.lines
+            world.events
         );
     }
 }
@@ -76,15 +78,6 @@
     );
 }
 
-fn last_plan_line(world: &World, placer: usize) -> &str {
-    let mut lines = world
-        .lines
-        .iter()
-        .rev()
-        .filter(|(of, line)| *of == placer && line.starts_with("plans:"));
-    lines.next().map_or("", |(_, line)| line)
-}
-
 /// Learners that are heard are no majority, and voters that are heard are one.
 #[test]
 fn placers_stop_after_their_lease_without_most_voters_and_come_back_by_themselves() {
@@ -94,28 +87,38 @@
     world.until_all(9, 60 * SECOND);
     (0..2).for_each(|placer| {
         assert!(
-            last_plan_line(&world, placer).contains("acts by plan 1"),
+            world
+                .last_configuration_message(placer)
+                .contains("active configuration: 1/"),
             "two of five: {:#?}",
-            world.lines
+            world.events
         )
     });
     world.cut_off.insert(2);
     world.until_all(9, 15 * SECOND);
     (0..2).for_each(|placer| {
         assert!(
-            last_plan_line(&world, placer).contains("acts by plan 1"),
+            world
+                .last_configuration_message(placer)
+                .contains("active configuration: 1/"),
             "its lease runs"
         )
     });
     world.until_all(9, 25 * SECOND);
     (0..2).for_each(|placer| {
-        assert!(last_plan_line(&world, placer).contains("sends nothing: no majority"))
+        assert!(
+            world
+                .last_configuration_message(placer)
+                .contains("dispatch is suspended: no majority")
+        )
     });
     world.cut_off.clear();
     world.until_all(9, 2 * SECOND);
     (0..2).for_each(|placer| {
         assert!(
-            last_plan_line(&world, placer).contains("acts by plan 1"),
+            world
+                .last_configuration_message(placer)
+                .contains("active configuration: 1/"),
             "one round"
         )
     });
@@ -280,7 +283,7 @@
     world.start(0, settings(2, 3), 2);
     let done = world
         .until_all(2, 60 * SECOND)
-        .unwrap_or_else(|| panic!("{:#?}", world.lines));
+        .unwrap_or_else(|| panic!("{:#?}", world.events));
     assert!(done - from < SECOND, "{} ms", (done - from) / MS);
     world.until_all(9, SECOND);
     let force: Vec<u64> = world
@@ -292,9 +295,11 @@
     // Those that do not vote are no majority either.
     world.cut_off.extend([0, 1]);
     world.until_all(9, 40 * SECOND);
-    assert!(
-        (0..3).all(|placer| last_plan_line(&world, placer).contains("sends nothing: no majority"))
-    );
+    assert!((0..3).all(|placer| {
+        world
+            .last_configuration_message(placer)
+            .contains("dispatch is suspended: no majority")
+    }));
 }
 
 /// The unsafe order: machines that never kept a plan are marked. They are taught the one in force, and vote for nothing
@@ -330,7 +335,7 @@
     world.start(0, settings(2, 1), 2);
     world
         .until_all(2, 30 * SECOND)
-        .unwrap_or_else(|| panic!("{:#?}", world.lines));
+        .unwrap_or_else(|| panic!("{:#?}", world.events));
     world.until_all(9, SECOND);
     submit(&mut world, 1, "");
     world.until_all(9, SECOND);
@@ -338,7 +343,7 @@
     (0..3).for_each(|n| world.replace_node(n, 2));
     world.start(0, settings(1, 1), 3);
     world.until_all(9, 60 * SECOND);
-    let line = last_plan_line(&world, 0);
+    let line = world.last_configuration_message(0);
     assert!(
         line.contains("plan.number: learners know of plan 2/"),
         "{line}"
--- a/crates/core/tests/plans/mod.rs
+++ b/crates/core/tests/plans/mod.rs
@@ -5,6 +5,7 @@
 
 use rand_core::Rng;
 use rand_pcg::Pcg32;
+use reedring_core::event::Event;
 use reedring_core::{Core, Input, Output, Start, first_stamp};
 use reedring_node_protocol::{ConfigRequest, Message};
 use reedring_node_simulator::{Config, Effect, Groups, Keep, Node};
@@ -81,8 +82,8 @@
     draw: Pcg32,
     /// How far ahead each placer's clock is, in microseconds.
     pub ahead: BTreeMap<usize, u64>,
-    /// Lines for the staff, by placer.
-    pub lines: Vec<(usize, String)>,
+    /// What operators were told, by placer.
+    pub events: Vec<(usize, Event)>,
     /// Since when each placer acts by this plan alone.
     pub acts: Vec<(u64, u64)>,
     /// The life of each placer: its links' numbers end in it.
@@ -137,7 +138,7 @@
             nodes: (0..nodes).map(node).collect(),
             groups: Groups::default(),
             ahead: BTreeMap::new(),
-            lines: Vec::new(),
+            events: Vec::new(),
             queue: BTreeMap::new(),
             last: BTreeMap::new(),
             made: 0,
@@ -170,6 +171,32 @@
         self.now + self.ahead.get(&placer).copied().unwrap_or(0)
     }
 
+    /// What a placer's operators were told last.
+    pub fn last_event(&self, placer: usize) -> Option<&Event> {
+        let mut told = self.events.iter().rev().filter(|(of, _)| *of == placer);
+        told.next().map(|(_, event)| event)
+    }
+
+    /// The last message of a placer about configurations.
+    pub fn last_configuration_message(&self, placer: usize) -> String {
+        let about = |event: &Event| {
+            matches!(
+                event,
+                Event::ConfigurationTextInvalid { .. }
+                    | Event::ConfigurationDeltaInvalid { .. }
+                    | Event::ConfigurationUnsupported { .. }
+                    | Event::DispatchSuspended { .. }
+                    | Event::PlacerFenced { .. }
+                    | Event::ConfigurationFirst { .. }
+                    | Event::ConfigurationJoint { .. }
+                    | Event::ConfigurationActive { .. }
+            )
+        };
+        let mut told = self.events.iter().rev();
+        let last = told.find(|(of, event)| *of == placer && about(event));
+        last.map_or(String::new(), |(_, event)| event.to_string())
+    }
+
     /// When a placer wants to be woken, by the world's clock.
     fn wakes(&self, placer: usize) -> Option<u64> {
         let ahead = self.ahead.get(&placer).copied().unwrap_or(0);
@@ -324,7 +351,7 @@
                         .expect("its number");
                     self.send(Due::AtNode(placer, n, message));
                 }
-                Output::Log { line, .. } => self.lines.push((placer, line)),
+                Output::Event(event) => self.events.push((placer, event)),
                 Output::Acts(stamp)
                     if !stamp.joint && self.acts[placer].0 != stamp.version.number =>
                 {
--- a/crates/core/tests/quiet.rs
+++ b/crates/core/tests/quiet.rs
@@ -4,8 +4,10 @@
 mod plans;
 
 use plans::{MS, World};
+use reedring_core::event::Event;
 use reedring_core::{Input, Output};
 use reedring_node_protocol::{ConfigRequest, Message};
+use reedring_plan::SuspendReason;
 
 const SECOND: u64 = 1_000 * MS;
 
@@ -16,7 +18,7 @@
     assert_eq!(
         world.acts[0].0, 1,
         "it acts by the first plan: {:?}",
-        world.lines
+        world.events
     );
     let before = world.messages;
     for _ in 0..12 {
@@ -28,7 +30,7 @@
         world.messages > before,
         "a heartbeat; {:?} {:?}",
         world.cores[0].next_wake(),
-        world.lines
+        world.events
     );
     world.until_all(9, SECOND);
     world
@@ -158,9 +160,9 @@
     let mut acts = false;
     while world.now < end && !acts {
         world.now += 10 * MS;
-        acts = outputs(&mut world).iter().any(
-            |output| matches!(output, Output::Log { line, .. } if line.starts_with("plans: acts by plan")),
-        );
+        acts = outputs(&mut world)
+            .iter()
+            .any(|output| matches!(output, Output::Event(Event::ConfigurationActive { .. })));
     }
     assert!(acts, "it acts again");
 }
@@ -188,7 +190,15 @@
             .next_wake()
             .expect("a look")
             .max(world.now + MS);
-        let stops = |output: &Output| matches!(output, Output::Log { line, .. } if line.contains("no majority"));
+        let stops = |output: &Output| {
+            matches!(
+                output,
+                Output::Event(Event::DispatchSuspended {
+                    reason: SuspendReason::NoMajority,
+                    ..
+                })
+            )
+        };
         stopped = outputs(&mut world).iter().any(stops).then_some(world.now);
     }
     assert_eq!(stopped, Some(heard + LEASE));
--- a/crates/core/tests/reconnect.rs
+++ b/crates/core/tests/reconnect.rs
@@ -2,8 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use reedring_core::event::Event;
 use reedring_core::reconnect::{
-    FIRST_WAIT, Failure, LAST_WAIT, LinkId, News, PLACER_BURST, PLACER_RATE, ReconnectPacing,
+    FIRST_WAIT, Failure, LAST_WAIT, LinkId, PLACER_BURST, PLACER_RATE, ReconnectPacing,
     SWEEP_BURST, SWEEP_RATE, SWEEP_WASTE_RATE, ZONE_BURST, ZONE_RATE,
 };
 
@@ -24,7 +25,7 @@
     ends: BTreeSet<(u64, LinkId)>,
     /// Every try.
     tries: Vec<(u64, LinkId)>,
-    news: Vec<(u64, News)>,
+    events: Vec<(u64, Event)>,
 }
 
 impl Fleet {
@@ -41,7 +42,7 @@
         }
         let up: BTreeSet<LinkId> = zone_of.keys().copied().collect();
         let (standing, ends) = (up.clone(), BTreeSet::new());
-        let (tries, news) = (Vec::new(), Vec::new());
+        let (tries, events) = (Vec::new(), Vec::new());
         Self {
             now: SECOND,
             pacing,
@@ -51,7 +52,7 @@
             silence: MS,
             ends,
             tries,
-            news,
+            events,
         }
     }
 
@@ -113,8 +114,8 @@
             };
             self.ends.insert((self.now + takes, id));
         }
-        while let Some(news) = self.pacing.news() {
-            self.news.push((self.now, news));
+        while let Some(event) = self.pacing.next_event() {
+            self.events.push((self.now, event));
         }
         assert!(
             self.pacing.next_wake().is_none_or(|at| at > self.now),
@@ -193,7 +194,7 @@
     assert!(tries.len() >= 9, "{tries:?}");
     fleet.up.insert(id);
     assert!(fleet.until_heard(3 * SECOND).unwrap() <= LAST_WAIT + 2 * MS);
-    assert_eq!(fleet.news, []);
+    assert_eq!(fleet.events, []);
     // It begins anew.
     let from = fleet.now;
     fleet.down(&[id]);
@@ -263,17 +264,21 @@
     fleet.up_zone(0);
     fleet.until_heard(10 * SECOND).unwrap();
     fleet.run(60 * SECOND);
-    let zone: std::sync::Arc<str> = "zone-0".into();
-    let told: Vec<News> = fleet.news.iter().map(|(_, news)| news.clone()).collect();
+    let zone = "zone-0".to_owned();
+    let told: Vec<Event> = fleet
+        .events
+        .iter()
+        .map(|(_, event)| event.clone())
+        .collect();
     assert_eq!(
         told,
         [
-            News::Slowed {
+            Event::ZoneReconnectsLimited {
                 zone: zone.clone(),
                 silent: 168,
-                of: 168
+                nodes: 168
             },
-            News::Resumed { zone, silent: 6 }
+            Event::ZoneReconnectsRestored { zone, silent: 6 }
         ]
     );
 }
@@ -567,7 +572,7 @@
             let most = fleet.most_a_second(later, |id| fleet.zone_of[&id] == zone) as u64;
             assert!(most <= ZONE_RATE + 1, "zone {zone}: {most} a second");
         }
-        assert_eq!(fleet.news.len(), 31, "each zone is told of once");
+        assert_eq!(fleet.events.len(), 31, "each zone is told of once");
         let from = fleet.now;
         (0..31).for_each(|zone| fleet.up_zone(zone));
         let took = fleet.until_heard(60 * SECOND).expect("all are heard again");
@@ -577,7 +582,7 @@
             most <= SWEEP_RATE + SWEEP_BURST + PLACER_RATE + PLACER_BURST,
             "{most} a second"
         );
-        assert_eq!(fleet.news.len(), 62);
+        assert_eq!(fleet.events.len(), 62);
     }
 }
 
--- a/crates/core/tests/restart.rs
+++ b/crates/core/tests/restart.rs
@@ -287,7 +287,7 @@
     world.wait_for(300);
     judge(&world);
     assert!(world.offers_to_others("").iter().all(|n| *n == 1));
-    assert_eq!(world.logged("still drained by an operator"), 1);
+    assert_eq!(world.logged("node_still_drained"), 1);
 }
 
 /// As configured, tasks that must not start twice are taken with a warning or not at all.
@@ -302,10 +302,7 @@
         world.disk().full(true);
         let call = world.submit("unsafe", 1, 50);
         world.run_for(20 * MS);
-        assert_eq!(
-            world.logged("nothing is kept over a restart until it is mended"),
-            1
-        );
+        assert_eq!(world.logged("state_write_failed"), 1);
         let job = format!("s.{call}.1");
         assert_eq!(world.taken.contains(&job), taken);
         assert_eq!(world.warned.contains(&job), taken);
@@ -318,7 +315,7 @@
         world.errors.clear();
         world.disk().full(false);
         world.wait_for(100);
-        assert_eq!(world.logged("everything is kept anew"), 1);
+        assert_eq!(world.logged("state_write_restored"), 1);
         // What was taken meanwhile is kept now, too.
         world.submit("unsafe", 3, 300);
         world.run_for(100 * MS);
@@ -418,7 +415,7 @@
     world.submit("safe", 2, 50);
     world.submit("unsafe", 2, 50);
     world.wait_for(200);
-    assert_eq!(world.logged("this placer keeps nothing over a restart"), 1);
+    assert_eq!(world.logged("state_unavailable"), 1);
     assert_eq!((world.told.len(), world.warned.len()), (2, 2));
     assert!(
         world.errors.len() == 1 && world.errors[0].contains("must not start twice"),
--- a/crates/core/tests/simulation.rs
+++ b/crates/core/tests/simulation.rs
@@ -406,13 +406,16 @@
     let hall = world.list[1].hall.clone();
     world.list[1].hall = world.list[0].hall.clone();
     world.list(1, Health::Ready);
-    assert_eq!(world.logged("no longer holds"), 2);
+    assert_eq!(world.logged("constraint_violated"), 2);
     world.list(1, Health::Ready);
-    assert_eq!(world.logged("no longer holds"), 2);
+    assert_eq!(world.logged("constraint_violated"), 2);
     world.list[1].hall = hall;
     world.list(1, Health::Ready);
     assert_eq!(
-        (world.logged("no longer holds"), world.logged("holds again")),
+        (
+            world.logged("constraint_violated"),
+            world.logged("constraint_restored")
+        ),
         (2, 2)
     );
 }
@@ -431,11 +434,14 @@
     );
     world.run_for(300 * MS);
     world.list(1, Health::Gone);
-    assert_eq!(world.logged("no longer holds"), 1);
+    assert_eq!(world.logged("constraint_violated"), 1);
     world.run_for(100 * MS);
     world.list(1, Health::Ready);
     assert_eq!(
-        (world.logged("no longer holds"), world.logged("holds again")),
+        (
+            world.logged("constraint_violated"),
+            world.logged("constraint_restored")
+        ),
         (1, 1)
     );
 }
--- a/crates/core/tests/world/mod.rs
+++ b/crates/core/tests/world/mod.rs
@@ -9,6 +9,7 @@
 use rand_core::Rng;
 use rand_pcg::Pcg32;
 use reedring_constraint::{Census, Compiled, Constraint, Fleet, Line, Own};
+use reedring_core::event::Event;
 use reedring_core::{Core, Input, Output, Restored, Start};
 use reedring_drmaa::rpc::{Answer, Call, CallKey, Range, Response};
 use reedring_drmaa::{JobInfo, JobSpec};
@@ -148,8 +149,8 @@
     apart: BTreeSet<usize>,
     /// Links that the core asked for.
     pub connects: usize,
-    /// What the placer told the staff.
-    lines: Vec<String>,
+    /// What operators were told.
+    events: Vec<Event>,
     /// Every offer: its job, and the node.
     sent: Vec<(String, usize)>,
     /// Offers to nodes whose link had ended, of which the placer is not told.
@@ -226,7 +227,7 @@
             unlisted: BTreeSet::new(),
             apart: BTreeSet::new(),
             connects: 0,
-            lines: Vec::new(),
+            events: Vec::new(),
             sent: Vec::new(),
             known: BTreeMap::new(),
             unwritten: Vec::new(),
@@ -778,7 +779,7 @@
             Output::MoveZone { .. } => digest.add("zone changed", now, &[]),
             Output::Settings(_) => digest.add("settings", now, &[]),
             Output::ShutOut(_) => digest.add("fenced", now, &[]),
-            Output::Log { .. } => {}
+            Output::Event(_) => {}
         }
     }
 
@@ -848,15 +849,16 @@
             | Output::Acts(_)
             | Output::Settings(_)
             | Output::ShutOut(_) => {}
-            Output::Log { line, .. } => self.lines.push(line),
+            Output::Event(event) => self.events.push(event),
         }
     }
 
-    /// Lines for the staff that say so.
-    pub fn logged(&self, words: &str) -> usize {
-        self.lines
+    /// How many events of this name operators were told.
+    pub fn logged(&self, name: &str) -> usize {
+        assert!(Event::NAMES.contains(&name), "no event is called {name}");
+        self.events
             .iter()
-            .filter(|line| line.contains(words))
+            .filter(|event| event.name() == name)
             .count()
     }
 
--- a/crates/placer/src/lib.rs
+++ b/crates/placer/src/lib.rs
@@ -7,6 +7,7 @@
 
 mod clients;
 mod links;
+mod log_events;
 mod pacing;
 mod run;
 mod settings_file;
--- /dev/null
+++ b/crates/placer/src/log_events.rs
@@ -0,0 +1,40 @@
+//! Records the events of the core as `tracing` events: the event's name and fields beside its message.
+
+use reedring_core::event::{Event, Level};
+
+/// Records an event of this placer.
+pub(crate) fn record(placer: &str, logged: &Event) {
+    let (event, node, zone, job) = (logged.name(), logged.node(), logged.zone(), logged.job());
+    let attempt = logged
+        .attempt()
+        .map(|id| format!("{}.{}.{}", id.life, id.request, id.number));
+    let attempt = attempt.as_deref();
+    let config_version = logged.config_version().map(|version| version.to_string());
+    let config_version = config_version.as_deref();
+    match logged.level() {
+        Level::Warn => {
+            tracing::warn!(
+                placer,
+                event,
+                node,
+                zone,
+                job,
+                attempt,
+                config_version,
+                "{logged}"
+            );
+        }
+        Level::Info => {
+            tracing::info!(
+                placer,
+                event,
+                node,
+                zone,
+                job,
+                attempt,
+                config_version,
+                "{logged}"
+            );
+        }
+    }
+}
--- a/crates/placer/src/pacing.rs
+++ b/crates/placer/src/pacing.rs
@@ -4,9 +4,11 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use reedring_core::reconnect::{Failure, LinkId, News, ReconnectPacing};
+use reedring_core::reconnect::{Failure, LinkId, ReconnectPacing};
 use tokio::sync::Notify;
 
+use crate::log_events;
+
 /// Lets links try again, at the rates of `reedring_core::reconnect`.
 pub(crate) struct Pacer {
     /// The placer, for log lines.
@@ -92,26 +94,12 @@
                 turn.notify_one();
             }
         }
-        while let Some(news) = state.pacing.news() {
-            self.tell(&news);
+        while let Some(event) = state.pacing.next_event() {
+            log_events::record(&self.placer, &event);
         }
         let wake = state.pacing.next_wake()?;
         Some(Duration::from_micros(wake.saturating_sub(now)))
     }
-
-    fn tell(&self, news: &News) {
-        let placer = &self.placer;
-        match news {
-            News::Slowed { zone, silent, of } => tracing::warn!(
-                placer,
-                "zone `{zone}`: {silent} of {of} nodes are silent; they are tried slowly, and all once one answers"
-            ),
-            News::Resumed { zone, silent } => tracing::info!(
-                placer,
-                "zone `{zone}`: it answers again, {silent} nodes are silent; each is tried by itself"
-            ),
-        }
-    }
 }
 
 /// One link's side of the pacing.
--- a/crates/placer/src/run.rs
+++ b/crates/placer/src/run.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use reedring_audit::{Event, Recorder};
-use reedring_core::{Core, Input, Level, Output, Start};
+use reedring_core::{Core, Input, Output, Start};
 use reedring_node_protocol::{PeerTraffic, VersionStamp};
 use reedring_settings::{Address, Settings};
 use tokio::net::{TcpListener, UnixListener};
@@ -18,6 +18,7 @@
 
 use crate::clients::{self, Came, Clients, Listener};
 use crate::links::Links;
+use crate::log_events;
 use crate::settings_file::{FileUpdate, SettingsFile};
 use crate::source::{NodeSource, Update};
 use crate::state::{Folder, StateError, Writer};
@@ -530,14 +531,7 @@
                 }
             }
             Output::ShutOut(shut_out) => self.shut_out.store(shut_out, Ordering::Relaxed),
-            Output::Log {
-                level: Level::Warn,
-                line,
-            } => tracing::warn!(placer = self.shared.name, "{line}"),
-            Output::Log {
-                level: Level::Info,
-                line,
-            } => tracing::info!(placer = self.shared.name, "{line}"),
+            Output::Event(event) => log_events::record(&self.shared.name, &event),
         }
     }
 }
--- a/crates/system-tests/src/scale/changes.rs
+++ b/crates/system-tests/src/scale/changes.rs
@@ -96,7 +96,7 @@
         self.cluster.plan += 1;
         self.cluster.kill_placer(MAKER);
         self.cluster.start_placer(MAKER)?;
-        let heard = format!("plan {}/", self.cluster.plan);
+        let heard = format!("configuration: {}/", self.cluster.plan);
         self.cluster.wait_said(&self.followers[..1], &heard)?;
         self.cluster.kill_placer(MAKER);
         self.cluster.wait_in_force()?;
--- a/crates/system-tests/src/scale/cluster/placers.rs
+++ b/crates/system-tests/src/scale/cluster/placers.rs
@@ -113,7 +113,7 @@
     /// Where one does not in time.
     pub fn wait_in_force(&self) -> Result<(), ScaleError> {
         let all: Vec<usize> = (0..self.placers.len()).collect();
-        self.wait_said(&all, &format!("plans: acts by plan {}/", self.plan))
+        self.wait_said(&all, &format!("active configuration: {}/", self.plan))
     }
 
     /// The nodes as a placer sees them.
--- a/crates/system-tests/src/versions.rs
+++ b/crates/system-tests/src/versions.rs
@@ -213,7 +213,7 @@
     number: u64,
     within: Duration,
 ) -> Result<(), TrialError> {
-    let wanted = format!("plans: acts by plan {number}/");
+    let wanted = format!("active configuration: {number}/");
     fleet
         .wait_placer(placer, from, within, |line| line.contains(&wanted))
         .map(drop)
--- a/crates/system-tests/tests/changes.rs
+++ b/crates/system-tests/tests/changes.rs
@@ -49,7 +49,7 @@
 /// Numbers of the plans that a placer's life told that it acts by, in their order.
 fn acted_by(fleet: &Fleet, placer: &str) -> Vec<u64> {
     let number = |line: &String| {
-        line.split("plans: acts by plan ")
+        line.split("active configuration: ")
             .nth(1)?
             .split('/')
             .next()?
@@ -172,7 +172,8 @@
     let wrong = changed(8).replace("team-3-8", "team-3-other");
     fleet.rewrite_settings("placer-2", &wrong).unwrap();
     let line = |line: &str| {
-        line.contains("of its file is not the one in force") && line.contains("plan 8/")
+        line.contains("of the settings file is not the committed one")
+            && line.contains("configuration 8/")
     };
     fleet.wait_placer("placer-2", 0, AIM, line).unwrap();
     fleet.rewrite_settings("placer-2", &changed(11)).unwrap();
--- a/crates/system-tests/tests/versions.rs
+++ b/crates/system-tests/tests/versions.rs
@@ -114,7 +114,7 @@
     acts_by(&fleet, "placer-2", from[1].1, 2, SETTLES).unwrap();
     let line = fleet
         .wait_placer("placer-3", 0, SETTLES, |line| {
-            line.contains("plans: shut out")
+            line.contains("this placer is fenced")
         })
         .unwrap();
     assert!(line.contains("pinned"), "{line}");
@@ -193,7 +193,7 @@
     fleet.add_placer("placer-1", None).unwrap();
     fleet
         .wait_placer("placer-1", 0, SETTLES, |line| {
-            line.contains("plans: most nodes keep none")
+            line.contains("most nodes store none")
         })
         .unwrap();
     let outcomes = all_told(vec![
@@ -280,7 +280,7 @@
     said(&fleet, "placer-1", 0, "site.placers: plan 2");
     let mark = fleet.placer("placer-2").unwrap().mark();
     fleet.tell_list_of("placer-2", 0).unwrap();
-    said(&fleet, "placer-2", mark, "goes back from revision");
+    said(&fleet, "placer-2", mark, "node list ignored");
     let stands = Load::start(&fleet.contact("placer-2"), &["edition"], 3, 3_000, None).unwrap();
     let from = marks(&fleet);
     let without = settings(2, 3);
@@ -360,7 +360,7 @@
     fleet.start_placer("placer-2").unwrap();
     fleet
         .wait_placer("placer-2", 0, SETTLES, |line| {
-            line.contains("keeps nothing over a restart")
+            line.contains("nothing is persisted across a restart")
         })
         .unwrap();
     acts_by(&fleet, "placer-2", 0, 1, SETTLES).unwrap();
