--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -449,7 +449,7 @@
                         Ending {
                             end,
                             reason,
-                            stay_away_us: None,
+                            retry_after_us: None,
                         },
                     );
                 }
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -510,7 +510,7 @@
             Ending {
                 end: End::Aborted,
                 reason: Some(reason),
-                stay_away_us,
+                retry_after_us: stay_away_us,
             },
         );
     }
@@ -669,7 +669,7 @@
                         Ending {
                             end,
                             reason,
-                            stay_away_us: None,
+                            retry_after_us: None,
                         },
                     );
                 }
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -227,7 +227,7 @@
         }
         tell(
             "reedring.outcome",
-            self.outcome.unwrap_or(Outcome::Failed).word().to_owned(),
+            self.outcome.unwrap_or(Outcome::Failed).as_str().to_owned(),
         );
         tell("reedring.attempts", self.tries.to_string());
         node.into_iter()
@@ -239,7 +239,7 @@
         self.broken
             .iter()
             .for_each(|broken| tell("reedring.broken", broken.clone()));
-        if let Some(us) = ending.stay_away_us {
+        if let Some(us) = ending.retry_after_us {
             tell("reedring.stay_away_ms", (us / 1_000).to_string());
         }
         Some(JobInfo {
@@ -253,7 +253,7 @@
         JobLine {
             job: self.name.to_string(),
             state: self.state(),
-            outcome: self.outcome.map(|outcome| outcome.word().to_owned()),
+            outcome: self.outcome.map(|outcome| outcome.as_str().to_owned()),
             class: settings.classes[usize::from(self.ask.class)].name.clone(),
             tenant: settings.tenants[usize::from(self.ask.tenant)].clone(),
             service: self.ask.service.clone(),
--- a/crates/node-simulator/src/slots.rs
+++ b/crates/node-simulator/src/slots.rs
@@ -59,7 +59,7 @@
                     best = Some((sequence, n, memory));
                 }
                 Ok(_) => {}
-                Err(why) => passed_by.push(format!("{}/{name}: {why}", folder.shown())),
+                Err(why) => passed_by.push(format!("{}/{name}: {why}", folder.location())),
             }
         }
         let (sequence, slot, memory) = best.unwrap_or((0, 1, AcceptorState::default()));
@@ -85,7 +85,7 @@
         self.folder.write(SLOTS[slot], &whole)?;
         self.folder.sync(SLOTS[slot])?;
         if new {
-            self.folder.sync_names()?;
+            self.folder.sync_directory()?;
         }
         self.last = (sequence, slot);
         Ok(())
--- a/crates/state/src/beliefs/aging.rs
+++ b/crates/state/src/beliefs/aging.rs
@@ -12,7 +12,7 @@
 /// A belief that counts for less than this part is dropped.
 const LEAST_WEIGHT: f64 = 1.0 / 16.0;
 /// Microseconds for which an offer to a node that is warming up is remembered: longer than any node takes.
-const WARM_UP_OFFER_KEPT_US: Micros = 3_600_000_000;
+const WARM_UP_OFFER_RETENTION_US: Micros = 3_600_000_000;
 /// Age of a file whose time lies in the future: so old that nothing that ages counts any more.
 const UNKNOWN_AGE_US: Micros = Micros::MAX / 4;
 /// Answer times count for this many times the longest time for which a client waits: overloads last some such times.
@@ -165,7 +165,8 @@
             }
         };
         let aged = offers.iter().map(aged);
-        aged.filter(|age| *age < WARM_UP_OFFER_KEPT_US).collect()
+        aged.filter(|age| *age < WARM_UP_OFFER_RETENTION_US)
+            .collect()
     }
 
     fn node(&self, node: &NodeBeliefs) -> NodeBeliefs {
--- a/crates/state/src/beliefs/tests.rs
+++ b/crates/state/src/beliefs/tests.rs
@@ -87,7 +87,7 @@
     );
     let future = snapshot.aged(snapshot.saved_at - 1, &HALF_LIVES);
     assert_eq!(future.fleet, old.fleet);
-    // Rule 4: a clock that went back frees no budget.
+    // A clock that went back frees no budget of a node that is warming up.
     assert!(
         future
             .nodes
--- a/crates/state/src/folder/disk.rs
+++ b/crates/state/src/folder/disk.rs
@@ -43,9 +43,9 @@
     /// # Errors
     /// See [`LockError`].
     pub fn lock(folder: &Path) -> Result<Self, LockError> {
-        let shown = folder.display().to_string();
+        let location = folder.display().to_string();
         let io = |error| LockError::Io {
-            folder: shown.clone(),
+            folder: location.clone(),
             error,
         };
         std::fs::create_dir_all(folder).map_err(io)?;
@@ -55,7 +55,7 @@
                 folder: folder.to_owned(),
                 _lock: lock,
             }),
-            Err(TryLockError::WouldBlock) => Err(LockError::Taken { folder: shown }),
+            Err(TryLockError::WouldBlock) => Err(LockError::Taken { folder: location }),
             Err(TryLockError::Error(error)) => Err(io(error)),
         }
     }
@@ -81,7 +81,7 @@
 impl Folder for Disk {
     type Data = FileBackend;
 
-    fn database(&self, name: &str) -> io::Result<FileBackend> {
+    fn open_database(&self, name: &str) -> io::Result<FileBackend> {
         let file = OpenOptions::new()
             .read(true)
             .write(true)
@@ -139,11 +139,11 @@
         }
     }
 
-    fn sync_names(&self) -> io::Result<()> {
+    fn sync_directory(&self) -> io::Result<()> {
         File::open(&self.folder)?.sync_all()
     }
 
-    fn shown(&self) -> String {
+    fn location(&self) -> String {
         self.folder.display().to_string()
     }
 }
--- a/crates/state/src/folder/mod.rs
+++ b/crates/state/src/folder/mod.rs
@@ -16,11 +16,11 @@
     /// The bytes of a database.
     type Data: StorageBackend;
 
-    /// Opens a database's file, or makes an empty one.
+    /// Opens the file of a database, or makes an empty one.
     ///
     /// # Errors
     /// Those of the file system.
-    fn database(&self, name: &str) -> io::Result<Self::Data>;
+    fn open_database(&self, name: &str) -> io::Result<Self::Data>;
 
     /// A file's bytes; `None` where there is no file of that name.
     ///
@@ -59,12 +59,12 @@
     /// Those of the file system.
     fn remove(&self, name: &str) -> io::Result<()>;
 
-    /// Waits until the names of files survive a power cut.
+    /// Waits until the names of the folder's files survive a power cut.
     ///
     /// # Errors
     /// Those of the file system.
-    fn sync_names(&self) -> io::Result<()>;
+    fn sync_directory(&self) -> io::Result<()>;
 
-    /// The folder's path, for messages.
-    fn shown(&self) -> String;
+    /// Where the folder is, for messages: its path.
+    fn location(&self) -> String;
 }
--- a/crates/state/src/folder/simulated.rs
+++ b/crates/state/src/folder/simulated.rs
@@ -250,7 +250,7 @@
     }
 
     /// Changes a file's bytes without any program noticing.
-    pub fn spoil(&self, name: &str, change: impl FnOnce(&mut Vec<u8>)) {
+    pub fn corrupt(&self, name: &str, change: impl FnOnce(&mut Vec<u8>)) {
         let mut state = lock(&self.state);
         if let Ok(file) = state.file(name) {
             let file = &mut state.files[file];
@@ -263,7 +263,7 @@
 impl Folder for SimFolder {
     type Data = SimFile;
 
-    fn database(&self, name: &str) -> io::Result<SimFile> {
+    fn open_database(&self, name: &str) -> io::Result<SimFile> {
         let file = lock(&self.state).file_or_new(name)?;
         Ok(SimFile {
             state: Arc::clone(&self.state),
@@ -322,7 +322,7 @@
         Ok(())
     }
 
-    fn sync_names(&self) -> io::Result<()> {
+    fn sync_directory(&self) -> io::Result<()> {
         let mut state = lock(&self.state);
         state.step()?;
         state.unsynced_names.clear();
@@ -330,7 +330,7 @@
         Ok(())
     }
 
-    fn shown(&self) -> String {
+    fn location(&self) -> String {
         "simulated".to_owned()
     }
 }
--- a/crates/state/src/ledger/export.rs
+++ b/crates/state/src/ledger/export.rs
@@ -43,14 +43,14 @@
     pub fn read<F: Folder>(folder: F) -> Result<FolderContents, StoreError> {
         if !has_ledger(&folder)? {
             return Err(StoreError::NoLedger {
-                folder: folder.shown(),
+                folder: folder.location(),
             });
         }
         let OpenedStore { store, snapshot } = open_ledger(&folder, None)?;
         let placer = store.placer().to_owned();
         store.close()?;
         let marker =
-            Marker::read(&folder).map_err(|error| StoreError::io(&folder.shown(), error))?;
+            Marker::read(&folder).map_err(|error| StoreError::io(&folder.location(), error))?;
         let found = read_beliefs(&folder, &placer);
         let export = Self {
             format: FORMAT,
@@ -72,24 +72,24 @@
     /// # Errors
     /// See [`StoreError`].
     pub fn write<F: Folder>(&self, folder: F) -> Result<(), StoreError> {
-        let shown = folder.shown();
-        self.check(&shown)?;
+        let location = folder.location();
+        self.check(&location)?;
         if has_ledger(&folder)? {
-            return Err(StoreError::LedgerExists { folder: shown });
+            return Err(StoreError::LedgerExists { folder: location });
         }
         let mut writer = LedgerWriter::open(folder, &self.placer)?.writer;
         writer
             .write(self.ledger.to_batches())
-            .map_err(|error| StoreError::io(&shown, error.reason))?;
+            .map_err(|error| StoreError::io(&location, error.reason))?;
         if self.ledger.incomplete {
             writer
                 .write_marker(Marker::Incomplete)
-                .map_err(|error| StoreError::io(&shown, error))?;
+                .map_err(|error| StoreError::io(&location, error))?;
         }
         if let Some(beliefs) = &self.beliefs {
             writer
                 .save_beliefs(beliefs)
-                .map_err(|error| StoreError::io(&shown, error))?;
+                .map_err(|error| StoreError::io(&location, error))?;
         }
         writer.close();
         Ok(())
--- a/crates/state/src/ledger/files.rs
+++ b/crates/state/src/ledger/files.rs
@@ -57,13 +57,13 @@
 
 /// A file's path, for messages.
 fn path<F: Folder>(folder: &F, name: &str) -> String {
-    format!("{}/{name}", folder.shown())
+    format!("{}/{name}", folder.location())
 }
 
 /// Whether the folder has a ledger.
 pub(super) fn has_ledger<F: Folder>(folder: &F) -> Result<bool, StoreError> {
     let length = folder.len(LEDGER);
-    let length = length.map_err(|error| StoreError::io(&folder.shown(), error))?;
+    let length = length.map_err(|error| StoreError::io(&folder.location(), error))?;
     Ok(length.is_some())
 }
 
@@ -78,7 +78,7 @@
     if folder.len(LEDGER).map_err(io)? == Some(0) {
         return Err(StoreError::damaged(&file, "it is empty"));
     }
-    Store::open(folder.database(LEDGER).map_err(io)?, &file, placer)
+    Store::open(folder.open_database(LEDGER).map_err(io)?, &file, placer)
 }
 
 /// Makes an empty ledger under its temporary name.
@@ -86,15 +86,15 @@
     let file = path(folder, LEDGER_NEW);
     let io = |error: io::Error| StoreError::io(&file, error);
     folder.remove(LEDGER_NEW).map_err(io)?;
-    let data = folder.database(LEDGER_NEW).map_err(io)?;
+    let data = folder.open_database(LEDGER_NEW).map_err(io)?;
     Ok(Store::open(data, &file, Some(placer))?.store)
 }
 
 /// Gives the new ledger its name, in place of the one before, and waits until that survives a power cut.
 pub(super) fn install_new_ledger<F: Folder>(folder: &F) -> Result<(), StoreError> {
-    let io = |error: io::Error| StoreError::io(&folder.shown(), error);
+    let io = |error: io::Error| StoreError::io(&folder.location(), error);
     folder.rename(LEDGER_NEW, LEDGER).map_err(io)?;
-    folder.sync_names().map_err(io)
+    folder.sync_directory().map_err(io)
 }
 
 /// The beliefs of a folder, and the files that were not used.
@@ -146,5 +146,5 @@
         folder.rename(BELIEFS, BELIEFS_OLD)?;
     }
     folder.rename(BELIEFS_NEW, BELIEFS)?;
-    folder.sync_names()
+    folder.sync_directory()
 }
--- a/crates/state/src/ledger/migration.rs
+++ b/crates/state/src/ledger/migration.rs
@@ -3,7 +3,7 @@
 use redb::{Database, ReadableTable};
 
 use super::tables::{
-    FORMAT, META, META_FORMAT, MOST_WARM_UP_OFFERS, WARM_UP_OFFERS, WARM_UP_OFFERS_1,
+    FORMAT, MAX_WARM_UP_OFFERS, META, META_FORMAT, WARM_UP_OFFERS, WARM_UP_OFFERS_1,
 };
 
 /// Brings a ledger of format 1 to format 2, in one transaction: a crash leaves the older format as it was.
@@ -14,7 +14,7 @@
         let mut counts = transaction.open_table(WARM_UP_OFFERS)?;
         for row in times.iter()? {
             // How many offers a time stands for is not known, and no budget may be freed by that.
-            counts.insert(row?.0.value(), MOST_WARM_UP_OFFERS)?;
+            counts.insert(row?.0.value(), MAX_WARM_UP_OFFERS)?;
         }
     }
     transaction.delete_table(WARM_UP_OFFERS_1)?;
--- a/crates/state/src/ledger/pending.rs
+++ b/crates/state/src/ledger/pending.rs
@@ -6,8 +6,8 @@
 use serde::Serialize;
 
 use super::tables::{
-    ACTIVE_CONFIGS, ACTIVE_CONFIGS_KEPT, DRAINING_NODES, INCARNATIONS, INCARNATIONS_KEPT, JOBS,
-    RESPONSES, SESSIONS, TEMPLATES, WARM_UP_OFFERS, WARM_UP_OFFERS_KEPT_US,
+    ACTIVE_CONFIGS, DRAINING_NODES, INCARNATIONS, JOBS, MAX_ACTIVE_CONFIGS, MAX_INCARNATIONS,
+    RESPONSES, SESSIONS, TEMPLATES, WARM_UP_OFFER_RETENTION_US, WARM_UP_OFFERS,
 };
 use crate::rows::{
     ActiveConfigRow, Batch, Change, Job, JobNumber, JobTemplate, Session, SessionNumber,
@@ -131,7 +131,7 @@
             incarnations.insert(started, at)?;
         }
         if !self.incarnations.is_empty() {
-            keep_last(&mut incarnations, INCARNATIONS_KEPT)?;
+            delete_oldest_beyond(&mut incarnations, MAX_INCARNATIONS)?;
         }
         Ok(())
     }
@@ -164,7 +164,7 @@
         transaction: &WriteTransaction,
         at: u64,
     ) -> Result<(), redb::Error> {
-        let oldest_kept = at.saturating_sub(WARM_UP_OFFERS_KEPT_US);
+        let oldest_kept = at.saturating_sub(WARM_UP_OFFER_RETENTION_US);
         let mut offers = transaction.open_table(WARM_UP_OFFERS)?;
         for ((node, time), count) in &self.warm_up_offers {
             let node = node.as_str();
@@ -183,7 +183,7 @@
         for (at, config) in &self.active_configs {
             write_row(&mut configs, at, Some(config))?;
         }
-        keep_last(&mut configs, ACTIVE_CONFIGS_KEPT)
+        delete_oldest_beyond(&mut configs, MAX_ACTIVE_CONFIGS)
     }
 }
 
@@ -209,7 +209,7 @@
 }
 
 /// Deletes all rows but the `count` with the greatest keys.
-fn keep_last<V: Value + 'static>(
+fn delete_oldest_beyond<V: Value + 'static>(
     table: &mut Table<'_, u64, V>,
     count: usize,
 ) -> Result<(), redb::Error> {
--- a/crates/state/src/ledger/reader.rs
+++ b/crates/state/src/ledger/reader.rs
@@ -7,7 +7,7 @@
 use serde::de::DeserializeOwned;
 
 use super::tables::{
-    ACTIVE_CONFIGS, DRAINING_NODES, INCARNATIONS, JOBS, MOST_WARM_UP_OFFERS, RESPONSES, SESSIONS,
+    ACTIVE_CONFIGS, DRAINING_NODES, INCARNATIONS, JOBS, MAX_WARM_UP_OFFERS, RESPONSES, SESSIONS,
     TEMPLATES, WARM_UP_OFFERS,
 };
 use crate::rows::{IncarnationRecord, LedgerSnapshot};
@@ -103,7 +103,7 @@
     for row in transaction.open_table(WARM_UP_OFFERS)?.iter()? {
         let (key, count) = row?;
         let (node, at) = key.value();
-        let count = count.value().min(MOST_WARM_UP_OFFERS) as usize;
+        let count = count.value().min(MAX_WARM_UP_OFFERS) as usize;
         let times = snapshot.warm_up_offers.entry(node.to_owned()).or_default();
         times.extend(std::iter::repeat_n(at, count));
     }
--- a/crates/state/src/ledger/tables.rs
+++ b/crates/state/src/ledger/tables.rs
@@ -31,10 +31,10 @@
 pub(super) const ACTIVE_CONFIGS: TableDefinition<u64, &[u8]> = TableDefinition::new("plans");
 
 /// Incarnations that are kept: a client that comes back after more restarts is told that nothing is known.
-pub(super) const INCARNATIONS_KEPT: usize = 1_024;
+pub(super) const MAX_INCARNATIONS: usize = 1_024;
 /// Active configurations that are kept: more changes than any placer's jobs outlive.
-pub(super) const ACTIVE_CONFIGS_KEPT: usize = 1_024;
+pub(super) const MAX_ACTIVE_CONFIGS: usize = 1_024;
 /// Microseconds for which offers to nodes that were warming up are kept: longer than any node takes.
-pub(super) const WARM_UP_OFFERS_KEPT_US: u64 = 3_600_000_000;
+pub(super) const WARM_UP_OFFER_RETENTION_US: u64 = 3_600_000_000;
 /// The count that stands for a time without one, and the most that is read of one: more than any node's budget.
-pub(super) const MOST_WARM_UP_OFFERS: u32 = 4_096;
+pub(super) const MAX_WARM_UP_OFFERS: u32 = 4_096;
--- a/crates/state/src/ledger/writer.rs
+++ b/crates/state/src/ledger/writer.rs
@@ -64,8 +64,8 @@
     marked_incomplete: bool,
     /// The reason of the last failure.
     failure: String,
-    /// The belief file is that of a newer program, and is not replaced.
-    keep_belief_file: bool,
+    /// A newer program wrote the belief file, which is therefore not replaced.
+    belief_file_is_newer: bool,
 }
 
 impl<F: Folder> LedgerWriter<F> {
@@ -74,8 +74,8 @@
     /// # Errors
     /// See [`StoreError`].
     pub fn open(folder: F, placer: &str) -> Result<OpenedLedger<F>, StoreError> {
-        let shown = folder.shown();
-        let io = |error: io::Error| StoreError::io(&shown, error);
+        let location = folder.location();
+        let io = |error: io::Error| StoreError::io(&location, error);
         if !has_ledger(&folder)? {
             // A ledger has its marker and its name only once it is complete.
             Marker::Complete.write(&folder).map_err(io)?;
@@ -95,7 +95,7 @@
             durable_through: BatchSequence::default(),
             marked_incomplete,
             failure: String::new(),
-            keep_belief_file: found.skipped.iter().any(BeliefError::is_newer),
+            belief_file_is_newer: found.skipped.iter().any(BeliefError::is_newer),
         };
         Ok(OpenedLedger {
             writer,
@@ -229,7 +229,7 @@
     /// # Errors
     /// Those of the file system; a complete file is there all the same.
     pub fn save_beliefs(&self, beliefs: &BeliefSnapshot) -> io::Result<()> {
-        if self.keep_belief_file {
+        if self.belief_file_is_newer {
             return Ok(());
         }
         write_beliefs(&self.folder, &beliefs.encode(&self.placer))
--- a/crates/state/src/rows/job.rs
+++ b/crates/state/src/rows/job.rs
@@ -24,7 +24,7 @@
 
 impl Outcome {
     /// The word that clients get.
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Placed => "placed",
             Self::Refused => "refused",
@@ -42,7 +42,8 @@
     /// The reason, for the client.
     pub reason: Option<String>,
     /// For how long the client is asked to wait before it submits the job again, in microseconds.
-    pub stay_away_us: Option<u64>,
+    #[serde(rename = "stay_away_us")]
+    pub retry_after_us: Option<u64>,
 }
 
 impl Ending {
@@ -51,7 +52,7 @@
         Self {
             end: End::Aborted,
             reason: Some(reason.into()),
-            stay_away_us: None,
+            retry_after_us: None,
         }
     }
 
@@ -60,7 +61,7 @@
         Self {
             end,
             reason: None,
-            stay_away_us: None,
+            retry_after_us: None,
         }
     }
 }
--- a/crates/state/tests/golden.rs
+++ b/crates/state/tests/golden.rs
@@ -25,7 +25,7 @@
     for name in ["mark", "ledger", "learned"] {
         folder.sync(name).unwrap();
     }
-    folder.sync_names().unwrap();
+    folder.sync_directory().unwrap();
     folder
 }
 
@@ -53,7 +53,7 @@
 
 /// Every row of a ledger's file.
 fn rows(folder: &SimFolder) -> String {
-    let data = folder.database("ledger").unwrap();
+    let data = folder.open_database("ledger").unwrap();
     let database = redb::Builder::new().create_with_backend(data).unwrap();
     let mut out = String::new();
     let (text, pair) = (
--- a/crates/state/tests/power.rs
+++ b/crates/state/tests/power.rs
@@ -203,7 +203,7 @@
                     .is_none_or(|found| found == beliefs(found.saved_at)),
                 "step {step}"
             );
-            // Whoever opened it can go on.
+            // The next incarnation can write to it.
             let mut writer = opened.writer;
             writer
                 .write([Batch {
@@ -342,7 +342,7 @@
     let (mut found, mut harmless) = (0, 0);
     for at in used.iter().filter(|at| which(**at)) {
         let spoilt = folder.power_on(|| 0);
-        spoilt.spoil("ledger", |bytes| bytes[*at] ^= 0x10);
+        spoilt.corrupt("ledger", |bytes| bytes[*at] ^= 0x10);
         match LedgerWriter::open(spoilt.clone(), "p") {
             Ok(opened) => {
                 assert_eq!(opened.snapshot, whole, "byte {at}");
@@ -372,13 +372,13 @@
         "{error}"
     );
     let cut = folder.power_on(|| 0);
-    cut.spoil("ledger", |bytes| bytes.truncate(700));
+    cut.corrupt("ledger", |bytes| bytes.truncate(700));
     assert!(matches!(
         LedgerWriter::open(cut, "p").unwrap_err(),
         StoreError::Damaged { .. }
     ));
     let empty = folder.power_on(|| 0);
-    empty.spoil("ledger", Vec::clear);
+    empty.corrupt("ledger", Vec::clear);
     assert!(
         LedgerWriter::open(empty, "p")
             .unwrap_err()
@@ -406,7 +406,7 @@
     for name in ["mark", "ledger"] {
         folder.sync(name).unwrap();
     }
-    folder.sync_names().unwrap();
+    folder.sync_directory().unwrap();
     folder
 }
 
