--- /dev/null
+++ b/crates/core/src/configuration/agreement/step.rs
@@ -0,0 +1,341 @@
+//! One step of the agreement: all that is known is evaluated, and what follows is done.
+
+use reedring::{Event as ModuleEvent, Micros};
+use reedring_node_protocol::{ConfigRequest, Message, VersionStamp};
+use reedring_plan::{
+    ChangePhase, ClusterView, ConfigDocument, DispatchBlock, LeaseState, Membership, QuorumContact,
+    dispatch_block, lease_state, must_raise,
+};
+use reedring_state::{self as state, Change};
+
+use super::{Agreement, BUSY_INTERVAL_US};
+use crate::configuration::AgreementEffects;
+use crate::configuration::proposal_error::ProposalError;
+use crate::context::Context;
+use crate::ids::NodeNumber;
+use crate::io::Output;
+use crate::persistence::Requires;
+use crate::timers::Timer;
+
+/// Microseconds between two queries to control machines while no majority of them is heard.
+const QUORUM_RETRY_US: Micros = 500_000;
+/// How often all voters are queried within a lease: the heartbeat.
+const HEARTBEATS_PER_LEASE: u64 = 3;
+
+/// A request to a node.
+type NodeRequest = (NodeNumber, ConfigRequest);
+
+/// What is blocked by the configuration.
+#[derive(Debug, Default)]
+struct BlockedNodes {
+    /// Some node is, for a reason that may end without any message.
+    ends_by_time: bool,
+    /// Learners that are warming up and are to be told by what this placer acts.
+    to_raise: Vec<NodeNumber>,
+}
+
+impl Agreement {
+    /// Evaluates all that is known, and does what follows.
+    pub fn advance(&mut self, now: Micros, effects: &mut AgreementEffects<'_>) {
+        self.changed = false;
+        let view = self.peers.view(effects.nodes);
+        let list = effects.nodes.list_revision();
+        let heard = self.majority_heard(now, &view);
+        self.learn_committed(&view);
+        let before = self.stamp(list);
+        self.lease_state = self.evaluate_lease(&view, heard);
+        self.apply_settings(&view, effects);
+        let proposal = self.proposal(&view);
+        let rejected = proposal.as_ref().err().map(ToString::to_string);
+        self.report_status(rejected, effects.cx);
+        let proposal = proposal
+            .ok()
+            .flatten()
+            .filter(|_| heard == QuorumContact::Recent);
+        let (step, mut requests) =
+            self.next_ballot(now, &view, heard, proposal.as_ref(), effects.cx);
+        let stamp = self.stamp(list);
+        let interval = self.heartbeat_interval(&view, heard);
+        let stamp_changed = (stamp.version, stamp.joint) != (before.version, before.joint);
+        self.heartbeat(
+            now,
+            stamp,
+            stamp_changed,
+            interval,
+            &view,
+            &mut requests,
+            effects,
+        );
+        let blocked = self.block_nodes(now, effects);
+        requests.extend(
+            blocked
+                .to_raise
+                .iter()
+                .map(|node| (*node, ConfigRequest::RaiseFloor { stamp })),
+        );
+        let requests = self.due_requests(now, requests);
+        let is_waiting =
+            matches!(self.lease_state, LeaseState::Suspended(_)) && heard == QuorumContact::Recent;
+        let is_busy = step != ChangePhase::Quiet || blocked.ends_by_time || is_waiting;
+        self.schedule(
+            now,
+            &view,
+            if is_busy { BUSY_INTERVAL_US } else { interval },
+            effects.cx,
+        );
+        for (node, request) in requests {
+            effects.queue.send(
+                node,
+                effects.nodes,
+                Message::ConfigRequest(request),
+                Requires::Nothing,
+            );
+        }
+    }
+
+    /// When a majority of the voters was heard.
+    fn majority_heard(&mut self, now: Micros, view: &ClusterView) -> QuorumContact {
+        let lease_us = self.file.lease_us();
+        let is_heard = |node: u32| self.peers.is_within_lease(now, NodeNumber(node), lease_us);
+        let heard = match view.quorum(is_heard) {
+            true => QuorumContact::Recent,
+            false if self.ever_heard_majority => QuorumContact::Expired,
+            false => QuorumContact::Never,
+        };
+        self.ever_heard_majority |= heard == QuorumContact::Recent;
+        heard
+    }
+
+    /// Learns which configuration is committed and which one is chosen to follow.
+    fn learn_committed(&mut self, view: &ClusterView) {
+        self.committed = self.committed.max(view.force());
+        if let Some(next) = self.file.next_queued(self.committed.number) {
+            self.bring_in(next);
+        }
+        let file = self.file.settings();
+        self.catalog.read(self.committed, file);
+        if let Some(chosen) = view.decided(self.committed) {
+            self.catalog.read(chosen, file);
+        }
+    }
+
+    fn evaluate_lease(&self, view: &ClusterView, heard: QuorumContact) -> LeaseState {
+        let committed = self.committed;
+        let usability = |version| self.catalog.usability(version, committed);
+        lease_state(self.file.own(), view, committed, heard, usability)
+    }
+
+    /// Uses the settings of the active configuration from now on.
+    fn apply_settings(&self, view: &ClusterView, effects: &mut AgreementEffects<'_>) {
+        let LeaseState::Active(acts) = &self.lease_state else {
+            return;
+        };
+        let AgreementEffects { cx, nodes, .. } = effects;
+        let settings = self
+            .catalog
+            .settings_for(acts, view.linked(), cx.settings());
+        let Some(settings) = settings.filter(|settings| settings != cx.settings()) else {
+            return;
+        };
+        nodes.set_kinds(
+            settings
+                .kinds
+                .iter()
+                .map(|kind| kind.name.clone())
+                .collect(),
+        );
+        cx.replace_settings(settings.clone());
+        let zone = settings.hall.as_deref().map(|zone| nodes.zone_number(zone));
+        cx.tell_module(ModuleEvent::SettingsChanged(Box::new(
+            settings.module(zone),
+        )));
+        cx.output(Output::Settings(Box::new(settings)));
+    }
+
+    /// The configuration of the settings file, where it may be proposed now.
+    ///
+    /// # Errors
+    /// Why it can't be, where operators have to act.
+    fn proposal(&self, view: &ClusterView) -> Result<Option<ConfigDocument>, ProposalError> {
+        let (own, committed) = (self.own_version(), self.committed);
+        let (linked, learned) = (view.linked(), view.learned());
+        if own.number <= committed.number {
+            return Ok(None);
+        }
+        if committed.number == 0 && own != learned && own.number <= learned.number {
+            return Err(ProposalError::NotFirst { learned, own });
+        }
+        if committed.number > 0 && own.number != committed.number + 1 {
+            return Err(ProposalError::NotNext { committed, own });
+        }
+        let placers = self.file.settings().site.placers;
+        if placers < linked {
+            return Err(ProposalError::TooFewPlacers {
+                own,
+                placers,
+                linked,
+            });
+        }
+        match self.catalog.has_joint_form(committed, self.file.settings()) {
+            Ok(()) => Ok(Some(self.file.document().clone())),
+            Err(problems) => Err(ProposalError::NoJointForm {
+                committed,
+                own,
+                problems,
+            }),
+        }
+    }
+
+    /// Reports the configuration in use, each time that it is another.
+    fn report_status(&mut self, rejected: Option<String>, cx: &mut Context) {
+        let status = self.status(rejected);
+        if self.last_status.as_ref() != Some(&status) {
+            self.last_status = Some(status.clone());
+            cx.output(Output::ShutOut(self.fenced().is_some()));
+            cx.log(status);
+        }
+    }
+
+    /// The requests by which the ballot goes on.
+    fn next_ballot(
+        &mut self,
+        now: Micros,
+        view: &ClusterView,
+        heard: QuorumContact,
+        proposal: Option<&ConfigDocument>,
+        cx: &Context,
+    ) -> (ChangePhase, Vec<NodeRequest>) {
+        let incarnation = cx.clock().incarnation();
+        let may_preempt = self.backoff.may_outbid(now, incarnation, view);
+        let may_carry_on = self.backoff.may_carry_on(now, incarnation, view);
+        if heard != QuorumContact::Recent {
+            return (ChangePhase::Quiet, Vec::new());
+        }
+        let texts = &self.catalog.texts;
+        let (step, mut requests) =
+            self.proposer
+                .next(may_preempt, view, self.committed, proposal, texts);
+        if !may_carry_on {
+            requests.retain(|(_, request)| {
+                !matches!(
+                    request,
+                    ConfigRequest::EnterJoint { .. } | ConfigRequest::Commit { .. }
+                )
+            });
+        }
+        (
+            step,
+            requests
+                .into_iter()
+                .map(|(node, request)| (NodeNumber(node), request))
+                .collect(),
+        )
+    }
+
+    fn heartbeat_interval(&self, view: &ClusterView, heard: QuorumContact) -> Micros {
+        // Control machines are few: without a majority of them they are queried until one is heard.
+        let few_voters = view.membership != Membership::All;
+        if heard != QuorumContact::Recent && few_voters {
+            QUORUM_RETRY_US
+        } else {
+            self.file.lease_us() / HEARTBEATS_PER_LEASE
+        }
+    }
+
+    /// Tells the voters by what this placer acts now, and so hears that they are there.
+    #[expect(
+        clippy::too_many_arguments,
+        reason = "each is a result of the step that calls it, and used once"
+    )]
+    fn heartbeat(
+        &mut self,
+        now: Micros,
+        stamp: VersionStamp,
+        stamp_changed: bool,
+        interval: Micros,
+        view: &ClusterView,
+        requests: &mut Vec<NodeRequest>,
+        effects: &mut AgreementEffects<'_>,
+    ) {
+        let is_first = self.last_heartbeat == 0;
+        let changed = stamp_changed || is_first;
+        if changed || now >= self.last_heartbeat + interval {
+            self.last_heartbeat = now;
+            requests.extend(
+                view.voters()
+                    .map(|(node, _)| (NodeNumber(node), ConfigRequest::Query { stamp })),
+            );
+            effects.cx.output(Output::Acts(stamp));
+        }
+        if changed {
+            let (version_number, digest) = (stamp.version.number, stamp.version.digest.to_string());
+            let acts = state::ActiveConfigRow {
+                version_number,
+                digest,
+                joint: stamp.joint,
+                node_list_revision: stamp.list,
+            };
+            effects.queue.record(Change::ActiveConfig(acts));
+        }
+    }
+
+    /// Blocks the nodes to which nothing may be dispatched by the active configuration.
+    fn block_nodes(&self, now: Micros, effects: &mut AgreementEffects<'_>) -> BlockedNodes {
+        let settings = effects.cx.settings();
+        let window = settings.site.cold_window_us.unwrap_or(0) + settings.jitter_us();
+        let mut blocked = BlockedNodes::default();
+        for (number, node) in effects.nodes.iter() {
+            let state = self.peers.aged_state(now, number);
+            let is_warming_up = effects.nodes.is_warming_up(number, now, &settings.site);
+            let reason = dispatch_block(&self.lease_state, &state, is_warming_up, window / 1_000);
+            blocked.ends_by_time |= reason.is_some_and(DispatchBlock::ends_by_time);
+            if must_raise(reason, &state) {
+                blocked.to_raise.push(number);
+            }
+            effects
+                .blocks
+                .set_configuration(number, node.machine(), reason);
+        }
+        blocked
+    }
+
+    /// The requests that are to be sent now, without what their nodes have already.
+    fn due_requests(&mut self, now: Micros, requests: Vec<NodeRequest>) -> Vec<NodeRequest> {
+        if self.base.as_ref().map(ConfigDocument::version) != Some(self.committed)
+            && let Some(committed) = self.catalog.texts.kept(self.committed)
+        {
+            self.base = Some(committed);
+        }
+        let (base, peers, fetch_whole) = (self.base.as_ref(), &self.peers, self.fetch_whole);
+        let compact = |(node, request): NodeRequest| {
+            let in_full = matches!(request, ConfigRequest::Fetch { version, .. } if Some(version) == fetch_whole);
+            match peers.record(node).filter(|_| !in_full) {
+                Some(record) => (node.0, self.compactor.compact(request, record, base)),
+                None => (node.0, request),
+            }
+        };
+        let requests = requests.into_iter().map(compact).collect();
+        let due = self.backoff.due(now, requests).into_iter();
+        let due = due.map(|(node, request)| (NodeNumber(node), request));
+        due.filter(|(node, _)| self.peers.record(*node).is_some())
+            .collect()
+    }
+
+    /// Schedules the next step, and forgets what it will not need.
+    fn schedule(&mut self, now: Micros, view: &ClusterView, interval: Micros, cx: &mut Context) {
+        self.due = now + interval;
+        // The lease lapses on time, whenever the next step would have been.
+        let lapse = self
+            .peers
+            .lease_lapses_at(view, self.file.lease_us())
+            .filter(|at| *at > now);
+        self.due = lapse.map_or(self.due, |at| self.due.min(at));
+        let base = self
+            .base
+            .as_ref()
+            .map_or(self.committed, ConfigDocument::version);
+        self.catalog
+            .forget_before(self.committed, base, self.file.document().version());
+        cx.set_timer(self.due, Timer::Configuration);
+    }
+}
--- /dev/null
+++ b/crates/core/src/configuration/status.rs
@@ -0,0 +1,100 @@
+//! What operators are told of the configuration.
+
+use reedring_node_protocol::AcceptorReport;
+use reedring_plan::{ActiveConfig, LeaseState, PeerState};
+
+use super::agreement::Agreement;
+use crate::event::{Event, FileStatus};
+use crate::ids::NodeNumber;
+use crate::nodes::NodeRegistry;
+
+impl Agreement {
+    /// The configuration in use, as operators are told it.
+    pub(super) fn status(&self, rejected: Option<String>) -> Event {
+        let (own, committed) = (self.own_version(), self.committed());
+        let is_behind = committed.number > 0 && own != committed && own.number <= committed.number;
+        let superseded = (is_behind && self.fenced().is_none()).then_some(own);
+        let file = FileStatus {
+            superseded,
+            rejected,
+        };
+        match *self.lease_state() {
+            LeaseState::Unmanaged => Event::ConfigurationUnsupported { file },
+            LeaseState::Suspended(reason) if reason.is_shut_out() => {
+                let problems = self.catalog().problems(committed);
+                let detail = problems.map(|problems| problems.to_string().replace('\n', "; "));
+                Event::PlacerFenced {
+                    reason,
+                    committed,
+                    own,
+                    detail,
+                    file,
+                }
+            }
+            LeaseState::Suspended(reason) => Event::DispatchSuspended { reason, file },
+            LeaseState::Active(ActiveConfig { force, next, .. }) => match next {
+                Some(next) if force.number == 0 => Event::ConfigurationFirst {
+                    config_version: next,
+                    file,
+                },
+                Some(next) => Event::ConfigurationJoint {
+                    config_version: next,
+                    previous: force,
+                    file,
+                },
+                None => Event::ConfigurationActive {
+                    config_version: force,
+                    file,
+                },
+            },
+        }
+    }
+
+    /// What operators see of the configuration that a node stores.
+    pub fn describe_node(&self, number: NodeNumber, nodes: &NodeRegistry) -> Option<String> {
+        let record = match self.peers().state(number)? {
+            PeerState::Unmet => return None,
+            PeerState::Old => return Some("keeps none".to_owned()),
+            PeerState::Told(record) => record,
+        };
+        let votes = nodes.get(number).is_some_and(|node| node.entry().control);
+        Some(if record.learns {
+            describe_learner(record, votes)
+        } else {
+            describe_acceptor(record, votes)
+        })
+    }
+}
+
+fn describe_learner(record: &AcceptorReport, votes: bool) -> String {
+    let floor = record.next.map_or("no plan yet".to_owned(), |next| {
+        format!("plan {}", next.version)
+    });
+    let wrong = if votes {
+        ", listed as control and votes for nothing"
+    } else {
+        ""
+    };
+    format!("learner, from {floor} on{wrong}")
+}
+
+fn describe_acceptor(record: &AcceptorReport, votes: bool) -> String {
+    let mut line = record.force.to_string();
+    if votes {
+        line.push_str(", voter");
+    }
+    if let Some(next) = &record.next {
+        let word = if next.joint { "joint with" } else { "offered" };
+        line = format!("{line}, {word} {}", next.version);
+    }
+    if record.stuck {
+        line.push_str(", can't keep more");
+    }
+    if record.behind > 0 {
+        line = format!(
+            "{line}, {} of {} placers behind",
+            record.behind, record.linked
+        );
+    }
+    line
+}
--- /dev/null
+++ b/crates/core/src/core/dispatch.rs
@@ -0,0 +1,184 @@
+//! What each kind of message, action and timer is passed on to.
+
+use reedring::{Action, Micros, RequestId};
+use reedring_node_protocol::Message;
+use reedring_state::Outcome;
+
+use super::{Core, Parts};
+use crate::event::Event;
+use crate::handshake;
+use crate::lifecycle::OfferDecision;
+use crate::requests::wait_timed_out;
+use crate::timers::Timer;
+
+impl Core {
+    /// A message of a node.
+    pub(super) fn node_message(&mut self, now: Micros, name: &str, message: Message) {
+        let Some(node) = self.nodes.number(name) else {
+            return;
+        };
+        let Parts {
+            mut lifecycle,
+            configuration,
+            health_checks,
+            ..
+        } = self.parts();
+        match message {
+            Message::Holds { held, last } => {
+                let is_reconciled = handshake::held_reported(&mut lifecycle, now, node, held, last);
+                if is_reconciled {
+                    self.reconciliation_done(now);
+                }
+            }
+            Message::Accepted { attempt, report } => {
+                lifecycle.accept_reported(now, node, attempt, report);
+            }
+            Message::Refused {
+                attempt,
+                reason,
+                report,
+                ..
+            } => {
+                lifecycle.rejection_reported(now, node, attempt, reason, report);
+            }
+            Message::Note {
+                attempt,
+                topic,
+                amount,
+            } => {
+                lifecycle.note_reported(now, node, attempt, topic, amount);
+            }
+            Message::Ended {
+                attempt,
+                end,
+                ran,
+                report,
+            } => {
+                lifecycle.end_reported(now, node, attempt, end, ran, report);
+            }
+            Message::Report { nonce, report } => {
+                health_checks.answered(now, nonce, report, lifecycle.nodes, lifecycle.cx);
+            }
+            Message::AcceptorReport(record) => {
+                configuration.record_reported(now, node, record, lifecycle.cx)
+            }
+            Message::ConfigText { version, text } => {
+                configuration.text_received(node, version, &text, lifecycle.nodes, lifecycle.cx);
+            }
+            Message::ConfigDelta(delta) => {
+                configuration.delta_received(node, &delta, lifecycle.nodes, lifecycle.cx);
+            }
+            // The rest is what placers send; the shell reads handshakes itself.
+            _ => {}
+        }
+    }
+
+    /// What the decision module wants done.
+    pub(super) fn carry_out(&mut self, now: Micros, action: Action) {
+        let Parts {
+            mut lifecycle,
+            configuration,
+            health_checks,
+            ..
+        } = self.parts();
+        match action {
+            Action::Offer {
+                request,
+                machine,
+                within_us,
+            } => {
+                let list_revision = lifecycle.nodes.list_revision();
+                let node = lifecycle.nodes.by_machine(machine);
+                let stamp = node.and_then(|node| configuration.stamp_for(node, list_revision));
+                lifecycle.offer(
+                    now,
+                    OfferDecision {
+                        request,
+                        machine,
+                        within_us,
+                        stamp,
+                    },
+                );
+            }
+            Action::Stop(id) => lifecycle.stop(now, id),
+            Action::Refuse {
+                request,
+                stay_away_us: retry_after_us,
+            } => {
+                lifecycle.answer(now, request, Outcome::Refused, retry_after_us);
+            }
+            Action::Fail(request) => lifecycle.answer(now, request, Outcome::Failed, None),
+            Action::Move(request) => {
+                if let Some(id) = lifecycle.ledger.attempt_of(request) {
+                    lifecycle.stop(now, id);
+                }
+            }
+            Action::Probe(machine) => {
+                health_checks.start(now, machine, lifecycle.nodes, lifecycle.queue, lifecycle.cx);
+            }
+            Action::Timer { token, after_us } => {
+                lifecycle.cx.set_timer(now + after_us, Timer::Module(token));
+            }
+            Action::Log(text) => lifecycle.cx.log(Event::ModuleMessage { text }),
+            // Connections stay open, nobody listens, and the node list comes without being asked for.
+            Action::CloseIdle(_) | Action::Tell { .. } | Action::Watch(_) | Action::Fetch => {}
+        }
+    }
+
+    /// A timer has come due.
+    pub(super) fn timer_due(&mut self, now: Micros, timer: Timer) {
+        let Parts {
+            mut lifecycle,
+            health_checks,
+            ..
+        } = self.parts();
+        match timer {
+            Timer::Module(token) => {
+                lifecycle.constraints.rotate();
+                lifecycle.cx.tell_module(reedring::Event::Woken(token));
+            }
+            Timer::OfferTimeout(id) => lifecycle.offer_timed_out(now, id),
+            Timer::StopTimeout(id) => lifecycle.stop_timed_out(now, id),
+            Timer::ReattachTimeout { node, connection } => {
+                if lifecycle.nodes.is_still_down(node, connection) {
+                    lifecycle.node_unanswered(now, node);
+                }
+            }
+            Timer::NodeLost { node, connection } => {
+                if lifecycle.nodes.is_still_down(node, connection) {
+                    lifecycle.node_lost(now, node, "node unreachable");
+                }
+            }
+            Timer::AnnounceNodes => lifecycle.nodes.announce_all(now, lifecycle.cx),
+            Timer::Configuration => self.advance_configuration(now),
+            Timer::SlowStart(node) => lifecycle.evaluate_slow_start(now, node),
+            Timer::HealthCheck(nonce) => {
+                health_checks.failed(now, nonce, lifecycle.nodes, lifecycle.cx);
+            }
+            Timer::RequestPlacement(job) => lifecycle.delay_over(now, job),
+            Timer::PlacementDeadline { job, request } => {
+                lifecycle.placement_overdue(now, job, RequestId(request));
+            }
+            Timer::RunLimit(job) => lifecycle.run_limit_reached(now, job),
+            Timer::WaitTimeout { session, call } => wait_timed_out(&mut lifecycle, session, call),
+            Timer::ReconciliationDeadline => self.reconciliation_done(now),
+            Timer::ForgetFinished => lifecycle.forget_finished(now),
+            Timer::PersistBeliefs => self.persist_beliefs(now),
+            Timer::Recover { job, last } => lifecycle.recover(now, job, last),
+        }
+    }
+
+    /// Persists the beliefs of the decision module, and will again.
+    fn persist_beliefs(&mut self, now: Micros) {
+        if let Some(every) = self
+            .cx
+            .settings()
+            .state
+            .as_ref()
+            .map(|state| state.learn_us)
+        {
+            self.cx.set_timer(now + every, Timer::PersistBeliefs);
+        }
+        self.farewell(now);
+    }
+}
--- a/crates/core/src/decide.rs
+++ b/crates/core/src/decide.rs
@@ -1,33 +1,33 @@
 //! What the core decides itself, as pure functions with their tables.
 //!
-//! Where tasks go, and what may be offered or refused, the decision module says. What is left is to read
-//! what a node's word means for an attempt, and what may be done again. Each function answers from its
+//! Where tasks go, and what may be offered or rejected, the decision module says. What is left is what a node's
+//! report means for an attempt, and what may be done again. Each function answers from its
 //! arguments alone, and `tests` goes through every case.
 
 use reedring::Effect;
 use reedring_node_protocol::{End, HeldState};
 use reedring_settings::ComesAgain;
 
-/// What the ledger knows of an attempt.
+/// What the ledger knows of an open attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Known {
+pub enum AttemptState {
     /// Offered, no answer yet.
-    Out,
+    Offered,
     /// Accepted by its node.
     Accepted,
     /// Given up, and its node was asked to stop it.
     Stopping,
 }
 
-/// What a node's word about all it holds means for one attempt.
+/// What a node's report of all that it holds means for one attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Reconciled {
     /// Nothing changed.
-    Keep,
-    /// It was accepted, and the word was lost on the way.
-    Place,
-    /// It is over.
-    Over {
+    Unchanged,
+    /// It was accepted, and the answer was lost on the way.
+    Accepted,
+    /// It has ended.
+    Ended {
         /// How.
         end: End,
         /// It ran, or may have.
@@ -36,54 +36,62 @@
     /// It never reached the node, and can't any more.
     NeverRan,
     /// Nobody knows whether it ran; no copy is left.
-    PerhapsRan,
+    MayHaveRun,
     /// It was accepted, and no copy is left.
-    Gone,
+    Lost,
     /// Its node holds it though it was given up: ask once more to stop it.
     StopAgain,
 }
 
 /// Reads a node's list of what it holds.
 ///
-/// | ledger | held: waiting | held: accepted, running, suspended | held: over | not held, same life | not held, new life |
+/// | ledger | held: waiting | held: accepted, running, suspended | held: ended | not held, same incarnation | not held, new incarnation |
 /// | --- | --- | --- | --- | --- | --- |
-/// | out | keep | place | over | never ran | perhaps ran |
-/// | accepted | keep | keep | over | gone | gone |
-/// | stopping | stop again | stop again | over | never ran | perhaps ran |
+/// | offered | unchanged | accepted | ended | never ran | may have run |
+/// | accepted | unchanged | unchanged | ended | lost | lost |
+/// | stopping | stop again | stop again | ended | never ran | may have run |
 ///
-/// "Not held, same life" proves that an unanswered offer never ran: a node that greets a newer link drops
-/// what it has not read from the older one, and keeps each end until it is acknowledged.
-pub fn reconcile(known: Known, held: Option<&HeldState>, same_life: bool) -> Verdict {
+/// "Not held, same incarnation" proves that an unanswered offer never ran: a node that answers the handshake of a newer
+/// connection drops what it has not read from the older one, and keeps each end until it is acknowledged.
+pub fn reconcile(
+    known: AttemptState,
+    held: Option<&HeldState>,
+    same_incarnation: bool,
+) -> Reconciled {
     match (known, held) {
-        (_, Some(HeldState::Ended { end, ran })) => Verdict::Over {
+        (_, Some(HeldState::Ended { end, ran })) => Reconciled::Ended {
             end: end.clone(),
             ran: *ran,
         },
-        (Known::Stopping, Some(_)) => Verdict::StopAgain,
-        (Known::Out, Some(HeldState::Waiting)) | (Known::Accepted, Some(_)) => Verdict::Keep,
-        (Known::Out, Some(_)) => Verdict::Place,
-        (Known::Accepted, None) => Verdict::Gone,
-        (Known::Out | Known::Stopping, None) if same_life => Verdict::NeverRan,
-        (Known::Out | Known::Stopping, None) => Verdict::PerhapsRan,
+        (AttemptState::Stopping, Some(_)) => Reconciled::StopAgain,
+        (AttemptState::Offered, Some(HeldState::Waiting)) | (AttemptState::Accepted, Some(_)) => {
+            Reconciled::Unchanged
+        }
+        (AttemptState::Offered, Some(_)) => Reconciled::Accepted,
+        (AttemptState::Accepted, None) => Reconciled::Lost,
+        (AttemptState::Offered | AttemptState::Stopping, None) if same_incarnation => {
+            Reconciled::NeverRan
+        }
+        (AttemptState::Offered | AttemptState::Stopping, None) => Reconciled::MayHaveRun,
     }
 }
 
-/// Where a job stands when a node tells of a copy that the ledger had closed, or never knew.
+/// What became of a job when a node reports a copy that the ledger had closed, or never knew.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    /// The ledger knows no such job, and this life never did.
+pub enum JobStatus {
+    /// The ledger knows no such job, and this incarnation never did.
     Unknown,
-    /// It was this life's, and is forgotten.
+    /// It was this incarnation's, and is forgotten.
     Forgotten,
     /// It waits for a place.
-    Waiting,
+    Queued,
     /// Another copy of it was accepted.
-    Elsewhere,
-    /// It is over, or is being ended.
-    Over,
+    PlacedElsewhere,
+    /// It has ended, or is being ended.
+    Ended,
 }
 
-/// What becomes of such a copy.
+/// What is done with such a copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LateCopy {
     /// It is the job's copy from now on.
@@ -92,27 +100,27 @@
     Stop,
 }
 
-/// Decides on a copy that turns up late: one live copy of a job is kept at most, and none of a job whose
-/// owner has its final answer.
+/// Decides on a copy that is reported late: one live copy of a job is kept at most, and none of a job whose
+/// client has its final answer.
 ///
 /// | job | copy |
 /// | --- | --- |
-/// | unknown: a life of this placer before placed it | adopted |
-/// | waits for a place | adopted; what was still out for it is stopped |
-/// | forgotten, over, or placed elsewhere | stopped |
-pub fn late_copy(standing: Standing) -> LateCopy {
+/// | unknown: a former incarnation of this placer placed it | adopted |
+/// | waits for a place | adopted; what was still offered for it is stopped |
+/// | forgotten, ended, or placed elsewhere | stopped |
+pub fn late_copy(standing: JobStatus) -> LateCopy {
     match standing {
-        Standing::Unknown | Standing::Waiting => LateCopy::Adopt,
-        Standing::Forgotten | Standing::Elsewhere | Standing::Over => LateCopy::Stop,
+        JobStatus::Unknown | JobStatus::Queued => LateCopy::Adopt,
+        JobStatus::Forgotten | JobStatus::PlacedElsewhere | JobStatus::Ended => LateCopy::Stop,
     }
 }
 
-/// What is known of a copy that was accepted and is no more.
+/// What is known of a copy that was accepted and no longer exists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Loss {
     /// It never started: handed back by its node.
     NeverRan,
-    /// It ended, by its node's word or because its node started anew without it.
+    /// It ended, by its node's report or because its node restarted without it.
     Ended,
     /// Its node is gone from the list and does not answer; it may run still.
     Unknown,
@@ -125,132 +133,147 @@
 /// | always (safe classes alone) | again | again | again |
 /// | ended | again | again | no |
 /// | never | again | no | no |
-pub fn comes_again(rule: ComesAgain, loss: Loss) -> bool {
+pub fn may_retry(rule: ComesAgain, loss: Loss) -> bool {
     match (rule, loss) {
         (_, Loss::NeverRan) | (ComesAgain::Always, _) | (ComesAgain::Ended, Loss::Ended) => true,
         (ComesAgain::Ended, Loss::Unknown) | (ComesAgain::Never, _) => false,
     }
 }
 
-/// Where a submission that was made to an earlier life of the placer stands now.
+/// What nodes hold of a submission that was made to a former incarnation of the placer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum PriorSubmission {
     /// A node holds the task: it is that job.
     Held,
-    /// No node holds it, but one that could has not told yet.
-    Untold,
-    /// All nodes told, and none holds it.
+    /// No node holds it, but one that could has not reported yet.
+    Unreported,
+    /// All nodes reported, and none holds it.
     NotHeld,
 }
 
 /// What becomes of a job that was being placed when the placer ended, once it is back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Recovered {
-    /// Some node may still tell.
+pub enum RecoveryAction {
+    /// Some node may still report.
     Wait,
     /// Nobody waits any longer for the nodes that were asked: their attempts may have run.
-    LetGo,
+    Abandon,
     /// It is placed, as if it had just come.
-    Ask,
+    Request,
     /// It never ran, and its time is over.
-    Refuse,
+    Reject,
     /// It may have run, and must not start twice.
     Fail,
 }
 
-/// Decides on a job of the ledger that was asked for and not placed. What nodes said of its attempts has been
-/// read by [`reconcile`] already: an attempt that is accepted or over made it a placed or an ended job, one
-/// that never ran is closed, and one that may have run is closed and leaves `may_have_run`.
+/// A job of the ledger that was requested and not placed when a former incarnation ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RecoveringJob {
+    /// What a second start of it may do.
+    pub effect: Effect,
+    /// Some attempt's end is not known.
+    pub has_open_attempts: bool,
+    /// An attempt that is closed may have run.
+    pub may_have_run: bool,
+    /// Every node has reported what it holds, or has had its time to.
+    pub all_reconciled: bool,
+    /// Its client has given up, or is about to.
+    pub is_overdue: bool,
+    /// It may not wait any longer.
+    pub is_last_call: bool,
+}
+
+/// Decides on a job that was requested and not placed. What nodes reported of its attempts has been applied by
+/// [`reconcile`] already: an attempt that is accepted or ended made it a placed or an ended job, one that never ran is
+/// closed, and one that may have run is closed and leaves `may_have_run`.
 ///
-/// | attempts open | class | may have run | all nodes told | time over | last call | decision |
+/// | attempts open | class | may have run | all nodes reported | overdue | last call | action |
 /// | --- | --- | --- | --- | --- | --- | --- |
 /// | yes | any | any | any | any | no | wait |
-/// | yes | any | any | any | any | yes | let go |
-/// | no | safe | any | no | any | no | wait: an offer of a safe task may have left unwritten |
-/// | no | safe | any | yes, or last call | no | any | ask |
-/// | no | safe | any | yes, or last call | yes | any | refuse: asking again is harmless |
-/// | no | keyed, unsafe | no | any | no | any | ask: every offer of it was written before it left |
-/// | no | keyed, unsafe | no | any | yes | any | refuse |
-/// | no | keyed, unsafe | yes | no | any | no | wait: its copy may still turn up |
+/// | yes | any | any | any | any | yes | abandon |
+/// | no | safe | any | no | any | no | wait: an offer of a safe task may have left unrecorded |
+/// | no | safe | any | yes, or last call | no | any | request |
+/// | no | safe | any | yes, or last call | yes | any | reject: asking again is harmless |
+/// | no | keyed, unsafe | no | any | no | any | request: every offer of it was recorded before it left |
+/// | no | keyed, unsafe | no | any | yes | any | reject |
+/// | no | keyed, unsafe | yes | no | any | no | wait: its copy may still be reported |
 /// | no | keyed, unsafe | yes | yes, or last call | any | any | fail |
-pub fn recovered(
-    effect: Effect,
-    open: bool,
-    may_have_run: bool,
-    all_told: bool,
-    time_over: bool,
-    last_call: bool,
-) -> Recovered {
-    let safe = effect == Effect::Safe;
-    match (open, safe || may_have_run) {
-        (true, _) if last_call => Recovered::LetGo,
-        (true, _) => Recovered::Wait,
-        (false, true) if !all_told && !last_call => Recovered::Wait,
-        (false, true) if !safe => Recovered::Fail,
-        (false, _) if time_over => Recovered::Refuse,
-        (false, _) => Recovered::Ask,
+pub fn recovery_action(job: RecoveringJob) -> RecoveryAction {
+    let is_safe = job.effect == Effect::Safe;
+    let may_wait = !job.all_reconciled && !job.is_last_call;
+    match (job.has_open_attempts, is_safe || job.may_have_run) {
+        (true, _) if job.is_last_call => RecoveryAction::Abandon,
+        (true, _) => RecoveryAction::Wait,
+        (false, true) if may_wait => RecoveryAction::Wait,
+        (false, true) if !is_safe => RecoveryAction::Fail,
+        (false, _) if job.is_overdue => RecoveryAction::Reject,
+        (false, _) => RecoveryAction::Request,
     }
 }
 
-/// What a submission that an earlier life may have carried out does for one job.
+/// What a submission that a former incarnation may have carried out does for one job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Resubmission {
     /// The job is there already.
-    TakeUp,
-    /// Wait for nodes to tell.
+    Existing,
+    /// Wait for nodes to report.
     Wait,
     /// Place it as new.
     Start,
-    /// It may have run and ended unseen: its owner is told that it failed, which promises nothing.
+    /// It may have run and ended unseen: its client is told that it failed, which promises nothing.
     Fail,
 }
 
 /// Decides on a submission repeated to the successor of a placer that died.
 ///
-/// A task that nobody holds may have run to its end before: its node forgot it once the dead placer had
-/// acknowledged the end. Only a safe class may be started on that knowledge. Where the ledger has all that the
-/// dead placer promised (`covered`), a submission that is not in it was never taken, and no offer of its jobs
-/// has left.
-pub fn resubmission(effect: Effect, repeat: Repeat, may_wait: bool, covered: bool) -> Resubmission {
-    match (repeat, effect) {
-        (Repeat::Held, _) => Resubmission::TakeUp,
-        _ if covered => Resubmission::Start,
-        (Repeat::Untold, _) if may_wait => Resubmission::Wait,
+/// A task that nobody holds may have run to its end before: its node forgot it once the dead placer had acknowledged
+/// the end. Only a safe class may be started on that knowledge. Where the ledger has every record of the dead placer
+/// (`is_complete`), a submission that is not in it was never accepted, and no offer of its jobs has left.
+pub fn resubmission(
+    effect: Effect,
+    prior: PriorSubmission,
+    may_wait: bool,
+    is_complete: bool,
+) -> Resubmission {
+    match (prior, effect) {
+        (PriorSubmission::Held, _) => Resubmission::Existing,
+        _ if is_complete => Resubmission::Start,
+        (PriorSubmission::Unreported, _) if may_wait => Resubmission::Wait,
         (_, Effect::Safe) => Resubmission::Start,
         (_, Effect::Keyed | Effect::Unsafe) => Resubmission::Fail,
     }
 }
 
-/// Whether the module may be told of a node at all yet (rule 4).
+/// Whether a node may be announced to the decision module at all yet (rule 4).
 ///
-/// A placer that has just started does not know what its former life sent to a cold node: the node's budget
-/// counts both. So a node that is cold is kept back until one window has passed since the placer's own start;
-/// by then nothing of the former life is left in any window. It need not be where the ledger has every offer
-/// to a cold node (`known`). `cold_until` is `None` for a node that is warm, or whose start is not known.
-pub fn may_tell(
+/// A placer that has just started does not know what its former incarnation sent to a node that is warming up: the
+/// node's budget counts both. So such a node is withheld until one window has passed since the placer's own start; by
+/// then nothing of the former incarnation is left in any window. It need not be where the ledger has every offer to
+/// such a node (`budgets_restored`). `warming_until` is `None` for a node that is warm, or whose start is not known.
+pub fn may_announce(
     now: u64,
     started: u64,
     window_us: Option<u64>,
-    cold_until: Option<u64>,
-    known: bool,
+    warming_until: Option<u64>,
+    budgets_restored: bool,
 ) -> bool {
-    let cold = cold_until.is_some_and(|until| now < until);
-    !cold || known || now >= started.saturating_add(window_us.unwrap_or(0))
+    let is_warming_up = warming_until.is_some_and(|until| now < until);
+    !is_warming_up || budgets_restored || now >= started.saturating_add(window_us.unwrap_or(0))
 }
 
-/// Microseconds before an owner gives up at which the module's time is over: enough to answer on a machine that
-/// keeps up, little beside any class's patience.
+/// Microseconds before a client gives up at which the decision module's time is over: enough to answer on a machine that
+/// keeps up, little beside any class's deadline.
 pub const ANSWER_MARGIN_US: u64 = 100_000;
 
-/// How long before its owner gives up a request must be answered by the module: the answer has the loop and the
-/// disk before it, so twice what these were behind lately, and no more than a quarter of the owner's patience.
+/// How long before its client gives up a request must be answered by the decision module: the answer has the loop and
+/// the disk before it, so twice what these were behind lately, and no more than a quarter of the client's deadline.
 pub fn answer_margin(grace_us: u64, lag_us: u64) -> u64 {
     ANSWER_MARGIN_US
         .max(lag_us.saturating_mul(2))
         .min(grace_us / 4)
 }
 
-/// How far behind something was lately: the worst, which counts for half as much after each [`HALF_US`].
+/// How far behind something was lately: the worst, which counts for half as much after each [`LAG_HALF_LIFE_US`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Lag {
     worst_us: u64,
@@ -258,7 +281,7 @@
 }
 
 /// Microseconds after which a lag counts for half.
-const HALF_US: u64 = 5_000_000;
+const LAG_HALF_LIFE_US: u64 = 5_000_000;
 
 impl Lag {
     /// Something was late by so much.
@@ -270,253 +293,59 @@
 
     /// What counts now.
     pub fn at(&self, now: u64) -> u64 {
-        let halves = now.saturating_sub(self.at_us) / HALF_US;
+        let halves = now.saturating_sub(self.at_us) / LAG_HALF_LIFE_US;
         self.worst_us
             .checked_shr(u32::try_from(halves).unwrap_or(u32::MAX))
             .unwrap_or(0)
     }
 }
 
-/// Whether a cold node gets nothing more for now (rule 4).
+/// What is known of the offers to a node that may be warming up.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SlowStartOffers {
+    /// It has started lately, and bears little.
+    pub is_warming_up: bool,
+    /// When the oldest unanswered offer to it was sent.
+    pub oldest_unanswered: Option<u64>,
+    /// Until when an offer that it answered late counts against it.
+    pub late_until: u64,
+}
+
+/// Whether a node that is warming up gets nothing more for now (rule 4).
 ///
-/// The module counts offers to a cold node from when it decided them, with a jitter in hand. A link that stalls or
-/// a node that reads slowly lets more than that pass before the first of them arrives, and then all at once: so a
-/// node with an offer that is unanswered for longer than the jitter gets none, and neither does one that answered
-/// late, for a window after that answer (`late_until`).
+/// The decision module counts offers to such a node from when it decided them, with a jitter in hand. A connection that
+/// stalls or a node that reads slowly lets more than that pass before the first of them arrives, and then all at once:
+/// so a node with an offer that is unanswered for longer than the jitter gets none, and neither does one that answered
+/// late, for a window after that answer.
 ///
-/// | cold | oldest unanswered offer | answered late | held |
+/// | warming up | oldest unanswered offer | answered late | blocked |
 /// | --- | --- | --- | --- |
 /// | no | any | any | no |
 /// | yes | older than the jitter | any | yes |
 /// | yes | younger, or none | less than a window ago | yes |
 /// | yes | younger, or none | longer ago, or never | no |
-pub fn cold_and_late(
-    now: u64,
-    cold: bool,
-    oldest: Option<u64>,
-    late_until: u64,
-    jitter: u64,
-) -> bool {
-    cold && (late_until > now || oldest.is_some_and(|sent| now >= sent.saturating_add(jitter)))
+pub fn slow_start_late(now: u64, offers: SlowStartOffers, jitter: u64) -> bool {
+    let is_overdue = |sent: u64| now >= sent.saturating_add(jitter);
+    offers.is_warming_up
+        && (offers.late_until > now || offers.oldest_unanswered.is_some_and(is_overdue))
 }
 
-/// How long ago an offer of a former life counts as sent to a cold node, which the ledger has as decided `ago`.
+/// How long ago an offer of a former incarnation counts as sent to a node that is warming up, which the ledger has as
+/// decided `ago`.
 ///
-/// It may have reached its node as late as the former life's link stood, so until its successor greets: within
-/// [`FORMER_US`] of a window it counts as sent just now.
-pub fn former_offer(ago: u64, window: u64) -> u64 {
-    if ago < window.saturating_add(FORMER_US) {
+/// It may have reached its node as late as the former incarnation's connection was open, so until its successor's
+/// handshake: within
+/// [`FORMER_OFFER_US`] of a window it counts as sent just now.
+pub fn former_offer_age(ago: u64, window: u64) -> u64 {
+    if ago < window.saturating_add(FORMER_OFFER_US) {
         0
     } else {
         ago
     }
 }
 
-/// Microseconds for which a link of a former life may hold an offer back.
-const FORMER_US: u64 = 2_000_000;
+/// Microseconds for which a connection of a former incarnation may delay an offer.
+const FORMER_OFFER_US: u64 = 2_000_000;
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    const KNOWN: [Known; 3] = [Known::Out, Known::Accepted, Known::Stopping];
-
-    fn states() -> Vec<Option<HeldState>> {
-        let over = |end, ran| Some(HeldState::Ended { end, ran });
-        vec![
-            None,
-            Some(HeldState::Waiting),
-            Some(HeldState::Accepted),
-            Some(HeldState::Running),
-            Some(HeldState::Suspended),
-            over(End::Exited(0), true),
-            over(End::Stopped, false),
-        ]
-    }
-
-    #[test]
-    fn an_end_that_was_told_is_an_end_whatever_the_ledger_held() {
-        for known in KNOWN {
-            for same_life in [false, true] {
-                let held = HeldState::Ended {
-                    end: End::Evicted,
-                    ran: true,
-                };
-                let over = Verdict::Over {
-                    end: End::Evicted,
-                    ran: true,
-                };
-                assert_eq!(reconcile(known, Some(&held), same_life), over);
-            }
-        }
-    }
-
-    /// Rule 2: only what can't have run counts as never run.
-    #[test]
-    fn never_ran_is_said_only_of_unanswered_offers_to_a_node_that_lived_on() {
-        for known in KNOWN {
-            for held in states() {
-                for same_life in [false, true] {
-                    let verdict = reconcile(known, held.as_ref(), same_life);
-                    let proven = held.is_none() && same_life && known != Known::Accepted;
-                    assert_eq!(
-                        verdict == Verdict::NeverRan,
-                        proven,
-                        "{known:?} {held:?} {same_life}"
-                    );
-                }
-            }
-        }
-    }
-
-    #[test]
-    fn a_held_copy_is_never_forgotten() {
-        for known in KNOWN {
-            for held in states().into_iter().flatten() {
-                let verdict = reconcile(known, Some(&held), true);
-                let over = matches!(held, HeldState::Ended { .. });
-                let want = match known {
-                    _ if over => matches!(verdict, Verdict::Over { .. }),
-                    Known::Stopping => verdict == Verdict::StopAgain,
-                    Known::Accepted => verdict == Verdict::Keep,
-                    Known::Out => matches!(verdict, Verdict::Keep | Verdict::Place),
-                };
-                assert!(want, "{known:?} {held:?}: {verdict:?}");
-            }
-        }
-    }
-
-    #[test]
-    fn one_copy_of_a_job_is_kept_at_most() {
-        for standing in [Standing::Forgotten, Standing::Elsewhere, Standing::Over] {
-            assert_eq!(late_copy(standing), LateCopy::Stop);
-        }
-        for standing in [Standing::Unknown, Standing::Waiting] {
-            assert_eq!(late_copy(standing), LateCopy::Adopt);
-        }
-    }
-
-    #[test]
-    fn only_a_class_that_allows_it_comes_again_after_it_ran() {
-        use ComesAgain::{Always, Ended, Never};
-        let again =
-            |rule| [Loss::NeverRan, Loss::Ended, Loss::Unknown].map(|loss| comes_again(rule, loss));
-        assert_eq!(again(Always), [true, true, true]);
-        assert_eq!(again(Ended), [true, true, false]);
-        assert_eq!(again(Never), [true, false, false]);
-    }
-
-    #[test]
-    fn a_cold_node_is_kept_back_for_one_window_after_the_own_start() {
-        assert!(may_tell(100, 100, Some(50), None, false));
-        assert!(may_tell(100, 100, Some(50), Some(100), false));
-        assert!(!may_tell(149, 100, Some(50), Some(1_000), false));
-        assert!(may_tell(150, 100, Some(50), Some(1_000), false));
-        assert!(may_tell(100, 100, None, Some(1_000), false));
-        assert!(
-            may_tell(100, 100, Some(50), Some(1_000), true),
-            "every offer of the former life is known"
-        );
-    }
-
-    /// Every case, against the rules and not against the table.
-    #[test]
-    fn a_recovered_job_is_asked_for_only_where_its_class_allows_it_and_always_gets_an_answer() {
-        let flags = || [false, true].into_iter();
-        for effect in [Effect::Safe, Effect::Keyed, Effect::Unsafe] {
-            for (open, ran) in flags().flat_map(|open| flags().map(move |ran| (open, ran))) {
-                for (told, over) in flags().flat_map(|told| flags().map(move |over| (told, over))) {
-                    for last in flags() {
-                        let got = recovered(effect, open, ran, told, over, last);
-                        let case = format!("{effect:?} {open} {ran} {told} {over} {last}: {got:?}");
-                        let twice = effect != Effect::Safe && ran;
-                        // Rule 2: nothing that may have run is asked for again, nor said to be harmless.
-                        let goes_on = matches!(got, Recovered::Ask | Recovered::Refuse);
-                        assert!(!(goes_on && (twice || open)), "{case}");
-                        // Rule 1: at the last call nothing waits, and no promise is withheld for nothing.
-                        assert!(!(last && got == Recovered::Wait), "{case}");
-                        assert_eq!(
-                            got == Recovered::Fail,
-                            twice && !open && (told || last),
-                            "{case}"
-                        );
-                        assert!(!(got == Recovered::Ask && over), "{case}");
-                        // A safe task's offer may be out unwritten until all have told.
-                        let hasty = effect == Effect::Safe && !told && !last;
-                        assert!(!(hasty && got != Recovered::Wait), "{case}");
-                    }
-                }
-            }
-        }
-    }
-
-    /// Every case of the table.
-    #[test]
-    fn a_cold_node_that_is_late_gets_nothing_until_a_window_after_it_answered() {
-        let (now, jitter) = (1_000, 100);
-        for (cold, oldest, late_until, held) in [
-            (false, Some(0), 2_000, false),
-            (true, Some(900), 0, true),
-            (true, Some(901), 0, false),
-            (true, Some(901), 1_001, true),
-            (true, None, 1_001, true),
-            (true, None, 1_000, false),
-            (true, None, 0, false),
-        ] {
-            let got = cold_and_late(now, cold, oldest, late_until, jitter);
-            assert_eq!(got, held, "{cold} {oldest:?} {late_until}");
-        }
-    }
-
-    #[test]
-    fn the_margin_of_an_answer_follows_the_lag_and_leaves_most_of_the_patience() {
-        assert_eq!(answer_margin(8_000_000, 0), ANSWER_MARGIN_US);
-        assert_eq!(answer_margin(8_000_000, 400_000), 800_000);
-        assert_eq!(answer_margin(2_000_000, 400_000), 500_000);
-        assert_eq!(answer_margin(200_000, 0), 50_000);
-        let mut lag = Lag::default();
-        lag.note(0, 400);
-        lag.note(1, 300);
-        assert_eq!(
-            (
-                lag.at(2),
-                lag.at(HALF_US),
-                lag.at(3 * HALF_US),
-                lag.at(u64::MAX)
-            ),
-            (400, 200, 50, 0)
-        );
-        lag.note(HALF_US, 300);
-        assert_eq!(lag.at(HALF_US), 300);
-    }
-
-    #[test]
-    fn offers_of_a_former_life_count_as_just_sent_while_they_may_still_arrive() {
-        assert_eq!(former_offer(0, 5), 0);
-        assert_eq!(former_offer(FORMER_US + 4, 5), 0);
-        assert_eq!(former_offer(FORMER_US + 5, 5), FORMER_US + 5);
-    }
-
-    #[test]
-    fn a_repeat_to_a_successor_starts_safe_tasks_alone() {
-        let repeats = [Repeat::Held, Repeat::Untold, Repeat::NotHeld];
-        for effect in [Effect::Safe, Effect::Keyed, Effect::Unsafe] {
-            for repeat in repeats {
-                for (may_wait, covered) in
-                    [(false, false), (false, true), (true, false), (true, true)]
-                {
-                    let got = resubmission(effect, repeat, may_wait, covered);
-                    let starts = got == Resubmission::Start;
-                    assert!(
-                        !starts || (effect == Effect::Safe || covered) && repeat != Repeat::Held
-                    );
-                    assert_eq!(got == Resubmission::TakeUp, repeat == Repeat::Held);
-                    assert_eq!(
-                        got == Resubmission::Wait,
-                        repeat == Repeat::Untold && may_wait && !covered
-                    );
-                }
-            }
-        }
-    }
-}
+mod tests;
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -2,6 +2,7 @@
 
 use std::net::SocketAddr;
 
+use reedring::Micros;
 use reedring_drmaa::rpc::{Call, Response};
 use reedring_node_protocol::{AcceptorReport, AttemptId, Message, VersionStamp};
 use reedring_settings::{NodeList, Settings};
@@ -9,6 +10,19 @@
 
 use crate::event::Event;
 
+/// What a core is told at its start.
+#[derive(Clone, Copy, Debug)]
+pub struct Start {
+    /// The time of its clock, in microseconds; it never goes back.
+    pub now: Micros,
+    /// Microseconds since 1970 at that time.
+    pub unix_us: u64,
+    /// This incarnation of the placer: another number at each start.
+    pub life: u64,
+    /// Seed of the module's random numbers.
+    pub seed: u64,
+}
+
 /// A client's connection, as the shell numbers it.
 pub type ConnId = u64;
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,11 +1,31 @@
-//! The core of a placer: its ledger of jobs and attempts, its sessions, its links to nodes and its
-//! timers, around the decision module.
+//! The core of a placer: its jobs and attempts, its sessions, its connections to nodes and its timers, around the
+//! decision module.
 //!
-//! What this crate is not: it opens no socket, reads no clock and draws no random number but the
-//! module's own, from the seed. It is told what happened as [`Input`]s with the time, and answers with
-//! [`Output`]s; equal inputs give equal outputs. Where a task goes is the module's decision alone. What
-//! the core decides itself - what a node's report means for a job, whether a lost task comes again,
-//! what a repeated submission may do - stands in [`decide`] as pure functions.
+//! What this crate is not: it opens no socket, reads no clock and draws no random number but the module's own, from the
+//! seed. It is told what happened as [`Input`]s with the time, and answers with [`Output`]s; equal inputs give equal
+//! outputs. Where a task goes is the module's decision alone. What the core decides itself - what a node's report means
+//! for a job, whether a lost task is retried, what a repeated submission may do - stands in [`decide`] as pure functions.
+//!
+//! [`Core`] is the loop over its components, each of which owns its state:
+//!
+//! | component | module |
+//! | --- | --- |
+//! | nodes, their connections, and what the decision module knows of them | `nodes`, `handshake` |
+//! | jobs, attempts and requests to the decision module | `ledger` |
+//! | every transition of a job or an attempt | `lifecycle` |
+//! | sessions, waiting calls, recorded answers | `sessions` |
+//! | placement constraints | `constraints` |
+//! | nodes to which nothing is dispatched for now | `dispatch_blocks` |
+//! | agreement on the configuration, and the lease | `configuration` |
+//! | batches that are not durable yet, and outputs that wait for them | `persistence` |
+//! | the state of a former incarnation | `restore` |
+//! | health checks | `health_checks` |
+//! | clients' calls, by kind | `requests` |
+//! | when a lost connection is tried again, for the shell | [`reconnect`] |
+//! | what operators are told | [`event`] |
+//!
+//! A component changes its own state and nothing else; what else is to happen it pushes to the `context` as a typed
+//! effect, in order.
 //!
 //! The whole run loop of a shell:
 //!
@@ -36,32 +56,36 @@
 //! ```
 #![forbid(unsafe_code)]
 
-mod ask;
-mod calls;
-mod constrain;
+mod configuration;
+mod constraints;
+mod context;
 mod core;
 pub mod decide;
+mod dispatch_blocks;
 pub mod event;
-mod fates;
-mod holds;
+mod handshake;
+mod health_checks;
+mod ids;
 mod io;
-mod jobs;
-mod keep;
-mod links;
+mod ledger;
+mod lifecycle;
+mod module;
+mod nodes;
+mod persistence;
 pub mod reconnect;
-mod recover;
+mod requests;
+mod requirements;
+mod restore;
 mod sessions;
 mod timers;
-mod versions;
-mod words;
 
-pub use crate::core::{Core, Start};
+pub use crate::core::Core;
 pub use crate::event::{Event, Level};
-pub use crate::io::{ConnId, Input, Output};
-pub use crate::keep::Restored;
+pub use crate::io::{ConnId, Input, Output, Start};
+pub use crate::restore::Restored;
 pub use reedring::names::{machine_id, service_id};
 
-/// The build of this placer, as nodes are told it.
+/// The build of this placer, as handshakes name it.
 pub const BUILD: &str = concat!("reedring ", env!("CARGO_PKG_VERSION"));
 
 /// The build as a number, as offers name it.
@@ -69,8 +93,8 @@
     crc32c::crc32c(BUILD.as_bytes())
 }
 
-/// By what a placer of these settings greets nodes before it knows what is in force: the plan of its own file. None
-/// where the file has no `[plan]`.
+/// What the handshakes of a placer with these settings name before it knows what is committed: the configuration of its
+/// own file. None where the file has no `[plan]` table.
 pub fn first_stamp(
     settings: &reedring_settings::Settings,
 ) -> Option<reedring_node_protocol::VersionStamp> {
--- /dev/null
+++ b/crates/core/src/lifecycle/reports.rs
@@ -0,0 +1,364 @@
+//! What nodes report of attempts, and what it means for jobs.
+
+use reedring::{AttemptId, Event as ModuleEvent, Micros, Note, Outcome as AttemptOutcome, Reason};
+use reedring_drmaa::End;
+use reedring_drmaa::info::signal_name;
+use reedring_node_protocol::{self as wire, Message, Topic};
+use reedring_state::{Ending, Outcome};
+
+use super::{AttemptEnd, JobLifecycle};
+use crate::decide::{self, AttemptState, Loss};
+use crate::event::Event;
+use crate::ids::{JobNumber, NodeNumber};
+use crate::ledger::Phase;
+use crate::timers::Timer;
+
+impl JobLifecycle<'_> {
+    /// The open attempt that a node reports of; an attempt is its own node's to report of.
+    fn reported_attempt(&self, node: NodeNumber, attempt: wire::AttemptId) -> Option<AttemptId> {
+        let id = self.ledger.find(attempt)?;
+        self.ledger
+            .attempt(id)
+            .filter(|attempt| attempt.node == node)
+            .map(|_| id)
+    }
+
+    /// A node accepted an offer.
+    pub fn accept_reported(
+        &mut self,
+        now: Micros,
+        node: NodeNumber,
+        attempt: wire::AttemptId,
+        report: Vec<f64>,
+    ) {
+        match self.reported_attempt(node, attempt) {
+            Some(id) => self.attempt_accepted(now, id, report),
+            // Its job went on without it: what it is now comes with the answer to this stop.
+            None => self.send(now, node, Message::Stop { attempt }),
+        }
+    }
+
+    /// A node rejected an offer.
+    pub fn rejection_reported(
+        &mut self,
+        now: Micros,
+        node: NodeNumber,
+        attempt: wire::AttemptId,
+        reason: wire::Reason,
+        report: Vec<f64>,
+    ) {
+        self.attempt_resolved(now, attempt);
+        self.nodes.count_rejection(node, reason);
+        if let Some(id) = self.reported_attempt(node, attempt) {
+            self.attempt_rejected(now, id, reason, report);
+        }
+    }
+
+    /// A node reports something of a task that it runs.
+    pub fn note_reported(
+        &mut self,
+        now: Micros,
+        node: NodeNumber,
+        attempt: wire::AttemptId,
+        topic: Topic,
+        amount: f64,
+    ) {
+        if let Some(id) = self.reported_attempt(node, attempt) {
+            self.attempt_noted(now, id, topic, amount);
+        }
+    }
+
+    /// A node reports that an attempt has ended.
+    pub fn end_reported(
+        &mut self,
+        now: Micros,
+        node: NodeNumber,
+        attempt: wire::AttemptId,
+        end: wire::End,
+        ran: bool,
+        report: Vec<f64>,
+    ) {
+        self.send(now, node, Message::Ack { attempt });
+        self.attempt_resolved(now, attempt);
+        if let Some(id) = self.reported_attempt(node, attempt) {
+            self.attempt_ended(now, id, end, ran, report);
+        }
+    }
+
+    // ---- Accepted ----
+
+    pub(super) fn attempt_accepted(&mut self, now: Micros, id: AttemptId, report: Vec<f64>) {
+        let Some(attempt) = self.ledger.attempt_mut(id) else {
+            return;
+        };
+        attempt.accepted = true;
+        if attempt.state != AttemptState::Offered {
+            // It crossed the stop on the wire; the answer to the stop says what became of it.
+            return;
+        }
+        attempt.state = AttemptState::Accepted;
+        let announced = std::mem::replace(&mut attempt.announced, true);
+        let (job, machine, node, sent) = (attempt.job, attempt.machine, attempt.node, attempt.sent);
+        let took_us = now.saturating_sub(sent);
+        self.offer_answered(now, node, sent);
+        self.ledger.close_request(id.request);
+        self.constraints.request_closed(id.request);
+        self.blocks.request_closed(id.request);
+        if announced {
+            self.cx.tell_module(ModuleEvent::Placed {
+                attempt: id,
+                machine,
+                took_us,
+            });
+        } else if let Some(task) = self.module_task(job, id.request) {
+            // A former incarnation offered it.
+            self.cx.tell_module(ModuleEvent::Adopted { task, machine });
+        }
+        self.set_recovered(job);
+        if !report.is_empty() {
+            self.cx.tell_module(ModuleEvent::Probed {
+                machine,
+                answered: true,
+                took_us,
+                report,
+            });
+        }
+        self.job_placed(now, job, id);
+    }
+
+    /// A job has an accepted copy.
+    pub(super) fn job_placed(&mut self, now: Micros, job: JobNumber, id: AttemptId) {
+        self.track_constraint(job, id);
+        let Some(entry) = self.ledger.job_mut(job) else {
+            return;
+        };
+        entry.record_result(id, "accepted");
+        entry.phase = Phase::Placed(id);
+        if entry.outcome.is_none() {
+            entry.placed = Some(now);
+        }
+        self.record_outcome(job, Outcome::Placed);
+        if self.cx.settings().site.yes_when_running {
+            self.job_running(now, job, id);
+        }
+    }
+
+    /// Watches whether the constraint of a placed job stays satisfied.
+    pub(super) fn track_constraint(&mut self, job: JobNumber, id: AttemptId) {
+        let node = self.ledger.attempt(id).map(|attempt| attempt.node);
+        let constrained = self
+            .ledger
+            .job(job)
+            .and_then(|job| job.requirements.constrained_job());
+        if let Some((node, constrained)) = node.zip(constrained) {
+            self.constraints.job_placed(job, constrained, node);
+        }
+    }
+
+    fn job_running(&mut self, now: Micros, job: JobNumber, id: AttemptId) {
+        let Some(entry) = self.ledger.job_mut(job) else {
+            return;
+        };
+        entry.phase = Phase::Running(id);
+        entry.started = Some(now);
+        self.set_run_limit(job);
+    }
+
+    /// A job runs for as long as its template allows.
+    pub fn set_run_limit(&mut self, number: JobNumber) {
+        let Some(job) = self.ledger.job(number) else {
+            return;
+        };
+        let Some(started) = job.started else { return };
+        let spec = &job.requirements.spec;
+        if let Some(limit) = spec.wall_hard.into_iter().chain(spec.run_hard).min() {
+            let at = started.saturating_add(limit.saturating_mul(1_000_000));
+            self.cx.set_timer(at, Timer::RunLimit(number));
+        }
+    }
+
+    pub(super) fn attempt_noted(&mut self, now: Micros, id: AttemptId, topic: Topic, amount: f64) {
+        let Some(attempt) = self.ledger.attempt(id) else {
+            return;
+        };
+        let (job, machine) = (attempt.job, attempt.machine);
+        let note = match topic {
+            Topic::Runs => {
+                let phase = self.ledger.job(job).map(|job| &job.phase);
+                if matches!(phase, Some(Phase::Placed(_))) {
+                    self.job_running(now, job, id);
+                }
+                Note::Runs
+            }
+            Topic::Suspended | Topic::Resumed => {
+                if let Some(job) = self
+                    .ledger
+                    .job_mut(job)
+                    .filter(|job| job.placed_attempt().is_some())
+                {
+                    let is_suspended = topic == Topic::Suspended;
+                    job.phase = if is_suspended {
+                        Phase::Suspended(id)
+                    } else {
+                        Phase::Running(id)
+                    };
+                }
+                return;
+            }
+            Topic::Cores => Note::Cores(amount),
+            Topic::Memory => Note::Memory(amount),
+            Topic::Served => Note::Served(amount),
+            Topic::Pressure => Note::Pressure(amount),
+        };
+        self.cx.tell_module(ModuleEvent::TaskSignal {
+            attempt: id,
+            machine,
+            note,
+        });
+    }
+
+    // ---- Rejected ----
+
+    fn attempt_rejected(
+        &mut self,
+        now: Micros,
+        id: AttemptId,
+        reason: wire::Reason,
+        report: Vec<f64>,
+    ) {
+        let module_reason = match reason {
+            wire::Reason::Untold => None,
+            wire::Reason::NoCores => Some(Reason::NoCores),
+            wire::Reason::NoMemory => Some(Reason::NoMemory),
+            wire::Reason::Crowded => Some(Reason::Crowded),
+            wire::Reason::Draining
+            | wire::Reason::CopyStands
+            | wire::Reason::TooLate
+            | wire::Reason::NotHere => Some(Reason::NotHere),
+            // It was never considered: the node has reported what it stores, and is blocked until that is caught up
+            // with.
+            wire::Reason::Superseded => {
+                let end =
+                    AttemptEnd::new(AttemptOutcome::Unsent, reason.word()).with_report(report);
+                return self.attempt_unplaced(now, id, end);
+            }
+        };
+        let state = self.ledger.state_of(id);
+        if state.is_some_and(|state| state != AttemptState::Accepted) {
+            let end = AttemptEnd::new(AttemptOutcome::Refused, reason.word());
+            self.attempt_unplaced(now, id, end.because(module_reason).with_report(report));
+        }
+    }
+
+    // ---- Ended ----
+
+    /// A node reports that an attempt has ended.
+    pub(super) fn attempt_ended(
+        &mut self,
+        now: Micros,
+        id: AttemptId,
+        end: wire::End,
+        ran: bool,
+        report: Vec<f64>,
+    ) {
+        let Some(attempt) = self.ledger.attempt(id) else {
+            return;
+        };
+        let (state, accepted) = (attempt.state, attempt.accepted);
+        if state == AttemptState::Offered && ran {
+            // Its acceptance was lost on the way.
+            self.attempt_accepted(now, id, Vec::new());
+        } else if state == AttemptState::Offered || state == AttemptState::Stopping && !accepted {
+            let (outcome, label) = match ran {
+                true => (AttemptOutcome::Stopped, "stopped"),
+                false => (AttemptOutcome::Unsent, "handed back"),
+            };
+            let end = AttemptEnd::new(outcome, label).with_report(report);
+            return self.attempt_unplaced(now, id, end);
+        }
+        let loss = if ran { Loss::Ended } else { Loss::NeverRan };
+        let reset = |label, reason| AttemptEnd::new(AttemptOutcome::Reset, label).because(reason);
+        let lost = match end {
+            wire::End::Exited(status) => {
+                return self.attempt_finished(now, id, Ending::ran(End::Exited { status }), report);
+            }
+            wire::End::Signaled(signal) => {
+                let signal = signal_name(i32::from(signal)).to_owned();
+                let ending = Ending::ran(End::Signaled {
+                    signal,
+                    core_dump: false,
+                });
+                return self.attempt_finished(now, id, ending, report);
+            }
+            wire::End::Error(text) if ran => {
+                let ending = Ending::aborted(format!("its node could not run it: {text}"));
+                return self.attempt_finished(now, id, ending, report);
+            }
+            wire::End::Evicted => reset("evicted", Some(Reason::Evicted)),
+            wire::End::PushedOut => reset("pushed out", Some(Reason::PushedOut)),
+            wire::End::SentAway => reset("sent away", Some(Reason::SentAway)),
+            wire::End::Stopped => AttemptEnd::new(AttemptOutcome::Stopped, "stopped"),
+            wire::End::Error(_) => AttemptEnd::new(AttemptOutcome::Error, "node error"),
+            wire::End::Unknown => reset("node lost it", None),
+        };
+        self.attempt_lost(now, id, loss, lost);
+    }
+
+    /// An accepted copy ran to its end.
+    fn attempt_finished(&mut self, now: Micros, id: AttemptId, ending: Ending, report: Vec<f64>) {
+        let Some(attempt) = self.close_attempt(id, "ended", false) else {
+            return;
+        };
+        let end = AttemptEnd::new(AttemptOutcome::Finished, "ended").with_report(report);
+        self.announce_end(id, &attempt, end);
+        let Some(job) = self.ledger.job(attempt.job) else {
+            return;
+        };
+        // Also where it ended by itself before a stop came through: that is how it ended.
+        if matches!(job.phase, Phase::Ending(_)) || job.placed_attempt().is_some() {
+            self.end_job(now, attempt.job, ending);
+        }
+    }
+
+    /// An accepted copy no longer exists, and did not run to its end.
+    pub(super) fn attempt_lost(&mut self, now: Micros, id: AttemptId, loss: Loss, end: AttemptEnd) {
+        let label = end.label;
+        let Some(attempt) = self.close_attempt(id, label, loss == Loss::Unknown) else {
+            return;
+        };
+        self.constraints.job_unplaced(attempt.job);
+        self.announce_end(id, &attempt, end);
+        let Some(job) = self.ledger.job(attempt.job) else {
+            return;
+        };
+        if job.placed_attempt() != Some(id) {
+            return self.end_if_ending(now, attempt.job);
+        }
+        let class = self.cx.class(job.requirements.class);
+        let (may_retry, backoff) = (
+            decide::may_retry(class.comes_again, loss),
+            class.again_after_us,
+        );
+        let (name, node) = (job.name.to_string(), self.nodes.name(attempt.node));
+        if may_retry {
+            self.cx.log(Event::JobRequeued {
+                job: name,
+                node,
+                attempt: attempt.wire,
+                reason: label,
+            });
+            if let Some(job) = self.ledger.job_mut(attempt.job) {
+                (job.phase, job.is_retry, job.until) = (Phase::Delayed, true, now + backoff);
+            }
+            self.cx
+                .set_timer(now + backoff, Timer::RequestPlacement(attempt.job));
+        } else {
+            let why = match loss {
+                Loss::Unknown => "it may run still, and its class forbids a second copy",
+                Loss::Ended | Loss::NeverRan => "its class forbids a second start",
+            };
+            let ending = Ending::aborted(format!("{label} at {node}; {why}"));
+            self.end_job(now, attempt.job, ending);
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/lifecycle/sending.rs
@@ -0,0 +1,61 @@
+//! Messages to nodes, and what must be durable before each leaves.
+
+use reedring::{Effect, Micros};
+use reedring_node_protocol::{self as wire, Message};
+use reedring_state::Change;
+
+use super::JobLifecycle;
+use crate::ids::NodeNumber;
+use crate::persistence::Requires;
+
+impl JobLifecycle<'_> {
+    /// Sends on a node's connection, in order, if it is up.
+    pub fn send(&mut self, now: Micros, number: NodeNumber, message: Message) {
+        if !self.nodes.is_up(number) {
+            return;
+        }
+        let requires = match &message {
+            Message::Offer { task, .. } => self.offer_requires(now, number, task),
+            Message::Ack { attempt } if !self.may_acknowledge(*attempt) => {
+                return self.queue.defer_acknowledgement(number, *attempt);
+            }
+            Message::Ack { .. } => Requires::CurrentBatch,
+            _ => Requires::Nothing,
+        };
+        self.queue.send(number, self.nodes, message, requires);
+    }
+
+    /// An offer of an idempotent task to a warm node may leave once the job's first row is durable.
+    fn offer_requires(&mut self, now: Micros, number: NodeNumber, task: &wire::Task) -> Requires {
+        let is_warming_up = self
+            .nodes
+            .is_warming_up(number, now, &self.cx.settings().site);
+        if is_warming_up {
+            self.queue
+                .record(Change::WarmUpOffer(self.nodes.name(number)));
+        }
+        let job = self
+            .job_named(&task.job)
+            .and_then(|job| self.ledger.job(job));
+        match job.and_then(|job| job.recorded_in) {
+            Some(batch) if !is_warming_up && task.repeat == wire::Repeat::Safe => {
+                Requires::Batch(batch)
+            }
+            _ => Requires::CurrentBatch,
+        }
+    }
+
+    /// A node forgets what is acknowledged. While nothing is durable that would make the ledger wrong: it holds the
+    /// attempt as open, and the node no longer knows of it.
+    pub(super) fn may_acknowledge(&self, attempt: wire::AttemptId) -> bool {
+        if self.queue.unavailable().is_none() {
+            return true;
+        }
+        let attempt = self
+            .ledger
+            .find(attempt)
+            .and_then(|id| self.ledger.attempt(id));
+        let job = attempt.and_then(|attempt| self.ledger.job(attempt.job));
+        job.is_some_and(|job| job.recorded_in.is_none() && self.effect(job) == Effect::Safe)
+    }
+}
--- /dev/null
+++ b/crates/core/src/requests/mod.rs
@@ -0,0 +1,328 @@
+//! Requests of clients: the DRMAA calls and those of operators, by kind.
+//!
+//! | kind | file |
+//! | --- | --- |
+//! | submissions, also those repeated after a restart | `submission` |
+//! | hold, release, suspend, resume, terminate | `control` |
+//! | waits and synchronizations | `waiting` |
+//! | what operators and `drmaa_job_ps` read | `queries` |
+//!
+//! [`ClientRequests`] owns the calls that are taken up again later; what a call changes it changes through
+//! [`JobLifecycle`].
+
+mod control;
+mod queries;
+mod submission;
+mod waiting;
+
+use std::collections::VecDeque;
+
+use reedring::Micros;
+use reedring_drmaa::rpc::{Answer, Call, CallKey, Jobs, Range, Response};
+use reedring_drmaa::{Error, ErrorCode, Result, VERSION};
+
+use crate::configuration::Configuration;
+use crate::handshake;
+use crate::ids::{JobNumber, SessionNumber};
+use crate::io::{ConnId, Output};
+use crate::ledger::JobName;
+use crate::lifecycle::JobLifecycle;
+use crate::sessions::CallRecord;
+use submission::{Submission, submitted};
+use waiting::WaitResult;
+pub(crate) use waiting::wait_timed_out;
+
+fn error(code: ErrorCode, text: impl Into<String>) -> Error {
+    Error::new(code, text)
+}
+
+/// Who made a call: its connection, and the id of the call there.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Caller {
+    pub conn: ConnId,
+    pub id: u64,
+}
+
+/// A submission that waits for nodes to report what they hold.
+#[derive(Debug)]
+struct DeferredSubmission {
+    caller: Caller,
+    call: Call,
+}
+
+/// An operator's long list that was asked for.
+#[derive(Debug)]
+struct ListingRequest {
+    caller: Caller,
+    call: Call,
+}
+
+/// The components that a call reads or changes.
+pub(crate) struct CallContext<'a, 'b> {
+    pub lifecycle: &'a mut JobLifecycle<'b>,
+    pub configuration: &'a Configuration,
+    /// Nanoseconds spent in the decision module.
+    pub module_ns: u64,
+}
+
+/// Calls that are taken up again later.
+#[derive(Debug, Default)]
+pub(crate) struct ClientRequests {
+    deferred: Vec<DeferredSubmission>,
+    /// Operators' long lists. They are made one a flush, after all else, so that who asks for many of them holds nobody
+    /// up.
+    listings: VecDeque<ListingRequest>,
+}
+
+impl ClientRequests {
+    /// Carries a call out, and answers it if its answer does not come later.
+    pub fn handle(
+        &mut self,
+        now: Micros,
+        caller: Caller,
+        call: Call,
+        cx: &mut CallContext<'_, '_>,
+    ) {
+        if let Some(result) = self.carry_out(now, caller, call, cx) {
+            cx.lifecycle
+                .reply(caller.conn, Response::new(caller.id, result));
+        }
+    }
+
+    /// A connection ended: its calls need no answer any more.
+    pub fn client_gone(&mut self, conn: ConnId) {
+        self.deferred
+            .retain(|deferred| deferred.caller.conn != conn);
+        self.listings.retain(|listing| listing.caller.conn != conn);
+    }
+
+    /// Nodes have reported what they hold: submissions that waited for that go on.
+    pub fn retry_deferred(&mut self, now: Micros, cx: &mut CallContext<'_, '_>) {
+        for DeferredSubmission { caller, call } in std::mem::take(&mut self.deferred) {
+            self.handle(now, caller, call, cx);
+        }
+    }
+
+    pub fn has_listings(&self) -> bool {
+        !self.listings.is_empty()
+    }
+
+    /// Makes the next long list.
+    pub fn answer_next_listing(&mut self, now: Micros, cx: &mut CallContext<'_, '_>) {
+        if let Some(ListingRequest { caller, call }) = self.listings.pop_front() {
+            let result = stateless_call(now, call, cx);
+            cx.lifecycle
+                .reply(caller.conn, Response::new(caller.id, result));
+        }
+    }
+
+    /// Carries a call out. `None` where its answer comes later.
+    fn carry_out(
+        &mut self,
+        now: Micros,
+        caller: Caller,
+        call: Call,
+        cx: &mut CallContext<'_, '_>,
+    ) -> Option<Result<Answer>> {
+        let key = match &call {
+            Call::Exit { key }
+            | Call::RunJob { key, .. }
+            | Call::RunBulkJobs { key, .. }
+            | Call::Control { key, .. }
+            | Call::Synchronize { key, .. }
+            | Call::Wait { key, .. } => key.clone(),
+            Call::ListJobs { .. } => {
+                self.listings.push_back(ListingRequest { caller, call });
+                return None;
+            }
+            _ => return Some(stateless_call(now, call, cx)),
+        };
+        let number = match cx.lifecycle.sessions.find(&key.session) {
+            Ok(number) => number,
+            Err(error) => return Some(Err(error)),
+        };
+        let session = cx.lifecycle.sessions.get_mut(number)?;
+        session.touch(now);
+        session.settle(key.settled);
+        match session.recorded(key.call) {
+            Err(error) => Some(Err(error)),
+            Ok(Some(CallRecord::Answer(result))) => Some(result.clone()),
+            Ok(Some(CallRecord::Submission(range))) => {
+                let range = *range;
+                Some(Ok(submitted(&key, range, cx.lifecycle.queue.warning())))
+            }
+            Ok(None) => self.session_call(now, number, key, caller, call, cx),
+        }
+    }
+
+    /// Carries out a call of a session that was not made before.
+    fn session_call(
+        &mut self,
+        now: Micros,
+        number: SessionNumber,
+        key: CallKey,
+        caller: Caller,
+        call: Call,
+        cx: &mut CallContext<'_, '_>,
+    ) -> Option<Result<Answer>> {
+        let call_number = key.call;
+        let lifecycle = &mut *cx.lifecycle;
+        let result = match call {
+            Call::RunJob { job, .. } => {
+                let range = Range {
+                    first: 1,
+                    last: 1,
+                    step: 1,
+                };
+                let submission = Submission {
+                    key,
+                    spec: *job,
+                    range,
+                    is_bulk: false,
+                };
+                return self.submit(now, number, caller, submission, cx);
+            }
+            Call::RunBulkJobs { job, range, .. } => {
+                let submission = Submission {
+                    key,
+                    spec: *job,
+                    range,
+                    is_bulk: true,
+                };
+                return self.submit(now, number, caller, submission, cx);
+            }
+            Call::Exit { .. } => close_session(lifecycle, number),
+            Call::Control { jobs, action, .. } => {
+                control::control(lifecycle, now, number, &jobs, action)
+            }
+            Call::Synchronize {
+                jobs,
+                timeout_s,
+                dispose,
+                ..
+            } => {
+                let wait = waiting::Wait {
+                    session: number,
+                    call: call_number,
+                    caller,
+                    timeout_s,
+                };
+                waiting::synchronize(lifecycle, now, wait, &jobs, dispose)?
+            }
+            Call::Wait { job, timeout_s, .. } => {
+                let wait = waiting::Wait {
+                    session: number,
+                    call: call_number,
+                    caller,
+                    timeout_s,
+                };
+                let WaitResult {
+                    result,
+                    recorded_in,
+                } = waiting::wait(lifecycle, now, wait, job.as_deref())?;
+                if let Some(batch) = recorded_in {
+                    let session = lifecycle.sessions.get_mut(number)?;
+                    session.record(call_number, CallRecord::Answer(result.clone()));
+                    let (conn, response) = (caller.conn, Response::new(caller.id, result));
+                    lifecycle
+                        .queue
+                        .reply_after(conn, Output::Reply { conn, response }, batch);
+                    return None;
+                }
+                result
+            }
+            _ => return None,
+        };
+        let session = lifecycle.sessions.get_mut(number)?;
+        session.record(call_number, CallRecord::Answer(result.clone()));
+        Some(result)
+    }
+}
+
+/// Calls that change nothing in a session, or may be made twice.
+fn stateless_call(now: Micros, call: Call, cx: &mut CallContext<'_, '_>) -> Result<Answer> {
+    let lifecycle = &mut *cx.lifecycle;
+    match call {
+        Call::Init { session } => {
+            let limit = lifecycle.cx.settings().limits.sessions;
+            let number = lifecycle.sessions.open(&session, now, limit)?;
+            if let Some(session) = lifecycle.sessions.get_mut(number) {
+                session.touch(now);
+            }
+            Ok(Answer::Session {
+                life: lifecycle.cx.clock().incarnation(),
+            })
+        }
+        Call::JobPs { session, job } => {
+            let number = lifecycle.sessions.find(&session)?;
+            queries::job_state(lifecycle, number, &job)
+        }
+        Call::Version {} => Ok(Answer::Version(VERSION.0, VERSION.1)),
+        Call::DrmSystem {} => Ok(Answer::Text(format!(
+            "reedring {}",
+            env!("CARGO_PKG_VERSION")
+        ))),
+        Call::ListJobs { after, limit } => Ok(Answer::Jobs(queries::jobs_page(
+            lifecycle, now, after, limit,
+        ))),
+        Call::ShowJob { job } => queries::show_job(lifecycle, now, &job),
+        Call::ListNodes {} => Ok(Answer::Nodes(queries::node_lines(
+            lifecycle,
+            cx.configuration,
+        ))),
+        Call::Drain { node, drain } => handshake::set_drained(lifecycle, now, &node, drain),
+        Call::Explain { text } => queries::explain(lifecycle, &text),
+        Call::Stats {} => Ok(queries::stats(lifecycle, cx.module_ns)),
+        _ => Err(error(
+            ErrorCode::InternalError,
+            "the call has no answer here",
+        )),
+    }
+}
+
+/// Closes a session: the calls that wait in it are answered.
+fn close_session(lifecycle: &mut JobLifecycle<'_>, number: SessionNumber) -> Result<Answer> {
+    let session = lifecycle.sessions.get(number);
+    let waiting = session
+        .map(|session| session.waiting_calls())
+        .unwrap_or_default();
+    for call in waiting {
+        let closed = error(ErrorCode::NoActiveSession, "the session was closed");
+        lifecycle.complete_call(number, call, Err(closed));
+    }
+    Ok(Answer::Done)
+}
+
+/// The job of this name, if it is one of the session and its end was not returned yet.
+fn job_of(lifecycle: &JobLifecycle<'_>, number: SessionNumber, name: &str) -> Result<JobNumber> {
+    let found = JobName::parse(name).and_then(|parsed| {
+        let session = lifecycle.sessions.get(number);
+        session
+            .filter(|session| *session.name() == parsed.session)?
+            .job(parsed.place())
+    });
+    found.ok_or_else(|| {
+        let text = format!("`{name}` is no job of this session, or its end was told");
+        error(ErrorCode::InvalidJob, text)
+    })
+}
+
+/// The jobs that a call names.
+fn named_jobs(
+    lifecycle: &JobLifecycle<'_>,
+    number: SessionNumber,
+    jobs: &Jobs,
+) -> Result<Vec<JobNumber>> {
+    match jobs {
+        Jobs::All => {
+            let session = lifecycle.sessions.get(number);
+            Ok(session
+                .map(|session| session.jobs().collect())
+                .unwrap_or_default())
+        }
+        Jobs::These(names) => names
+            .iter()
+            .map(|name| job_of(lifecycle, number, name))
+            .collect(),
+    }
+}
--- /dev/null
+++ b/crates/core/src/requests/queries.rs
@@ -0,0 +1,165 @@
+//! What clients and operators read: jobs, nodes, constraints, counters.
+
+use std::sync::Arc;
+
+use reedring::Micros;
+use reedring_constraint::{Mistake, Own, Schema};
+use reedring_drmaa::rpc::{Answer, JobLine, JobsPage, NodeLine, Stats};
+use reedring_drmaa::{ErrorCode, Result};
+
+use super::{error, job_of};
+use crate::configuration::Configuration;
+use crate::constraints::{ConstrainedJob, JobConstraint};
+use crate::ids::{JobNumber, NodeNumber, SessionNumber};
+use crate::ledger::Job;
+use crate::lifecycle::JobLifecycle;
+use crate::nodes::{Node, NodeLoad};
+
+/// Lines of one page of jobs at most.
+const MAX_PAGE: usize = 1_000;
+
+/// The state of a job of a session.
+pub(super) fn job_state(
+    lifecycle: &JobLifecycle<'_>,
+    session: SessionNumber,
+    name: &str,
+) -> Result<Answer> {
+    let job = lifecycle.ledger.job(job_of(lifecycle, session, name)?);
+    let state = job.map(Job::state);
+    state
+        .map(Answer::State)
+        .ok_or_else(|| error(ErrorCode::InvalidJob, "the job is forgotten"))
+}
+
+fn job_line(lifecycle: &JobLifecycle<'_>, job: &Job, now: Micros) -> JobLine {
+    let node = job
+        .history
+        .last()
+        .map(|record| lifecycle.nodes.name(record.node));
+    job.line(lifecycle.cx.settings(), node.as_deref(), now)
+}
+
+/// A page of all jobs, from the one after this number on.
+pub(super) fn jobs_page(
+    lifecycle: &JobLifecycle<'_>,
+    now: Micros,
+    after: Option<u64>,
+    limit: usize,
+) -> JobsPage {
+    let limit = limit.clamp(1, MAX_PAGE);
+    let first = JobNumber(after.map_or(0, |after| after.saturating_add(1)));
+    let page: Vec<(JobNumber, &Job)> = lifecycle.ledger.jobs_from(first).take(limit + 1).collect();
+    let next = (page.len() > limit).then(|| page[limit - 1].0.0);
+    let jobs = page
+        .iter()
+        .take(limit)
+        .map(|(_, job)| job_line(lifecycle, job, now))
+        .collect();
+    JobsPage { jobs, next }
+}
+
+/// One job with its attempts and its constraint.
+pub(super) fn show_job(
+    lifecycle: &mut JobLifecycle<'_>,
+    now: Micros,
+    name: &str,
+) -> Result<Answer> {
+    let number = lifecycle.job_named(name);
+    let found = number.and_then(|number| Some((number, lifecycle.ledger.job(number)?)));
+    let (number, job) = found.ok_or_else(|| {
+        let text = format!("`{name}` is no job of this placer, or its end was told");
+        error(ErrorCode::InvalidJob, text)
+    })?;
+    let line = job_line(lifecycle, job, now);
+    let mut detail = job.detail(line, |node| lifecycle.nodes.name(node));
+    if let Some(constrained) = job.requirements.constrained_job() {
+        detail
+            .stands
+            .push(lifecycle.constraints.explain(&constrained).to_string());
+        let violated = lifecycle.constraints.violated(number).into_iter();
+        detail.stands.extend(violated.map(|(text, since)| {
+            let for_s = now.saturating_sub(since) as f64 / 1e6;
+            format!("`{text}` does not hold for {for_s:.1} s")
+        }));
+    }
+    Ok(Answer::Job(Box::new(detail)))
+}
+
+/// What the site knows of names and types; none before the first node list.
+pub(super) fn schema(lifecycle: &JobLifecycle<'_>) -> Option<Schema> {
+    let kinds = lifecycle
+        .cx
+        .settings()
+        .kinds
+        .iter()
+        .map(|kind| kind.name.clone())
+        .collect();
+    let constraints = &lifecycle.constraints;
+    constraints
+        .has_nodes()
+        .then(|| Schema::of(kinds, constraints.fleet()))
+}
+
+/// How a constraint would be evaluated now.
+pub(super) fn explain(lifecycle: &mut JobLifecycle<'_>, text: &str) -> Result<Answer> {
+    let wrong = |mistake: Mistake| error(ErrorCode::InvalidAttributeValue, mistake.to_string());
+    let constraint = lifecycle.cx.settings().constraint(text).map_err(wrong)?;
+    schema(lifecycle)
+        .map_or(Ok(()), |schema| schema.check(&constraint, text))
+        .map_err(wrong)?;
+    let own = Own::service("", "");
+    let constraint = Arc::new(JobConstraint::new(constraint, &own));
+    let job = ConstrainedJob {
+        constraint,
+        own,
+        topics: Arc::default(),
+    };
+    Ok(Answer::Text(
+        lifecycle.constraints.explain(&job).to_string(),
+    ))
+}
+
+/// The placer's counters.
+pub(super) fn stats(lifecycle: &JobLifecycle<'_>, module_ns: u64) -> Answer {
+    let stats = Stats {
+        live: lifecycle.ledger.unfinished() as u64,
+        jobs: lifecycle.ledger.job_count() as u64,
+        module_us: module_ns / 1_000,
+        ..lifecycle.cx.stats.clone()
+    };
+    Answer::Stats(Box::new(stats))
+}
+
+/// All nodes.
+pub(super) fn node_lines(
+    lifecycle: &JobLifecycle<'_>,
+    configuration: &Configuration,
+) -> Vec<NodeLine> {
+    let is_known = |(_, node): &(NodeNumber, &Node)| !node.is_restored() || node.has_attempts();
+    let line = |(number, node): (NodeNumber, &Node)| {
+        // What a node reported that is no longer connected may be otherwise by now.
+        let connected = Some(number).filter(|_| node.is_up());
+        let plan =
+            connected.and_then(|number| configuration.describe_node(number, lifecycle.nodes));
+        let kind = lifecycle.nodes.kind_name(node.entry().kind);
+        node.line(load_of(lifecycle, node), kind, plan)
+    };
+    lifecycle.nodes.iter().filter(is_known).map(line).collect()
+}
+
+fn load_of(lifecycle: &JobLifecycle<'_>, node: &Node) -> NodeLoad {
+    let mut load = NodeLoad::default();
+    for id in node.attempts() {
+        let Some(attempt) = lifecycle.ledger.attempt(id) else {
+            continue;
+        };
+        if !attempt.accepted {
+            load.waiting += 1;
+        } else if let Some(job) = lifecycle.ledger.job(attempt.job) {
+            load.held += 1;
+            load.cores += job.requirements.cores;
+            load.memory += job.requirements.memory;
+        }
+    }
+    load
+}
--- /dev/null
+++ b/crates/core/src/requests/submission.rs
@@ -0,0 +1,279 @@
+//! Submissions, also those that a former incarnation may have carried out already.
+
+use std::sync::Arc;
+
+use reedring::names::task_key;
+use reedring::{Micros, TaskKey};
+use reedring_drmaa::rpc::{Answer, Call, CallKey, Range, Submitted};
+use reedring_drmaa::{Error, ErrorCode, JobSpec, Result};
+use reedring_state::{Ending, Outcome};
+
+use super::{CallContext, Caller, ClientRequests, DeferredSubmission, error, queries};
+use crate::decide::{self, PriorSubmission, Resubmission};
+use crate::ids::{CallIndex, JobNumber, SessionNumber};
+use crate::ledger::{Job, JobName, Phase};
+use crate::lifecycle::JobLifecycle;
+use crate::requirements::JobRequirements;
+use crate::sessions::CallRecord;
+use crate::timers::Timer;
+
+/// One call that submits jobs.
+pub(super) struct Submission {
+    pub key: CallKey,
+    pub spec: JobSpec,
+    pub range: Range,
+    pub is_bulk: bool,
+}
+
+impl Submission {
+    /// The call as it was made.
+    fn into_call(self) -> Call {
+        let Self {
+            key,
+            spec,
+            range,
+            is_bulk,
+        } = self;
+        let job = Box::new(spec);
+        if is_bulk {
+            Call::RunBulkJobs { key, job, range }
+        } else {
+            Call::RunJob { key, job }
+        }
+    }
+}
+
+/// What is to be done for each index of a submission.
+type SubmissionPlan = Vec<(u64, Resubmission)>;
+
+impl ClientRequests {
+    /// Submits jobs. `None` where the submission waits for nodes to report what they hold.
+    pub(super) fn submit(
+        &mut self,
+        now: Micros,
+        session: SessionNumber,
+        caller: Caller,
+        submission: Submission,
+        cx: &mut CallContext<'_, '_>,
+    ) -> Option<Result<Answer>> {
+        let requirements = match check(&submission, cx) {
+            Ok(requirements) => Arc::new(requirements),
+            Err(error) => return Some(Err(error)),
+        };
+        let lifecycle = &mut *cx.lifecycle;
+        let Some(plan) = plan(lifecycle, now, session, &submission, &requirements) else {
+            let deadline = lifecycle.nodes.reconcile_until();
+            lifecycle
+                .cx
+                .set_timer(deadline, Timer::ReconciliationDeadline);
+            self.deferred.push(DeferredSubmission {
+                caller,
+                call: submission.into_call(),
+            });
+            return None;
+        };
+        let starts = plan
+            .iter()
+            .filter(|(_, step)| *step == Resubmission::Start)
+            .count();
+        let (unfinished, limit) = (
+            lifecycle.ledger.unfinished(),
+            lifecycle.cx.settings().limits.jobs,
+        );
+        if starts > 0 && unfinished + starts > limit {
+            let text = format!("{unfinished} jobs are not over and at most {limit} fit; try later");
+            return Some(Err(error(ErrorCode::TryLater, text)));
+        }
+        let Submission { key, range, .. } = &submission;
+        add_jobs(lifecycle, now, session, &submission, &requirements, plan)?;
+        if let Some(session) = lifecycle.sessions.get_mut(session) {
+            session.record(key.call, CallRecord::Submission(*range));
+        }
+        Some(Ok(submitted(key, *range, lifecycle.queue.warning())))
+    }
+}
+
+/// Whether jobs may be submitted now; what they require.
+fn check(submission: &Submission, cx: &CallContext<'_, '_>) -> Result<JobRequirements> {
+    let lifecycle = &*cx.lifecycle;
+    let settings = lifecycle.cx.settings();
+    let (most, range) = (settings.limits.bulk, submission.range);
+    if range.indices(most).is_none() {
+        let text = format!(
+            "{} to {} by {} is no range of 1 to {most} indices from 1",
+            range.first, range.last, range.step
+        );
+        return Err(error(ErrorCode::InvalidArgument, text));
+    }
+    let schema = queries::schema(lifecycle);
+    let requirements = JobRequirements::new(submission.spec.clone(), settings, schema.as_ref())?;
+    check_acceptance(&requirements, cx)?;
+    Ok(requirements)
+}
+
+/// Whether this placer accepts jobs of a class now.
+fn check_acceptance(requirements: &JobRequirements, cx: &CallContext<'_, '_>) -> Result<()> {
+    let lifecycle = &*cx.lifecycle;
+    let class = lifecycle.cx.class(requirements.class);
+    let name = &class.name;
+    let later = |text: String| Err::<(), Error>(error(ErrorCode::TryLater, text));
+    if let Some(why) = cx.configuration.fenced() {
+        return later(format!("this placer takes nothing new: {why}; ask another"));
+    }
+    if class.closed {
+        return later(format!(
+            "class `{name}` takes nothing new: it is not in the plan that is acted by"
+        ));
+    }
+    let queue = &lifecycle.queue;
+    if let Some(why) = queue
+        .unavailable()
+        .filter(|_| !queue.may_offer(class.effect, lifecycle.cx))
+    {
+        return later(format!(
+            "class `{name}` must not start twice, and what is promised can't be kept now: {why}"
+        ));
+    }
+    Ok(())
+}
+
+/// What is to be done for each index; `None` where nodes are to report first.
+fn plan(
+    lifecycle: &JobLifecycle<'_>,
+    now: Micros,
+    session: SessionNumber,
+    submission: &Submission,
+    requirements: &JobRequirements,
+) -> Option<SubmissionPlan> {
+    let key = &submission.key;
+    // A submission that was first sent to a former incarnation may have been carried out there.
+    let is_repeated = key.sent_to != lifecycle.cx.clock().incarnation();
+    let is_complete = lifecycle.ledger.is_complete(key.sent_to);
+    let effect = lifecycle.cx.class(requirements.class).effect;
+    let may_wait = now < lifecycle.nodes.reconcile_until();
+    let indices = submission
+        .range
+        .indices(lifecycle.cx.settings().limits.bulk)?;
+    let step = |index: u64| {
+        let place = CallIndex {
+            call: key.call,
+            index,
+        };
+        let session = lifecycle.sessions.get(session);
+        let existing = session.and_then(|session| session.job(place));
+        let prior = match existing {
+            Some(_) => PriorSubmission::Held,
+            None if lifecycle.all_reconciled(now) => PriorSubmission::NotHeld,
+            None => PriorSubmission::Unreported,
+        };
+        match (is_repeated, existing) {
+            (false, None) => Resubmission::Start,
+            _ => decide::resubmission(effect, prior, may_wait, is_complete),
+        }
+    };
+    let steps = indices.map(|index| (index, step(index)));
+    steps
+        .map(|(index, step)| (step != Resubmission::Wait).then_some((index, step)))
+        .collect()
+}
+
+/// Adds the jobs of a submission that are not there already, and starts them.
+fn add_jobs(
+    lifecycle: &mut JobLifecycle<'_>,
+    now: Micros,
+    session: SessionNumber,
+    submission: &Submission,
+    requirements: &Arc<JobRequirements>,
+    plan: SubmissionPlan,
+) -> Option<()> {
+    let key = &submission.key;
+    let is_repeated = key.sent_to != lifecycle.cx.clock().incarnation();
+    let session_name = Arc::clone(lifecycle.sessions.get(session)?.name());
+    let class = lifecycle.cx.class(requirements.class).name.clone();
+    for (index, step) in plan
+        .into_iter()
+        .filter(|(_, step)| *step != Resubmission::Existing)
+    {
+        let name = JobName {
+            session: Arc::clone(&session_name),
+            call: key.call,
+            index,
+        };
+        let task_key = job_key(
+            &class,
+            requirements.key.as_deref(),
+            &name,
+            submission.is_bulk,
+        );
+        let job = Job::new(name, session, Arc::clone(requirements), task_key, now);
+        let job = lifecycle.add_job(Job {
+            is_retry: is_repeated,
+            ..job
+        });
+        if step == Resubmission::Start {
+            start(lifecycle, now, job);
+        } else {
+            fail_resubmitted(lifecycle, now, job);
+        }
+    }
+    Some(())
+}
+
+/// A new job waits for its user, for its time, or for the decision module.
+fn start(lifecycle: &mut JobLifecycle<'_>, now: Micros, number: JobNumber) {
+    let Some(job) = lifecycle.ledger.job_mut(number) else {
+        return;
+    };
+    let spec = &job.requirements.spec;
+    if spec.hold {
+        job.phase = Phase::OnHold;
+        return;
+    }
+    let start = spec
+        .start
+        .map(|at| at.saturating_mul(1_000_000).max(0) as u64);
+    let start = start.map(|at| lifecycle.cx.clock().at_unix_us_or_start(at));
+    match start.filter(|at| *at > now) {
+        Some(at) => {
+            (job.phase, job.until) = (Phase::Delayed, at);
+            lifecycle.cx.set_timer(at, Timer::RequestPlacement(number));
+        }
+        None => lifecycle.request_placement(now, number),
+    }
+}
+
+/// A job of a former incarnation may have run and ended unseen.
+fn fail_resubmitted(lifecycle: &mut JobLifecycle<'_>, now: Micros, number: JobNumber) {
+    let ending = Ending::aborted(
+        "failed: the placer was started anew since it was submitted, no node holds it, and it may have run to its end",
+    );
+    lifecycle.set_phase(number, Phase::Ending(ending));
+    lifecycle.record_outcome(number, Outcome::Failed);
+    lifecycle.end_if_ending(now, number);
+}
+
+/// The number of the key that a job's repeats share.
+fn job_key(class: &str, key: Option<&str>, name: &JobName, is_bulk: bool) -> TaskKey {
+    match key {
+        Some(key) if is_bulk => task_key(class, &format!("{key}\n{}", name.index)),
+        Some(key) => task_key(class, key),
+        None => task_key(class, &format!("\n{name}")),
+    }
+}
+
+/// The answer of a submission: the jobs' names follow from the call and the indices.
+pub(super) fn submitted(key: &CallKey, range: Range, warning: Option<String>) -> Answer {
+    let name = |index| {
+        JobName {
+            session: key.session.as_str().into(),
+            call: key.call,
+            index,
+        }
+        .to_string()
+    };
+    let jobs = range
+        .indices(u64::MAX)
+        .map(|indices| indices.map(name).collect())
+        .unwrap_or_default();
+    Answer::Submitted(Submitted { jobs, warning })
+}
--- /dev/null
+++ b/crates/core/src/requests/waiting.rs
@@ -0,0 +1,153 @@
+//! Waits for jobs to end.
+
+use std::collections::BTreeSet;
+
+use reedring::Micros;
+use reedring_drmaa::rpc::{Answer, Jobs};
+use reedring_drmaa::{ErrorCode, Result};
+
+use super::{Caller, error, job_of, named_jobs};
+use crate::ids::{JobNumber, SessionNumber};
+use crate::ledger::Job;
+use crate::lifecycle::{JobLifecycle, ended_answer};
+use crate::sessions::{WaitCondition, Waiter};
+use crate::timers::Timer;
+
+/// A call that waits.
+#[derive(Clone, Copy)]
+pub(super) struct Wait {
+    pub session: SessionNumber,
+    pub call: u64,
+    pub caller: Caller,
+    /// Seconds to wait; negative for ever, 0 for no wait at all.
+    pub timeout_s: i64,
+}
+
+/// What a wait comes to at once.
+pub(super) struct WaitResult {
+    pub result: Result<Answer>,
+    /// The batch that has the end of the job, if that is the answer.
+    pub recorded_in: Option<u64>,
+}
+
+impl WaitResult {
+    const fn new(result: Result<Answer>) -> Self {
+        Self {
+            result,
+            recorded_in: None,
+        }
+    }
+}
+
+/// Waits for one job, or for any. `None` where the answer comes later.
+pub(super) fn wait(
+    lifecycle: &mut JobLifecycle<'_>,
+    now: Micros,
+    wait: Wait,
+    job: Option<&str>,
+) -> Option<WaitResult> {
+    let (ended, condition) = match job {
+        Some(name) => match job_of(lifecycle, wait.session, name) {
+            Ok(job) => {
+                let has_ended = lifecycle.ledger.job(job).is_some_and(Job::is_ended);
+                (has_ended.then_some(job), WaitCondition::Job(job))
+            }
+            Err(error) => return Some(WaitResult::new(Err(error))),
+        },
+        None => {
+            let session = lifecycle.sessions.get(wait.session)?;
+            if !session.has_jobs() {
+                let none = error(ErrorCode::InvalidJob, "the session has no job to wait for");
+                return Some(WaitResult::new(Err(none)));
+            }
+            (session.first_ended(), WaitCondition::Any)
+        }
+    };
+    if let Some(job) = ended {
+        let result = ended_answer(lifecycle.job_info(job));
+        let recorded_in = lifecycle
+            .ledger
+            .job(job)
+            .and_then(|job| job.end_recorded_in);
+        lifecycle.forget_job(job);
+        return Some(WaitResult {
+            result,
+            recorded_in,
+        });
+    }
+    wait_for(lifecycle, now, wait, condition).map(WaitResult::new)
+}
+
+/// Waits for several jobs. `None` where the answer comes later.
+pub(super) fn synchronize(
+    lifecycle: &mut JobLifecycle<'_>,
+    now: Micros,
+    wait: Wait,
+    jobs: &Jobs,
+    dispose: bool,
+) -> Option<Result<Answer>> {
+    let jobs = match named_jobs(lifecycle, wait.session, jobs) {
+        Ok(jobs) => jobs,
+        Err(error) => return Some(Err(error)),
+    };
+    let is_unfinished = |job: &JobNumber| {
+        lifecycle
+            .ledger
+            .job(*job)
+            .is_some_and(|job| !job.is_ended())
+    };
+    let unfinished: BTreeSet<JobNumber> = jobs.iter().copied().filter(is_unfinished).collect();
+    if unfinished.is_empty() {
+        if dispose {
+            jobs.into_iter().for_each(|job| lifecycle.forget_job(job));
+        }
+        return Some(Ok(Answer::Done));
+    }
+    wait_for(
+        lifecycle,
+        now,
+        wait,
+        WaitCondition::All {
+            unfinished,
+            jobs,
+            dispose,
+        },
+    )
+}
+
+fn wait_for(
+    lifecycle: &mut JobLifecycle<'_>,
+    now: Micros,
+    wait: Wait,
+    condition: WaitCondition,
+) -> Option<Result<Answer>> {
+    let Wait {
+        session,
+        call,
+        caller,
+        timeout_s,
+    } = wait;
+    match u64::try_from(timeout_s) {
+        Ok(0) => return Some(Err(error(ErrorCode::ExitTimeout, "not yet over"))),
+        Ok(seconds) => {
+            let at = now.saturating_add(seconds.saturating_mul(1_000_000));
+            lifecycle
+                .cx
+                .set_timer(at, Timer::WaitTimeout { session, call });
+        }
+        Err(_) => {}
+    }
+    let waiter = Waiter {
+        conn: caller.conn,
+        id: caller.id,
+        condition,
+    };
+    lifecycle.sessions.wait(session, call, waiter);
+    None
+}
+
+/// The time of a wait is over.
+pub(crate) fn wait_timed_out(lifecycle: &mut JobLifecycle<'_>, session: SessionNumber, call: u64) {
+    let late = error(ErrorCode::ExitTimeout, "not over in the time to wait");
+    lifecycle.complete_call(session, call, Err(late));
+}
--- /dev/null
+++ b/crates/core/src/sessions/call_record.rs
@@ -0,0 +1,52 @@
+//! What a call came to, remembered until its client confirms that it knows.
+
+use reedring_drmaa::Result;
+use reedring_drmaa::rpc::{Answer, Range, Response};
+use reedring_state as state;
+
+/// What a call came to.
+#[derive(Debug)]
+pub(crate) enum CallRecord {
+    Answer(Result<Answer>),
+    /// The jobs' names follow from the indices.
+    Submission(Range),
+}
+
+impl CallRecord {
+    /// As it is persisted. Answers are persisted as they are sent.
+    pub fn to_row(&self) -> state::StoredResponse {
+        match self {
+            Self::Answer(result) => {
+                let response = Response::new(0, result.clone());
+                state::StoredResponse::Json(serde_json::to_string(&response).unwrap_or_default())
+            }
+            Self::Submission(Range { first, last, step }) => state::StoredResponse::Submission {
+                first: *first,
+                last: *last,
+                step: *step,
+            },
+        }
+    }
+
+    /// As it was before it was persisted; `None` where the row can't be read.
+    pub fn from_row(row: &state::StoredResponse) -> Option<Self> {
+        match row {
+            state::StoredResponse::Submission { first, last, step } => {
+                Some(Self::Submission(Range {
+                    first: *first,
+                    last: *last,
+                    step: *step,
+                }))
+            }
+            state::StoredResponse::Json(text) => {
+                let response: Response = serde_json::from_str(text).ok()?;
+                let result = match (response.result, response.error) {
+                    (Some(answer), _) => Ok(answer),
+                    (None, Some(fault)) => Err(fault.into()),
+                    (None, None) => return None,
+                };
+                Some(Self::Answer(result))
+            }
+        }
+    }
+}
--- a/crates/core/tests/model.rs
+++ b/crates/core/tests/model.rs
@@ -1,12 +1,12 @@
 //! The life of one unsafe job between placer, ledger, disk, links and nodes, with every interleaving explored:
 //! it starts once at most, whatever is cut, killed or lost at whichever moment.
 //!
-//! The placer here decides by the core's own functions, `decide::reconcile` and `decide::recovered`; what is
+//! The placer here decides by the core's own functions, `decide::reconcile` and `decide::recovery_action`; what is
 //! modelled is the order of things: the row before the offer, the end's row before its acknowledgement, a new
 //! link that voids what the older one held. The same model without one of these rules must fail.
 
 use reedring::Effect;
-use reedring_core::decide::{self, Known, Recovered, Verdict};
+use reedring_core::decide::{self, AttemptState, Reconciled, RecoveringJob, RecoveryAction};
 use reedring_node_protocol::{End, HeldState};
 use stateright::{Checker, Model, Property};
 
@@ -124,13 +124,13 @@
     }
 
     /// An attempt's fate, as the core takes it.
-    fn judge(&self, world: &mut World, verdict: Verdict) {
+    fn judge(&self, world: &mut World, verdict: Reconciled) {
         let Some(row) = world.memory else { return };
         let at = match (verdict, row.at) {
-            (Verdict::Place, At::Out(node, life, number)) => At::Accepted(node, life, number),
-            (Verdict::Over { .. } | Verdict::Gone, _) => At::Over,
-            (Verdict::NeverRan, _) => At::Waits,
-            (Verdict::PerhapsRan, _) => {
+            (Reconciled::Accepted, At::Out(node, life, number)) => At::Accepted(node, life, number),
+            (Reconciled::Ended { .. } | Reconciled::Lost, _) => At::Over,
+            (Reconciled::NeverRan, _) => At::Waits,
+            (Reconciled::MayHaveRun, _) => {
                 let row = Row {
                     at: At::Waits,
                     may_have_run: true,
@@ -173,9 +173,16 @@
         };
         let open = matches!(row.at, At::Out(..));
         let told = world.told.iter().all(|told| *told);
-        match decide::recovered(Effect::Unsafe, open, row.may_have_run, told, false, last) {
-            Recovered::Wait => {}
-            Recovered::LetGo => {
+        match decide::recovery_action(RecoveringJob {
+            effect: Effect::Unsafe,
+            has_open_attempts: open,
+            may_have_run: row.may_have_run,
+            all_reconciled: told,
+            is_overdue: false,
+            is_last_call: last,
+        }) {
+            RecoveryAction::Wait => {}
+            RecoveryAction::Abandon => {
                 self.change(
                     world,
                     Row {
@@ -186,8 +193,8 @@
                 );
                 self.recover(world, true);
             }
-            Recovered::Ask => world.recovering = false,
-            Recovered::Refuse | Recovered::Fail => self.over(world),
+            RecoveryAction::Request => world.recovering = false,
+            RecoveryAction::Reject | RecoveryAction::Fail => self.over(world),
         }
     }
 
@@ -208,9 +215,9 @@
             && usize::from(at) == n
         {
             let known = if matches!(world.memory.unwrap().at, At::Out(..)) {
-                Known::Out
+                AttemptState::Offered
             } else {
-                Known::Accepted
+                AttemptState::Accepted
             };
             let ended = HeldState::Ended {
                 end: End::Exited(0),
@@ -332,12 +339,12 @@
                     (ToPlacer::Accepted(said), At::Out(at, _, number))
                         if (usize::from(at), number) == (n, said) =>
                     {
-                        self.judge(&mut world, Verdict::Place);
+                        self.judge(&mut world, Reconciled::Accepted);
                     }
                     (ToPlacer::Refused(said), At::Out(at, _, number))
                         if (usize::from(at), number) == (n, said) =>
                     {
-                        self.judge(&mut world, Verdict::NeverRan);
+                        self.judge(&mut world, Reconciled::NeverRan);
                     }
                     (ToPlacer::Ended(said), at) => {
                         let mine = matches!(at, At::Out(at, _, number) | At::Accepted(at, _, number)
@@ -345,7 +352,7 @@
                         if mine {
                             self.judge(
                                 &mut world,
-                                Verdict::Over {
+                                Reconciled::Ended {
                                     end: End::Exited(0),
                                     ran: true,
                                 },
