--- a/crates/cli/src/programs.rs
+++ b/crates/cli/src/programs.rs
@@ -10,7 +10,7 @@
 use reedring_connection::Signals;
 use reedring_local_cluster::{Plan, Site};
 use reedring_node_simulator::{Fleet, Groups, serve};
-use reedring_placer::{FileSource, Options, Placer, SettingsFile};
+use reedring_placer::{FileNodeSource, Placer, PlacerOptions, SettingsFile};
 use reedring_settings::{Settings, State};
 
 use crate::Failure;
@@ -40,8 +40,8 @@
     trace: Option<PathBuf>,
 }
 
-/// Exit code of a placer that was shut out of its fleet when it was asked to end.
-const SHUT_OUT: u8 = 3;
+/// Exit code of a placer that was fenced when it was asked to end.
+const FENCED: u8 = 3;
 
 /// Run a site on loopback.
 #[derive(Args)]
@@ -98,13 +98,13 @@
             (Some(state), None) => state.folder = beside(&self.config, &state.folder),
             (none, told) => *none = told.map(State::in_folder),
         }
-        let source = FileSource::new(beside(&self.config, &settings.nodes), settings.clone());
+        let source = FileNodeSource::new(beside(&self.config, &settings.nodes), settings.clone());
         let trace = settings
             .trace
             .as_ref()
             .map(|path| Recorder::create(&beside(&self.config, path)));
         let recorder = trace.transpose()?.map(Arc::new);
-        let options = Options {
+        let options = PlacerOptions {
             source: Box::new(source),
             recorder: recorder.clone(),
             traffic: None,
@@ -115,11 +115,11 @@
         let placer = Placer::start(settings, options)?;
         println!("contact: {}", placer.contact());
         interrupted()?;
-        let shut_out = placer.is_shut_out();
+        let is_fenced = placer.is_fenced();
         placer.stop();
         recorder.map_or(Ok(()), |recorder| recorder.finish().map(drop))?;
-        Ok(if shut_out {
-            ExitCode::from(SHUT_OUT)
+        Ok(if is_fenced {
+            ExitCode::from(FENCED)
         } else {
             ExitCode::SUCCESS
         })
--- a/crates/connection/src/lib.rs
+++ b/crates/connection/src/lib.rs
@@ -8,7 +8,7 @@
 
 /// Out of file descriptors, most likely: connections wait until some are closed, and the loop does not spin.
 pub async fn accept_failed(error: &io::Error) {
-    tracing::warn!(%error, "a connection could not be accepted");
+    tracing::warn!(event = "connection_accept_failed", %error, "a connection could not be accepted");
     tokio::time::sleep(Duration::from_millis(50)).await;
 }
 
--- a/crates/local-cluster/src/site.rs
+++ b/crates/local-cluster/src/site.rs
@@ -12,7 +12,9 @@
 use reedring_audit::Recorder;
 use reedring_client::Operator;
 use reedring_node_simulator::{Config, Groups, Handle, ServeError, serve};
-use reedring_placer::{FileSource, NodeSource, Options, Placer, StartError, Update};
+use reedring_placer::{
+    FileNodeSource, NodeListSource, NodeListUpdate, Placer, PlacerOptions, StartError,
+};
 use reedring_settings::{Health, Problems, Settings};
 use tempfile::TempDir;
 use tokio::runtime::Runtime;
@@ -55,21 +57,24 @@
 }
 
 /// A node list on which no node ever drains or is gone.
-struct Blind(FileSource);
+struct Blind(FileNodeSource);
 
-impl NodeSource for Blind {
-    fn run(self: Box<Self>, out: mpsc::Sender<Update>) -> Pin<Box<dyn Future<Output = ()> + Send>> {
+impl NodeListSource for Blind {
+    fn run(
+        self: Box<Self>,
+        out: mpsc::Sender<NodeListUpdate>,
+    ) -> Pin<Box<dyn Future<Output = ()> + Send>> {
         let (told, mut lists) = mpsc::channel(4);
         let seeing = Box::new(self.0).run(told);
         Box::pin(async move {
             let blinds = async {
                 while let Some(update) = lists.recv().await {
                     let update = match update {
-                        Update::List(mut list, text) => {
+                        NodeListUpdate::List { mut list, text } => {
                             list.nodes
                                 .iter_mut()
                                 .for_each(|node| node.health = Health::Ready);
-                            Update::List(list, text)
+                            NodeListUpdate::List { list, text }
                         }
                         failed => failed,
                     };
@@ -419,14 +424,14 @@
                 .state_dir
                 .join(format!("{name}.{}", state.folder.display()));
         }
-        let file = FileSource::new(list, settings.clone());
-        let source: Box<dyn NodeSource> = if self.sabotage.blind_to_drains {
+        let file = FileNodeSource::new(list, settings.clone());
+        let source: Box<dyn NodeListSource> = if self.sabotage.blind_to_drains {
             Box::new(Blind(file))
         } else {
             Box::new(file)
         };
         let (settings_text, settings_file) = (place.settings.clone(), None);
-        let options = Options {
+        let options = PlacerOptions {
             source,
             recorder,
             traffic: None,
--- a/crates/placer/src/settings_file.rs
+++ b/crates/placer/src/settings_file.rs
@@ -1,55 +1,65 @@
-//! The placer's settings file, watched while it runs.
+//! Watches the placer's settings file while the placer runs.
 
 use std::path::PathBuf;
-use std::time::Duration;
 
-use reedring_settings::Settings;
+use reedring_settings::{Problems, Settings};
 use tokio::sync::mpsc;
 
-/// How often the file is looked at.
-const LOOK: Duration = Duration::from_millis(50);
+use crate::watched_file::{self, FileReadError, FileSnapshot, POLL_INTERVAL};
 
-/// News of the settings file.
+#[cfg(test)]
+mod tests;
+
+/// A change of the settings file.
 #[derive(Debug)]
-pub(crate) enum FileUpdate {
-    /// It says something else, and can be used.
+pub(crate) enum SettingsUpdate {
+    /// The file has other settings, which are valid.
     Changed(Box<Settings>),
-    /// It can't be read or is wrong; what was told last holds.
-    Failed(String),
+    /// The file can't be used; the settings before stay active.
+    Rejected(SettingsFileError),
 }
 
-/// The text of a file, or why it can't be read.
-type Read = Result<String, String>;
+/// Why the settings file can't be used.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum SettingsFileError {
+    /// It can't be read.
+    #[error(transparent)]
+    Read(#[from] FileReadError),
+    /// Its text is not valid.
+    #[error(transparent)]
+    Invalid(#[from] Problems),
+}
 
-/// What was found at the last looks. A text counts from the second look in a row that finds it: one that is being
-/// written may end early and be a plan all the same.
+/// Detects changes of a file that is polled. A text counts once two polls in a row have found it: a file that is being
+/// written may end early and be valid all the same.
 #[derive(Debug)]
-struct Looks {
-    told: Read,
-    last: Read,
+struct FileChangeDetector {
+    reported: FileSnapshot,
+    previous: FileSnapshot,
 }
 
-impl Looks {
+impl FileChangeDetector {
+    /// Of a file whose text is known.
     fn new(text: String) -> Self {
         Self {
-            told: Ok(text.clone()),
-            last: Ok(text),
+            reported: Ok(text.clone()),
+            previous: Ok(text),
         }
     }
 
-    /// What is to be told after this look.
-    fn look(&mut self, read: Read) -> Option<Read> {
-        let settled = read == self.last;
-        self.last = read;
-        if !settled || self.last == self.told {
+    /// Takes in what a poll found; returns what is to be reported, once for each change.
+    fn observe(&mut self, snapshot: FileSnapshot) -> Option<FileSnapshot> {
+        let is_settled = snapshot == self.previous;
+        self.previous = snapshot;
+        if !is_settled || self.previous == self.reported {
             return None;
         }
-        self.told = self.last.clone();
-        Some(self.last.clone())
+        self.reported = self.previous.clone();
+        Some(self.previous.clone())
     }
 }
 
-/// The settings file of a placer that takes up changes of the plan while it runs.
+/// The settings file of a placer that follows changes of its configuration while it runs.
 #[derive(Debug)]
 pub struct SettingsFile {
     path: PathBuf,
@@ -58,73 +68,36 @@
 }
 
 impl SettingsFile {
-    /// The file at this path, whose text the placer starts with.
+    /// The file at this path, with the text that the placer starts with.
     pub fn new(path: PathBuf, text: String) -> Self {
         Self { path, text }
     }
 
-    async fn read(&self) -> Read {
-        let read = tokio::fs::read_to_string(&self.path).await;
-        read.map_err(|error| format!("{}: {error}", self.path.display()))
+    fn parse(&self, snapshot: FileSnapshot) -> Result<Settings, SettingsFileError> {
+        Ok(Settings::parse(
+            &snapshot?,
+            &self.path.display().to_string(),
+        )?)
     }
 
-    fn parse(&self, read: &Read) -> FileUpdate {
-        let parsed = read.clone().and_then(|text| {
-            Settings::parse(&text, &self.path.display().to_string())
-                .map_err(|problems| problems.to_string())
-        });
-        match parsed {
-            Ok(settings) => FileUpdate::Changed(Box::new(settings)),
-            Err(why) => FileUpdate::Failed(why),
-        }
-    }
-
-    /// Tells each text once, as soon as two looks in a row have found it.
-    pub(crate) async fn watch(self, out: mpsc::Sender<FileUpdate>) {
-        let mut looks = Looks::new(self.text.clone());
+    /// Sends each change of the file once, until the receiver is dropped.
+    pub(crate) async fn watch(self, updates: mpsc::Sender<SettingsUpdate>) {
+        let mut detector = FileChangeDetector::new(self.text.clone());
         loop {
             tokio::select! {
-                () = tokio::time::sleep(LOOK) => {}
-                () = out.closed() => return,
+                () = tokio::time::sleep(POLL_INTERVAL) => {}
+                () = updates.closed() => return,
             }
-            if let Some(read) = looks.look(self.read().await)
-                && out.send(self.parse(&read)).await.is_err()
-            {
+            let Some(snapshot) = detector.observe(watched_file::read(&self.path).await) else {
+                continue;
+            };
+            let update = match self.parse(snapshot) {
+                Ok(settings) => SettingsUpdate::Changed(Box::new(settings)),
+                Err(error) => SettingsUpdate::Rejected(error),
+            };
+            if updates.send(update).await.is_err() {
                 return;
             }
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn text(text: &str) -> Read {
-        Ok(text.to_owned())
-    }
-
-    #[test]
-    fn a_text_counts_from_the_second_look_and_is_told_once() {
-        let mut looks = Looks::new("one".to_owned());
-        let missing: Read = Err("no such file".to_owned());
-        for (read, told) in [
-            (text("one"), false),
-            (text("two, half writ"), false),
-            (text("two, half written"), false),
-            (text("two"), false),
-            (text("two"), true),
-            (text("two"), false),
-            (missing.clone(), false),
-            (text("two"), false),
-            (text("two"), false),
-            (missing.clone(), false),
-            (missing.clone(), true),
-            (missing.clone(), false),
-            (text("two"), false),
-            (text("two"), true),
-        ] {
-            assert_eq!(looks.look(read.clone()), told.then_some(read));
-        }
-    }
-}
--- /dev/null
+++ b/crates/placer/src/settings_file/tests.rs
@@ -0,0 +1,38 @@
+use super::*;
+
+fn text(text: &str) -> FileSnapshot {
+    Ok(text.to_owned())
+}
+
+fn unreadable() -> FileSnapshot {
+    Err(FileReadError {
+        path: PathBuf::from("placer.toml"),
+        reason: "no such file".to_owned(),
+    })
+}
+
+#[test]
+fn a_text_counts_once_two_polls_have_found_it_and_is_reported_once() {
+    let mut detector = FileChangeDetector::new("one".to_owned());
+    for (snapshot, is_reported) in [
+        (text("one"), false),
+        (text("two, half writ"), false),
+        (text("two, half written"), false),
+        (text("two"), false),
+        (text("two"), true),
+        (text("two"), false),
+        (unreadable(), false),
+        (text("two"), false),
+        (text("two"), false),
+        (unreadable(), false),
+        (unreadable(), true),
+        (unreadable(), false),
+        (text("two"), false),
+        (text("two"), true),
+    ] {
+        assert_eq!(
+            detector.observe(snapshot.clone()),
+            is_reported.then_some(snapshot)
+        );
+    }
+}
--- /dev/null
+++ b/crates/placer/src/trace.rs
@@ -0,0 +1,93 @@
+//! What a placer records in its trace: each frame that crosses its sockets, and its own start and end.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use reedring_audit::{Event, Recorder};
+use reedring_core::ConnId;
+
+use crate::link_number::LinkNumber;
+
+/// Writes one placer's records; without a recorder it does nothing.
+#[derive(Clone)]
+pub(crate) struct PlacerTrace {
+    placer: String,
+    recorder: Option<Arc<Recorder>>,
+}
+
+impl PlacerTrace {
+    /// For the placer of this name.
+    pub fn new(placer: &str, recorder: Option<Arc<Recorder>>) -> Self {
+        Self {
+            placer: placer.to_owned(),
+            recorder,
+        }
+    }
+
+    fn record(&self, event: Event, peer: &str, number: u64, bytes: &[u8]) {
+        if let Some(recorder) = &self.recorder {
+            recorder.record(event, &self.placer, peer, number, bytes);
+        }
+    }
+
+    /// The placer starts with this text of its settings.
+    pub fn placer_started(&self, incarnation: u64, settings_text: &str) {
+        self.record(
+            Event::PlacerStarted,
+            "",
+            incarnation,
+            settings_text.as_bytes(),
+        );
+    }
+
+    /// The placer has ended.
+    pub fn placer_ended(&self, incarnation: u64) {
+        self.record(Event::PlacerEnded, "", incarnation, b"");
+    }
+
+    /// The placer stops handling events for so long.
+    pub fn placer_stalled(&self, duration: Duration) {
+        self.record(Event::PlacerStalled, "", duration.as_micros() as u64, b"");
+    }
+
+    /// The placer takes up this node list.
+    pub fn node_list(&self, text: &str) {
+        self.record(Event::Listed, "", 0, text.as_bytes());
+    }
+
+    /// A frame was read from a client. `frame` runs only where a trace is written.
+    pub fn client_frame_read(&self, conn: ConnId, frame: impl FnOnce() -> Vec<u8>) {
+        self.client_frame(Event::FromClient, conn, frame);
+    }
+
+    /// A frame is about to be written to a client. `frame` runs only where a trace is written.
+    pub fn client_frame_written(&self, conn: ConnId, frame: impl FnOnce() -> Vec<u8>) {
+        self.client_frame(Event::ToClient, conn, frame);
+    }
+
+    fn client_frame(&self, event: Event, conn: ConnId, frame: impl FnOnce() -> Vec<u8>) {
+        if self.recorder.is_some() {
+            self.record(event, "", conn, &frame());
+        }
+    }
+
+    /// A client's connection has ended.
+    pub fn client_disconnected(&self, conn: ConnId) {
+        self.record(Event::ClientGone, "", conn, b"");
+    }
+
+    /// A frame was read from a node.
+    pub fn node_frame_read(&self, node: &str, link: LinkNumber, frame: &[u8]) {
+        self.record(Event::FromNode, node, link.get(), frame);
+    }
+
+    /// A frame is about to be written to a node.
+    pub fn node_frame_written(&self, node: &str, link: LinkNumber, frame: &[u8]) {
+        self.record(Event::ToNode, node, link.get(), frame);
+    }
+
+    /// A link to a node has ended, or could not be established.
+    pub fn link_down(&self, node: &str, link: LinkNumber, reason: &str) {
+        self.record(Event::LinkDown, node, link.get(), reason.as_bytes());
+    }
+}
--- a/crates/system-tests/src/scale/hollow.rs
+++ b/crates/system-tests/src/scale/hollow.rs
@@ -7,7 +7,7 @@
 
 use reedring_node_protocol::PeerTraffic;
 use reedring_node_simulator::{Config, Fleet, Groups, Handle, serve_counted};
-use reedring_placer::{FileSource, Options, Placer};
+use reedring_placer::{FileNodeSource, Placer, PlacerOptions};
 use reedring_settings::Settings;
 use tokio::runtime::Runtime;
 use tracing_subscriber::EnvFilter;
@@ -149,8 +149,8 @@
         .unwrap_or(Path::new(""))
         .join(&settings.nodes);
     let traffic: Arc<PeerTraffic> = Arc::default();
-    let options = Options {
-        source: Box::new(FileSource::new(list, settings.clone())),
+    let options = PlacerOptions {
+        source: Box::new(FileNodeSource::new(list, settings.clone())),
         recorder: None,
         traffic: Some(Arc::clone(&traffic)),
         settings_file: None,
--- a/crates/system-tests/tests/changes.rs
+++ b/crates/system-tests/tests/changes.rs
@@ -132,7 +132,7 @@
 
 /// A file that can't be used is one warning that names the place, and the plan in force holds.
 fn a_broken_file_is_told_once(fleet: &mut Fleet, placer: &str, number: u64) {
-    const WARNING: &str = "the settings file can't be used";
+    const WARNING: &str = "settings_file_rejected";
     let broken = changed(number).replace("give_up = \"8s\"", "give_up = \"soon\"");
     fleet.rewrite_settings(placer, &broken).unwrap();
     fleet
@@ -144,7 +144,7 @@
     let line = 1 + broken_line(fleet, placer);
     let place = format!("{placer}.toml:{line}: \"soon\"");
     assert!(
-        told[0].contains("the old one holds") && told[0].contains(&place),
+        told[0].contains("the previous settings stay active") && told[0].contains(&place),
         "{place}: {}",
         told[0]
     );
