--- a/crates/state/src/beliefs/aging.rs
+++ b/crates/state/src/beliefs/aging.rs
@@ -174,7 +174,7 @@
         let refusal_counts = weight(self.age, self.half_lives.refusal) > 0.0;
         let refused = belief.refused.filter(|_| refusal_counts);
         let rejecting = belief
-            .shut
+            .rejecting
             .iter()
             .filter(|(.., left)| refusal_counts && *left > self.age)
             .map(|(tenant, class, left)| (*tenant, *class, left - self.age));
@@ -184,9 +184,9 @@
             asked: self.load(belief.asked, self.mean_requested),
             used: self.load(belief.used, self.mean_used),
             refused: refused.map(|(age, cores, memory)| (self.older(age), cores, memory)),
-            shut: rejecting.collect(),
-            strikes: (f64::from(belief.strikes) * failure_weight) as u32,
-            barred_us: belief.barred_us.saturating_sub(self.age),
+            rejecting: rejecting.collect(),
+            consecutive_failures: (f64::from(belief.consecutive_failures) * failure_weight) as u32,
+            backoff_us: belief.backoff_us.saturating_sub(self.age),
             cold_offers: self.warm_up_offers(&belief.cold_offers),
         };
         NodeBeliefs {
--- a/crates/state/src/beliefs/tests.rs
+++ b/crates/state/src/beliefs/tests.rs
@@ -17,9 +17,9 @@
         machine: MachineId(machine),
         asked: Some((SECOND, cores, 4.0)),
         refused: Some((SECOND / 2, 1.0, f64::INFINITY)),
-        shut: vec![(0, 1, 12 * SECOND)],
-        strikes: 4,
-        barred_us: 2 * SECOND,
+        rejecting: vec![(0, 1, 12 * SECOND)],
+        consecutive_failures: 4,
+        backoff_us: 2 * SECOND,
         cold_offers: vec![SECOND],
         ..Belief::default()
     }
@@ -61,12 +61,12 @@
         "half way to the mean of the fleet"
     );
     assert_eq!(requested(40 * SECOND), None);
-    let failures = |age| first_belief_after(age).strikes;
+    let failures = |age| first_belief_after(age).consecutive_failures;
     assert_eq!(
         [failures(0), failures(60 * SECOND), failures(120 * SECOND)],
         [4, 2, 1]
     );
-    let rejecting = |age| first_belief_after(age).shut;
+    let rejecting = |age| first_belief_after(age).rejecting;
     assert_eq!(rejecting(3 * SECOND), [(0, 1, 9 * SECOND)]);
     assert!(rejecting(5 * SECOND).is_empty());
 }
--- a/crates/state/tests/power.rs
+++ b/crates/state/tests/power.rs
@@ -103,7 +103,7 @@
 fn beliefs(n: u64) -> BeliefSnapshot {
     let belief = Belief {
         machine: MachineId(1),
-        strikes: n as u32,
+        consecutive_failures: n as u32,
         ..Belief::default()
     };
     let nodes = vec![NodeBeliefs {
--- a/src/load.rs
+++ b/src/load.rs
@@ -2,47 +2,66 @@
 
 use crate::api::Task;
 
-/// Cores and memory, asked or used.
+/// An amount of cores and memory, requested or used; also a pair of factors, one for each of the
+/// two.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Load {
     pub cores: f64,
     pub memory: f64,
 }
 
-pub(crate) const ONCE: Load = Load::both(1.0);
+/// The factors (no unit) that leave a load as it is: a request counts in full, not by its expected
+/// use.
+pub(crate) const UNSCALED: Load = Load::uniform(1.0);
 
 impl Load {
-    pub const fn both(x: f64) -> Self {
+    /// The same value for cores and for memory.
+    pub const fn uniform(value: f64) -> Self {
         Self {
-            cores: x,
-            memory: x,
+            cores: value,
+            memory: value,
         }
     }
-    /// A load from outside: what is no positive number counts as nothing.
+
+    /// A load from outside: a value that is negative or not finite counts as zero.
     pub fn sanitized(cores: f64, memory: f64) -> Self {
-        let sane = |x: f64| if x.is_finite() { x.max(0.0) } else { 0.0 };
-        let (cores, memory) = (sane(cores), sane(memory));
-        Self { cores, memory }
+        let non_negative = |x: f64| if x.is_finite() { x.max(0.0) } else { 0.0 };
+        Self {
+            cores: non_negative(cores),
+            memory: non_negative(memory),
+        }
     }
-    /// What a task asks for.
-    pub fn of(task: &Task) -> Self {
+
+    /// The cores and memory that a task requests.
+    pub fn requested_by(task: &Task) -> Self {
         Self::sanitized(task.cores, task.memory)
     }
-    pub fn times(self, by: Self) -> Self {
-        let (cores, memory) = (self.cores * by.cores, self.memory * by.memory);
-        Self { cores, memory }
+
+    /// The product, by component.
+    pub fn times(self, factors: Self) -> Self {
+        Self {
+            cores: self.cores * factors.cores,
+            memory: self.memory * factors.memory,
+        }
     }
+
+    /// The sum, by component.
     pub fn plus(self, other: Self) -> Self {
-        let (cores, memory) = (self.cores + other.cores, self.memory + other.memory);
-        Self { cores, memory }
+        Self {
+            cores: self.cores + other.cores,
+            memory: self.memory + other.memory,
+        }
     }
-    /// Whether it is no smaller than `other` in one of the two.
+
+    /// Whether it is at least as large as `other` in cores or in memory.
     pub fn reaches(self, other: Self) -> bool {
         self.cores >= other.cores || self.memory >= other.memory
     }
-    /// The fuller share of `whole`; a size that is not told counts for nothing.
-    pub fn share(self, whole: Self) -> f64 {
-        let part = |x: f64, of: f64| if of > 0.0 { x / of } else { 0.0 };
-        part(self.cores, whole.cores).max(part(self.memory, whole.memory))
+
+    /// The larger of the fractions of `capacity` that its cores and its memory are. A capacity that
+    /// is not positive is unknown, and counts as empty.
+    pub fn dominant_fraction(self, capacity: Self) -> f64 {
+        let fraction = |x: f64, of: f64| if of > 0.0 { x / of } else { 0.0 };
+        fraction(self.cores, capacity.cores).max(fraction(self.memory, capacity.memory))
     }
 }
--- a/src/logic/machine_state.rs
+++ b/src/logic/machine_state.rs
@@ -1,225 +1,367 @@
-//! The state of one machine as this scheduler knows it, and by how much its reports lag. It decides nothing.
+//! What this scheduler knows of one machine, and how long each piece of that knowledge counts.
 
-use super::*;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Microseconds by which list lines lag what they say; own offers younger than that are added to them.
+use super::machine_view::MachineView;
+use super::requests::{ActiveAttempt, TenantClass};
+use super::slow_start::SchedulerIdentity;
+use crate::api::{AttemptId, Health, Machine, Micros, Rules, ServiceId, Settings};
+use crate::load::{Load, UNSCALED};
+
+/// Microseconds by which entries of the machine list lag; younger own offers are added to what they
+/// say.
 const LIST_LAG_US: Micros = 2_500_000;
 /// Microseconds by which load reports lag; they come straight from the machine.
 const REPORT_LAG_US: Micros = 500_000;
-/// Microseconds a refusal counts without a newer report: a little over the slowest.
-pub const REFUSAL_US: Micros = 3_000_000;
-/// Microseconds of the first bar after a failed attempt where the settings have no connect time-out.
-pub const BAR_US: Micros = 250_000;
-/// Doublings of the bar at most: 2^5 connect time-outs is as long as most troubles last.
-pub const BAR_DOUBLINGS: u32 = 5;
-/// Part of its memory that a machine may use: tasks grow after their start, and a full machine evicts.
+/// Microseconds for which a rejection counts without a newer report: a little over the slowest
+/// report.
+pub const REJECTION_VALID_US: Micros = 3_000_000;
+/// Microseconds of the first backoff after a failure where the settings have no connect time-out.
+pub const DEFAULT_BACKOFF_US: Micros = 250_000;
+/// Doublings of the backoff at most: 2^5 connect time-outs is as long as most faults last.
+pub const MAX_BACKOFF_DOUBLINGS: u32 = 5;
+/// Fraction of its memory that a machine may use: tasks grow after their start, and a full machine
+/// evicts.
 const MEMORY_SOFT_LIMIT: f64 = 0.85;
 
-/// The multiples of its size that a machine accepts, by the settings.
-pub fn accepts(settings: &Settings) -> Load {
+/// The first backoff after a failure: the connect time-out, or a default where none is set.
+pub fn initial_backoff_us(rules: &Rules) -> Micros {
+    rules.connect_timeout_us.unwrap_or(DEFAULT_BACKOFF_US)
+}
+
+/// The multiples of its size up to which a machine accepts requests, by the settings.
+pub fn accepted_multiples(settings: &Settings) -> Load {
     let multiple = |x: Option<f64>| x.filter(|x| x.is_finite() && *x > 0.0).unwrap_or(1.0);
-    let (cores, memory) = (
-        multiple(settings.accepts_cores),
-        multiple(settings.accepts_memory),
-    );
-    Load { cores, memory }
+    Load {
+        cores: multiple(settings.accepts_cores),
+        memory: multiple(settings.accepts_memory),
+    }
+}
+
+/// A load, and when it was learned or changed.
+#[derive(Clone, Copy)]
+pub struct DatedLoad {
+    pub at: Micros,
+    pub load: Load,
 }
 
 /// What this scheduler knows of one machine.
 #[derive(Default)]
 pub struct MachineState {
-    pub line: Machine,
+    /// Its latest entry in the machine list.
+    pub machine: Machine,
+    /// Its cores and memory; 0 where unknown.
     pub size: Load,
-    pub limit: Load,                   // Size, times what a machine accepts.
-    pub soft_limit: Load,              // Size, up to where service starts to fade.
-    pub tasks: f64,                    // Capacity in tasks of mean size.
-    pub asked: Option<(Micros, Load)>, // Asked by all, by the list.
-    pub used: Option<(Micros, Load)>,  // Used by all, by a report.
-    /// Own offers, and ends as negative ones, young enough to be missing from reports.
-    pub changes: VecDeque<(Micros, Load)>,
-    pub own_load: Load,                       // Asked by own tasks.
-    pub refused: Option<(Micros, Load)>,      // The last ask refused, and when.
-    pub services: BTreeMap<ServiceId, u32>,   // Own tasks by service, attempts in flight too.
-    pub cold_offers: Vec<Micros>,             // Own offers while cold.
-    pub waiting: BTreeMap<AttemptId, Micros>, // Offers without an answer.
-    pub starting: BTreeSet<AttemptId>, // Own tasks that are offered or accepted but not known to run.
-    pub strikes: u32,
-    pub barred_until: Micros,
-    pub looked_at: Micros, // When the latest offer or probe was sent that it answered.
-    pub heard_at: Micros,  // When it last answered anything, probes too.
-    pub probed_at: Option<Micros>,
-    pub asked_for: bool, // The last probe was for its report, and has not come back.
-    /// Tenants and classes that it turns away with no shortage named, and until when; a past time is a doubt.
-    pub shut: BTreeMap<(u16, u16), Micros>,
-    pub gone_at: Option<Micros>, // Since when the list says that it is gone.
+    /// Its size times the multiples that a machine accepts.
+    pub accept_limit: Load,
+    /// Its size, up to where service starts to fade or memory gets short.
+    pub soft_limit: Load,
+    /// Its capacity, in tasks of mean size.
+    pub capacity_in_tasks: f64,
+    /// What all tasks there request, as last learned.
+    pub requested: Option<DatedLoad>,
+    /// What all tasks there use, as last reported.
+    pub used: Option<DatedLoad>,
+    /// Own offers, and ends as negative loads, that are young enough to be missing from reports.
+    recent_changes: VecDeque<DatedLoad>,
+    /// What own tasks request.
+    own_load: Load,
+    /// The last request that it rejected for lack of capacity.
+    pub rejected: Option<DatedLoad>,
+    /// Own tasks by service, attempts in flight too.
+    pub own_tasks: BTreeMap<ServiceId, u32>,
+    /// When own offers were sent while it was warming up, the oldest first.
+    pub slow_start_offers: Vec<Micros>,
+    /// Own offers without an answer, and when each was sent.
+    unanswered: BTreeMap<AttemptId, Micros>,
+    /// Own tasks that are offered or accepted and not known to run.
+    pub starting: BTreeSet<AttemptId>,
+    /// Failures without an answer; each answer halves the count.
+    pub consecutive_failures: u32,
+    /// Until when it gets no offers after failures.
+    pub backoff_until: Micros,
+    /// When the latest offer or health check that it answered was sent.
+    latest_answered_send: Micros,
+    /// When it last answered anything.
+    last_answer_at: Micros,
+    /// When it was last sent a health check.
+    pub last_health_check_at: Option<Micros>,
+    /// A health check for its load report has no answer yet.
+    pub health_check_pending: bool,
+    /// Tenants and classes whose tasks it rejects without naming a shortage, and until when they
+    /// avoid it. A time that has passed is a suspicion, which a second event confirms.
+    pub rejecting: BTreeMap<TenantClass, Micros>,
+    /// Since when the list says that it is gone.
+    pub gone_since: Option<Micros>,
 }
 
+/// Its entry in the list and its size.
 impl MachineState {
-    pub fn new(line: &Machine, settings: &Settings) -> Self {
+    /// A machine of which only its entry in the list is known.
+    pub fn new(machine: &Machine, settings: &Settings) -> Self {
         Self {
-            line: line.clone(),
+            machine: machine.clone(),
             ..Self::default()
         }
-        .sized(settings)
+        .resized(settings)
     }
 
-    /// What the settings say of its size; all that was learned of it stays.
-    pub fn sized(self, settings: &Settings) -> Self {
+    /// The same machine with the sizes and limits of these settings; all that was learned of it
+    /// stays.
+    pub fn resized(self, settings: &Settings) -> Self {
         let kind = settings
             .kinds
-            .get(usize::from(self.line.kind))
+            .get(usize::from(self.machine.kind))
             .cloned()
             .unwrap_or_default();
         let size = Load::sanitized(kind.cores.unwrap_or(0.0), kind.memory.unwrap_or(0.0));
-        let limit = size.times(accepts(settings));
-        let calm = settings
+        let accept_limit = size.times(accepted_multiples(settings));
+        let calm_fraction = settings
             .classes
             .iter()
             .filter_map(|class| class.calm)
             .fold(1.0, f64::min);
-        let mean = |of: Option<f64>, room: f64| of.map(|of| room / of);
-        let fill = [
-            mean(settings.mean_cores, limit.cores),
-            mean(settings.mean_memory, limit.memory),
-        ];
-        let tasks = fill
-            .into_iter()
-            .flatten()
-            .filter(|tasks| tasks.is_finite() && *tasks > 0.0);
         let soft_limit = size.times(Load {
-            cores: calm,
+            cores: calm_fraction,
             memory: MEMORY_SOFT_LIMIT,
         });
         Self {
             size,
-            limit,
+            accept_limit,
             soft_limit,
-            tasks: tasks.reduce(f64::min).unwrap_or(1.0),
+            capacity_in_tasks: capacity_in_tasks(accept_limit, settings),
             ..self
         }
     }
 
-    /// A new line of the list. A new start makes all older reports void.
-    pub fn update(&mut self, now: Micros, line: &Machine) {
-        if line.ready_at != self.line.ready_at {
-            (self.asked, self.used, self.refused) = (None, None, None);
-            (self.strikes, self.barred_until) = (0, 0);
+    /// Takes in a new entry of the list. A new start of the machine makes all older reports void.
+    pub fn update(&mut self, now: Micros, machine: &Machine) {
+        if machine.ready_at != self.machine.ready_at {
+            (self.requested, self.used, self.rejected) = (None, None, None);
+            (self.consecutive_failures, self.backoff_until) = (0, 0);
         }
-        if let (Some(cores), Some(memory)) = (line.free_cores, line.free_memory) {
-            let asked = Load::sanitized(self.size.cores - cores, self.size.memory - memory);
-            self.asked = Some((now, asked));
-            // A line as old as the refusal says nothing against it.
-            self.refused = self.refused.filter(|(at, _)| now < at + LIST_LAG_US);
+        if let (Some(cores), Some(memory)) = (machine.free_cores, machine.free_memory) {
+            let load = Load::sanitized(self.size.cores - cores, self.size.memory - memory);
+            self.requested = Some(DatedLoad { at: now, load });
+            self.expire_rejection(now, LIST_LAG_US);
         }
-        self.line = line.clone();
+        self.machine = machine.clone();
     }
 
-    /// A load report: what nobody asked for, or what nobody uses.
-    pub fn report(&mut self, now: Micros, left: Load, counts_asks: bool) {
-        let taken = Load::sanitized(self.size.cores - left.cores, self.size.memory - left.memory);
-        if counts_asks {
-            self.asked = Some((now, taken));
-            self.refused = self.refused.filter(|(at, _)| now < at + REPORT_LAG_US);
+    /// Notes whether the list says that it is gone, and since when.
+    pub fn track_removal(&mut self, now: Micros) {
+        let is_gone = self.machine.health == Health::Gone;
+        self.gone_since = is_gone.then(|| self.gone_since.unwrap_or(now));
+    }
+
+    /// Whether it started so recently that it bears only a few offers.
+    pub fn is_warming_up(&self, now: Micros, rules: &Rules) -> bool {
+        let warm_after = rules.warm_after_us.unwrap_or(0);
+        self.machine
+            .ready_at
+            .is_some_and(|at| now < at.saturating_add(warm_after))
+    }
+}
+
+/// How many tasks of mean size a machine accepts; 1 where the settings don't tell.
+fn capacity_in_tasks(accept_limit: Load, settings: &Settings) -> f64 {
+    let tasks_that_fit = |mean: Option<f64>, capacity: f64| mean.map(|mean| capacity / mean);
+    let by_resource = [
+        tasks_that_fit(settings.mean_cores, accept_limit.cores),
+        tasks_that_fit(settings.mean_memory, accept_limit.memory),
+    ];
+    by_resource
+        .into_iter()
+        .flatten()
+        .filter(|tasks| tasks.is_finite() && *tasks > 0.0)
+        .reduce(f64::min)
+        .unwrap_or(1.0)
+}
+
+/// Its load.
+impl MachineState {
+    /// Takes in a load report, which tells what is left: of requests if `counts_requests`, else of
+    /// use.
+    pub fn apply_report(&mut self, now: Micros, left: Load, counts_requests: bool) {
+        let load = Load::sanitized(self.size.cores - left.cores, self.size.memory - left.memory);
+        let report = Some(DatedLoad { at: now, load });
+        if counts_requests {
+            self.requested = report;
+            self.expire_rejection(now, REPORT_LAG_US);
         } else {
-            self.used = Some((now, taken));
+            self.used = report;
         }
     }
 
-    pub fn change(&mut self, now: Micros, load: Load) {
-        self.changes.retain(|(at, _)| now < at + 2 * LIST_LAG_US);
-        self.changes.push_back((now, load));
+    /// Forgets the rejection, unless it is younger than the `lag` of the report that has come: such
+    /// a report says nothing against it.
+    fn expire_rejection(&mut self, now: Micros, lag: Micros) {
+        self.rejected = self.rejected.filter(|rejected| now < rejected.at + lag);
+    }
+
+    /// The last rejection, while it counts.
+    pub fn valid_rejection(&self, now: Micros) -> Option<DatedLoad> {
+        self.rejected
+            .filter(|rejected| now < rejected.at + REJECTION_VALID_US)
+    }
+
+    /// Remembers an own offer, or an end as a negative load, until reports hold it.
+    fn record_change(&mut self, now: Micros, load: Load) {
+        self.recent_changes
+            .retain(|change| now < change.at + 2 * LIST_LAG_US);
+        self.recent_changes.push_back(DatedLoad { at: now, load });
     }
 
-    /// A report plus the own changes that it can't hold yet, so that no offer counts twice.
-    pub fn since(&self, report: (Micros, Load), lag: Micros, ratio: Load) -> Load {
-        let young = self.changes.iter().filter(|(at, _)| at + lag > report.0);
-        young.fold(report.1, |sum, (_, load)| sum.plus(load.times(ratio)))
+    /// A report that lags, plus the own changes that it can't hold yet, each times `factors`.
+    fn with_recent_changes(&self, report: DatedLoad, lag: Micros, factors: Load) -> Load {
+        self.recent_changes
+            .iter()
+            .filter(|change| change.at + lag > report.at)
+            .fold(report.load, |sum, change| {
+                sum.plus(change.load.times(factors))
+            })
     }
 
-    pub fn asked(&self) -> Load {
-        let asked = self.asked.map_or(self.own_load, |report| {
-            self.since(report, LIST_LAG_US, ONCE)
+    /// What tasks of all schedulers request there: never less than what own tasks request.
+    pub fn requested_now(&self) -> Load {
+        let requested = self.requested.map_or(self.own_load, |report| {
+            self.with_recent_changes(report, LIST_LAG_US, UNSCALED)
         });
         Load::sanitized(
-            asked.cores.max(self.own_load.cores),
-            asked.memory.max(self.own_load.memory),
+            requested.cores.max(self.own_load.cores),
+            requested.memory.max(self.own_load.memory),
         )
     }
 
-    pub fn used(&self, ratio: Load) -> Option<Load> {
+    /// What tasks of all schedulers use there, by the last report; `use_ratio` is the expected
+    /// ratio of use to request for own tasks that it can't hold yet.
+    pub fn used_now(&self, use_ratio: Load) -> Option<Load> {
         self.used
-            .map(|report| self.since(report, REPORT_LAG_US, ratio))
+            .map(|report| self.with_recent_changes(report, REPORT_LAG_US, use_ratio))
     }
 
-    /// How the draws of one step see it.
+    /// How the draws of one step see it; the rank is left at 0.
     pub fn view(
         &self,
         now: Micros,
         settings: &Settings,
-        scheduler: Scheduler,
-        ratio: Load,
+        scheduler: SchedulerIdentity,
+        use_ratio: Load,
     ) -> MachineView {
-        let (asked, used) = (self.asked(), self.used(ratio));
-        let heard = self.asked.is_some() || self.used.is_some();
-        let refused = self
-            .refused
-            .filter(|(at, _)| now < at + REFUSAL_US)
-            .map(|(_, load)| load);
-        let full = f64::from(u8::from(
-            refused.is_some_and(|refused| Load::default().reaches(refused)),
-        ));
-        let use_share = used.map_or(0.0, |used| used.share(self.soft_limit));
+        let (requested, used) = (self.requested_now(), self.used_now(use_ratio));
+        let is_observed = self.requested.is_some() || self.used.is_some();
+        let rejected = self.valid_rejection(now).map(|rejected| rejected.load);
+        let rejects_everything = rejected.is_some_and(|rejected| Load::default().reaches(rejected));
+        let full = f64::from(u8::from(rejects_everything));
+        let used_fraction = used.map_or(0.0, |used| used.dominant_fraction(self.soft_limit));
+        let requested_fraction = requested.dominant_fraction(self.accept_limit);
         MachineView {
-            line: self.line.clone(),
+            machine: self.machine.clone(),
             rank: 0,
-            tasks: self.tasks,
-            limit: self.limit,
-            memory_roof: self.soft_limit.memory,
-            asked,
+            capacity_in_tasks: self.capacity_in_tasks,
+            accept_limit: self.accept_limit,
+            memory_limit: self.soft_limit.memory,
+            requested,
             used,
-            refused,
-            // The fuller share committed: of what may be asked, or of what may be used.
-            share: asked.share(self.limit).max(use_share).max(full),
-            heard,
-            floored: !heard || self.strikes > 0 || self.is_cold(now, &settings.rules),
-            budget: self.may_send(now, settings, scheduler),
-            barred: self.barred_until > now,
-            shut: self.shut.values().any(|until| *until > now),
+            rejected,
+            utilization: requested_fraction.max(used_fraction).max(full),
+            is_observed,
+            is_doubtful: !is_observed
+                || self.consecutive_failures > 0
+                || self.is_warming_up(now, &settings.rules),
+            has_slow_start_budget: self.may_send(now, settings, scheduler),
+            is_backing_off: self.backoff_until > now,
+            is_rejecting: self.rejecting.values().any(|until| *until > now),
         }
     }
+}
 
-    pub fn is_cold(&self, now: Micros, rules: &Rules) -> bool {
-        let warm_after = rules.warm_after_us.unwrap_or(0);
-        self.line
-            .ready_at
-            .is_some_and(|at| now < at.saturating_add(warm_after))
+/// Own attempts there.
+impl MachineState {
+    /// Counts an own attempt. What all tasks request stays: reports hold an adopted task already.
+    pub fn add_attempt(&mut self, attempt: &ActiveAttempt) {
+        self.own_load = self.own_load.plus(attempt.load);
+        *self.own_tasks.entry(attempt.service).or_default() += 1;
     }
 
-    /// A failed connect, probe or attempt: stay away, longer each time.
-    pub fn strike(&mut self, now: Micros, settings: &Settings) {
-        let bar = settings.rules.connect_timeout_us.unwrap_or(BAR_US);
-        self.barred_until = now + (bar << self.strikes.min(BAR_DOUBLINGS));
-        self.strikes += 1;
+    /// Takes an own attempt that ended out of the load and the counts.
+    pub fn remove_attempt(&mut self, now: Micros, id: AttemptId, attempt: &ActiveAttempt) {
+        let released = attempt.load.times(Load::uniform(-1.0));
+        self.own_load = self.own_load.plus(released);
+        self.record_change(now, released);
+        self.starting.remove(&id);
+        let tasks = self.own_tasks.entry(attempt.service).or_default();
+        *tasks = tasks.saturating_sub(1);
+        self.own_tasks.retain(|_, tasks| *tasks > 0);
     }
 
-    /// An answer: the way back is a step for each, so one lucky answer does not clear a jam.
-    pub fn answer(&mut self, now: Micros, attempt: AttemptId) {
-        let sent = self.waiting.remove(&attempt).unwrap_or(0);
-        self.looked_at = self.looked_at.max(sent);
-        self.heard_at = now;
-        self.strikes /= 2;
+    /// Notes an offer that is sent now.
+    pub fn record_offer(&mut self, now: Micros, id: AttemptId, load: Load, rules: &Rules) {
+        self.record_change(now, load);
+        self.unanswered.insert(id, now);
+        self.starting.insert(id);
+        if self.is_warming_up(now, rules) {
+            self.slow_start_offers.push(now);
+        }
     }
 
-    /// Asks are looked at in order, so one sent before the latest answered one was seen (yes at acceptance).
-    pub fn passed_over(&self, sent: Micros, settings: &Settings) -> bool {
-        !settings.yes_when_running && sent < self.looked_at
+    /// Notes that an offer will get no answer.
+    pub fn forget_offer(&mut self, id: AttemptId) {
+        self.unanswered.remove(&id);
+    }
+}
+
+/// Its health.
+impl MachineState {
+    /// Notes a failed connection, health check or attempt: the backoff doubles with each.
+    pub fn record_failure(&mut self, now: Micros, rules: &Rules) {
+        let doublings = self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
+        self.backoff_until = now + (initial_backoff_us(rules) << doublings);
+        self.consecutive_failures += 1;
     }
 
-    /// Offers wait and nothing at all came back since; one that still answers others is slow, not silent.
+    /// Notes an answer to an offer. It halves the failures, so that one lucky answer does not end a
+    /// jam.
+    pub fn record_answer(&mut self, now: Micros, id: AttemptId) {
+        let sent_at = self.unanswered.remove(&id).unwrap_or(0);
+        self.latest_answered_send = self.latest_answered_send.max(sent_at);
+        self.last_answer_at = now;
+        self.consecutive_failures /= 2;
+    }
+
+    /// Notes an answer to a health check that was sent `took_us` ago.
+    pub fn record_health_check_answer(&mut self, now: Micros, took_us: Micros) {
+        self.last_answer_at = now;
+        self.latest_answered_send = self.latest_answered_send.max(now.saturating_sub(took_us));
+    }
+
+    /// Whether a later offer or health check was answered before one sent at `sent_at`. Machines
+    /// answer in order of sending, unless their answer comes only when the task runs.
+    pub fn was_passed_over(&self, sent_at: Micros, settings: &Settings) -> bool {
+        !settings.yes_when_running && sent_at < self.latest_answered_send
+    }
+
+    /// The same for an own offer that has no answer.
+    pub fn offer_was_passed_over(&self, id: AttemptId, settings: &Settings) -> bool {
+        self.unanswered
+            .get(&id)
+            .is_some_and(|sent_at| self.was_passed_over(*sent_at, settings))
+    }
+
+    /// Since when offers wait and no answer of any kind has come; `None` where no offer waits. A
+    /// machine that still answers others is slow, not silent. Time before `awake_since` does not
+    /// count.
     pub fn silent_since(&self, awake_since: Micros) -> Option<Micros> {
-        self.waiting
+        self.unanswered
             .values()
             .min()
-            .map(|sent| (*sent).max(self.heard_at).max(awake_since))
+            .map(|sent_at| (*sent_at).max(self.last_answer_at).max(awake_since))
+    }
+
+    /// Whether tasks of this tenant and class avoid it now.
+    pub fn is_rejecting(&self, now: Micros, tenant_class: TenantClass) -> bool {
+        self.rejecting
+            .get(&tenant_class)
+            .is_some_and(|until| *until > now)
     }
 }
--- a/src/logic/mod.rs
+++ b/src/logic/mod.rs
@@ -1,20 +1,16 @@
-//! Every decision of reedring, a concept a file; interface: `src/api.rs`, each departure: `docs/design.md`.
+//! All placement decisions: a sans-I/O state machine, [`Placer`], that folds events and returns
+//! actions.
+//!
+//! Nothing here reads a clock, does I/O, keeps global state or iterates in an undefined order, so
+//! equal events give equal actions. The interface is `src/api/`; `docs/design.md` states the
+//! algorithm and each exception.
 
-mod ledger;
 mod machine_state;
 mod machine_view;
 mod placer;
-mod ramp;
+mod requests;
+mod slow_start;
 mod water_filling;
 
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
-
-use rand_core::Rng;
-use rand_pcg::Pcg32;
-
 pub use self::placer::Placer;
 pub use self::water_filling::{water_filling_probabilities, water_level};
-use self::{ledger::*, machine_state::*, machine_view::*, ramp::*};
-use crate::api::*;
-use crate::load::{Load, ONCE};
-use crate::names::mix;
--- a/src/logic/placer/beliefs.rs
+++ b/src/logic/placer/beliefs.rs
@@ -1,87 +1,120 @@
-//! What a former life learned, kept and taken up. It only ever adds bounds to what this life knows.
+//! What a scheduler has learned, saved for its next process and restored there. Restoring only adds
+//! bounds to what the new process knows itself.
 
-use super::*;
+use super::arrivals::Arrival;
+use super::{Placer, REJECTING_US};
+use crate::api::{Belief, Beliefs, Micros, Rules};
+use crate::load::Load;
+use crate::logic::machine_state::{
+    DatedLoad, MAX_BACKOFF_DOUBLINGS, MachineState, initial_backoff_us,
+};
+use crate::logic::requests::TenantClass;
 
 impl Placer {
-    /// What it has learned so far.
+    /// What it has learned so far, with times relative to `now`.
     pub fn beliefs(&self, now: Micros) -> Beliefs {
-        let ago = |at: Micros| now.saturating_sub(at);
-        let aged = |dated: Option<(Micros, Load)>| {
-            dated.map(|(at, load)| (ago(at), load.cores, load.memory))
-        };
-        let belief = |(id, state): (&MachineId, &MachineState)| Belief {
-            machine: *id,
-            asked: aged(state.asked),
-            used: aged(state.used),
-            refused: aged(state.refused.filter(|(at, _)| now < at + REFUSAL_US)),
-            shut: state
-                .shut
-                .iter()
-                .map(|(of, until)| (of.0, of.1, until.saturating_sub(now)))
-                .collect(),
-            strikes: state.strikes,
-            barred_us: state.barred_until.saturating_sub(now),
-            cold_offers: state.cold_offers.iter().map(|at| ago(*at)).collect(),
-        };
-        let learned = |belief: &Belief| {
-            *belief
-                != Belief {
-                    machine: belief.machine,
-                    ..Belief::default()
-                }
-        };
+        let machines = self
+            .machines
+            .values()
+            .map(|state| belief(now, state))
+            .filter(has_content)
+            .collect();
+        let arrivals = self.arrivals.iter();
         Beliefs {
-            machines: self.machines.iter().map(belief).filter(learned).collect(),
-            answers: self.answers.iter().copied().collect(),
-            arrivals: self
-                .arrivals
-                .iter()
-                .map(|(at, size)| (ago(*at), *size))
+            machines,
+            answers: self.answer_times.to_vec(),
+            arrivals: arrivals
+                .map(|arrival| (now.saturating_sub(arrival.at), arrival.size))
                 .collect(),
-            ratio: Some((self.ratio.cores, self.ratio.memory)),
+            ratio: Some((self.use_ratio.cores, self.use_ratio.memory)),
         }
     }
 
-    /// Takes a former life's beliefs in where nothing newer is known; bars and spent budgets only grow.
-    pub(super) fn restore(&mut self, now: Micros, beliefs: &Beliefs) {
-        let at = |ago: Micros| now.saturating_sub(ago);
-        let load =
-            |(ago, cores, memory): (Micros, f64, f64)| (at(ago), Load::sanitized(cores, memory));
+    /// Takes in the beliefs of a former process where nothing newer is known; backoffs and spent
+    /// budgets only grow.
+    pub(super) fn restore_beliefs(&mut self, now: Micros, beliefs: &Beliefs) {
         for belief in &beliefs.machines {
-            let Some(state) = self.machines.get_mut(&belief.machine) else {
-                continue;
-            };
-            state.asked = state.asked.or(belief.asked.map(load));
-            state.used = state.used.or(belief.used.map(load));
-            let refused = |(ago, cores, memory)| (at(ago), Load { cores, memory });
-            state.refused = state.refused.or(belief.refused.map(refused));
-            for (tenant, class, left) in &belief.shut {
-                let until = state.shut.entry((*tenant, *class)).or_default();
-                *until = (*until).max(now + (*left).min(SHUT_US));
+            if let Some(state) = self.machines.get_mut(&belief.machine) {
+                restore_machine(now, state, belief, &self.settings.rules);
             }
-            state.strikes = state.strikes.max(belief.strikes.min(BAR_DOUBLINGS));
-            let bar = self.settings.rules.connect_timeout_us.unwrap_or(BAR_US) << BAR_DOUBLINGS;
-            state.barred_until = state.barred_until.max(now + belief.barred_us.min(bar));
-            state
-                .cold_offers
-                .extend(belief.cold_offers.iter().map(|ago| at(*ago)));
-            state.cold_offers.sort_unstable();
         }
-        let answers = beliefs
-            .answers
-            .iter()
-            .chain(&self.answers)
-            .copied()
-            .collect::<VecDeque<_>>();
-        self.answers = answers.into_iter().rev().take(ANSWERS).rev().collect();
-        let before = beliefs.arrivals.iter().map(|(ago, size)| (at(*ago), *size));
-        self.arrivals = before.chain(self.arrivals.iter().copied()).collect();
-        self.arrivals.make_contiguous().sort_by_key(|(at, _)| *at);
+        self.answer_times.prepend(&beliefs.answers);
+        let arrivals = beliefs.arrivals.iter().map(|(ago, size)| Arrival {
+            at: now.saturating_sub(*ago),
+            size: *size,
+        });
+        self.arrivals.prepend(arrivals);
         if let Some((cores, memory)) = beliefs
             .ratio
-            .filter(|(x, y)| x.is_finite() && y.is_finite())
+            .filter(|(cores, memory)| cores.is_finite() && memory.is_finite())
         {
-            self.ratio = Load { cores, memory };
+            self.use_ratio = Load { cores, memory };
+        }
+    }
+}
+
+/// What is known of one machine, with times relative to `now`.
+fn belief(now: Micros, state: &MachineState) -> Belief {
+    let ago = |at: Micros| now.saturating_sub(at);
+    let aged = |dated: Option<DatedLoad>| {
+        dated.map(|dated| (ago(dated.at), dated.load.cores, dated.load.memory))
+    };
+    Belief {
+        machine: state.machine.id,
+        asked: aged(state.requested),
+        used: aged(state.used),
+        refused: aged(state.valid_rejection(now)),
+        rejecting: state
+            .rejecting
+            .iter()
+            .map(|(of, until)| (of.tenant, of.class, until.saturating_sub(now)))
+            .collect(),
+        consecutive_failures: state.consecutive_failures,
+        backoff_us: state.backoff_until.saturating_sub(now),
+        cold_offers: state.slow_start_offers.iter().map(|at| ago(*at)).collect(),
+    }
+}
+
+/// Whether it says more than which machine it is about.
+fn has_content(belief: &Belief) -> bool {
+    *belief
+        != Belief {
+            machine: belief.machine,
+            ..Belief::default()
         }
+}
+
+fn restore_machine(now: Micros, state: &mut MachineState, belief: &Belief, rules: &Rules) {
+    let at = |ago: Micros| now.saturating_sub(ago);
+    let sanitized = |(ago, cores, memory): (Micros, f64, f64)| DatedLoad {
+        at: at(ago),
+        load: Load::sanitized(cores, memory),
+    };
+    // A rejection of any amount of a resource is stored as an infinite load.
+    let unlimited = |(ago, cores, memory): (Micros, f64, f64)| DatedLoad {
+        at: at(ago),
+        load: Load { cores, memory },
+    };
+    state.requested = state.requested.or(belief.asked.map(sanitized));
+    state.used = state.used.or(belief.used.map(sanitized));
+    state.rejected = state.rejected.or(belief.refused.map(unlimited));
+    for (tenant, class, remaining) in &belief.rejecting {
+        let tenant_class = TenantClass {
+            tenant: *tenant,
+            class: *class,
+        };
+        let until = state.rejecting.entry(tenant_class).or_default();
+        *until = (*until).max(now + (*remaining).min(REJECTING_US));
     }
+    state.consecutive_failures = state
+        .consecutive_failures
+        .max(belief.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS));
+    let longest_backoff = initial_backoff_us(rules) << MAX_BACKOFF_DOUBLINGS;
+    state.backoff_until = state
+        .backoff_until
+        .max(now + belief.backoff_us.min(longest_backoff));
+    state
+        .slow_start_offers
+        .extend(belief.cold_offers.iter().map(|ago| at(*ago)));
+    state.slow_start_offers.sort_unstable();
 }
--- /dev/null
+++ b/src/logic/placer/legality.rs
@@ -0,0 +1,142 @@
+//! Which offers are legal by rules 2 to 5. Every send passes [`Placer::may_offer`], and one that
+//! had to wait for its connection also [`Placer::may_leave`].
+
+use std::collections::BTreeMap;
+
+use super::Placer;
+use crate::api::{AttemptId, Class, Effect, Group, Health, Machine, Micros, ServiceId};
+use crate::logic::machine_view::MachineView;
+use crate::logic::requests::{Attempt, AttemptState, PendingRequest};
+
+impl Placer {
+    /// Whether the request may be offered to a machine now. `full` holds the machines, cells or
+    /// zones that have the most tasks of its service that its class allows, sorted.
+    pub(super) fn may_offer(
+        &self,
+        now: Micros,
+        request: &PendingRequest,
+        class: &Class,
+        view: &MachineView,
+        full: &[u64],
+    ) -> bool {
+        view.machine.health == Health::Ready
+            && is_eligible(request, &view.machine)
+            && class.kind.is_none_or(|kind| kind == view.machine.kind)
+            && !request.is_in_flight()
+            && !self.has_spent_attempts(request)
+            && self.may_repeat(now, request, class, &view.machine)
+            && class
+                .spread
+                .is_none_or(|(place, _)| full.binary_search(&view.machine.place(place)).is_err())
+            && view.has_slow_start_budget
+    }
+
+    /// Whether an offer that waited for its connection may leave now, by rules 2 to 4. What it
+    /// spends of the slow start budget counts from now on.
+    pub fn may_leave(&mut self, now: Micros, attempt: AttemptId) -> bool {
+        let Some(request) = self.requests.get(&attempt.request) else {
+            return false;
+        };
+        let class = self.settings.classes.get(usize::from(request.task.class));
+        let earlier = request
+            .first_may_have_run()
+            .filter(|first| first.state == AttemptState::MayHaveRun);
+        let keyed_repeat = class
+            .filter(|class| class.effect == Effect::Keyed)
+            .zip(earlier);
+        let Some(this) = request.attempts.get(usize::from(attempt.number)) else {
+            return false;
+        };
+        let Some(state) = self.machines.get_mut(&this.machine) else {
+            return false;
+        };
+        let budgeted = state
+            .slow_start_offers
+            .iter()
+            .rposition(|at| *at == this.sent_at);
+        if let Some(position) = budgeted {
+            state.slow_start_offers.remove(position);
+        }
+        let machine_takes_it = state.may_send(now, &self.settings, self.scheduler)
+            && state.machine.health == Health::Ready;
+        if machine_takes_it && budgeted.is_some() {
+            state.slow_start_offers.push(now);
+        }
+        machine_takes_it
+            && keyed_repeat.is_none_or(|(class, first)| is_in_dedup_window(now, first, class))
+    }
+
+    /// Whether the request has had the most attempts that the rules allow.
+    pub(super) fn has_spent_attempts(&self, request: &PendingRequest) -> bool {
+        self.settings
+            .rules
+            .max_attempts
+            .is_some_and(|most| request.attempts.len() >= most as usize)
+    }
+
+    /// Whether the request may be sent to a machine though an earlier attempt may have run (rule
+    /// 2).
+    fn may_repeat(
+        &self,
+        now: Micros,
+        request: &PendingRequest,
+        class: &Class,
+        machine: &Machine,
+    ) -> bool {
+        request
+            .first_may_have_run()
+            .is_none_or(|first| match class.effect {
+                Effect::Safe => true,
+                Effect::Keyed => {
+                    self.drops_repeats_of(first, class.group, machine)
+                        && is_in_dedup_window(now, first, class)
+                }
+                Effect::Unsafe => false,
+            })
+    }
+
+    /// Whether a machine drops repeats of what was sent to the machine of an earlier attempt.
+    fn drops_repeats_of(&self, first: &Attempt, group: Group, machine: &Machine) -> bool {
+        self.machines
+            .get(&first.machine)
+            .is_some_and(|other| match group {
+                Group::All => true,
+                Group::Zone => other.machine.zone == machine.zone,
+                Group::Cell => other.machine.cell == machine.cell,
+            })
+    }
+
+    /// The machines, cells or zones that hold the most tasks of a service that its class allows,
+    /// sorted: one pass over the fleet.
+    pub(super) fn full_places(&self, class: &Class, service: ServiceId) -> Vec<u64> {
+        let Some((place, most)) = class.spread else {
+            return Vec::new();
+        };
+        let mut tasks_by_place: BTreeMap<u64, u32> = BTreeMap::new();
+        for state in self.machines.values() {
+            *tasks_by_place
+                .entry(state.machine.place(place))
+                .or_default() += state.own_tasks.get(&service).unwrap_or(&0);
+        }
+        tasks_by_place
+            .into_iter()
+            .filter(|(_, tasks)| *tasks >= most)
+            .map(|(place, _)| place)
+            .collect()
+    }
+}
+
+/// Whether the constraint of the request lets a machine take it.
+fn is_eligible(request: &PendingRequest, machine: &Machine) -> bool {
+    request
+        .eligible
+        .as_ref()
+        .is_none_or(|eligible| eligible.binary_search(&machine.id).is_ok())
+}
+
+/// Whether machines still drop repeats of a keyed task whose first attempt this is.
+fn is_in_dedup_window(now: Micros, first: &Attempt, class: &Class) -> bool {
+    class
+        .window_us
+        .is_some_and(|window| now < first.sent_at + window)
+}
--- a/src/logic/placer/mod.rs
+++ b/src/logic/placer/mod.rs
@@ -1,272 +1,214 @@
-//! The placer: folds events in order, then draws for what is due. Each file beside it decides one thing.
+//! The placer: folds events in order, then places the requests that are due.
+//!
+//! [`Placer::step`] shows the whole of a step. What came in is folded by `events`, which hands over
+//! to `machine_list`, `outcomes`, `reports` and `beliefs`. A request is placed by `placement`:
+//! candidates by `legality`, a draw within the `pool`, and the send in `offers`. `silence` stops
+//! offers that get no answer.
 
+mod answer_times;
+mod arrivals;
 mod beliefs;
-mod feedback;
-mod list;
-mod offer;
+mod events;
+mod fresh_reports;
+mod legality;
+mod list_watch;
+mod machine_list;
+mod offers;
+mod operator_log;
+mod outcomes;
+mod placement;
 mod pool;
+mod random;
+mod reports;
 mod silence;
 
-use super::*;
+use std::collections::BTreeMap;
 
-/// Microseconds between looks at held tasks and silent machines: well under any aim, and a light load.
-const TICK_US: Micros = 100_000;
-/// Answer times remembered: enough to hold a slow one, few enough to forget a jam.
-const ANSWERS: usize = 64;
-/// Microseconds for which a tenant and class avoid a machine that turned them away: only a try shows more.
-const SHUT_US: Micros = 4 * REFUSAL_US;
-/// Microseconds between two lines for the staff.
-const LOG_US: Micros = 2_000_000;
-/// Timer of held tasks and silent machines.
-const TICK: u64 = 1;
-/// Timer of the watch on the machine list.
-const WATCH: u64 = 2;
+use self::answer_times::AnswerTimes;
+use self::arrivals::ArrivalHistory;
+use self::list_watch::ListWatch;
+use self::operator_log::OperatorLog;
+use self::random::RandomSource;
+use super::machine_state::{MachineState, REJECTION_VALID_US, accepted_multiples};
+use super::machine_view::MachineView;
+use super::requests::{ActiveAttempt, PendingRequest};
+use super::slow_start::SchedulerIdentity;
+use crate::api::{Action, AttemptId, Event, MachineId, Micros, RequestId, Settings};
+use crate::load::Load;
+use crate::names::mix64;
+
+/// Microseconds between two polls of queued requests and silent machines: well under any latency
+/// objective, and a light load.
+const POLL_INTERVAL_US: Micros = 100_000;
+/// Token of the timer for the next poll.
+const POLL_TIMER: u64 = 1;
+/// Microseconds before its deadline in which a request is decided without further waiting: two
+/// polls.
+const LAST_CHANCE_US: Micros = 2 * POLL_INTERVAL_US;
+/// Microseconds for which a tenant and class avoid a machine that rejected them: only another try
+/// shows more.
+const REJECTING_US: Micros = 4 * REJECTION_VALID_US;
+/// Stands for the start of a scheduler before its first step.
+const NOT_STARTED: Micros = Micros::MAX;
 
 /// The placement decisions of one scheduler.
-#[derive(Default)]
 pub struct Placer {
     settings: Settings,
-    rng: Option<Pcg32>,
+    scheduler: SchedulerIdentity,
+    random: RandomSource,
     machines: BTreeMap<MachineId, MachineState>,
-    /// Positions among the machines, from the largest down, in an order that all schedulers share.
-    order: Vec<usize>,
-    views: Vec<MachineView>, // How the machines look at the moment of this step, in their order.
-    entries: BTreeMap<RequestId, Entry>,
-    live: BTreeMap<AttemptId, LiveAttempt>,
-    arrivals: VecDeque<(Micros, f64)>,
-    answers: VecDeque<Micros>,
-    ratio: Load,         // Learnt ratio of use to ask.
-    due: Vec<RequestId>, // Requests to draw for at the end of this step, in order.
-    held: Vec<RequestId>,
-    /// When the watch on the list is to be asked for again; `None` before the first time.
-    watch_due: Option<Micros>,
-    watch_failures: u32,
-    probing: Micros,          // Until when a task may wait for the report of a probe.
-    awake_since: Micros, // When this scheduler started or last came back from a gap in its own turns.
-    tick_due: Option<Micros>, // When the next look is due, if any.
-    scheduler: Scheduler,
-    logged_at: Option<Micros>,
+    /// Positions among `machines`, the largest machine first, in an order that all schedulers
+    /// share.
+    ranking: Vec<usize>,
+    /// How the machines look to the draws of this step, in the order of `machines`.
+    views: Vec<MachineView>,
+    /// Requests without a final answer.
+    requests: BTreeMap<RequestId, PendingRequest>,
+    /// Own attempts that have not ended, also those of requests that have their answer.
+    active_attempts: BTreeMap<AttemptId, ActiveAttempt>,
+    arrivals: ArrivalHistory,
+    answer_times: AnswerTimes,
+    /// The ratio of use to request, learned from tasks that run.
+    use_ratio: Load,
+    /// Requests to place at the end of this step, in order.
+    due: Vec<RequestId>,
+    /// Requests that wait for a machine or for reports; the next poll makes them due.
+    queued: Vec<RequestId>,
+    list_watch: ListWatch,
+    /// Until when a request may wait for reports of machines that were sent a health check.
+    reports_awaited_until: Micros,
+    /// When this scheduler started, or last resumed after a standstill of its own.
+    awake_since: Micros,
+    /// When the next poll is due, if any is.
+    poll_due: Option<Micros>,
+    operator_log: OperatorLog,
 }
 
 impl Placer {
-    /// A fresh scheduler that knows its settings and nothing else.
+    /// A scheduler that knows its settings and nothing else. All random numbers come from `seed`.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        // Without reports of use, what machines accept says by how much asks are expected to exceed it.
-        let accepts = accepts(&settings);
-        let ratio = Load {
-            cores: 1.0 / accepts.cores.max(1.0),
-            memory: 1.0 / accepts.memory.max(1.0),
+        // Without reports of use, what machines accept says by how much requests are expected to
+        // exceed use.
+        let accepted = accepted_multiples(&settings);
+        let use_ratio = Load {
+            cores: 1.0 / accepted.cores.max(1.0),
+            memory: 1.0 / accepted.memory.max(1.0),
         };
-        let (rng, started) = (Some(Pcg32::new(seed, 0)), Micros::MAX);
-        let scheduler = Scheduler {
-            number: settings.position.map_or(mix(seed), u64::from),
-            started,
+        let scheduler = SchedulerIdentity {
+            number: settings.position.map_or(mix64(seed), u64::from),
+            started_at: NOT_STARTED,
         };
         Self {
             settings,
-            rng,
-            ratio,
-            awake_since: started,
             scheduler,
-            ..Self::default()
+            random: RandomSource::new(seed),
+            machines: BTreeMap::new(),
+            ranking: Vec::new(),
+            views: Vec::new(),
+            requests: BTreeMap::new(),
+            active_attempts: BTreeMap::new(),
+            arrivals: ArrivalHistory::default(),
+            answer_times: AnswerTimes::default(),
+            use_ratio,
+            due: Vec::new(),
+            queued: Vec::new(),
+            list_watch: ListWatch::default(),
+            reports_awaited_until: 0,
+            awake_since: NOT_STARTED,
+            poll_due: None,
+            operator_log: OperatorLog::default(),
         }
     }
 
-    /// Folds a batch of events in order, then draws for the tasks that are due.
+    /// Folds a batch of events in order, then places the requests that are due. `now` is in
+    /// microseconds on the caller's clock; the actions are appended in the order in which they are
+    /// to be done.
     pub fn step(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
-        if self.settings.list_on_request && self.watch_due.is_none() {
-            self.watch(now, actions);
+        self.start_list_watch(now, actions);
+        self.detect_standstill(now);
+        for event in events {
+            self.apply_event(now, event, actions);
         }
-        if self.awake_since == Micros::MAX || self.tick_due.is_some_and(|due| due + TICK_US < now) {
-            // This scheduler stood still: the silence was its own, and no machine is blamed for it.
-            self.awake_since = now;
-            self.scheduler.started = self.scheduler.started.min(now);
+        let queued_before = self.queued.len();
+        self.place_due_requests(now, actions);
+        self.report_queued_requests(now, queued_before, actions);
+        self.schedule_poll(now, actions);
+    }
+
+    /// How many machines, requests and attempts it keeps in memory.
+    pub fn sizes(&self) -> [usize; 3] {
+        [
+            self.machines.len(),
+            self.requests.len(),
+            self.active_attempts.len(),
+        ]
+    }
+
+    /// Watches the machine list from the first step on, where it comes only on request.
+    fn start_list_watch(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        if self.settings.list_on_request && !self.list_watch.is_started() {
+            self.list_watch.request(now, &self.settings.rules, actions);
         }
-        events
-            .iter()
-            .for_each(|event| self.fold(now, event, actions));
-        let held = self.held.len();
-        if !self.due.is_empty() {
-            let a = self.arriving_load(now);
-            let view =
-                |state: &MachineState| state.view(now, &self.settings, self.scheduler, self.ratio);
-            self.views = self.machines.values().map(view).collect();
-            self.order
-                .iter()
-                .zip(0..)
-                .for_each(|(at, rank)| self.views[*at].rank = rank);
-            let due = std::mem::take(&mut self.due);
-            due.into_iter()
-                .for_each(|request| self.place(now, request, a, actions));
+    }
+
+    /// A poll that comes late shows that this scheduler stood still: the silence was its own, and
+    /// no machine is blamed for it. The first step counts as the end of a standstill.
+    fn detect_standstill(&mut self, now: Micros) {
+        let poll_is_late = self
+            .poll_due
+            .is_some_and(|due| due + POLL_INTERVAL_US < now);
+        if self.awake_since == NOT_STARTED || poll_is_late {
+            self.awake_since = now;
+            self.scheduler.started_at = self.scheduler.started_at.min(now);
         }
-        if self.held.len() > held && self.probing <= now {
-            self.log(
-                now,
-                format!(
-                    "holding {} tasks: no machine may take them",
-                    self.held.len()
-                ),
-                actions,
-            );
+    }
+
+    /// Draws for all requests that are due, in order, from one view of the machines.
+    fn place_due_requests(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        if self.due.is_empty() {
+            return;
         }
-        if !self.entries.is_empty() && self.tick_due.is_none() {
-            self.tick_due = Some(now + TICK_US);
-            actions.push(Action::Timer {
-                token: TICK,
-                after_us: TICK_US,
-            });
+        let arriving = self
+            .arrivals
+            .estimate_load(now, self.awake_since, self.settings.schedulers);
+        self.refresh_views(now);
+        for request in std::mem::take(&mut self.due) {
+            self.place(now, request, arriving, actions);
         }
     }
 
-    fn log(&mut self, now: Micros, line: String, actions: &mut Vec<Action>) {
-        if self.logged_at.is_none_or(|at| at + LOG_US <= now) {
-            self.logged_at = Some(now);
-            actions.push(Action::Log(line));
+    /// Computes the view of each machine anew.
+    fn refresh_views(&mut self, now: Micros) {
+        let view =
+            |state: &MachineState| state.view(now, &self.settings, self.scheduler, self.use_ratio);
+        self.views = self.machines.values().map(view).collect();
+        for (rank, position) in self.ranking.iter().enumerate() {
+            self.views[*position].rank = rank;
         }
     }
 
-    fn fold(&mut self, now: Micros, event: &Event, actions: &mut Vec<Action>) {
-        match event {
-            Event::Listed(listing) => self.listed(now, listing, actions),
-            Event::SettingsChanged(settings) => {
-                let machines = std::mem::take(&mut self.machines).into_iter();
-                self.machines = machines
-                    .map(|(id, state)| (id, state.sized(settings)))
-                    .collect();
-                self.settings = (**settings).clone();
-                self.rank();
-            }
-            Event::BeliefsRestored(beliefs) => self.restore(now, beliefs),
-            Event::Arrived { task, grace_us } => {
-                self.arrivals
-                    .push_back((now, self.mean_size(Load::of(task))));
-                let deadline = now.saturating_add(*grace_us);
-                self.due.push(task.request);
-                let entry = Entry {
-                    task: task.clone(),
-                    deadline,
-                    attempts: Vec::new(),
-                    allowed: None,
-                };
-                self.entries.insert(task.request, entry);
-            }
-            Event::EligibilityChanged { request, machines } => {
-                if let Some(entry) = self.entries.get_mut(request) {
-                    // A held task that gets machines is drawn for at once, not at the next look.
-                    let held = !machines.is_empty()
-                        && !self.due.contains(request)
-                        && !entry.is_in_flight();
-                    entry.allowed = Some(machines.clone());
-                    if held {
-                        self.held.retain(|other| other != request);
-                        self.due.push(*request);
-                    }
-                }
-            }
-            Event::Adopted { task, machine } => {
-                let attempt = AttemptId {
-                    request: task.request,
-                    number: 0,
-                };
-                let (machine, service, load) = (*machine, task.service, Load::of(task));
-                self.add_live(
-                    attempt,
-                    LiveAttempt {
-                        machine,
-                        service,
-                        load,
-                    },
-                );
-            }
-            Event::Placed {
-                attempt,
-                machine,
-                took_us,
-            } => {
-                self.answers.push_back(*took_us);
-                self.answers
-                    .drain(..self.answers.len().saturating_sub(ANSWERS));
-                let entry = self.entries.remove(&attempt.request);
-                if let Some(state) = self.machines.get_mut(machine) {
-                    state.answer(now, *attempt);
-                    let owner = entry.as_ref().map(Entry::tenant_class);
-                    state
-                        .shut
-                        .retain(|other, until| Some(*other) != owner || *until > now);
-                    if self.settings.yes_when_running {
-                        state.starting.remove(attempt);
-                    }
-                }
-                // Machines that erred on a task which another one takes turn its tenant or class away.
-                for (erred, owner) in entry.iter().flat_map(Entry::erred) {
-                    self.machines
-                        .get_mut(&erred)
-                        .map(|state| state.shut.insert(owner, now + SHUT_US));
-                }
-            }
-            Event::TaskSignal { attempt, note, .. } => self.noted(now, *attempt, *note),
-            Event::Ended(end) => {
-                self.report(now, end.machine, &end.report);
-                self.ended(now, end);
-            }
-            Event::Withdrawn(request) => {
-                // What is still out would only take room from a task that is wanted.
-                let entry = self.entries.remove(request);
-                let attempts = entry
-                    .iter()
-                    .flat_map(|entry| entry.attempts.iter().zip(0..));
-                let out = attempts.filter(|(attempt, _)| attempt.state == AttemptState::InFlight);
-                let stop = out.map(|(_, number)| {
-                    Action::Stop(AttemptId {
-                        request: *request,
-                        number,
-                    })
-                });
-                actions.extend(stop.filter(|_| self.settings.rules.may_stop));
-            }
-            Event::Last(request) => {
-                self.entries
-                    .get_mut(request)
-                    .into_iter()
-                    .for_each(|entry| entry.deadline = now);
-                self.due.push(*request);
-            }
-            Event::Woken(TICK) => {
-                self.tick_due = None;
-                self.due.append(&mut self.held);
-                self.stop_silent(now, actions);
-            }
-            Event::Woken(WATCH) => match self.watch_due {
-                Some(due) if now < due => actions.push(Action::Timer {
-                    token: WATCH,
-                    after_us: due - now,
-                }),
-                _ => self.watch(now, actions),
-            },
-            Event::Woken(_) | Event::Peer { .. } => {}
-            Event::Probed {
-                machine,
-                answered,
-                took_us,
-                report,
-            } => {
-                self.report(now, *machine, report);
-                self.due.append(&mut self.held);
-                if let Some(state) = self.machines.get_mut(machine) {
-                    state.asked_for = false;
-                    if *answered {
-                        state.heard_at = now;
-                        state.looked_at = state.looked_at.max(now.saturating_sub(*took_us));
-                    } else {
-                        state.strike(now, &self.settings);
-                    }
-                }
-            }
+    /// Logs that requests were queued for want of a machine; waiting for reports is ordinary.
+    fn report_queued_requests(
+        &mut self,
+        now: Micros,
+        queued_before: usize,
+        actions: &mut Vec<Action>,
+    ) {
+        let queued = self.queued.len();
+        if queued > queued_before && self.reports_awaited_until <= now {
+            let line = format!("holding {queued} tasks: no machine may take them");
+            self.operator_log.write(now, line, actions);
         }
     }
 
-    /// How many machines, requests and attempts it keeps in mind.
-    pub fn sizes(&self) -> [usize; 3] {
-        [self.machines.len(), self.entries.len(), self.live.len()]
+    /// Sets the timer of the next poll while any request has no final answer.
+    fn schedule_poll(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        if !self.requests.is_empty() && self.poll_due.is_none() {
+            self.poll_due = Some(now + POLL_INTERVAL_US);
+            actions.push(Action::Timer {
+                token: POLL_TIMER,
+                after_us: POLL_INTERVAL_US,
+            });
+        }
     }
 }
--- /dev/null
+++ b/src/logic/placer/offers.rs
@@ -0,0 +1,88 @@
+//! Sending an offer, and the final answer to a request that got none accepted.
+
+use super::Placer;
+use crate::api::{Action, AttemptId, Class, MachineId, Micros, RequestId};
+use crate::load::Load;
+use crate::logic::machine_view::MachineView;
+use crate::logic::requests::{ActiveAttempt, Attempt, AttemptState, may_refuse};
+
+impl Placer {
+    /// Offers a request to a machine that [`Placer::may_offer`] allowed.
+    pub(super) fn send_offer(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        machine: MachineId,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        // The attempt may take all the time that is left: a copy of a start that only waits makes a
+        // jam worse, and machines that fall silent are found by `silence`.
+        let within_us = Some(request.deadline - now);
+        let attempt = AttemptId {
+            request: id,
+            number: request.attempts.len() as u16,
+        };
+        request.attempts.push(Attempt {
+            machine,
+            sent_at: now,
+            state: AttemptState::InFlight,
+            reported_error: false,
+        });
+        let active = ActiveAttempt {
+            machine,
+            service: request.task.service,
+            load: Load::requested_by(&request.task),
+        };
+        self.add_active_attempt(attempt, active);
+        if let Some(state) = self.machines.get_mut(&machine) {
+            state.record_offer(now, attempt, active.load, &self.settings.rules);
+        }
+        self.refresh_view(now, machine);
+        actions.push(Action::Offer {
+            request: id,
+            machine,
+            within_us,
+        });
+    }
+
+    /// Remembers an own attempt, and counts it at its machine.
+    pub(super) fn add_active_attempt(&mut self, id: AttemptId, attempt: ActiveAttempt) {
+        if let Some(state) = self.machines.get_mut(&attempt.machine) {
+            state.add_attempt(&attempt);
+        }
+        self.active_attempts.insert(id, attempt);
+    }
+
+    /// Computes the view of one machine anew, for the draws that follow in this step.
+    fn refresh_view(&mut self, now: Micros, machine: MachineId) {
+        let Some(state) = self.machines.get(&machine) else {
+            return;
+        };
+        let view = state.view(now, &self.settings, self.scheduler, self.use_ratio);
+        if let Ok(position) = self
+            .views
+            .binary_search_by_key(&machine, |view| view.machine.id)
+        {
+            let rank = self.views[position].rank;
+            self.views[position] = MachineView { rank, ..view };
+        }
+    }
+
+    /// Gives the final answer to a request that has no attempt in flight.
+    pub(super) fn give_up(&mut self, id: RequestId, class: &Class, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.remove(&id) else {
+            return;
+        };
+        actions.push(if may_refuse(&request, class) {
+            Action::Refuse {
+                request: id,
+                stay_away_us: None,
+            }
+        } else {
+            Action::Fail(id)
+        });
+    }
+}
--- a/src/logic/placer/pool.rs
+++ b/src/logic/placer/pool.rs
@@ -1,132 +1,181 @@
-//! Where a task goes: the pool of its service, its columns and the draw. Which machines may take it is given.
+//! Where a task goes among its candidates: the pool of its service, the heights of its columns, and
+//! the draw.
 
-use super::*;
+use std::cmp::Reverse;
+
+use super::Placer;
+use crate::api::{Health, MachineId, ServiceId};
+use crate::logic::machine_view::MachineView;
+use crate::logic::water_filling::water_filling_probabilities;
+use crate::names::mix64;
 
-/// Microseconds in which own arrivals are counted for `a`: about as long as a view stays unconfirmed.
-pub(super) const WINDOW_US: Micros = 1_000_000;
-/// Microseconds, at most, in which a quiet scheduler counts its arrivals: half a usual life of a task.
-const SPAN_US: Micros = 10 * WINDOW_US;
-/// Own arrivals that are enough to count over a shorter span: by then chance is a third of the count.
-const ENOUGH_ARRIVALS: usize = 8;
 /// Machines in the pool of a service: enough to find a low one, few enough to share its program.
 const POOL_SIZE: usize = 4;
-/// By how much a column is lower for a service's home or holder, as a fraction of a mean machine.
+/// By how much a column is lower for a service's home or a machine that runs it, as a fraction of a
+/// mean machine.
 const AFFINITY: f64 = 0.25;
-/// Rise of a column for each own start that waits, as a fraction of a mean machine: a few outweigh that.
-const START_RISE: f64 = 0.1;
-/// Fraction of its capacity up to which a machine of the smallest set is meant to be filled.
-const PACK_FILL: f64 = 0.6;
+/// By how much the column of a service's second home is lower, as a fraction of a mean machine.
+const SECOND_HOME_AFFINITY: f64 = AFFINITY / 2.0;
+/// Rise of a column for each own task that has not started, as a fraction of a mean machine: a few
+/// outweigh the affinity.
+const STARTING_TASK_RISE: f64 = 0.1;
+/// Fraction of its capacity up to which a machine of the smallest sufficient set is meant to be
+/// filled.
+const PACKING_FRACTION: f64 = 0.6;
 
-pub(super) type Weights = Vec<(MachineId, f64)>; // The machines of a pool, and how likely each is.
+/// A machine of a pool, and how likely it is to be drawn.
+pub(super) struct PoolMember {
+    pub machine: MachineId,
+    /// Its probability times its capacity; the weights of a pool need not sum to 1.
+    pub weight: f64,
+}
 
-impl Placer {
-    /// The next random number; there are none before it is made.
-    pub(super) fn uniform(&mut self) -> f64 {
-        self.rng.as_mut().map_or(0.0, |rng| {
-            f64::from(rng.next_u32()) / (f64::from(u32::MAX) + 1.0)
-        })
+/// Sums and means over the machines that are ready.
+struct FleetSummary {
+    /// Capacity of all, in tasks of mean size.
+    capacity: f64,
+    /// Capacity of a mean machine, in tasks of mean size.
+    mean_capacity: f64,
+    /// Mean utilization of the machines that are observed.
+    mean_utilization: f64,
+}
+
+impl FleetSummary {
+    fn new(views: &[MachineView]) -> Self {
+        let mean = |sum: f64, count: usize| sum / count.max(1) as f64;
+        let capacity: f64 = ready(views).map(|view| view.capacity_in_tasks).sum();
+        let observed = ready(views)
+            .filter(|view| view.is_observed)
+            .map(|view| view.utilization);
+        Self {
+            capacity,
+            mean_capacity: mean(capacity, ready(views).count()),
+            mean_utilization: mean(observed.clone().sum(), observed.count()),
+        }
     }
 
-    /// A load in tasks of mean size.
-    pub(super) fn mean_size(&self, load: Load) -> f64 {
-        let part = |x: f64, mean: Option<f64>| mean.filter(|mean| *mean > 0.0).map(|mean| x / mean);
-        let cores = part(load.cores, self.settings.mean_cores);
-        let memory = part(load.memory, self.settings.mean_memory);
-        let both = cores
-            .zip(memory)
-            .map(|(cores, memory)| (cores + memory) / 2.0);
-        both.or(cores).or(memory).unwrap_or(1.0)
+    /// The utilization that a machine is taken to have: one that may look emptier than it is counts
+    /// as no emptier than the mean.
+    fn utilization(&self, view: &MachineView) -> f64 {
+        let floor = if view.is_doubtful {
+            self.mean_utilization
+        } else {
+            0.0
+        };
+        view.utilization.max(floor)
     }
+}
 
-    /// The paper's a: the number of schedulers times the own arrivals, over longer where they are few.
-    pub(super) fn arriving_load(&mut self, now: Micros) -> f64 {
-        let old = self.arrivals.partition_point(|(at, _)| at + SPAN_US < now);
-        self.arrivals.drain(..old);
-        let before = self.arrivals.iter().rev().skip_while(|(at, _)| *at >= now);
-        let enough = before
-            .clone()
-            .nth(ENOUGH_ARRIVALS - 1)
-            .map_or(0, |(at, _)| *at);
-        let span = (now - enough)
-            .min(SPAN_US)
-            .min(now - self.awake_since)
-            .max(WINDOW_US);
-        let own: f64 = before
-            .take_while(|(at, _)| now <= at + span)
-            .map(|(_, size)| size)
-            .sum();
-        own * WINDOW_US as f64 / span as f64 * f64::from(self.settings.schedulers.max(1))
+fn ready(views: &[MachineView]) -> impl Iterator<Item = &MachineView> + Clone {
+    views
+        .iter()
+        .filter(|view| view.machine.health == Health::Ready)
+}
+
+impl Placer {
+    /// The pool of a service within the candidates, with the weights of its water filling.
+    /// `arriving` is the load that arrives at all schedulers.
+    pub(super) fn weighted_pool(
+        &self,
+        candidates: Vec<&MachineView>,
+        service: ServiceId,
+        arriving: f64,
+    ) -> Vec<PoolMember> {
+        let fleet = FleetSummary::new(&self.views);
+        let mut pool = candidates;
+        if self.settings.prices.fleet.is_some_and(|price| price > 0.0) {
+            self.keep_smallest_sufficient_set(&mut pool, &fleet, arriving);
+        }
+        keep_homes(&mut pool, service);
+        let pool_capacity = pool.iter().map(|view| view.capacity_in_tasks).sum::<f64>();
+        let arriving_at_pool = arriving * pool_capacity / fleet.capacity.max(1.0);
+        let columns: Vec<f64> = pool
+            .iter()
+            .enumerate()
+            .map(|(home_rank, view)| self.column_height(view, home_rank, service, &fleet))
+            .collect();
+        water_filling_probabilities(&columns, arriving_at_pool)
+            .into_iter()
+            .zip(pool)
+            .map(|(probability, view)| PoolMember {
+                machine: view.machine.id,
+                weight: probability * view.capacity_in_tasks,
+            })
+            .collect()
     }
 
-    pub(super) fn draw(&mut self, weights: &[(MachineId, f64)]) -> MachineId {
-        let mut point = self.uniform() * weights.iter().map(|(_, p)| p).sum::<f64>();
-        let drawn = weights.iter().find(|(_, p)| {
-            point -= p;
+    /// Draws one machine by weight. The pool is not empty.
+    pub(super) fn draw(&mut self, pool: &[PoolMember]) -> MachineId {
+        let mut point = self.random.uniform() * pool.iter().map(|one| one.weight).sum::<f64>();
+        let drawn = pool.iter().find(|one| {
+            point -= one.weight;
             point < 0.0
         });
-        drawn.unwrap_or(&weights[weights.len() - 1]).0
+        drawn.unwrap_or(&pool[pool.len() - 1]).machine
     }
 
-    /// Water filling over the open machines: the weight of each in the pool.
-    pub(super) fn weights(
+    /// Keeps the candidates within the smallest set of machines that holds the load of the fleet,
+    /// in the order that all schedulers share; all of them if none is in it.
+    fn keep_smallest_sufficient_set(
         &self,
-        mut pool: Vec<&MachineView>,
+        candidates: &mut Vec<&MachineView>,
+        fleet: &FleetSummary,
+        arriving: f64,
+    ) {
+        let load: f64 = ready(&self.views)
+            .map(|view| fleet.utilization(view) * view.capacity_in_tasks)
+            .sum::<f64>()
+            + arriving;
+        let mut capacity = 0.0;
+        let last = self
+            .ranking
+            .iter()
+            .map(|position| &self.views[*position])
+            .filter(|view| view.machine.health == Health::Ready)
+            .find(|view| {
+                capacity += view.capacity_in_tasks * PACKING_FRACTION;
+                capacity >= load
+            });
+        let is_needed = |view: &&MachineView| last.is_none_or(|last| view.rank <= last.rank);
+        if candidates.iter().any(is_needed) {
+            candidates.retain(is_needed);
+        }
+    }
+
+    /// The height of a machine's column, in tasks of mean size. `home_rank` is its position in the
+    /// pool.
+    fn column_height(
+        &self,
+        view: &MachineView,
+        home_rank: usize,
         service: ServiceId,
-        a: f64,
-    ) -> Weights {
-        let ready = || {
-            self.views
-                .iter()
-                .filter(|view| view.line.health == Health::Ready)
+        fleet: &FleetSummary,
+    ) -> f64 {
+        let home_affinity = match home_rank {
+            0 => AFFINITY,
+            1 => SECOND_HOME_AFFINITY,
+            _ => 0.0,
         };
-        let mean = |sum: f64, of: usize| sum / of.max(1) as f64;
-        let tasks: f64 = ready().map(|view| view.tasks).sum();
-        let mean_tasks = mean(tasks, ready().count());
-        let heard = ready().filter(|view| view.heard).map(|view| view.share);
-        let average = mean(heard.clone().sum(), heard.count());
-        // Machines back cold or from a failure look empty; they are no deeper than the average.
-        let share = |view: &MachineView| view.share.max(if view.floored { average } else { 0.0 });
-        if self.settings.prices.fleet.is_some_and(|price| price > 0.0) {
-            // The smallest set that holds the load, in an order that all schedulers share.
-            let load: f64 = ready().map(|view| share(view) * view.tasks).sum::<f64>() + a;
-            let mut room = 0.0;
-            let order = self.order.iter().map(|at| &self.views[*at]);
-            let last = order
-                .filter(|view| view.line.health == Health::Ready)
-                .find(|view| {
-                    room += view.tasks * PACK_FILL;
-                    room >= load
-                });
-            let needed = |view: &&MachineView| last.is_none_or(|last| view.rank <= last.rank);
-            if pool.iter().any(needed) {
-                pool.retain(needed);
-            }
-        }
-        // Homes are the same at every scheduler: without a word tasks gather where their program is.
-        let of = mix(service.0);
-        let first = |view: &&MachineView| std::cmp::Reverse(mix(view.line.id.0 ^ of));
-        if pool.len() > POOL_SIZE {
-            pool.select_nth_unstable_by_key(POOL_SIZE - 1, first);
-            pool.truncate(POOL_SIZE);
-        }
-        pool.sort_by_cached_key(first);
-        let a = a * pool.iter().map(|view| view.tasks).sum::<f64>() / tasks.max(1.0);
-        let column = |(rank, view): (usize, &&MachineView)| {
-            let home = [AFFINITY, AFFINITY / 2.0].get(rank).copied().unwrap_or(0.0);
-            let state = &self.machines[&view.line.id];
-            let holds = if state.services.contains_key(&service) {
-                AFFINITY
-            } else {
-                0.0
-            };
-            (share(view) + state.starting.len() as f64 * START_RISE - home.max(holds)) * mean_tasks
+        let state = &self.machines[&view.machine.id];
+        let running_affinity = if state.own_tasks.contains_key(&service) {
+            AFFINITY
+        } else {
+            0.0
         };
-        let columns: Vec<f64> = pool.iter().enumerate().map(column).collect();
-        let weights = water_filling_probabilities(&columns, a)
-            .into_iter()
-            .zip(pool);
-        weights
-            .map(|(p, view)| (view.line.id, p * view.tasks))
-            .collect()
+        let starting_rise = state.starting.len() as f64 * STARTING_TASK_RISE;
+        (fleet.utilization(view) + starting_rise - home_affinity.max(running_affinity))
+            * fleet.mean_capacity
+    }
+}
+
+/// Keeps the first machines of an order that a hash of service and machine gives alike to all
+/// schedulers: without any message, tasks gather where their program is.
+fn keep_homes(candidates: &mut Vec<&MachineView>, service: ServiceId) {
+    let service_hash = mix64(service.0);
+    let order = |view: &&MachineView| Reverse(mix64(view.machine.id.0 ^ service_hash));
+    if candidates.len() > POOL_SIZE {
+        candidates.select_nth_unstable_by_key(POOL_SIZE - 1, order);
+        candidates.truncate(POOL_SIZE);
     }
+    candidates.sort_by_cached_key(order);
 }
--- a/src/logic/placer/silence.rs
+++ b/src/logic/placer/silence.rs
@@ -1,79 +1,128 @@
-//! Machines that say nothing: probed, then their offers stopped. It never sends a task elsewhere itself.
+//! Machines that give no answer: a health check first, then the offers that wait there are stopped.
+//! It sends no task elsewhere; the outcome of a stopped attempt makes its request due.
 
-use super::*;
+use std::collections::BTreeMap;
+
+use super::{POLL_INTERVAL_US, Placer};
+use crate::api::{Action, AttemptId, MachineId, Micros};
+use crate::logic::requests::{Attempt, AttemptState};
 
 /// Multiple of the slowest remembered answer after which a machine counts as silent.
-const SILENCE_FACTOR: u64 = 2;
-/// Aims without an answer that make a machine silent where it can't be probed: a set-up is through by then.
-const UNPROBED: u64 = 4;
+const SLOWEST_ANSWER_FACTOR: u64 = 2;
+/// Multiple of the latency objective, at most, after which a machine counts as silent where it gets
+/// health checks.
+const CHECKED_OBJECTIVE_FACTOR: u64 = 2;
+/// Multiple of the latency objective, at least, after which a machine counts as silent where it
+/// gets no health checks: a connection is made by then.
+const UNCHECKED_OBJECTIVE_FACTOR: u64 = 4;
+/// Part of the silence limit after which a machine gets a health check, and then another: limit /
+/// 4.
+const HEALTH_CHECK_DIVISOR: u64 = 4;
+/// Part of the silence limit after which an offer that was passed over is stopped: limit / 2.
+const PASSED_OVER_DIVISOR: u64 = 2;
 
 impl Placer {
-    /// After how long without an answer a machine counts as silent.
-    fn silence_limit(&self, aim: Micros) -> Micros {
-        let slowest = SILENCE_FACTOR * self.answers.iter().max().copied().unwrap_or(0);
-        let aim = aim.max(TICK_US);
+    /// Sends health checks to silent machines, then stops the attempts that wait too long.
+    pub(super) fn stop_silent_attempts(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        let classes = &self.settings.classes;
+        let shortest_objective = classes.iter().map(|class| class.aim_us).min().unwrap_or(0);
+        let shortest_limit = self.silence_limit(shortest_objective);
+        let limits_by_class: Vec<Micros> = classes
+            .iter()
+            .map(|class| self.silence_limit(class.aim_us))
+            .collect();
+        let silent_since = self.machines_silent_since();
+        if self.settings.rules.may_probe {
+            self.check_silent_machines(now, &silent_since, shortest_limit, actions);
+        }
+        if self.settings.rules.may_stop {
+            let limit_of = |class: u16| {
+                let limit = limits_by_class.get(usize::from(class));
+                limit.copied().unwrap_or(shortest_limit)
+            };
+            self.stop_attempts(now, &silent_since, limit_of, actions);
+        }
+    }
+
+    /// After how many microseconds without an answer a machine counts as silent for a task with
+    /// this latency objective.
+    fn silence_limit(&self, latency_objective: Micros) -> Micros {
+        let by_answers = SLOWEST_ANSWER_FACTOR * self.answer_times.slowest();
+        let objective = latency_objective.max(POLL_INTERVAL_US);
         if self.settings.rules.may_probe {
-            slowest.clamp(aim, aim * 2)
+            by_answers.clamp(objective, objective * CHECKED_OBJECTIVE_FACTOR)
         } else {
-            slowest.max(aim * UNPROBED)
+            by_answers.max(objective * UNCHECKED_OBJECTIVE_FACTOR)
         }
     }
 
-    /// Stops attempts on silent machines, which are probed first, and awaits their outcomes.
-    pub(super) fn stop_silent(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let aim = self.settings.classes.iter().map(|class| class.aim_us).min();
-        let limit = self.silence_limit(aim.unwrap_or(0));
-        let since =
-            |state: &MachineState| Some((state.line.id, state.silent_since(self.awake_since)?));
-        let since: BTreeMap<MachineId, Micros> = self.machines.values().filter_map(since).collect();
-        for (id, since) in since.iter().filter(|_| self.settings.rules.may_probe) {
-            let state = self.machines.entry(*id).or_default();
-            let old = state.probed_at.is_none_or(|at| at + limit / 4 < now);
-            if old && since + limit / 4 < now {
-                state.probed_at = Some(now);
-                actions.push(Action::Probe(*id));
+    /// The machines where offers wait, and since when each has given no answer.
+    fn machines_silent_since(&self) -> BTreeMap<MachineId, Micros> {
+        self.machines
+            .values()
+            .filter_map(|state| Some((state.machine.id, state.silent_since(self.awake_since)?)))
+            .collect()
+    }
+
+    fn check_silent_machines(
+        &mut self,
+        now: Micros,
+        silent_since: &BTreeMap<MachineId, Micros>,
+        limit: Micros,
+        actions: &mut Vec<Action>,
+    ) {
+        let check_after = limit / HEALTH_CHECK_DIVISOR;
+        for (machine, since) in silent_since {
+            let Some(state) = self.machines.get_mut(machine) else {
+                continue;
+            };
+            let last_check_is_old = state
+                .last_health_check_at
+                .is_none_or(|at| at + check_after < now);
+            if last_check_is_old && since + check_after < now {
+                state.last_health_check_at = Some(now);
+                actions.push(Action::Probe(*machine));
             }
         }
-        let limits = self
-            .settings
-            .classes
-            .iter()
-            .map(|class| self.silence_limit(class.aim_us));
-        let (limits, mut stopped): (Vec<Micros>, u32) = (limits.collect(), 0);
-        for (request, entry) in self
-            .entries
-            .iter_mut()
-            .filter(|_| self.settings.rules.may_stop)
-        {
-            let limit = limits
-                .get(usize::from(entry.task.class))
-                .copied()
-                .unwrap_or(limit);
-            for (attempt, number) in entry.attempts.iter_mut().zip(0..) {
-                let state = self.machines.get(&attempt.machine);
-                let early = attempt.sent.max(self.awake_since) + limit / 2 >= now;
-                let silent = since
-                    .get(&attempt.machine)
-                    .is_some_and(|since| since + limit < now)
-                    || !early
-                        && state
-                            .is_some_and(|state| state.passed_over(attempt.sent, &self.settings));
-                if attempt.state == AttemptState::InFlight && silent {
+    }
+
+    /// Stops the attempts on machines that were silent for the limit of the task's class, and those
+    /// that were passed over.
+    fn stop_attempts(
+        &mut self,
+        now: Micros,
+        silent_since: &BTreeMap<MachineId, Micros>,
+        limit_of: impl Fn(u16) -> Micros,
+        actions: &mut Vec<Action>,
+    ) {
+        let (machines, settings) = (&self.machines, &self.settings);
+        let awake_since = self.awake_since;
+        let is_overdue = |attempt: &Attempt, limit: Micros| {
+            let waited_from = attempt.sent_at.max(awake_since);
+            let is_early = waited_from + limit / PASSED_OVER_DIVISOR >= now;
+            let machine_is_silent = silent_since
+                .get(&attempt.machine)
+                .is_some_and(|since| since + limit < now);
+            let machine = machines.get(&attempt.machine);
+            machine_is_silent
+                || !is_early
+                    && machine.is_some_and(|state| state.was_passed_over(attempt.sent_at, settings))
+        };
+        let mut stopped: u32 = 0;
+        for (id, request) in &mut self.requests {
+            let limit = limit_of(request.task.class);
+            for (attempt, number) in request.attempts.iter_mut().zip(0..) {
+                if attempt.state == AttemptState::InFlight && is_overdue(attempt, limit) {
                     attempt.state = AttemptState::Stopping;
                     stopped += 1;
-                    actions.push(Action::Stop(AttemptId {
-                        request: *request,
-                        number,
-                    }));
+                    let request = *id;
+                    actions.push(Action::Stop(AttemptId { request, number }));
                 }
             }
         }
         if stopped > 0 {
-            self.log(
-                now,
-                format!("stopped {stopped} offers on silent machines"),
-                actions,
-            );
+            let line = format!("stopped {stopped} offers on silent machines");
+            self.operator_log.write(now, line, actions);
         }
     }
 }
--- /dev/null
+++ b/src/logic/requests.rs
@@ -0,0 +1,122 @@
+//! Requests without a final answer, their attempts, and which final answer is legal. It places no
+//! task.
+
+use crate::api::{AttemptId, Class, Effect, Group, MachineId, Micros, ServiceId, Task};
+use crate::load::Load;
+
+/// An own attempt that has not ended, as far as is known: offered, starting or running.
+#[derive(Clone, Copy)]
+pub struct ActiveAttempt {
+    pub machine: MachineId,
+    pub service: ServiceId,
+    /// What its task requests.
+    pub load: Load,
+}
+
+/// How far an attempt of an unanswered request has come.
+#[derive(Clone, Copy, PartialEq)]
+pub enum AttemptState {
+    /// Offered, without an outcome.
+    InFlight,
+    /// In flight, and asked to stop.
+    Stopping,
+    /// Ended; its outcome proves that the task never started.
+    NeverRan,
+    /// Ended; the task may have started.
+    MayHaveRun,
+}
+
+/// One attempt of an unanswered request.
+pub struct Attempt {
+    pub machine: MachineId,
+    pub sent_at: Micros,
+    pub state: AttemptState,
+    /// The machine reported an error for it.
+    pub reported_error: bool,
+}
+
+/// The tenant and the class of a task; machines may reject one such pair and accept all others.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct TenantClass {
+    pub tenant: u16,
+    pub class: u16,
+}
+
+impl TenantClass {
+    /// That of a task.
+    pub fn of(task: &Task) -> Self {
+        Self {
+            tenant: task.tenant,
+            class: task.class,
+        }
+    }
+}
+
+/// A request that has no final answer yet.
+pub struct PendingRequest {
+    pub task: Task,
+    pub deadline: Micros,
+    pub attempts: Vec<Attempt>,
+    /// The only machines that may take it, sorted; `None` for no constraint.
+    pub eligible: Option<Vec<MachineId>>,
+}
+
+impl PendingRequest {
+    /// A request without attempts or constraints.
+    pub fn new(task: Task, deadline: Micros) -> Self {
+        Self {
+            task,
+            deadline,
+            attempts: Vec::new(),
+            eligible: None,
+        }
+    }
+
+    /// Whether an attempt has no outcome yet.
+    pub fn is_in_flight(&self) -> bool {
+        self.attempts
+            .iter()
+            .any(|one| matches!(one.state, AttemptState::InFlight | AttemptState::Stopping))
+    }
+
+    /// The tenant and class of its task.
+    pub fn tenant_class(&self) -> TenantClass {
+        TenantClass::of(&self.task)
+    }
+
+    /// The machines that reported an error for it.
+    pub fn machines_with_errors(&self) -> impl Iterator<Item = MachineId> {
+        self.attempts
+            .iter()
+            .filter(|attempt| attempt.reported_error)
+            .map(|attempt| attempt.machine)
+    }
+
+    /// The first attempt that may have run.
+    pub fn first_may_have_run(&self) -> Option<&Attempt> {
+        self.attempts
+            .iter()
+            .find(|attempt| attempt.state != AttemptState::NeverRan)
+    }
+
+    /// The attempts that are in flight and were not asked to stop.
+    pub fn unstopped_attempts(&self) -> impl Iterator<Item = AttemptId> {
+        self.attempts
+            .iter()
+            .zip(0..)
+            .filter(|(attempt, _)| attempt.state == AttemptState::InFlight)
+            .map(|(_, number)| AttemptId {
+                request: self.task.request,
+                number,
+            })
+    }
+}
+
+/// Whether the request may be refused, which promises that another submission does no harm.
+pub fn may_refuse(request: &PendingRequest, class: &Class) -> bool {
+    match class.effect {
+        Effect::Safe => true,
+        Effect::Keyed if class.group == Group::All => true,
+        Effect::Keyed | Effect::Unsafe => request.first_may_have_run().is_none(),
+    }
+}
--- a/src/logic/water_filling.rs
+++ b/src/logic/water_filling.rs
@@ -1,36 +1,43 @@
-//! Water filling as in the paper: from columns to probabilities. It knows numbers only, not what they mean.
+//! Water filling as in the paper ("Distributed Dispatching in the Parallel Server Model"): from the
+//! heights of columns to probabilities. It works on bare numbers, in any unit that the heights and
+//! `a` share.
 
 /// The level to which `a` units of water rise over the columns (Algorithm 1 of the paper).
 pub fn water_level(columns: &[f64], a: f64) -> f64 {
     let mut sorted = columns.to_vec();
     sorted.sort_by(f64::total_cmp);
-    let (mut level, mut left) = (sorted.first().copied().unwrap_or(0.0), a.max(0.0));
-    for (under, next) in sorted.iter().enumerate().skip(1) {
-        let rise = (next - level) * under as f64;
-        if rise >= left {
-            return level + left / under as f64;
+    let mut level = sorted.first().copied().unwrap_or(0.0);
+    let mut remaining = a.max(0.0);
+    for (submerged, next) in sorted.iter().enumerate().skip(1) {
+        let volume = (next - level) * submerged as f64;
+        if volume >= remaining {
+            return level + remaining / submerged as f64;
         }
-        left -= rise;
+        remaining -= volume;
         level = *next;
     }
-    level + left / sorted.len().max(1) as f64
+    level + remaining / sorted.len().max(1) as f64
 }
 
-/// The probability of each column (eq. 14), rescaled to sum to 1; up to an `a` of 1 the lowest share evenly.
+/// The probability of each column where `a` units arrive (eq. 14), rescaled to sum to 1. For an `a`
+/// of 1 or less the lowest columns have equal probabilities and the others none.
 pub fn water_filling_probabilities(columns: &[f64], a: f64) -> Vec<f64> {
     let level = water_level(columns, a);
-    let gaps: Vec<f64> = columns.iter().map(|q| level.max(*q) - q).collect();
-    let k = gaps.iter().filter(|gap| **gap > 0.0).count() as f64;
-    let probability = |gap: &f64| ((gap - 1.0 / k) / (a - 1.0)).max(0.0);
-    let mut p: Vec<f64> = gaps.iter().map(probability).collect();
-    let mut total: f64 = p.iter().sum();
+    let depths: Vec<f64> = columns
+        .iter()
+        .map(|height| level.max(*height) - height)
+        .collect();
+    let submerged = depths.iter().filter(|depth| **depth > 0.0).count() as f64;
+    let probability = |depth: &f64| ((depth - 1.0 / submerged) / (a - 1.0)).max(0.0);
+    let mut probabilities: Vec<f64> = depths.iter().map(probability).collect();
+    let mut total: f64 = probabilities.iter().sum();
     if a.is_nan() || a <= 1.0 || !total.is_finite() || total <= 0.0 {
         let lowest = columns.iter().copied().fold(f64::INFINITY, f64::min);
-        p = columns
+        probabilities = columns
             .iter()
-            .map(|q| f64::from(u8::from(*q <= lowest)))
+            .map(|height| f64::from(u8::from(*height <= lowest)))
             .collect();
-        total = p.iter().sum();
+        total = probabilities.iter().sum();
     }
-    p.iter().map(|p| p / total).collect()
+    probabilities.iter().map(|p| p / total).collect()
 }
--- a/src/timers.rs
+++ b/src/timers.rs
@@ -1,38 +1,41 @@
-//! Timers by the time at which they are due, for those who speak for a [`Placer`](crate::Placer).
+//! A queue of timers by the time at which they are due, for the programs that drive a
+//! [`Placer`](crate::Placer).
 
 use std::collections::BTreeMap;
 
 use crate::api::Micros;
 
-/// Timers that are set; those of one moment come in the order in which they were set.
+/// Timers that are set. Those due at the same time come in the order in which they were set.
 #[derive(Debug)]
 pub struct Timers<T> {
+    /// By due time, then by the number of the timer.
     due: BTreeMap<(Micros, u64), T>,
-    made: u64,
+    /// How many timers were set so far; the latest one has this number.
+    set_count: u64,
 }
 
 impl<T> Default for Timers<T> {
     fn default() -> Self {
         Self {
             due: BTreeMap::new(),
-            made: 0,
+            set_count: 0,
         }
     }
 }
 
 impl<T> Timers<T> {
-    /// Sets a timer.
+    /// Sets a timer that is due at `at`, in microseconds on the caller's clock.
     pub fn set(&mut self, at: Micros, timer: T) {
-        self.made += 1;
-        self.due.insert((at, self.made), timer);
+        self.set_count += 1;
+        self.due.insert((at, self.set_count), timer);
     }
 
-    /// When the next one is due.
+    /// When the next timer is due; `None` where none is set.
     pub fn next(&self) -> Option<Micros> {
         self.due.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// The next one that is due.
+    /// Removes and returns the next timer, if it is due by `now`.
     pub fn pop(&mut self, now: Micros) -> Option<T> {
         let first = self
             .due
@@ -41,12 +44,12 @@
         Some(first.remove())
     }
 
-    /// How many are set.
+    /// How many timers are set.
     pub fn len(&self) -> usize {
         self.due.len()
     }
 
-    /// Whether none is set.
+    /// Whether no timer is set.
     pub fn is_empty(&self) -> bool {
         self.due.is_empty()
     }
--- a/tests/policy_files.rs
+++ b/tests/policy_files.rs
@@ -86,3 +86,10 @@
         }
     }
 }
+
+#[test]
+fn the_module_imports_by_name() {
+    for (name, text) in module_files() {
+        assert!(!text.contains("::*;"), "{name} imports by a glob");
+    }
+}
--- a/tests/recall.rs
+++ b/tests/recall.rs
@@ -15,7 +15,7 @@
             .refused
             .map(|(ago, cores, memory)| (ago + later, cores, memory));
         belief.cold_offers.iter_mut().for_each(|ago| *ago += later);
-        belief.barred_us = belief.barred_us.saturating_sub(later);
+        belief.backoff_us = belief.backoff_us.saturating_sub(later);
     }
     bed.step(&[Event::BeliefsRestored(beliefs)]);
     bed
@@ -88,9 +88,9 @@
         asked: Some((5, 2.0, 3.0)),
         used: Some((6, 1.0, 1.0)),
         refused: Some((7, 0.0, 0.0)),
-        shut: vec![(0, 1, SECOND)],
-        strikes: 2,
-        barred_us: SECOND,
+        rejecting: vec![(0, 1, SECOND)],
+        consecutive_failures: 2,
+        backoff_us: SECOND,
         cold_offers: vec![9, 8],
     };
     let beliefs = Beliefs {
