--- a/crates/cli/tests/cli.rs
+++ b/crates/cli/tests/cli.rs
@@ -378,11 +378,11 @@
             .unwrap();
     };
     // Signals are answered from before it listens, and it polls discovery from after that.
-    says("discovery:");
+    says("discovery_failed");
     std::fs::write(&path, "{").unwrap();
     placer.signal(Signal::HUP).unwrap();
-    says("the old configuration holds");
+    says("configuration_rejected");
     std::fs::write(&path, good.to_string()).unwrap();
-    says("configuration read again");
+    says("configuration_reloaded");
     assert_eq!(placer.end(LONG).unwrap().code(), Some(0));
 }
--- a/crates/platform/src/attempts.rs
+++ b/crates/platform/src/attempts.rs
@@ -1,12 +1,37 @@
-//! Attempts: made, taken back, given up; and probes.
+//! Attempts: sent to hosts, taken back, timed out and given up.
 
 use reedring::{AttemptId, Ended, Event, MachineId, Micros, Outcome, Reason, RequestId};
 use reedring_platform_protocol::GIVEN_UP;
 use reedring_platform_protocol::host::{Figures, ToHost};
 
-use crate::state::{Engine, Out, Phase, Probe, Timer, connect_us};
+use crate::state::{Engine, InFlightAttempt, Phase, Timer};
+
+/// How an attempt ended, for the decision module.
+pub(crate) struct AttemptResult {
+    pub outcome: Outcome,
+    /// The host's reason, if it gave one.
+    pub reason: Option<Reason>,
+    /// The host's load report; empty if it sent none.
+    pub report: Vec<f64>,
+}
+
+impl From<Outcome> for AttemptResult {
+    fn from(outcome: Outcome) -> Self {
+        Self {
+            outcome,
+            reason: None,
+            report: Vec::new(),
+        }
+    }
+}
+
+/// Milliseconds that a host may take, as its message has it.
+pub(crate) fn remaining_ms(now: Micros, deadline: Micros) -> u64 {
+    (deadline.saturating_sub(now) / 1_000).max(1)
+}
 
 impl Engine {
+    /// Starts the next attempt of a request, as the decision module asks.
     pub(crate) fn offer(
         &mut self,
         now: Micros,
@@ -14,93 +39,90 @@
         machine: MachineId,
         within_us: Option<Micros>,
     ) {
-        let most = self.settings.module.rules.max_attempts;
-        let Some(entry) = self.requests.get_mut(&request) else {
-            // Its client went in this very batch; the module's number for the attempt is the next one.
+        let max_attempts = self.settings.module.rules.max_attempts;
+        let Some(entry) = self.requests.get_mut(request) else {
+            // Its client departed in this very batch; the module's number for the attempt is the next one.
             return;
         };
         let number = entry.attempts;
         entry.attempts += 1;
-        let spent = most.is_some_and(|most| u32::from(number) >= most);
-        // A second attempt beside one that is out would be a second live one.
-        if entry.phase != Phase::Open || entry.out.is_some() || spent || entry.deadline <= now {
-            return self.ended(request, number, machine, Outcome::Unsent, None, Vec::new());
+        let is_spent = max_attempts.is_some_and(|most| u32::from(number) >= most);
+        // An attempt beside one that is in flight could start the task twice.
+        let may_start =
+            entry.phase == Phase::Open && entry.in_flight.is_none() && entry.deadline > now;
+        if is_spent || !may_start {
+            return self.attempt_ended(request, number, machine, Outcome::Unsent.into());
         }
-        let until = within_us.map_or(entry.deadline, |within| (now + within).min(entry.deadline));
-        entry.out = Some(Out {
+        let deadline = entry.deadline;
+        let deadline = within_us.map_or(deadline, |within| (now + within).min(deadline));
+        entry.in_flight = Some(InFlightAttempt {
             number,
             machine,
             link: 0,
             position: 0,
-            sent: now,
-            until,
-            resent: 0,
+            sent_at: now,
+            deadline,
+            resends: 0,
         });
-        self.timers
-            .set(until, Timer::Attempt(AttemptId { request, number }));
-        self.send_setup(now, request);
+        self.timers.set(
+            deadline,
+            Timer::AttemptTimeout(AttemptId { request, number }),
+        );
+        self.send_attempt(now, request);
     }
 
-    /// Sends the attempt that is out on the connection that suits it.
-    pub(crate) fn send_setup(&mut self, now: Micros, request: RequestId) {
-        let Some(entry) = self.requests.get(&request) else {
+    /// Sends the attempt that is in flight on the link that suits it.
+    pub(crate) fn send_attempt(&mut self, now: Micros, request: RequestId) {
+        let in_flight = self.requests.get(request).and_then(|entry| entry.in_flight);
+        let Some(attempt) = in_flight else {
             return;
         };
-        let Some(out) = entry.out else { return };
-        let (number, machine, id) = (out.number, out.machine, entry.setup.id);
-        let Some(link) = self.link_for(now, machine) else {
-            if let Some(entry) = self.requests.get_mut(&request) {
-                entry.out = None;
-            }
-            return self.ended(
-                request,
-                number,
-                machine,
-                Outcome::Unconnected,
-                None,
-                Vec::new(),
-            );
-        };
-        let Some(setup) = self.requests.get(&request).map(|entry| &entry.setup) else {
+        let link = self.link_for_message(now, attempt.machine);
+        let Some(entry) = self.requests.get_mut(request) else {
             return;
         };
+        let Some(link) = link else {
+            entry.in_flight = None;
+            let result = Outcome::Unconnected.into();
+            return self.attempt_ended(request, attempt.number, attempt.machine, result);
+        };
+        let (id, wanted) = (entry.id(), &entry.placement_request);
         let message = ToHost::PlacementRequest {
             id,
-            class: setup.class.clone(),
-            key: setup.key,
-            idem: setup.idem.clone(),
-            left_ms: (out.until.saturating_sub(now) / 1_000).max(1),
-            description: setup.description.clone(),
+            class: wanted.class.clone(),
+            key: wanted.key,
+            idem: wanted.idem.clone(),
+            left_ms: remaining_ms(now, attempt.deadline),
+            description: wanted.description.clone(),
         };
-        let position = self.send_host(link, message);
-        if let Some(link) = self.links.get_mut(&link) {
-            link.open.insert(id, AttemptId { request, number });
-            link.used = now;
+        let position = self.send_to_host(link, message);
+        if let Some(link) = self.hosts.link_mut(link) {
+            let number = attempt.number;
+            link.in_flight.insert(id, AttemptId { request, number });
+            link.last_used = now;
         }
-        if let Some(out) = self
-            .requests
-            .get_mut(&request)
-            .and_then(|entry| entry.out.as_mut())
-        {
-            (out.link, out.position) = (link, position);
+        let entry = self.requests.get_mut(request);
+        if let Some(attempt) = entry.and_then(|entry| entry.in_flight.as_mut()) {
+            (attempt.link, attempt.position) = (link, position);
         }
     }
 
-    /// Tells the module that an attempt ended.
-    pub(crate) fn ended(
+    /// Reports the end of an attempt to the decision module.
+    pub(crate) fn attempt_ended(
         &mut self,
         request: RequestId,
         number: u16,
         machine: MachineId,
-        outcome: Outcome,
-        reason: Option<Reason>,
-        report: Vec<f64>,
+        result: AttemptResult,
     ) {
-        let closed = self
-            .requests
-            .get(&request)
-            .is_none_or(|entry| entry.phase != Phase::Open);
+        let entry = self.requests.get(request);
+        let closed = entry.is_none_or(|entry| entry.phase != Phase::Open);
         let attempt = AttemptId { request, number };
+        let AttemptResult {
+            outcome,
+            reason,
+            report,
+        } = result;
         self.events.push(Event::Ended(Ended {
             attempt,
             machine,
@@ -111,133 +133,79 @@
         }));
     }
 
-    /// Takes the attempt that is out back, and tells the module how it ended. What its host may still say to it
-    /// concerns nobody any more.
-    pub(crate) fn take_back(
-        &mut self,
-        request: RequestId,
-        outcome: Outcome,
-        reason: Option<Reason>,
-        report: Vec<f64>,
-    ) -> Option<Out> {
-        let entry = self.requests.get_mut(&request)?;
-        let out = entry.out.take()?;
-        let (id, closed) = (entry.setup.id, entry.phase == Phase::Closed);
-        if let Some(link) = self.links.get_mut(&out.link) {
-            link.open.remove(&id);
+    /// Takes the attempt that is in flight back, and reports its end to the decision module. A later answer of its host
+    /// is ignored.
+    pub(crate) fn take_back(&mut self, request: RequestId, result: AttemptResult) {
+        let Some(entry) = self.requests.get_mut(request) else {
+            return;
+        };
+        let Some(attempt) = entry.in_flight.take() else {
+            return;
+        };
+        let (id, is_closed) = (entry.id(), entry.phase == Phase::Closed);
+        if let Some(link) = self.hosts.link_mut(attempt.link) {
+            link.in_flight.remove(&id);
         }
-        self.ended(request, out.number, out.machine, outcome, reason, report);
-        if closed {
-            self.forget(request);
+        self.attempt_ended(request, attempt.number, attempt.machine, result);
+        if is_closed {
+            self.requests.remove(request);
         }
-        Some(out)
     }
 
-    /// Gives up waiting for the attempt that is out: its host is told, and its connection used no more, as
-    /// whatever kept the answer from coming may hold up the next one too. What waits for a connection that does not
-    /// stand never left.
+    /// Gives up waiting for the attempt that is in flight: its host is notified, and its link used no more, as whatever
+    /// delayed the answer may also delay the next one. An attempt that waits for its link was never sent.
     pub(crate) fn give_up(&mut self, request: RequestId, outcome: Outcome) {
-        let Some(entry) = self.requests.get(&request) else {
+        let Some(entry) = self.requests.get(request) else {
             return;
         };
-        let (id, Some(out)) = (entry.setup.id, entry.out) else {
+        let (id, Some(attempt)) = (entry.id(), entry.in_flight) else {
             return;
         };
-        let unsent = self.unsend(out.link, id);
-        let outcome = if unsent {
+        let was_unsent = self.unqueue(attempt.link, id);
+        let outcome = if was_unsent {
             Outcome::Unconnected
         } else {
             outcome
         };
-        self.take_back(request, outcome, None, Vec::new());
-        if !unsent {
-            self.send_host(
-                out.link,
+        self.take_back(request, outcome.into());
+        if !was_unsent {
+            self.send_to_host(
+                attempt.link,
                 ToHost::Release {
                     id,
                     cause: GIVEN_UP,
                 },
             );
         }
-        self.doubt(out.link);
+        self.suspect_link(attempt.link);
     }
 
-    /// The attempt, if it is the one that is out.
-    pub(crate) fn out(&self, attempt: AttemptId) -> Option<Out> {
-        let out = self
-            .requests
-            .get(&attempt.request)
-            .and_then(|entry| entry.out);
-        out.filter(|out| out.number == attempt.number)
+    /// The attempt, if it is in flight.
+    pub(crate) fn in_flight(&self, attempt: AttemptId) -> Option<InFlightAttempt> {
+        let entry = self.requests.get(attempt.request);
+        let in_flight = entry.and_then(|entry| entry.in_flight);
+        in_flight.filter(|in_flight| in_flight.number == attempt.number)
     }
 
-    pub(crate) fn stop(&mut self, attempt: AttemptId) {
-        if self.out(attempt).is_some() {
+    pub(crate) fn stop_attempt(&mut self, attempt: AttemptId) {
+        if self.in_flight(attempt).is_some() {
             self.give_up(attempt.request, Outcome::Stopped);
         }
     }
 
-    pub(crate) fn attempt_due(&mut self, now: Micros, attempt: AttemptId) {
-        if self.out(attempt).is_some_and(|out| out.until <= now) {
+    pub(crate) fn attempt_timeout(&mut self, now: Micros, attempt: AttemptId) {
+        if self
+            .in_flight(attempt)
+            .is_some_and(|in_flight| in_flight.deadline <= now)
+        {
             self.give_up(attempt.request, Outcome::TimedOut);
         }
     }
 
-    pub(crate) fn probe(&mut self, now: Micros, machine: MachineId) {
-        let Some(link) = self.link_for(now, machine) else {
-            return self.events.push(Event::Probed {
-                machine,
-                answered: false,
-                took_us: 0,
-                report: Vec::new(),
-            });
-        };
-        self.last_probe += 1;
-        let (id, report) = (self.last_probe, !self.settings.report.is_empty());
-        self.probes.insert(
-            id,
-            Probe {
-                machine,
-                link,
-                sent: now,
-            },
-        );
-        if let Some(link) = self.links.get_mut(&link) {
-            link.probes += 1;
-        }
-        self.send_host(link, ToHost::Test { id, report });
-        self.timers
-            .set(now + connect_us(&self.settings), Timer::Probe(id));
-    }
-
-    pub(crate) fn probe_over(&mut self, now: Micros, id: u64, answered: bool, figures: &Figures) {
-        let Some(probe) = self.probes.remove(&id) else {
-            return;
-        };
-        if let Some(link) = self.links.get_mut(&probe.link) {
-            link.probes -= 1;
-        }
-        if !answered {
-            self.doubt(probe.link);
-        }
-        let took_us = now.saturating_sub(probe.sent);
-        let report = self.report(figures);
-        self.events.push(Event::Probed {
-            machine: probe.machine,
-            answered,
-            took_us,
-            report,
-        });
-    }
-
-    /// A load report in the order of the settings; none unless all of it was told.
-    pub(crate) fn report(&self, figures: &Figures) -> Vec<f64> {
-        let report: Option<Vec<f64>> = self
-            .settings
-            .report
-            .iter()
-            .map(|name| figures.get(name).copied())
-            .collect();
+    /// A load report in the order of the settings; empty unless all of its values were sent.
+    pub(crate) fn load_report(&self, figures: &Figures) -> Vec<f64> {
+        let names = self.settings.report.iter();
+        let report: Option<Vec<f64>> = names.map(|name| figures.get(name).copied()).collect();
         report.unwrap_or_default()
     }
 }
--- a/crates/platform/src/bounds.rs
+++ b/crates/platform/src/bounds.rs
@@ -1,51 +1,53 @@
-//! What bounds the engine: descriptors and memory.
+//! Limits of the engine on connections and memory.
 
 use reedring_platform_protocol::config::Limits;
 
-/// What bounds the engine.
+/// File descriptors of the placer itself: standard streams, the runtime's, signals, listener, discovery, and a few
+/// connections that are just being closed.
+const OWN_DESCRIPTORS: usize = 24;
+/// Links to one host: more requests than this wait there at once only when it is overloaded.
+const LINKS_PER_HOST: usize = 6;
+/// Pending requests may hold this part of the memory, and at least [`MIN_PENDING_BYTES`].
+const PENDING_MEMORY_PART: usize = 8;
+const MIN_PENDING_BYTES: usize = 64 * 1024;
+
+/// Limits of the engine on connections and memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Connections of clients and to hosts together.
-    pub all: usize,
+    /// Connections of clients and links to hosts together.
+    pub connections: usize,
     /// Connections of clients.
     pub clients: usize,
     /// Connections of clients beyond these, for as long as it takes to answer them.
-    pub overflow: usize,
-    /// So many of clients' connections are never used for hosts.
-    pub reserved: usize,
-    /// Connections to one host.
-    pub links_each: usize,
-    /// Bytes of set-ups that wait for their answer.
-    pub waiting: usize,
+    pub client_overflow: usize,
+    /// So many of the connections are never used for links.
+    pub reserved_for_clients: usize,
+    /// Links to one host.
+    pub links_per_host: usize,
+    /// Bytes of requests that wait for their answer.
+    pub pending_request_bytes: usize,
 }
 
 impl Bounds {
-    /// What the descriptors allow. A third is all that clients hold by the protocol, and is reserved for them with some
-    /// more for those that just come and go. Who does not keep to that gets what hosts leave, up to a half.
+    /// What the descriptors and the memory allow. A third of the descriptors is all that clients use by the protocol,
+    /// and is reserved for them with some more for those that just connect or close. Clients that do not keep to that
+    /// get what links leave, up to a half.
     pub fn of(limits: &Limits) -> Self {
         let sockets = limits.sockets;
-        let reserved = sockets / 3 + sockets / 16;
-        let (all, clients, overflow) = (sockets - OWN_SOCKETS, sockets / 2, sockets / 16);
-        // An eighth of the memory; outboxes may hold another.
-        let waiting = (limits.memory_mb as usize * 1024 * 1024 / 8).max(64 * 1024);
+        let pending = limits.memory_mb as usize * 1024 * 1024 / PENDING_MEMORY_PART;
         Self {
-            all,
-            clients,
-            overflow,
-            reserved,
-            links_each: LINKS_EACH,
-            waiting,
+            connections: sockets - OWN_DESCRIPTORS,
+            clients: sockets / 2,
+            client_overflow: sockets / 16,
+            reserved_for_clients: sockets / 3 + sockets / 16,
+            links_per_host: LINKS_PER_HOST,
+            pending_request_bytes: pending.max(MIN_PENDING_BYTES),
         }
     }
 
-    /// Connections to hosts, beside so many of clients.
-    pub fn links(&self, conns: usize) -> usize {
-        self.all.saturating_sub(conns.max(self.reserved))
+    /// How many links there may be, beside so many connections of clients.
+    pub fn links(&self, clients: usize) -> usize {
+        self.connections
+            .saturating_sub(clients.max(self.reserved_for_clients))
     }
 }
-
-/// Descriptors of the placer itself: standard streams, the runtime's, signals, listener, discovery, and a few
-/// connections that are just being closed.
-const OWN_SOCKETS: usize = 24;
-/// Connections to one host: more set-ups than this wait there at once only in a jam.
-const LINKS_EACH: usize = 6;
--- /dev/null
+++ b/crates/platform/src/clients/connections.rs
@@ -0,0 +1,163 @@
+//! Clients' connections: admitted, closed on for silence or for another's sake, and ended.
+
+use reedring::Micros;
+use reedring_platform_protocol::CUT;
+use reedring_platform_protocol::client::ToClient;
+
+use crate::decide::{ClientDeparture, DepartureAction};
+use crate::errors::ClientReadError;
+use crate::ids::ConnId;
+use crate::io::Output;
+use crate::log_event::LogEvent;
+use crate::state::{ClientConnection, Engine, Timer};
+
+/// A client that sends nothing valid for so long is closed. One that was answered is not: its connection may be the
+/// only way to notify it of the ends of its tasks, and is closed when its place is needed.
+const IDLE_TIMEOUT_US: Micros = 2_400_000;
+/// A client that sends a request and closes its sending side at once may have its first attempt for this long: a
+/// quarter of the 0.1 s after which none may begin for a client that departed, as transfer delays count too.
+const DEPARTURE_GRACE_US: Micros = 25_000;
+
+impl Engine {
+    /// Admits a new connection. At the limit the one that is longest idle is closed for it.
+    pub(crate) fn client_connected(&mut self, now: Micros, conn: ConnId) {
+        let mut is_overflow = false;
+        let closing = |client: &&ClientConnection| client.is_closing_if_idle && !client.is_closing;
+        let closing = self.clients.values().filter(closing).count();
+        if self.clients.len() - closing >= self.bounds.clients {
+            let with_overflow = self.bounds.clients + self.bounds.client_overflow;
+            match self.longest_idle_client() {
+                Some(longest_idle) => self.close_client_if_idle(longest_idle),
+                None if self.clients.len() < with_overflow => is_overflow = true,
+                None => return self.outputs.push_back(Output::CloseClient(conn)),
+            }
+        }
+        let client = ClientConnection {
+            last_received: now,
+            is_overflow,
+            ..ClientConnection::default()
+        };
+        self.clients.insert(conn, client);
+        self.release_links_to_clients(now);
+    }
+
+    /// The connection that is idle longest; those that were never answered come first.
+    fn longest_idle_client(&self) -> Option<ConnId> {
+        let idle = self
+            .clients
+            .iter()
+            .filter(|(_, client)| client.is_idle() && !client.is_overflow);
+        idle.min_by_key(|(_, client)| (client.was_answered, client.last_received))
+            .map(|(conn, _)| *conn)
+    }
+
+    /// A request is open on the connection no more.
+    pub(crate) fn request_closed(&mut self, conn: ConnId, id: u64) {
+        if let Some(client) = self.clients.get_mut(&conn) {
+            client.open_requests.remove(&id);
+            self.close_if_served(conn);
+        }
+    }
+
+    pub(crate) fn client_input_read(&mut self, conn: ConnId, has_more: bool) {
+        if let Some(client) = self.clients.get_mut(&conn) {
+            client.has_unread_input = has_more;
+        }
+    }
+
+    /// A client closed its sending side: it is gone, or waits for its answers.
+    pub(crate) fn client_end_of_stream(&mut self, now: Micros, conn: ConnId) {
+        let Some(client) = self.clients.get_mut(&conn) else {
+            return;
+        };
+        (client.end_of_stream, client.has_unread_input) = (true, false);
+        let open: Vec<u64> = client.open_requests.iter().copied().collect();
+        let mut has_grace = false;
+        for id in open {
+            let action = self.request_departs(now, id, ClientDeparture::EndOfStream);
+            has_grace |= action == DepartureAction::AllowGrace;
+        }
+        if has_grace {
+            self.timers
+                .set(now + DEPARTURE_GRACE_US, Timer::DepartureGrace(conn));
+        }
+        self.close_if_served(conn);
+    }
+
+    pub(crate) fn departure_grace_over(&mut self, now: Micros, conn: ConnId) {
+        let client = self.clients.get(&conn);
+        let open: Vec<u64> = client
+            .into_iter()
+            .flat_map(|client| client.open_requests.iter().copied())
+            .collect();
+        for id in open {
+            self.request_departs(now, id, ClientDeparture::GraceOver);
+        }
+    }
+
+    /// Closes a connection whose client sends nothing more and waits for nothing.
+    fn close_if_served(&mut self, conn: ConnId) {
+        let client = self.clients.get(&conn);
+        if client.is_some_and(|client| client.end_of_stream && client.open_requests.is_empty()) {
+            self.close_client(conn);
+        }
+    }
+
+    /// A client's input can't be read: its open requests fail, and its connection is closed.
+    pub(crate) fn client_unreadable(&mut self, now: Micros, conn: ConnId, error: ClientReadError) {
+        self.log(LogEvent::ClientUnreadable {
+            client: conn,
+            error,
+        });
+        let Some(client) = self.clients.get_mut(&conn) else {
+            return;
+        };
+        for id in std::mem::take(&mut client.open_requests) {
+            self.send_to_client(conn, ToClient::failure(id, CUT));
+            self.request_departs(now, id, ClientDeparture::Reset);
+        }
+        self.close_client(conn);
+    }
+
+    pub(super) fn close_client(&mut self, conn: ConnId) {
+        let client = self.clients.get_mut(&conn);
+        if let Some(client) = client.filter(|client| !client.is_closing) {
+            client.is_closing = true;
+            self.outputs.push_back(Output::CloseClient(conn));
+        }
+    }
+
+    /// Closes an idle connection, unless its client sends something before it learns of that.
+    fn close_client_if_idle(&mut self, conn: ConnId) {
+        let client = self.clients.get_mut(&conn);
+        if let Some(client) = client.filter(|client| client.is_usable()) {
+            client.is_closing_if_idle = true;
+            self.outputs.push_back(Output::CloseIdleClient(conn));
+        }
+    }
+
+    pub(crate) fn client_disconnected(&mut self, now: Micros, conn: ConnId) {
+        let Some(client) = self.clients.remove(&conn) else {
+            return;
+        };
+        for id in client.open_requests {
+            self.request_departs(now, id, ClientDeparture::Reset);
+        }
+        self.resend_task_ends(now, conn);
+    }
+
+    /// Closes connections that are idle too long.
+    pub(crate) fn sweep_clients(&mut self, now: Micros) {
+        let is_over = |client: &ClientConnection| {
+            client.is_idle()
+                && !client.was_answered
+                && client.last_received + IDLE_TIMEOUT_US <= now
+        };
+        let idle = self.clients.iter().filter(|(_, client)| is_over(client));
+        let idle: Vec<ConnId> = idle.map(|(conn, _)| *conn).collect();
+        for conn in idle {
+            self.close_client_if_idle(conn);
+        }
+        self.task_ends.drop_old(now);
+    }
+}
--- /dev/null
+++ b/crates/platform/src/clients/requests.rs
@@ -0,0 +1,163 @@
+//! Placement requests: validated, recorded, and turned into tasks of the decision module.
+
+use reedring::names::machine_id;
+use reedring::{Event, MachineId, Micros, RequestId, ServiceId, Task, TaskKey};
+use reedring_platform_protocol::CUT;
+use reedring_platform_protocol::client::{PlacementRequest, ToClient};
+use reedring_platform_protocol::discovery::number;
+
+use crate::errors::Rejection;
+use crate::ids::ConnId;
+use crate::log_event::LogEvent;
+use crate::state::{Engine, Phase, Placement, Timer};
+
+impl Engine {
+    pub(super) fn placement_request(
+        &mut self,
+        now: Micros,
+        conn: ConnId,
+        request: PlacementRequest,
+    ) {
+        let task = match self.task(&request) {
+            Ok(task) => task,
+            Err(reason) => return self.reject(now, conn, request.id, reason),
+        };
+        if let Some(host) = &request.at {
+            let machine = machine_id(host);
+            self.adopt_task(now, conn, request, task, machine);
+        } else if self.admit(now, conn, &request) {
+            self.add_request(now, conn, request);
+        } else {
+            return;
+        }
+        self.send_unsent_ends(now);
+    }
+
+    /// A client hands over a task that runs already, as its former placer is gone. It may name one that is known,
+    /// under this id or another.
+    fn adopt_task(
+        &mut self,
+        now: Micros,
+        conn: ConnId,
+        request: PlacementRequest,
+        task: Task,
+        machine: MachineId,
+    ) {
+        if let Some(client) = self.clients.get_mut(&conn) {
+            client.received_valid_request(now);
+            client.was_answered = true;
+        }
+        let known = self.requests.find(request.id);
+        let is_in_use = known.is_some_and(|known| known.request.phase != Phase::Closed);
+        if is_in_use || self.runs_task(machine, request.key) {
+            return;
+        }
+        let phase = Phase::Running(Placement {
+            machine,
+            attempt: 0,
+            since: now,
+        });
+        let request = self.requests.add(now, request, conn, phase);
+        self.events.push(Event::Adopted {
+            task: Task { request, ..task },
+            machine,
+        });
+        self.task_runs(now, machine, request);
+    }
+
+    /// Whether a new request can be taken; otherwise it is answered.
+    fn admit(&mut self, now: Micros, conn: ConnId, request: &PlacementRequest) -> bool {
+        let id = request.id;
+        if let Some(known) = self.requests.find(id) {
+            // A failure would tell its client that the running task is over.
+            if known.request.phase.placement().is_some() && known.request.conn == conn {
+                self.close_client(conn);
+            } else {
+                self.reject(now, conn, id, Rejection::IdInUse);
+            }
+            return false;
+        }
+        if self
+            .clients
+            .get(&conn)
+            .is_some_and(|client| client.is_overflow)
+        {
+            self.send_to_client(conn, ToClient::failure(id, CUT));
+            self.close_client(conn);
+            return false;
+        }
+        let pending_bytes = self.requests.pending_bytes();
+        if pending_bytes + request.description.len() > self.bounds.pending_request_bytes {
+            self.log(LogEvent::PendingRequestsFull {
+                client: conn,
+                pending_bytes,
+            });
+            self.send_to_client(conn, ToClient::failure(id, CUT));
+            return false;
+        }
+        true
+    }
+
+    /// Records a new request; it is submitted to the decision module when its connection has its turn.
+    fn add_request(&mut self, now: Micros, conn: ConnId, request: PlacementRequest) {
+        let id = request.id;
+        let request = self.requests.add(now, request, conn, Phase::Open);
+        if self.has_backlog()
+            && let Some(entry) = self.requests.get(request)
+        {
+            self.timers
+                .set(entry.deadline, Timer::RequestDeadline(request));
+        }
+        if let Some(client) = self.clients.get_mut(&conn) {
+            client.open_requests.insert(id);
+            client.received_valid_request(now);
+            if client.unsubmitted.is_empty() {
+                self.submission_queue.push_back(conn);
+            }
+            client.unsubmitted.push_back(request);
+        }
+    }
+
+    /// The task of a placement request, as the decision module knows it.
+    pub(super) fn task(&self, request: &PlacementRequest) -> Result<Task, Rejection> {
+        let class = number(&self.settings.classes, &request.class)
+            .ok_or_else(|| Rejection::UnknownClass(request.class.clone()))?;
+        let tenant = match &request.tenant {
+            None if self.settings.tenants.is_empty() => 0,
+            None => return Err(Rejection::MissingTenant),
+            Some(name) => number(&self.settings.tenants, name)
+                .ok_or_else(|| Rejection::UnknownTenant(name.clone()))?,
+        };
+        let (cores, memory) = (request.cores, request.memory);
+        if !self.is_possible_size(cores, memory) {
+            return Err(Rejection::ImpossibleSize { cores, memory });
+        }
+        Ok(Task {
+            request: RequestId(0),
+            class,
+            tenant,
+            key: TaskKey(request.key),
+            service: ServiceId(request.service),
+            cores,
+            memory,
+            life_us: None,
+            again: request.retry,
+        })
+    }
+
+    /// Whether any machine could ever accept a task of this size.
+    fn is_possible_size(&self, cores: f64, memory: f64) -> bool {
+        let module = &self.settings.module;
+        let largest = |size: fn(&reedring::Kind) -> Option<f64>, overbooking: Option<f64>| {
+            let largest = module.kinds.iter().filter_map(size).fold(0.0, f64::max);
+            if largest > 0.0 {
+                largest * overbooking.unwrap_or(1.0).max(1.0)
+            } else {
+                f64::INFINITY
+            }
+        };
+        let fits = cores <= largest(|kind| kind.cores, module.accepts_cores)
+            && memory <= largest(|kind| kind.memory, module.accepts_memory);
+        fits && cores + memory > 0.0
+    }
+}
--- /dev/null
+++ b/crates/platform/src/clients/submission.rs
@@ -0,0 +1,104 @@
+//! Submission of requests to the decision module: each connection in turn, a bounded number at once.
+
+use reedring::{Event, Micros, RequestId, Task};
+
+use crate::ids::ConnId;
+use crate::state::{Engine, Request};
+
+/// How long requests wait for the input that their client sent after them to be read, as they may be cancelled there.
+const READ_AHEAD_US: Micros = 50_000;
+
+impl Engine {
+    /// A request whose deadline passes while others are before it is answered then: it never ran.
+    pub(crate) fn request_deadline(&mut self, now: Micros, request: RequestId) {
+        if self
+            .requests
+            .get(request)
+            .is_some_and(Request::is_unsubmitted)
+        {
+            self.submit(now, request, true);
+        }
+    }
+
+    /// Submits a request to the decision module, which answers it at once if its client has departed.
+    pub(super) fn submit(&mut self, now: Micros, request: RequestId, client_departed: bool) {
+        let Some(entry) = self.requests.get_mut(request) else {
+            return;
+        };
+        (entry.is_submitted, entry.client_departed) = (true, client_departed);
+        let grace_us = if client_departed {
+            0
+        } else {
+            entry.deadline.saturating_sub(now)
+        };
+        let task = self
+            .requests
+            .get(request)
+            .map(|entry| self.task(&entry.placement_request));
+        if let Some(Ok(task)) = task {
+            self.events.push(Event::Arrived {
+                task: Task { request, ..task },
+                grace_us,
+            });
+        }
+    }
+
+    /// When the next request of a connection may be submitted: at once, or, while more input of it is to be read, once
+    /// that was or could have been.
+    fn submission_time(&self, conn: ConnId) -> Option<Micros> {
+        let client = self.clients.get(&conn)?;
+        if !client.has_unread_input {
+            return Some(0);
+        }
+        let first = client
+            .unsubmitted
+            .front()
+            .and_then(|first| self.requests.get(*first));
+        Some(first.map_or(0, |first| first.received_at) + READ_AHEAD_US)
+    }
+
+    /// When the next request may be submitted.
+    pub(crate) fn next_submission(&self) -> Option<Micros> {
+        self.submission_queue
+            .iter()
+            .filter_map(|conn| self.submission_time(*conn))
+            .min()
+    }
+
+    /// Submits up to `limit` requests to the decision module, one of each connection in turn.
+    pub(crate) fn submit_next(&mut self, now: Micros, limit: usize) {
+        let (mut submitted, mut skipped) = (0, 0);
+        while submitted < limit && skipped < self.submission_queue.len() {
+            let Some(conn) = self.submission_queue.pop_front() else {
+                return;
+            };
+            let Some(at) = self.submission_time(conn) else {
+                continue;
+            };
+            if at > now {
+                self.submission_queue.push_back(conn);
+                skipped += 1;
+                continue;
+            }
+            if let Some(request) = self.take_unsubmitted(conn) {
+                (submitted, skipped) = (submitted + 1, 0);
+                self.submit(now, request, false);
+            }
+        }
+    }
+
+    /// Takes the next request of a connection, and queues the connection again if it has more; `None` if the request
+    /// was answered meanwhile.
+    fn take_unsubmitted(&mut self, conn: ConnId) -> Option<RequestId> {
+        let client = self.clients.get_mut(&conn)?;
+        let next = client.unsubmitted.pop_front();
+        if !client.unsubmitted.is_empty() {
+            self.submission_queue.push_back(conn);
+        }
+        next.filter(|next| {
+            self.requests
+                .get(*next)
+                .is_some_and(Request::is_unsubmitted)
+        })
+    }
+}
--- a/crates/platform/src/decide/attempts.rs
+++ b/crates/platform/src/decide/attempts.rs
@@ -1,36 +1,36 @@
-//! Attempts: did one run whose connection ended?
+//! Did an attempt run whose link ended?
 
-/// How a connection to a host ended.
+/// How a link ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Down {
-    /// Nobody listens there: proof that nothing ran.
+pub enum LinkEnd {
+    /// The host refused the connection: proof that nothing ran.
     Refused,
-    /// It did not come up in time, or could not be made at all.
-    Unmade,
-    /// It stood, and its other end closed it in good order, as one that is idle.
+    /// The connection timed out or could not be made at all.
+    ConnectFailed,
+    /// It was established, and the host closed it in good order, as one that is idle.
     Closed,
-    /// It stood, and was reset.
-    Broke,
-    /// It stood, and carried what can't be read.
-    Spoilt,
+    /// It was established, and was reset.
+    Reset,
+    /// It was established, and the host sent what can't be read.
+    Unreadable,
 }
 
-/// What is known of an attempt whose connection ended.
+/// What is known of an attempt whose link ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Execution {
-    /// Not a byte of it left: it may be sent on another connection as the same attempt.
+    /// No byte of it was written: it may be sent on another link as the same attempt.
     Unsent,
     /// It could not be sent, and the machine does not answer.
     NeverRan,
-    /// Some of it left, so it may have run.
+    /// Some of it was written, so it may have run.
     MayHaveRun,
 }
 
-/// Did an attempt run? `begun` says whether a byte of its set-up left.
-pub fn did_it_run(down: Down, begun: bool) -> Execution {
-    match (down, begun) {
-        (Down::Refused | Down::Unmade, _) => Execution::NeverRan,
-        (Down::Closed | Down::Broke | Down::Spoilt, false) => Execution::Unsent,
-        (Down::Closed | Down::Broke | Down::Spoilt, true) => Execution::MayHaveRun,
+/// What is known of an attempt after its link ended. `begun`: at least one byte of its message was written.
+pub fn execution_after(end: LinkEnd, begun: bool) -> Execution {
+    match (end, begun) {
+        (LinkEnd::Refused | LinkEnd::ConnectFailed, _) => Execution::NeverRan,
+        (LinkEnd::Closed | LinkEnd::Reset | LinkEnd::Unreadable, false) => Execution::Unsent,
+        (LinkEnd::Closed | LinkEnd::Reset | LinkEnd::Unreadable, true) => Execution::MayHaveRun,
     }
 }
--- a/crates/platform/src/decide/clients.rs
+++ b/crates/platform/src/decide/clients.rs
@@ -1,95 +1,97 @@
-//! Clients: what becomes of their requests when they leave, and where the ends of their tasks are told.
+//! What becomes of the requests of a client that departs, and which client is notified of the end of a task.
 
-/// How a client leaves, or leaves one request.
+/// How a client departs, or gives up one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Leaving {
-    /// It says nothing more (end of file): it went, or it still reads.
-    Ended,
-    /// It said nothing more a moment ago, and that moment is over.
-    EndedLong,
-    /// Its connection was reset, can't be written to, or was closed on it.
+pub enum ClientDeparture {
+    /// It closed its sending side (end of file): it closed both sides, or it still reads.
+    EndOfStream,
+    /// It closed its sending side, and the grace period after that is over.
+    GraceOver,
+    /// Its connection was reset, can't be written to, or was closed by the placer.
     Reset,
-    /// It took the request back.
+    /// It cancelled the request.
     Cancelled,
 }
 
-/// Where a request stands when its client leaves.
+/// How far a request is when its client departs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
-    /// It came just now, and the module was not asked to place it yet.
-    Fresh,
-    /// It is between attempts, or waits for a machine that may take it.
-    Held,
-    /// Its attempt waits for a connection: not a byte of it left.
+pub enum RequestStage {
+    /// It was received and not yet submitted to the decision module.
+    Received,
+    /// It is between attempts, or waits for a machine that may accept it.
+    Queued,
+    /// Its attempt waits for a link: no byte of it was written.
     Connecting,
-    /// Its attempt is out.
-    Out,
-    /// It was placed, and stands.
-    Standing,
-    /// Nothing is owed for it any more.
-    Over,
+    /// Its attempt is in flight.
+    InFlight,
+    /// Its task runs.
+    Running,
+    /// Nothing is owed to its client any more.
+    Done,
 }
 
-/// What becomes of a request whose client leaves.
+/// What is done with a request whose client departs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Parting {
-    /// Nothing changes.
+pub enum DepartureAction {
+    /// Nothing.
     Nothing,
-    /// It may have its first attempt for a moment yet: a client that asks and says at once that it said all is
-    /// served.
-    Moment,
-    /// It gets its final answer at once, which is written if the connection still takes it.
+    /// Keep it for the grace period: a client that sends a request and closes its sending side at once is served.
+    AllowGrace,
+    /// Have it answered at once; the answer is written if the connection still takes it.
     Answer,
-    /// Its attempt is taken back, and it gets its final answer at once.
-    Recall,
-    /// Its attempt may finish, and its answer is delivered; none follows.
-    LastAttempt,
-    /// No answer is owed; its attempt is given up, on the wire too where it left.
-    GiveUp,
-    /// Its task is ended at its host.
-    End,
+    /// Take its attempt back from the link that is being made, and have it answered at once.
+    RecallAndAnswer,
+    /// Let its attempt finish and deliver the answer; no other attempt follows.
+    FinishAttempt,
+    /// Owe no answer; give its attempt up, also on the wire if it was sent.
+    Abandon,
+    /// Stop its task at its host.
+    StopTask,
 }
 
-/// What becomes of a request whose client leaves? No attempt begins more than a moment after.
+/// What is done with a request whose client departs. No attempt begins later than the grace period after it.
 ///
-/// | it | ended | ended, a moment ago | reset | cancelled |
+/// | request | end of stream | grace over | reset | cancelled |
 /// | --- | --- | --- | --- | --- |
-/// | came just now | a moment | answer | given up | given up |
-/// | held, or between attempts | answer | answer | given up | given up |
-/// | its attempt connects | a moment | recall, answer | given up | given up |
-/// | its attempt is out | last attempt | last attempt | given up | given up |
-/// | stands | - | - | - | ended at its host |
-/// | over | - | - | - | - |
-pub fn parting(stage: Stage, leaving: Leaving) -> Parting {
-    match (stage, leaving) {
-        (Stage::Over, _) => Parting::Nothing,
-        (Stage::Standing, Leaving::Cancelled) => Parting::End,
-        (Stage::Standing, _) => Parting::Nothing,
-        (_, Leaving::Reset | Leaving::Cancelled) => Parting::GiveUp,
-        (Stage::Out, Leaving::Ended | Leaving::EndedLong) => Parting::LastAttempt,
-        (Stage::Held, Leaving::Ended | Leaving::EndedLong) => Parting::Answer,
-        (Stage::Fresh | Stage::Connecting, Leaving::Ended) => Parting::Moment,
-        (Stage::Fresh, Leaving::EndedLong) => Parting::Answer,
-        (Stage::Connecting, Leaving::EndedLong) => Parting::Recall,
+/// | received | allow grace | answer | abandon | abandon |
+/// | queued, or between attempts | answer | answer | abandon | abandon |
+/// | its attempt waits for a link | allow grace | recall and answer | abandon | abandon |
+/// | its attempt is in flight | finish attempt | finish attempt | abandon | abandon |
+/// | its task runs | - | - | - | stop task |
+/// | done | - | - | - | - |
+pub fn departure_action(stage: RequestStage, departure: ClientDeparture) -> DepartureAction {
+    use ClientDeparture::{Cancelled, EndOfStream, GraceOver, Reset};
+    match (stage, departure) {
+        (RequestStage::Done, _) => DepartureAction::Nothing,
+        (RequestStage::Running, Cancelled) => DepartureAction::StopTask,
+        (RequestStage::Running, _) => DepartureAction::Nothing,
+        (_, Reset | Cancelled) => DepartureAction::Abandon,
+        (RequestStage::InFlight, EndOfStream | GraceOver) => DepartureAction::FinishAttempt,
+        (RequestStage::Queued, EndOfStream | GraceOver) => DepartureAction::Answer,
+        (RequestStage::Received | RequestStage::Connecting, EndOfStream) => {
+            DepartureAction::AllowGrace
+        }
+        (RequestStage::Received, GraceOver) => DepartureAction::Answer,
+        (RequestStage::Connecting, GraceOver) => DepartureAction::RecallAndAnswer,
     }
 }
 
-/// A client's connection on which the end of a task may be told.
+/// A client's connection on which the end of a task may be notified.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Route {
-    /// Answers passed on it, and standing tasks handed over on it.
-    pub answered: bool,
-    /// It carried a set-up that could be used.
-    pub good: bool,
-    /// When it last said something.
-    pub heard_at: u64,
+pub struct NotificationRoute {
+    /// Answers were sent on it, or running tasks were handed over on it.
+    pub was_answered: bool,
+    /// It carried a valid request.
+    pub sent_valid_request: bool,
+    /// When it last sent something.
+    pub last_received: u64,
 }
 
-/// On which connection is an end told whose own is gone? On one that carried answers, else on one that carried a good
-/// set-up, the last heard of each; else on the next one that does.
-pub fn which_route<T>(routes: impl Iterator<Item = (T, Route)>) -> Option<T> {
-    let usable = routes.filter(|(_, route)| route.answered || route.good);
+/// The connection for the end of a task whose own connection is gone: one that carried answers, else one that carried
+/// a valid request, of each the one that sent something last. `None`: the end waits for the next client that does.
+pub fn choose_route<T>(routes: impl Iterator<Item = (T, NotificationRoute)>) -> Option<T> {
+    let usable = routes.filter(|(_, route)| route.was_answered || route.sent_valid_request);
     usable
-        .max_by_key(|(_, route)| (route.answered, route.heard_at))
+        .max_by_key(|(_, route)| (route.was_answered, route.last_received))
         .map(|(id, _)| id)
 }
--- a/crates/platform/src/decide/links.rs
+++ b/crates/platform/src/decide/links.rs
@@ -1,85 +1,107 @@
-//! Connections to hosts: which one a set-up takes, which one is made ahead, which one makes room.
+//! Links to hosts: which one a message takes, when one is made ahead, and which one is closed for another.
 
-/// A connection to the host that a set-up is for.
+/// A link to the host that a message is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Candidate {
-    /// It stands; else it is being made.
-    pub up: bool,
-    /// Set-ups open on it.
-    pub open: usize,
-    /// Something on it went unanswered: what follows may be read by nobody.
-    pub doubtful: bool,
+pub struct LinkCandidate {
+    /// It is established; otherwise it is being made.
+    pub is_up: bool,
+    /// Messages on it that wait for an answer.
+    pub in_flight: usize,
+    /// Something on it went unanswered: the host may read nothing of what follows.
+    pub is_suspect: bool,
 }
 
-/// Where a set-up is sent.
+/// The link that a message takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Choice {
-    /// On this one of the candidates.
+pub enum LinkChoice {
+    /// The candidate at this index.
     Use(usize),
-    /// On a new connection.
-    Make,
+    /// A new link.
+    Connect,
 }
 
-/// Which connection? An empty one that stands, so that a connection that breaks takes one set-up with it; else the
-/// least loaded that stands, as a host that pauses for a moment takes no new connection but answers on those that it
-/// has; else one that is being made for nobody, or a new one while `room` for it is left. None is used beyond
-/// `streams` set-ups, and a doubtful one never.
-pub fn which_link(candidates: &[Candidate], room: bool, streams: usize) -> Option<Choice> {
+/// Which link does a message take? An empty one that is established, so that a link that breaks costs one attempt;
+/// else the least loaded that is established, as a host that pauses for a moment accepts no connection but answers on
+/// those that it has; else an empty one that is being made, or a new one if there is `capacity` for it. None is used
+/// beyond `max_in_flight` messages, and a suspect one never.
+pub fn choose_link(
+    candidates: &[LinkCandidate],
+    capacity: bool,
+    max_in_flight: usize,
+) -> Option<LinkChoice> {
     let usable = candidates
         .iter()
         .enumerate()
-        .filter(|(_, link)| !link.doubtful && link.open < streams);
-    match usable.min_by_key(|(_, link)| (!link.up, link.open)) {
-        Some((at, link)) if link.up || link.open == 0 || !room => Some(Choice::Use(at)),
-        _ if room => Some(Choice::Make),
+        .filter(|(_, link)| !link.is_suspect && link.in_flight < max_in_flight);
+    match usable.min_by_key(|(_, link)| (!link.is_up, link.in_flight)) {
+        Some((at, link)) if link.is_up || link.in_flight == 0 || !capacity => {
+            Some(LinkChoice::Use(at))
+        }
+        _ if capacity => Some(LinkChoice::Connect),
         _ => None,
     }
 }
 
-/// Is a connection to be made ahead? One that is empty, or will be, is kept beside those in use, so that no set-up
-/// waits for a connection to be made.
-pub fn wants_spare(candidates: &[Candidate], chosen: usize, room: bool) -> bool {
-    let spare = |(at, link): (usize, &Candidate)| at != chosen && !link.doubtful && link.open == 0;
-    room && !candidates.iter().enumerate().any(spare)
+/// Is a standby link to be made? One that is empty, or will be, is kept beside those in use, so that no message waits
+/// for a link to be made.
+pub fn needs_standby_link(candidates: &[LinkCandidate], chosen: usize, capacity: bool) -> bool {
+    let is_standby = |(at, link): (usize, &LinkCandidate)| {
+        at != chosen && !link.is_suspect && link.in_flight == 0
+    };
+    capacity && !candidates.iter().enumerate().any(is_standby)
 }
 
-/// A connection to a host that may be closed so that another can be made.
+/// An idle link that may be closed so that another can be made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Spent {
-    /// It stands; else it is being made.
-    pub up: bool,
-    /// It was made, or is being made, to hear of tasks.
-    pub check: bool,
-    /// No other one stands to a host that holds tasks.
-    pub only: bool,
-    /// When it was last of use.
-    pub used: u64,
-    /// Since when it stands.
-    pub since: u64,
+pub struct EvictionCandidate {
+    /// It is established; otherwise it is being made.
+    pub is_up: bool,
+    /// It was made, or is being made, to check on a host that runs tasks.
+    pub is_check: bool,
+    /// No other link is established to a host that runs tasks.
+    pub is_only_link: bool,
+    /// When it was last used.
+    pub last_used: u64,
+    /// Since when it is established.
+    pub up_since: u64,
 }
 
-/// Which of the connections on which nothing is open makes room for another? One that nobody needs, the longest unused
-/// first; else one of those that alone reach a host with tasks, which is visited again later. Where the new connection
-/// is such a visit too, they take turns: the one that stands longest goes, whatever it brings, or hosts that always
-/// have news would keep all others waiting; and none goes that stands for less than from `until` on, or does not stand
-/// yet, or visits would end each other for nothing. For a set-up the longest unused goes.
-pub fn which_makes_room(links: &[Spent], visit: bool, until: u64) -> Option<usize> {
-    let needed = |link: &Spent| link.only || link.check && !link.up;
-    let may = |link: &Spent| !(visit && needed(link)) || link.up && link.since <= until;
-    let key = |link: &Spent| {
-        let turn = if visit && needed(link) {
-            link.since
+impl EvictionCandidate {
+    fn is_needed(&self) -> bool {
+        self.is_only_link || self.is_check && !self.is_up
+    }
+}
+
+/// Which idle link is closed so that another can be made? One that nobody needs, the least recently used first; else
+/// one of those that alone reach a host with tasks, which is connected to again later.
+///
+/// If the new link is such a check too (`for_check`), needed links take turns: the one that is established longest is
+/// closed, whatever it was used for, as hosts that send often would otherwise keep all others waiting. None is closed
+/// that was established after `up_before` or is still being made, or checks would end each other without effect. For
+/// any other message the least recently used is closed.
+pub fn choose_eviction(
+    links: &[EvictionCandidate],
+    for_check: bool,
+    up_before: u64,
+) -> Option<usize> {
+    let may_close = |link: &EvictionCandidate| {
+        !(for_check && link.is_needed()) || link.is_up && link.up_since <= up_before
+    };
+    let order = |link: &EvictionCandidate| {
+        let takes_turns = for_check && link.is_needed();
+        let age = if takes_turns {
+            link.up_since
         } else {
-            link.used
+            link.last_used
         };
-        (needed(link), !link.up, turn)
+        (link.is_needed(), !link.is_up, age)
     };
-    let links = links.iter().enumerate().filter(|(_, link)| may(link));
-    links.min_by_key(|(_, link)| key(link)).map(|(at, _)| at)
+    let links = links.iter().enumerate().filter(|(_, link)| may_close(link));
+    links.min_by_key(|(_, link)| order(link)).map(|(at, _)| at)
 }
 
-/// May a host have one more connection beside those that it has? While half of `bound` is free, and after that from
-/// what is left once each of the `listed` hosts could have one; `extra` are those beside a first one by now.
-pub fn may_add(links: usize, extra: usize, listed: usize, bound: usize) -> bool {
-    links < bound && (links < bound / 2 || extra < bound.saturating_sub(listed))
+/// May a host have one more link beside those that it has? As long as half of the `limit` is free; after that, from
+/// what is left once each of the `listed` hosts could have one. `extra` are the links beside a host's first.
+pub fn may_add_link(links: usize, extra: usize, listed: usize, limit: usize) -> bool {
+    links < limit && (links < limit / 2 || extra < limit.saturating_sub(listed))
 }
--- a/crates/platform/src/decide/mod.rs
+++ b/crates/platform/src/decide/mod.rs
@@ -1,5 +1,5 @@
-//! What the engine decides itself: matters of connections, never where a task goes. Each function has a table
-//! over all its cases.
+//! Pure decisions about connections and client departures, never about where a task is placed. Each function is tested
+//! over a table of all its cases.
 
 mod attempts;
 mod clients;
@@ -8,7 +8,13 @@
 #[cfg(test)]
 mod tests;
 
-pub use attempts::{Down, Execution, did_it_run};
-pub use clients::{Leaving, Parting, Route, Stage, parting, which_route};
-pub use hosts::{Lost, Seen, lost_all};
-pub use links::{Candidate, Choice, Spent, may_add, wants_spare, which_link, which_makes_room};
+pub use attempts::{Execution, LinkEnd, execution_after};
+pub use clients::{
+    ClientDeparture, DepartureAction, NotificationRoute, RequestStage, choose_route,
+    departure_action,
+};
+pub use hosts::{HostLoss, HostObservation, detect_host_loss};
+pub use links::{
+    EvictionCandidate, LinkCandidate, LinkChoice, choose_eviction, choose_link, may_add_link,
+    needs_standby_link,
+};
--- a/crates/platform/src/decide/tests.rs
+++ b/crates/platform/src/decide/tests.rs
@@ -1,128 +1,137 @@
-//! Each table, over all its cases.
+//! Each decision, over a table of all its cases.
 
 use super::*;
 
 #[test]
-fn only_what_left_on_a_connection_that_stood_may_have_run() {
-    for down in [
-        Down::Refused,
-        Down::Unmade,
-        Down::Closed,
-        Down::Broke,
-        Down::Spoilt,
+fn only_an_attempt_begun_on_an_established_link_may_have_run() {
+    for end in [
+        LinkEnd::Refused,
+        LinkEnd::ConnectFailed,
+        LinkEnd::Closed,
+        LinkEnd::Reset,
+        LinkEnd::Unreadable,
     ] {
         for begun in [false, true] {
-            let stood = matches!(down, Down::Closed | Down::Broke | Down::Spoilt);
-            let execution = did_it_run(down, begun);
+            let was_established =
+                matches!(end, LinkEnd::Closed | LinkEnd::Reset | LinkEnd::Unreadable);
+            let execution = execution_after(end, begun);
             assert_eq!(
                 execution == Execution::MayHaveRun,
-                stood && begun,
-                "{down:?} {begun}"
+                was_established && begun,
+                "{end:?} {begun}"
             );
             assert_eq!(
                 execution == Execution::Unsent,
-                stood && !begun,
-                "{down:?} {begun}"
+                was_established && !begun,
+                "{end:?} {begun}"
             );
         }
     }
 }
 
 #[test]
-fn a_set_up_goes_alone_where_it_can() {
-    let link = |up, open, doubtful| Candidate { up, open, doubtful };
-    let (idle, coming, busy) = (
+fn a_request_takes_an_empty_link_where_there_is_one() {
+    let link = |is_up, in_flight, is_suspect| LinkCandidate {
+        is_up,
+        in_flight,
+        is_suspect,
+    };
+    let (idle, connecting, busy) = (
         link(true, 0, false),
         link(false, 0, false),
         link(true, 2, false),
     );
     let cases = [
-        (vec![], true, Some(Choice::Make)),
+        (vec![], true, Some(LinkChoice::Connect)),
         (vec![], false, None),
-        (vec![busy, coming, idle], true, Some(Choice::Use(2))),
-        (vec![busy, coming], true, Some(Choice::Use(0))),
-        (vec![busy], true, Some(Choice::Use(0))),
-        (vec![coming], true, Some(Choice::Use(0))),
-        (vec![link(false, 1, false)], true, Some(Choice::Make)),
-        (vec![link(false, 1, false)], false, Some(Choice::Use(0))),
+        (vec![busy, connecting, idle], true, Some(LinkChoice::Use(2))),
+        (vec![busy, connecting], true, Some(LinkChoice::Use(0))),
+        (vec![busy], true, Some(LinkChoice::Use(0))),
+        (vec![connecting], true, Some(LinkChoice::Use(0))),
+        (vec![link(false, 1, false)], true, Some(LinkChoice::Connect)),
+        (vec![link(false, 1, false)], false, Some(LinkChoice::Use(0))),
         (
             vec![busy, link(true, 1, false)],
             false,
-            Some(Choice::Use(1)),
+            Some(LinkChoice::Use(1)),
         ),
-        (vec![link(true, 0, true)], true, Some(Choice::Make)),
+        (vec![link(true, 0, true)], true, Some(LinkChoice::Connect)),
         (vec![link(true, 0, true)], false, None),
         (vec![link(true, 3, false)], false, None),
     ];
-    for (candidates, room, choice) in cases {
+    for (candidates, capacity, choice) in cases {
         assert_eq!(
-            which_link(&candidates, room, 3),
+            choose_link(&candidates, capacity, 3),
             choice,
-            "{candidates:?} {room}"
+            "{candidates:?} {capacity}"
         );
     }
 }
 
 #[test]
-fn one_connection_is_kept_ahead() {
-    let link = |open, doubtful| Candidate {
-        up: true,
-        open,
-        doubtful,
+fn one_standby_link_is_kept() {
+    let link = |in_flight, is_suspect| LinkCandidate {
+        is_up: true,
+        in_flight,
+        is_suspect,
     };
-    for (candidates, spare) in [
+    for (candidates, standby) in [
         (vec![link(0, false)], true),
         (vec![link(0, false), link(1, false)], true),
         (vec![link(0, false), link(0, true)], true),
         (vec![link(0, false), link(0, false)], false),
     ] {
-        assert_eq!(wants_spare(&candidates, 0, true), spare, "{candidates:?}");
-        assert!(!wants_spare(&candidates, 0, false));
+        assert_eq!(
+            needs_standby_link(&candidates, 0, true),
+            standby,
+            "{candidates:?}"
+        );
+        assert!(!needs_standby_link(&candidates, 0, false));
     }
 }
 
 #[test]
-fn who_is_needed_least_makes_room() {
-    let link = |up, check, only, used| Spent {
-        up,
-        check,
-        only,
-        used,
-        since: 10 - used,
+fn the_link_that_is_needed_least_is_evicted() {
+    let link = |is_up, is_check, is_only_link, last_used| EvictionCandidate {
+        is_up,
+        is_check,
+        is_only_link,
+        last_used,
+        up_since: 10 - last_used,
     };
-    let (spare, older, made) = (
+    let (standby, older, new) = (
         link(true, false, false, 9),
         link(true, false, false, 8),
         link(false, false, false, 1),
     );
-    let (alone, fresh, coming) = (
+    let (alone, recent, connecting) = (
         link(true, true, true, 3),
         link(true, false, true, 7),
         link(false, true, false, 2),
     );
     let cases = [
         (vec![], false, None),
-        (vec![alone, spare, older], false, Some(2)),
-        (vec![alone, spare, older], true, Some(2)),
-        (vec![alone, made], false, Some(1)),
-        (vec![fresh, alone], false, Some(1)),
-        // In turn, though it was of use last.
-        (vec![fresh, alone], true, Some(0)),
-        (vec![alone, coming], false, Some(0)),
-        (vec![alone, coming], true, None),
-        (vec![coming], false, Some(0)),
+        (vec![alone, standby, older], false, Some(2)),
+        (vec![alone, standby, older], true, Some(2)),
+        (vec![alone, new], false, Some(1)),
+        (vec![recent, alone], false, Some(1)),
+        // They take turns, though it was used last.
+        (vec![recent, alone], true, Some(0)),
+        (vec![alone, connecting], false, Some(0)),
+        (vec![alone, connecting], true, None),
+        (vec![connecting], false, Some(0)),
     ];
-    for (links, visit, chosen) in cases {
+    for (links, for_check, chosen) in cases {
         assert_eq!(
-            which_makes_room(&links, visit, 5),
+            choose_eviction(&links, for_check, 5),
             chosen,
-            "{links:?} {visit}"
+            "{links:?} {for_check}"
         );
     }
 }
 
 #[test]
-fn second_connections_leave_room_for_each_hosts_first() {
+fn further_links_leave_capacity_for_each_hosts_first() {
     for (links, extra, listed, may) in [
         (0, 0, 400, true),
         (49, 49, 400, true),
@@ -133,7 +142,7 @@
         (100, 50, 10, false),
     ] {
         assert_eq!(
-            may_add(links, extra, listed, 100),
+            may_add_link(links, extra, listed, 100),
             may,
             "{links} {extra} {listed}"
         );
@@ -141,35 +150,36 @@
 }
 
 #[test]
-fn tasks_are_over_where_nothing_stands_or_nothing_comes_up_or_is_heard() {
-    for (listed, links_up) in [(false, 0), (false, 1), (true, 0), (true, 1)] {
-        for (refused, unreachable) in [(0, 0), (1, 2), (2, 0), (0, 3), (3, 4)] {
-            for quiet_us in [0, 5_900_000, 6_000_000] {
-                for (leaving, broke) in [(false, false), (false, true), (true, true), (true, false)]
+fn tasks_are_lost_with_hosts_that_left_refuse_or_are_silent() {
+    for (is_listed, links_up) in [(false, 0), (false, 1), (true, 0), (true, 1)] {
+        for (refused, connect_failures) in [(0, 0), (1, 2), (2, 0), (0, 3), (3, 4)] {
+            for silent_us in [0, 5_900_000, 6_000_000] {
+                for (is_draining, was_reset) in
+                    [(false, false), (false, true), (true, true), (true, false)]
                 {
-                    let seen = Seen {
-                        listed,
-                        leaving,
-                        broke,
+                    let host = HostObservation {
+                        is_listed,
+                        is_draining,
+                        was_reset,
                         links_up,
                         refused,
-                        unreachable,
-                        quiet_us,
+                        connect_failures,
+                        silent_us,
                     };
-                    let quiet = quiet_us >= 6_000_000;
-                    let want = match (listed, leaving, broke) {
+                    let is_silent = silent_us >= 6_000_000;
+                    let want = match (is_listed, is_draining, was_reset) {
                         (false, _, _) => true,
-                        (true, _, true) => refused >= 2 || quiet && unreachable >= 3,
-                        // It refuses whoever is new, and holds its tasks.
-                        (true, true, false) => quiet && (refused >= 3 || unreachable >= 3),
+                        (true, _, true) => refused >= 2 || is_silent && connect_failures >= 3,
+                        // It refuses new connections, and its tasks run.
+                        (true, true, false) => is_silent && (refused >= 3 || connect_failures >= 3),
                         (true, false, false) => {
                             refused >= 2 && links_up == 0
-                                || quiet && (refused >= 3 || unreachable >= 3)
+                                || is_silent && (refused >= 3 || connect_failures >= 3)
                         }
                     };
-                    let lost = lost_all(seen);
-                    assert_eq!(lost.is_some(), want, "{seen:?}");
-                    assert_eq!(lost == Some(Lost::Left), !listed, "{seen:?}");
+                    let loss = detect_host_loss(host);
+                    assert_eq!(loss.is_some(), want, "{host:?}");
+                    assert_eq!(loss == Some(HostLoss::LeftList), !is_listed, "{host:?}");
                 }
             }
         }
@@ -177,11 +187,11 @@
 }
 
 #[test]
-fn an_end_goes_to_who_was_answered_last() {
-    let route = |answered, good, heard_at| Route {
-        answered,
-        good,
-        heard_at,
+fn a_task_end_goes_to_the_client_answered_last() {
+    let route = |was_answered, sent_valid_request, last_received| NotificationRoute {
+        was_answered,
+        sent_valid_request,
+        last_received,
     };
     let routes = [
         route(false, true, 9),
@@ -189,31 +199,42 @@
         route(true, true, 7),
         route(false, false, 99),
     ];
-    let which = |routes: &[Route]| which_route(routes.iter().copied().enumerate());
+    let which = |routes: &[NotificationRoute]| choose_route(routes.iter().copied().enumerate());
     assert_eq!(which(&routes), Some(2));
     assert_eq!(which(&routes[..1]), Some(0));
     assert_eq!(which(&routes[3..]), None);
 }
 
 #[test]
-fn nothing_begins_for_a_client_that_left() {
-    use Parting::{Answer, End, GiveUp, LastAttempt, Moment, Nothing, Recall};
-    let leavings = [
-        Leaving::Ended,
-        Leaving::EndedLong,
-        Leaving::Reset,
-        Leaving::Cancelled,
+fn no_attempt_begins_for_a_client_that_departed() {
+    use DepartureAction::{
+        Abandon, AllowGrace, Answer, FinishAttempt, Nothing, RecallAndAnswer, StopTask,
+    };
+    let departures = [
+        ClientDeparture::EndOfStream,
+        ClientDeparture::GraceOver,
+        ClientDeparture::Reset,
+        ClientDeparture::Cancelled,
     ];
     for (stage, wants) in [
-        (Stage::Fresh, [Moment, Answer, GiveUp, GiveUp]),
-        (Stage::Held, [Answer, Answer, GiveUp, GiveUp]),
-        (Stage::Connecting, [Moment, Recall, GiveUp, GiveUp]),
-        (Stage::Out, [LastAttempt, LastAttempt, GiveUp, GiveUp]),
-        (Stage::Standing, [Nothing, Nothing, Nothing, End]),
-        (Stage::Over, [Nothing; 4]),
+        (
+            RequestStage::Received,
+            [AllowGrace, Answer, Abandon, Abandon],
+        ),
+        (RequestStage::Queued, [Answer, Answer, Abandon, Abandon]),
+        (
+            RequestStage::Connecting,
+            [AllowGrace, RecallAndAnswer, Abandon, Abandon],
+        ),
+        (
+            RequestStage::InFlight,
+            [FinishAttempt, FinishAttempt, Abandon, Abandon],
+        ),
+        (RequestStage::Running, [Nothing, Nothing, Nothing, StopTask]),
+        (RequestStage::Done, [Nothing; 4]),
     ] {
         assert_eq!(
-            leavings.map(|leaving| parting(stage, leaving)),
+            departures.map(|departure| departure_action(stage, departure)),
             wants,
             "{stage:?}"
         );
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -1,6 +1,7 @@
-//! Polls discovery: one ask is always out.
+//! Polls discovery: one long poll is always out.
 
 use std::net::SocketAddr;
+use std::sync::Arc;
 use std::time::Duration;
 
 use http_body_util::{BodyExt, Empty, Limited};
@@ -14,25 +15,27 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{sleep, timeout};
 
+use crate::errors::DiscoveryError;
 use crate::io::Input;
 
-/// How long discovery may wait for news before it answers.
-const LINGER: Duration = Duration::from_millis(1_000);
-/// How much longer an answer may take; discovery that stops and stays open is asked again after this.
-const OVER: Duration = Duration::from_millis(300);
-/// What an answer may hold; a list of thousands of hosts stays under it.
-const MOST: usize = 2 * 1024 * 1024;
-/// Between two asks of discovery that does not answer.
-const WAITS: Backoff = Backoff::new(Duration::from_millis(20), Duration::from_millis(320));
+/// How long discovery may wait for an event before it answers.
+const LONG_POLL: Duration = Duration::from_millis(1_000);
+/// How much longer an answer may take; discovery that hangs is polled again after this.
+const ANSWER_MARGIN: Duration = Duration::from_millis(300);
+/// The longest response; a list of thousands of hosts is shorter.
+const MAX_RESPONSE_BYTES: usize = 2 * 1024 * 1024;
+/// Delays between polls of discovery that does not answer.
+const RETRY_BACKOFF: Backoff = Backoff::new(Duration::from_millis(20), Duration::from_millis(320));
 
-type Sender = SendRequest<Empty<Bytes>>;
+type RequestSender = SendRequest<Empty<Bytes>>;
 
-/// A socket that is made before it is needed: whoever fills the descriptors meanwhile keeps nobody from asking again.
+/// A socket that is made before it is needed: clients that use up all descriptors meanwhile do not keep the placer from
+/// polling again.
 #[derive(Default)]
-struct Spare(Option<TcpSocket>);
+struct ReservedSocket(Option<TcpSocket>);
 
-impl Spare {
-    /// Makes one where there is none; without a descriptor left it is tried again later.
+impl ReservedSocket {
+    /// Makes the socket if there is none; without a descriptor left that is tried again later.
     fn prepare(&mut self, address: SocketAddr) {
         let new = || {
             if address.is_ipv4() {
@@ -44,129 +47,158 @@
         self.0 = self.0.take().or_else(|| new().ok());
     }
 
-    async fn connect(&mut self, address: SocketAddr) -> Result<TcpStream, String> {
+    async fn connect(&mut self, address: SocketAddr) -> Result<TcpStream, DiscoveryError> {
         self.prepare(address);
-        let socket = self.0.take().ok_or("no descriptor is left")?;
-        socket
-            .connect(address)
-            .await
-            .map_err(|error| format!("{address}: {error}"))
+        let socket = self.0.take().ok_or(DiscoveryError::NoDescriptor)?;
+        let connected = socket.connect(address).await;
+        connected.map_err(|error| DiscoveryError::Connect { address, error })
     }
 }
 
-/// Polls until the placer ends. An address that `addresses` names later is asked at once.
+/// A response, and whether its connection can take another request.
+struct Exchanged {
+    update: WatchResponse,
+    is_reusable: bool,
+}
+
+/// Polls until the placer exits. An address that `addresses` has later is polled at once.
 pub(crate) async fn poll(
-    mut addresses: watch::Receiver<SocketAddr>,
+    addresses: watch::Receiver<SocketAddr>,
     names: Names,
-    mut rev: u64,
-    came: mpsc::Sender<Input>,
+    revision: u64,
+    inputs: mpsc::Sender<Input>,
 ) {
-    let (mut waits, mut sender, mut lost, mut spare) = (WAITS, None, false, Spare::default());
-    loop {
-        let address = *addresses.borrow_and_update();
-        spare.prepare(address);
-        let asked = tokio::select! {
-            asked = ask(address, &mut sender, &mut spare, rev, &names) => asked,
-            changed = addresses.changed() => {
-                if changed.is_err() {
-                    return;
+    let poller = Poller {
+        names,
+        revision,
+        sender: None,
+        reserved: ReservedSocket::default(),
+        backoff: RETRY_BACKOFF,
+        is_failing: false,
+    };
+    poller.run(addresses, inputs).await;
+}
+
+struct Poller {
+    names: Names,
+    /// The number of the last event.
+    revision: u64,
+    /// An open connection.
+    sender: Option<RequestSender>,
+    reserved: ReservedSocket,
+    backoff: Backoff,
+    /// The last poll failed, which was reported.
+    is_failing: bool,
+}
+
+impl Poller {
+    async fn run(
+        mut self,
+        mut addresses: watch::Receiver<SocketAddr>,
+        inputs: mpsc::Sender<Input>,
+    ) {
+        loop {
+            let address = *addresses.borrow_and_update();
+            self.reserved.prepare(address);
+            let polled = tokio::select! {
+                polled = self.poll_once(address) => polled,
+                changed = addresses.changed() => {
+                    if changed.is_err() {
+                        return;
+                    }
+                    // The former discovery is asked no more; the same poll goes to the new one.
+                    self.sender = None;
+                    continue;
                 }
-                // The old discovery tells nothing more; what it was asked goes to the new one.
-                sender = None;
-                continue;
-            }
-        };
-        let input = match asked {
-            Ok(update) => {
-                rev = rev.max(update.rev);
-                waits.reset();
-                lost = false;
-                Some(Input::Discovery(update))
+            };
+            if let Some(input) = self.input(polled)
+                && inputs.send(input).await.is_err()
+            {
+                return;
             }
-            Err(why) => {
-                sender = None;
-                (!std::mem::replace(&mut lost, true)).then_some(Input::DiscoveryLost(why))
+            if self.is_failing {
+                tokio::select! {
+                    () = sleep(self.backoff.wait()) => {}
+                    _ = addresses.changed() => addresses.mark_changed(),
+                }
             }
-        };
-        if let Some(input) = input
-            && came.send(input).await.is_err()
-        {
-            return;
         }
-        if lost {
-            tokio::select! {
-                () = sleep(waits.wait()) => {}
-                _ = addresses.changed() => addresses.mark_changed(),
+    }
+
+    /// The input of a poll's result; of failures in a row only the first is reported.
+    fn input(&mut self, polled: Result<WatchResponse, DiscoveryError>) -> Option<Input> {
+        match polled {
+            Ok(update) => {
+                self.revision = self.revision.max(update.rev);
+                self.backoff.reset();
+                self.is_failing = false;
+                Some(Input::DiscoveryUpdate(update))
+            }
+            Err(error) => {
+                self.sender = None;
+                let was_failing = std::mem::replace(&mut self.is_failing, true);
+                (!was_failing).then(|| Input::DiscoveryFailed(Arc::new(error)))
             }
         }
     }
-}
 
-async fn ask(
-    address: SocketAddr,
-    sender: &mut Option<Sender>,
-    spare: &mut Spare,
-    rev: u64,
-    names: &Names,
-) -> Result<WatchResponse, String> {
-    let most = LINGER + OVER;
-    let asked = timeout(most, async {
-        let mut open = match sender.take().filter(|sender| !sender.is_closed()) {
-            Some(open) => open,
-            None => connect(address, spare).await?,
+    async fn poll_once(&mut self, address: SocketAddr) -> Result<WatchResponse, DiscoveryError> {
+        let limit = LONG_POLL + ANSWER_MARGIN;
+        let polled = timeout(limit, async {
+            let mut sender = match self.sender.take().filter(|sender| !sender.is_closed()) {
+                Some(sender) => sender,
+                None => self.connect(address).await?,
+            };
+            let exchanged = self.exchange(&mut sender, address).await?;
+            if exchanged.is_reusable {
+                self.sender = Some(sender);
+            }
+            Ok(exchanged.update)
+        });
+        let timed_out = DiscoveryError::Timeout {
+            limit_ms: limit.as_millis(),
         };
-        let (update, whole) = exchange(&mut open, address, rev, names).await?;
-        if whole {
-            *sender = Some(open);
-        }
-        Ok(update)
-    });
-    asked
-        .await
-        .unwrap_or_else(|_| Err(format!("no answer within {} ms", most.as_millis())))
-}
+        polled.await.unwrap_or(Err(timed_out))
+    }
 
-async fn connect(address: SocketAddr, spare: &mut Spare) -> Result<Sender, String> {
-    let stream = spare.connect(address).await?;
-    // The next one, while this one still holds its own.
-    spare.prepare(address);
-    let _ = stream.set_nodelay(true);
-    let (sender, connection) = http1::handshake(TokioIo::new(stream))
-        .await
-        .map_err(|error| format!("{address}: {error}"))?;
-    // It ends with the connection, or as soon as nobody holds the sender.
-    tokio::spawn(async move {
-        let _ = connection.await;
-    });
-    Ok(sender)
-}
+    async fn connect(&mut self, address: SocketAddr) -> Result<RequestSender, DiscoveryError> {
+        let stream = self.reserved.connect(address).await?;
+        // The next one, while this one still holds its own descriptor.
+        self.reserved.prepare(address);
+        let _ = stream.set_nodelay(true);
+        let handshake = http1::handshake(TokioIo::new(stream)).await;
+        let (sender, connection) =
+            handshake.map_err(|error| DiscoveryError::Http { address, error })?;
+        // It ends with the connection, or as soon as the sender is dropped.
+        tokio::spawn(async move {
+            let _ = connection.await;
+        });
+        Ok(sender)
+    }
 
-/// One ask; whether the connection can take another.
-async fn exchange(
-    sender: &mut Sender,
-    address: SocketAddr,
-    rev: u64,
-    names: &Names,
-) -> Result<(WatchResponse, bool), String> {
-    let request = Request::get(format!(
-        "/board/poll?watch={rev}&linger={}",
-        LINGER.as_millis()
-    ))
-    .header(header::HOST, address.to_string())
-    .body(Empty::new())
-    .map_err(|error| error.to_string())?;
-    sender.ready().await.map_err(|error| error.to_string())?;
-    let response = sender
-        .send_request(request)
-        .await
-        .map_err(|error| error.to_string())?;
-    if response.status() != StatusCode::OK {
-        return Err(format!("status {}", response.status()));
+    async fn exchange(
+        &self,
+        sender: &mut RequestSender,
+        address: SocketAddr,
+    ) -> Result<Exchanged, DiscoveryError> {
+        let http = |error| DiscoveryError::Http { address, error };
+        let (revision, linger) = (self.revision, LONG_POLL.as_millis());
+        let request = Request::get(format!("/board/poll?watch={revision}&linger={linger}"))
+            .header(header::HOST, address.to_string())
+            .body(Empty::new())?;
+        sender.ready().await.map_err(http)?;
+        let response = sender.send_request(request).await.map_err(http)?;
+        if response.status() != StatusCode::OK {
+            return Err(DiscoveryError::Status(response.status()));
+        }
+        let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
+            .collect()
+            .await;
+        let body = body.map_err(DiscoveryError::Body)?;
+        let update = WatchResponse::read(&body.to_bytes(), &self.names)?;
+        Ok(Exchanged {
+            update,
+            is_reusable: !sender.is_closed(),
+        })
     }
-    let body = Limited::new(response.into_body(), MOST)
-        .collect()
-        .await
-        .map_err(|error| error.to_string())?;
-    let update = WatchResponse::read(&body.to_bytes(), names).map_err(|error| error.to_string())?;
-    Ok((update, !sender.is_closed()))
 }
--- /dev/null
+++ b/crates/platform/src/engine/mod.rs
@@ -0,0 +1,180 @@
+//! The engine's interface: inputs become events of the decision module, and its actions become outputs.
+
+mod actions;
+mod shutdown;
+
+use std::collections::{BTreeMap, VecDeque};
+
+use reedring::settings::Deployment;
+use reedring::timers::Timers;
+use reedring::{Event, Micros, Placer};
+use reedring_platform_protocol::discovery;
+use reedring_platform_protocol::host::Figures;
+
+use crate::bounds::Bounds;
+use crate::io::{Input, Output};
+use crate::state::{Engine, HealthChecks, HostTable, RequestTable, Shutdown, TaskEnds, Timer};
+
+/// The interval at which idle connections and old records are swept.
+const SWEEP_INTERVAL_US: Micros = 250_000;
+/// Requests that are submitted to the decision module at once, before other input is taken in: what is cancelled or
+/// ends meanwhile is known before the next ones are.
+const MAX_SUBMISSIONS: usize = 32;
+
+/// What an engine needs at its start.
+#[derive(Clone, Debug)]
+pub struct Start {
+    /// Microseconds since 1970 on a clock that never goes back.
+    pub now: Micros,
+    /// Seed of the decision module's random numbers.
+    pub seed: u64,
+    /// The settings.
+    pub settings: Deployment,
+    /// Events of discovery up to now.
+    pub known: discovery::WatchResponse,
+    /// Limits on connections and memory.
+    pub bounds: Bounds,
+}
+
+/// Sizes of all that an engine keeps, for tests.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Sizes {
+    /// Requests that are open, run, or have an attempt in flight.
+    pub requests: usize,
+    /// Clients' connections.
+    pub clients: usize,
+    /// Links to hosts.
+    pub links: usize,
+    /// Hosts.
+    pub hosts: usize,
+    /// Task ends that no client took yet, or that were sent a moment ago.
+    pub task_ends: usize,
+    /// Health checks that wait for their result.
+    pub health_checks: usize,
+    /// Timers that are set.
+    pub timers: usize,
+    /// Machines, requests and attempts that the decision module keeps.
+    pub module: [usize; 3],
+}
+
+impl Engine {
+    /// A placer that knows its settings and the endpoint list.
+    pub fn new(start: Start) -> Self {
+        let placer = Placer::new(start.settings.module.clone(), start.seed);
+        let mut engine = Self {
+            settings: start.settings,
+            bounds: start.bounds,
+            clients: BTreeMap::new(),
+            hosts: HostTable::default(),
+            requests: RequestTable::default(),
+            submission_queue: VecDeque::new(),
+            health_checks: HealthChecks::default(),
+            task_ends: TaskEnds::default(),
+            discovery_revision: 0,
+            is_list_requested: false,
+            timers: Timers::default(),
+            events: Vec::new(),
+            outputs: VecDeque::new(),
+            placer,
+            shutdown: Shutdown::default(),
+        };
+        engine.load_endpoints(start.now, start.known);
+        engine
+            .timers
+            .set(start.now + SWEEP_INTERVAL_US, Timer::Sweep);
+        engine
+    }
+
+    /// When [`Engine::flush`] must be called at the latest, if no input comes before.
+    pub fn next_wake(&self) -> Option<Micros> {
+        let next_event = if self.events.is_empty() {
+            self.next_submission()
+        } else {
+            Some(0)
+        };
+        next_event.into_iter().chain(self.timers.next()).min()
+    }
+
+    /// Requests wait to be submitted to the decision module.
+    pub fn has_backlog(&self) -> bool {
+        !self.submission_queue.is_empty()
+    }
+
+    /// The next thing to do.
+    pub fn poll(&mut self) -> Option<Output> {
+        self.outputs.pop_front()
+    }
+
+    /// Sizes of all that it keeps.
+    pub fn sizes(&self) -> Sizes {
+        Sizes {
+            requests: self.requests.len(),
+            clients: self.clients.len(),
+            links: self.hosts.link_count(),
+            hosts: self.hosts.host_count(),
+            task_ends: self.task_ends.len(),
+            health_checks: self.health_checks.len(),
+            timers: self.timers.len(),
+            module: self.placer.sizes(),
+        }
+    }
+
+    /// Takes an input in. The decision module answers to it in the next [`Engine::flush`].
+    pub fn handle(&mut self, now: Micros, input: Input) {
+        self.shutdown.is_finished = false;
+        match input {
+            Input::ClientConnected(conn) => self.client_connected(now, conn),
+            Input::ClientMessage(conn, message) => self.client_message(now, conn, message),
+            Input::ClientInputRead { conn, has_more } => self.client_input_read(conn, has_more),
+            Input::ClientEndOfStream(conn) => self.client_end_of_stream(now, conn),
+            Input::ClientUnreadable(conn, error) => self.client_unreadable(now, conn, error),
+            Input::ClientDisconnected(conn) => self.client_disconnected(now, conn),
+            Input::LinkUp(link) => self.link_up(now, link),
+            Input::HostMessage(link, message) => self.host_message(now, link, message),
+            Input::LinkDown {
+                link,
+                end,
+                messages_begun,
+            } => {
+                self.link_down(now, link, end, messages_begun);
+            }
+            Input::DiscoveryUpdate(update) => self.discovery_update(now, update),
+            Input::DiscoveryFailed(error) => self.discovery_failed(error),
+            Input::Terminate => self.terminate(now),
+        }
+    }
+
+    /// Lets the decision module decide, once, on all that was taken in since the last call.
+    pub fn flush(&mut self, now: Micros) {
+        while let Some(timer) = self.timers.pop(now) {
+            self.timer_fired(now, timer);
+        }
+        self.submit_next(now, MAX_SUBMISSIONS);
+        if !self.events.is_empty() {
+            let (events, mut actions) = (std::mem::take(&mut self.events), Vec::new());
+            self.placer.step(now, &events, &mut actions);
+            for action in actions {
+                self.carry_out(now, action);
+            }
+        }
+        self.advance_shutdown(now);
+    }
+
+    fn timer_fired(&mut self, now: Micros, timer: Timer) {
+        match timer {
+            Timer::Module(token) => self.events.push(Event::Woken(token)),
+            Timer::AttemptTimeout(attempt) => self.attempt_timeout(now, attempt),
+            Timer::HealthCheckTimeout(id) => {
+                self.health_check_done(now, id, false, &Figures::new());
+            }
+            Timer::Reconnect(machine) => self.reconnect(now, machine),
+            Timer::DepartureGrace(conn) => self.departure_grace_over(now, conn),
+            Timer::RequestDeadline(request) => self.request_deadline(now, request),
+            Timer::Sweep => {
+                self.sweep_clients(now);
+                self.sweep_hosts(now);
+                self.timers.set(now + SWEEP_INTERVAL_US, Timer::Sweep);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/platform/src/hosts/endpoints.rs
@@ -0,0 +1,179 @@
+//! The endpoint list of discovery, applied to hosts and passed on to the decision module.
+
+use std::collections::BTreeSet;
+use std::sync::Arc;
+
+use reedring::names::machine_id;
+use reedring::{AttemptId, Event, Health, Listing, Machine, MachineId, Micros, Outcome};
+use reedring_platform_protocol::CUT;
+use reedring_platform_protocol::discovery::{
+    EndpointList, Entry, State, WatchEvent, WatchResponse, number,
+};
+
+use crate::errors::DiscoveryError;
+use crate::ids::LinkId;
+use crate::log_event::LogEvent;
+use crate::state::{Engine, Phase};
+
+impl Engine {
+    /// Takes in what the configuration has of the endpoint list.
+    pub(crate) fn load_endpoints(&mut self, now: Micros, known: WatchResponse) {
+        for event in known.notices {
+            self.watch_event(now, event);
+        }
+        self.discovery_revision = self.discovery_revision.max(known.rev);
+        self.events.clear();
+        self.events
+            .push(Event::Listed(Listing::Cached(self.machines())));
+    }
+
+    pub(crate) fn discovery_update(&mut self, now: Micros, update: WatchResponse) {
+        let before = self.events.len();
+        for event in update.notices {
+            self.watch_event(now, event);
+        }
+        self.discovery_revision = self.discovery_revision.max(update.rev);
+        let has_changed = self.events.len() != before;
+        if std::mem::take(&mut self.is_list_requested) && !has_changed {
+            self.events
+                .push(Event::Listed(Listing::Changes(Vec::new())));
+        }
+    }
+
+    pub(crate) fn discovery_failed(&mut self, error: Arc<DiscoveryError>) {
+        self.log(LogEvent::DiscoveryFailed { error });
+        self.events.push(Event::Listed(Listing::Failed));
+    }
+
+    /// The number of the last discovery event that was applied.
+    pub fn discovery_revision(&self) -> u64 {
+        self.discovery_revision
+    }
+
+    /// Passes the whole endpoint list on to the decision module.
+    pub(crate) fn send_endpoints(&mut self) {
+        self.events
+            .push(Event::Listed(Listing::Whole(self.machines())));
+    }
+
+    fn machines(&self) -> Vec<Machine> {
+        let entries = self
+            .hosts
+            .hosts()
+            .filter_map(|(_, host)| host.entry.as_ref());
+        entries.filter_map(|entry| self.machine(entry)).collect()
+    }
+
+    /// Applies an event, once, whatever discovery repeats after it was moved.
+    fn watch_event(&mut self, now: Micros, WatchEvent { rev, pool }: WatchEvent) {
+        if rev <= self.discovery_revision {
+            return;
+        }
+        self.discovery_revision = rev;
+        let Some(EndpointList { whole, hosts }) = pool else {
+            return;
+        };
+        let machines: Vec<Machine> = hosts
+            .iter()
+            .filter_map(|entry| self.machine(entry))
+            .collect();
+        if whole {
+            self.remove_unlisted(now, &machines);
+        }
+        for entry in hosts {
+            self.set_endpoint(now, entry);
+        }
+        let listing = if whole {
+            Listing::Whole(machines)
+        } else {
+            Listing::Changes(machines)
+        };
+        self.events.push(Event::Listed(listing));
+    }
+
+    /// A whole list came: hosts that it lacks have left.
+    fn remove_unlisted(&mut self, now: Micros, listed: &[Machine]) {
+        let listed: BTreeSet<MachineId> = listed.iter().map(|machine| machine.id).collect();
+        let hosts = self
+            .hosts
+            .hosts()
+            .filter(|(machine, _)| !listed.contains(machine));
+        for machine in hosts.map(|(machine, _)| machine).collect::<Vec<_>>() {
+            let entry = self.hosts.host(machine).and_then(|host| host.entry.clone());
+            if let Some(entry) = entry {
+                self.set_endpoint(
+                    now,
+                    Entry {
+                        health: State::Left,
+                        ..entry
+                    },
+                );
+            }
+        }
+    }
+
+    /// A host's entry, as the decision module has it.
+    fn machine(&self, entry: &Entry) -> Option<Machine> {
+        let room = entry.room.filter(|_| self.settings.lists_free);
+        Some(Machine {
+            id: machine_id(&entry.host),
+            zone: number(&self.settings.zones, &entry.site)?,
+            kind: number(&self.settings.kinds, &entry.class)?,
+            cell: entry.block,
+            health: match entry.health {
+                State::Active => Health::Ready,
+                State::Leaving => Health::Draining,
+                State::Left => Health::Gone,
+            },
+            ready_at: Some(entry.born_ms * 1_000).filter(|at| *at != 0),
+            free_cores: room.map(|room| room[0]),
+            free_memory: room.map(|room| room[1]),
+        })
+    }
+
+    fn set_endpoint(&mut self, now: Micros, entry: Entry) {
+        let machine = machine_id(&entry.host);
+        let (address, started_ms, health) = (entry.dial, entry.born_ms, entry.health);
+        let former = self.hosts.set_entry(now, machine, entry);
+        if former
+            .as_ref()
+            .is_some_and(|former| former.born_ms != started_ms)
+        {
+            self.end_tasks_of_former_process(now, machine, started_ms * 1_000);
+        }
+        if former.is_some_and(|former| former.dial != address) {
+            self.close_idle_links(machine);
+        }
+        if health != State::Active {
+            self.recall_queued_attempts(machine);
+        }
+        self.evaluate_host(now, machine);
+    }
+
+    /// A process that started after a task was placed is another one than that which ran it.
+    fn end_tasks_of_former_process(&mut self, now: Micros, machine: MachineId, started_at: Micros) {
+        let host = self.hosts.host(machine);
+        for request in host.map(|host| host.running_requests()).unwrap_or_default() {
+            let phase = self.requests.get(request).map(|entry| entry.phase);
+            if matches!(phase, Some(Phase::Running(placement)) if placement.since < started_at) {
+                self.task_ended(now, request, CUT, Outcome::Reset.into());
+            }
+        }
+    }
+
+    /// Takes attempts back that wait for a link to a host which accepts nothing new: it may be established after the
+    /// time in which they could still be sent.
+    fn recall_queued_attempts(&mut self, machine: MachineId) {
+        let connecting = self.hosts.links_of(machine).filter(|(_, link)| !link.is_up);
+        let queued = connecting.flat_map(|(id, link)| {
+            link.in_flight
+                .iter()
+                .map(move |(wire_id, attempt)| (id, *wire_id, *attempt))
+        });
+        let queued: Vec<(LinkId, u64, AttemptId)> = queued.collect();
+        for (link, wire_id, attempt) in queued {
+            self.unqueue(link, wire_id);
+            self.take_back(attempt.request, Outcome::Unconnected.into());
+        }
+    }
+}
--- a/crates/platform/src/hosts/links.rs
+++ b/crates/platform/src/hosts/links.rs
@@ -1,369 +1,219 @@
-//! Connections to hosts: which one a message takes, how they are made, and how they end.
+//! Links: connected, written to, closed, and what becomes of attempts when one ends.
 
-use super::*;
+use reedring::{AttemptId, MachineId, Micros, Outcome};
+use reedring_platform_protocol::CANCELLED;
+use reedring_platform_protocol::discovery::State;
+use reedring_platform_protocol::host::{Figures, ToHost};
 
-impl Engine {
-    /// The connection for a set-up or probe.
-    pub(crate) fn link_for(&mut self, now: Micros, machine: MachineId) -> Option<LinkId> {
-        let host = self.hosts.get(&machine)?;
-        let (address, links, bound) = (
-            host.address(),
-            self.links.len(),
-            self.bounds.links(self.conns.len()),
-        );
-        let room = match host.links.len() {
-            0 => links < bound,
-            some => {
-                let extra = links - self.linked;
-                some < self.bounds.links_each && decide::may_add(links, extra, self.on_list, bound)
-            }
-        };
-        let (ids, candidates): (Vec<LinkId>, Vec<Candidate>) = self
-            .links_of(machine)
-            .map(|(id, link)| {
-                let open = link.open.len() + link.probes as usize;
-                let doubtful = link.doubtful || Some(link.address) != address;
-                (
-                    id,
-                    Candidate {
-                        up: link.up,
-                        open,
-                        doubtful,
-                    },
-                )
-            })
-            .unzip();
-        let streams = self.settings.per_connection.unwrap_or(usize::MAX).max(1);
-        match decide::which_link(&candidates, room, streams) {
-            Some(Choice::Use(at)) => {
-                if candidates[at].up && decide::wants_spare(&candidates, at, room) {
-                    self.make_link(machine);
-                }
-                Some(ids[at])
-            }
-            Some(Choice::Make) => self.make_link(machine),
-            None => self.place_link(now, machine, false),
-        }
-    }
-
-    /// Any connection that reaches a host, for what concerns standing tasks. With none, it is told when it is next
-    /// connected to.
-    pub(crate) fn any_link(&mut self, now: Micros, machine: MachineId) -> Option<LinkId> {
-        let up = self
-            .links_of(machine)
-            .filter(|(_, link)| !link.doubtful)
-            .max_by_key(|(_, link)| link.up);
-        up.map(|(id, _)| id)
-            .or_else(|| self.place_link(now, machine, false))
-    }
-
-    /// A new connection, once there is room for it.
-    pub(crate) fn place_link(
-        &mut self,
-        now: Micros,
-        machine: MachineId,
-        visit: bool,
-    ) -> Option<LinkId> {
-        // Nobody makes room for one to a host with no address.
-        self.hosts.get(&machine)?.address()?;
-        if self.make_room(now, visit) {
-            self.make_link(machine)
-        } else {
-            None
-        }
-    }
-
-    /// Room for one more connection: one that is needed less goes, if it has to. `visit`: the new one is only to hear
-    /// of tasks.
-    pub(crate) fn make_room(&mut self, now: Micros, visit: bool) -> bool {
-        if self.links.len() < self.bounds.links(self.conns.len()) {
-            return true;
-        }
-        let idle = self.links.iter().filter(|(_, link)| link.is_idle());
-        let (ids, spent): (Vec<LinkId>, Vec<Spent>) = idle
-            .map(|(id, link)| {
-                let only = self.hosts.get(&link.machine).is_some_and(|host| {
-                    !host.standing.is_empty()
-                        && !host
-                            .links
-                            .iter()
-                            .any(|other| other != id && self.links[other].up)
-                });
-                (
-                    *id,
-                    Spent {
-                        up: link.up,
-                        check: link.check,
-                        only,
-                        used: link.used,
-                        since: link.since,
-                    },
-                )
-            })
-            .unzip();
-        let until = now.saturating_sub(connect_us(&self.settings));
-        let Some(at) = decide::which_makes_room(&spent, visit, until) else {
-            return false;
-        };
-        let machine = self.links[&ids[at]].machine;
-        self.close_link(ids[at]);
-        if let Some(host) = self
-            .hosts
-            .get_mut(&machine)
-            .filter(|host| host.is_asked() && !host.waiting)
-        {
-            let at = now + REVISIT_US;
-            host.parked = Some(at);
-            self.timers.set(at, Timer::Reconnect(machine));
-        }
-        self.links.len() < self.bounds.links(self.conns.len())
-    }
-
-    /// A client came: connections to hosts leave its place.
-    pub(crate) fn yield_links(&mut self, now: Micros) {
-        let over = self
-            .links
-            .len()
-            .saturating_sub(self.bounds.links(self.conns.len()));
-        for _ in 0..over {
-            self.make_room(now, false);
-        }
-    }
-
-    pub(crate) fn make_link(&mut self, machine: MachineId) -> Option<LinkId> {
-        let host = self.hosts.get_mut(&machine)?;
-        let address = host.address()?;
-        self.last_link += 1;
-        let id = self.last_link;
-        self.linked += usize::from(host.links.is_empty());
-        host.links.insert(id);
-        host.parked = None;
-        let link = Link {
-            machine,
-            address,
-            up: false,
-            sent: 0,
-            queue: Vec::new(),
-            open: BTreeMap::new(),
-            probes: 0,
-            doubtful: false,
-            check: false,
-            used: id,
-            since: 0,
-        };
-        self.links.insert(id, link);
-        self.outputs.push_back(Output::Connect(id, address));
-        Some(id)
-    }
+use crate::attempts::remaining_ms;
+use crate::decide::{self, Execution, LinkEnd};
+use crate::ids::LinkId;
+use crate::io::Output;
+use crate::state::{Engine, Host, Link, Phase};
 
-    /// A connection is no more.
-    pub(crate) fn drop_link(&mut self, id: LinkId) -> Option<Link> {
-        let link = self.links.remove(&id)?;
-        if let Some(host) = self.hosts.get_mut(&link.machine) {
-            let one = host.links.remove(&id) && host.links.is_empty();
-            self.linked -= usize::from(one);
-        }
-        Some(link)
-    }
+/// How often an attempt is sent again of which no byte was written.
+const MAX_RESENDS: u8 = 3;
 
-    /// Connects once more to a host that holds tasks, if there is room: it is closed again if others stand.
-    pub(crate) fn check(&mut self, now: Micros, machine: MachineId) -> bool {
-        let link = self
-            .place_link(now, machine, true)
-            .and_then(|link| self.links.get_mut(&link));
-        link.map(|link| link.check = true).is_some()
+impl Engine {
+    /// Connects to a host.
+    pub(super) fn connect_link(&mut self, machine: MachineId) -> Option<LinkId> {
+        let link = self.hosts.add_link(machine)?;
+        self.outputs
+            .push_back(Output::Connect(link.id, link.address));
+        Some(link.id)
     }
 
-    /// Writes to a connection, if it still is one, as soon as it stands; answers which message of it this is.
-    pub(crate) fn send_host(&mut self, id: LinkId, message: ToHost) -> u64 {
-        let Some(link) = self.links.get_mut(&id) else {
+    /// Writes a message to a link, once it is established; the index of the message among those of the link.
+    pub(crate) fn send_to_host(&mut self, id: LinkId, message: ToHost) -> u64 {
+        let Some(link) = self.hosts.link_mut(id) else {
             return 0;
         };
-        if !link.up {
+        if !link.is_up {
             link.queue.push(message);
             return link.queue.len() as u64 - 1;
         }
         self.outputs.push_back(Output::ToHost(id, message));
-        link.sent += 1;
-        link.sent - 1
+        link.messages_sent += 1;
+        link.messages_sent - 1
     }
 
-    /// Takes a set-up back that was not written yet; whether it could be.
-    pub(crate) fn unsend(&mut self, link: LinkId, id: u64) -> bool {
-        let Some(link) = self.links.get_mut(&link).filter(|link| !link.up) else {
+    /// Takes an attempt's message back that waits for its link; whether it still did.
+    pub(crate) fn unqueue(&mut self, link: LinkId, id: u64) -> bool {
+        let link = self.hosts.link_mut(link);
+        let Some(link) = link.filter(|link| !link.is_up) else {
             return false;
         };
-        link.queue
-            .retain(|message| !matches!(message, ToHost::PlacementRequest { id: other, .. } if *other == id));
+        let is_its = |message: &ToHost| matches!(message, ToHost::PlacementRequest { id: other, .. } if *other == id);
+        link.queue.retain(|message| !is_its(message));
         true
     }
 
-    /// Writes what waited for the connection to stand. A set-up is judged once more: its host may drain by now, its
-    /// client have gone, or its window be over.
-    pub(crate) fn send_queue(&mut self, now: Micros, id: LinkId) {
+    /// Writes the messages that waited for the link.
+    fn send_queue(&mut self, now: Micros, id: LinkId) {
         let queue = self
-            .links
-            .get_mut(&id)
+            .hosts
+            .link_mut(id)
             .map(|link| std::mem::take(&mut link.queue));
-        for mut message in queue.unwrap_or_default() {
-            let ToHost::PlacementRequest {
-                id: task, left_ms, ..
-            } = &mut message
-            else {
-                self.send_host(id, message);
-                continue;
-            };
-            let found = self.by_id.get(task).copied();
-            let entry = found.and_then(|request| Some((request, self.requests.get(&request)?)));
-            let out = entry.and_then(|(request, entry)| Some((request, entry, entry.out?)));
-            let Some((request, entry, out)) = out.filter(|(_, _, out)| out.link == id) else {
-                continue;
-            };
-            let attempt = AttemptId {
-                request,
-                number: out.number,
-            };
-            let wanted = entry.phase == Phase::Open && !entry.client_left && now < out.until;
-            if !wanted || !self.placer.may_leave(now, attempt) {
-                self.take_back(request, Outcome::Unsent, None, Vec::new());
-                continue;
-            }
-            *left_ms = (out.until.saturating_sub(now) / 1_000).max(1);
-            let position = self.send_host(id, message);
-            if let Some(out) = self
-                .requests
-                .get_mut(&request)
-                .and_then(|entry| entry.out.as_mut())
-            {
-                out.position = position;
+        for message in queue.unwrap_or_default() {
+            if let ToHost::PlacementRequest { .. } = message {
+                self.send_queued_attempt(now, id, message);
+            } else {
+                self.send_to_host(id, message);
             }
         }
     }
 
-    /// Uses a connection no more: it is closed once nothing is open on it.
-    pub(crate) fn doubt(&mut self, id: LinkId) {
-        let Some(link) = self.links.get_mut(&id) else {
+    /// Writes an attempt that waited for its link, if it is still wanted: its host may drain by now, its client have
+    /// departed, or its time be over.
+    fn send_queued_attempt(&mut self, now: Micros, link: LinkId, mut message: ToHost) {
+        let ToHost::PlacementRequest { id, left_ms, .. } = &mut message else {
             return;
         };
-        link.doubtful = true;
+        let Some(found) = self.requests.find(*id) else {
+            return;
+        };
+        let (request, entry) = (found.id, found.request);
+        let Some(attempt) = entry.in_flight.filter(|attempt| attempt.link == link) else {
+            return;
+        };
+        let is_wanted =
+            entry.phase == Phase::Open && !entry.client_departed && now < attempt.deadline;
+        let number = attempt.number;
+        if !is_wanted || !self.placer.may_leave(now, AttemptId { request, number }) {
+            return self.take_back(request, Outcome::Unsent.into());
+        }
+        *left_ms = remaining_ms(now, attempt.deadline);
+        let position = self.send_to_host(link, message);
+        let entry = self.requests.get_mut(request);
+        if let Some(attempt) = entry.and_then(|entry| entry.in_flight.as_mut()) {
+            attempt.position = position;
+        }
+    }
+
+    /// Uses a link no more: it is closed once nothing is in flight on it.
+    pub(crate) fn suspect_link(&mut self, id: LinkId) {
+        let Some(link) = self.hosts.link_mut(id) else {
+            return;
+        };
+        link.is_suspect = true;
         if link.is_idle() {
             self.close_link(id);
         }
     }
 
-    pub(crate) fn close_link(&mut self, id: LinkId) {
-        if self.drop_link(id).is_some() {
+    pub(super) fn close_link(&mut self, id: LinkId) {
+        if self.hosts.remove_link(id).is_some() {
             self.outputs.push_back(Output::CloseLink(id));
         }
     }
 
-    pub(crate) fn close_idle(&mut self, machine: MachineId) {
-        let idle = self.links_of(machine).filter(|(_, link)| link.is_idle());
-        let idle: Vec<LinkId> = idle.map(|(id, _)| id).collect();
-        idle.into_iter().for_each(|link| self.close_link(link));
+    pub(crate) fn close_idle_links(&mut self, machine: MachineId) {
+        let idle = self
+            .hosts
+            .links_of(machine)
+            .filter(|(_, link)| link.is_idle());
+        for link in idle.map(|(id, _)| id).collect::<Vec<LinkId>>() {
+            self.close_link(link);
+        }
     }
 
+    /// A link is established.
     pub(crate) fn link_up(&mut self, now: Micros, id: LinkId) {
-        let Some(link) = self.links.get_mut(&id) else {
+        let Some(link) = self.hosts.link_mut(id) else {
             return;
         };
-        (link.up, link.used, link.since) = (true, now, now);
-        let (machine, check) = (link.machine, link.check);
+        (link.is_up, link.last_used, link.up_since) = (true, now, now);
+        let (machine, is_check) = (link.machine, link.is_check);
         self.send_queue(now, id);
-        let Some(host) = self.hosts.get_mut(&machine) else {
+        let Some(host) = self.hosts.host_mut(machine) else {
             return;
         };
         host.refused = 0;
-        host.waits.reset();
-        host.heard(now);
-        if check
-            && self
-                .links_of(machine)
-                .any(|(other, link)| other != id && link.up && !link.doubtful)
-        {
-            // It is there, and what stands is enough.
-            return self.doubt(id);
+        host.backoff.reset();
+        host.received(now);
+        let is_usable =
+            |(other, link): (LinkId, &Link)| other != id && link.is_up && !link.is_suspect;
+        let is_redundant = is_check && self.hosts.links_of(machine).any(is_usable);
+        if is_redundant {
+            // The host is there, and its other links are enough.
+            return self.suspect_link(id);
         }
-        let Some(host) = self.hosts.get(&machine) else {
+        self.repeat_stops(id, machine);
+    }
+
+    /// Asks a host on a new link again to stop tasks: it may not have received that on a link that was reset.
+    fn repeat_stops(&mut self, link: LinkId, machine: MachineId) {
+        let Some(host) = self.hosts.host(machine) else {
             return;
         };
-        // An end that was told on a connection that broke may not have been heard.
-        let ending: Vec<u64> = host
-            .standing
+        let running = host
+            .running
             .iter()
-            .filter_map(|(_, request)| self.requests.get(request))
-            .filter(|entry| matches!(entry.phase, Phase::Ending { .. }))
-            .map(|entry| entry.setup.id)
-            .collect();
-        for id_of_task in ending {
-            self.send_host(
-                id,
+            .filter_map(|(_, request)| self.requests.get(*request));
+        let stopping = running.filter(|request| matches!(request.phase, Phase::Stopping(_)));
+        for id in stopping.map(|request| request.id()).collect::<Vec<u64>>() {
+            self.send_to_host(
+                link,
                 ToHost::Release {
-                    id: id_of_task,
+                    id,
                     cause: CANCELLED,
                 },
             );
         }
     }
 
-    pub(crate) fn link_down(&mut self, now: Micros, id: LinkId, down: Down, begun: u64) {
-        let Some(link) = self.drop_link(id) else {
+    /// A link ended, or could not be made.
+    pub(crate) fn link_down(&mut self, now: Micros, id: LinkId, end: LinkEnd, messages_begun: u64) {
+        let Some(link) = self.hosts.remove_link(id) else {
             return;
         };
-        let machine = link.machine;
-        if let Some(host) = self.hosts.get_mut(&machine) {
-            match down {
-                Down::Refused => host.refused += 1,
-                Down::Unmade => host.unreachable += 1,
-                Down::Broke => host.broke = true,
-                Down::Closed | Down::Spoilt => {}
+        if let Some(host) = self.hosts.host_mut(link.machine) {
+            match end {
+                LinkEnd::Refused => host.refused += 1,
+                LinkEnd::ConnectFailed => host.connect_failures += 1,
+                LinkEnd::Reset => host.was_reset = true,
+                LinkEnd::Closed | LinkEnd::Unreadable => {}
             }
         }
-        let probes = self
-            .probes
-            .iter()
-            .filter(|(_, probe)| probe.link == id)
-            .map(|(id, _)| *id);
-        for probe in probes.collect::<Vec<_>>() {
-            self.probe_over(now, probe, false, &Default::default());
+        for check in self.health_checks.on_link(id) {
+            self.health_check_done(now, check, false, &Figures::new());
         }
-        for attempt in link.open.into_values() {
-            self.broken(now, attempt, down, begun);
+        for attempt in link.in_flight.into_values() {
+            self.attempt_link_down(now, attempt, end, messages_begun);
         }
-        self.look_at(now, machine);
+        self.evaluate_host(now, link.machine);
     }
 
-    /// The connection of an attempt that is out ended.
-    pub(crate) fn broken(&mut self, now: Micros, attempt: AttemptId, down: Down, begun: u64) {
+    /// The link of an attempt in flight ended: the attempt is sent again if no byte of it was written.
+    fn attempt_link_down(
+        &mut self,
+        now: Micros,
+        attempt: AttemptId,
+        end: LinkEnd,
+        messages_begun: u64,
+    ) {
         let request = attempt.request;
-        let Some(entry) = self.requests.get_mut(&request) else {
+        let Some(entry) = self.requests.get_mut(request) else {
             return;
         };
-        // Sent once more it would begin after its client went.
-        let no_more = entry.client_left || entry.phase != Phase::Open;
-        let Some(out) = entry
-            .out
-            .as_mut()
-            .filter(|out| out.number == attempt.number)
-        else {
+        // Otherwise it would begin after its client departed.
+        let is_wanted = !entry.client_departed && entry.phase == Phase::Open;
+        let in_flight = entry.in_flight.as_mut();
+        let Some(in_flight) = in_flight.filter(|other| other.number == attempt.number) else {
             return;
         };
-        let execution = decide::did_it_run(down, out.position < begun);
-        let active = self.hosts.get(&out.machine).and_then(Host::health) == Some(State::Active);
-        if execution == Execution::Unsent
-            && out.resent < MOST_RESENT
-            && now < out.until
-            && active
-            && !no_more
-        {
-            out.resent += 1;
-            return self.send_setup(now, request);
-        }
-        let outcome = if execution == Execution::MayHaveRun {
-            Outcome::Reset
-        } else {
-            Outcome::Unconnected
+        let execution = decide::execution_after(end, in_flight.position < messages_begun);
+        let host = self.hosts.host(in_flight.machine);
+        let is_active = host.and_then(Host::health) == Some(State::Active);
+        let may_resend = in_flight.resends < MAX_RESENDS && now < in_flight.deadline;
+        if execution == Execution::Unsent && may_resend && is_active && is_wanted {
+            in_flight.resends += 1;
+            return self.send_attempt(now, request);
+        }
+        let outcome = match execution {
+            Execution::MayHaveRun => Outcome::Reset,
+            Execution::Unsent | Execution::NeverRan => Outcome::Unconnected,
         };
-        self.take_back(request, outcome, None, Vec::new());
+        self.take_back(request, outcome.into());
     }
 }
--- /dev/null
+++ b/crates/platform/src/hosts/tasks.rs
@@ -0,0 +1,122 @@
+//! Tasks that run at hosts: accepted, handed over, ended.
+
+use reedring::{AttemptId, Event, MachineId, Micros, Outcome, RequestId};
+use reedring_platform_protocol::GIVEN_UP;
+use reedring_platform_protocol::client::ToClient;
+use reedring_platform_protocol::host::ToHost;
+
+use crate::attempts::AttemptResult;
+use crate::ids::LinkId;
+use crate::state::{Engine, Phase, Placement, TaskEnd};
+
+impl Engine {
+    /// The request whose task runs at a host under this id.
+    pub(super) fn running_request(&self, machine: MachineId, wire_id: u64) -> Option<RequestId> {
+        let found = self.requests.find(wire_id)?;
+        let placement = found.request.phase.placement()?;
+        (placement.machine == machine).then_some(found.id)
+    }
+
+    /// Whether a task with this key runs at a host.
+    pub(crate) fn runs_task(&self, machine: MachineId, key: u64) -> bool {
+        let range = (key, RequestId(0))..=(key, RequestId(u64::MAX));
+        let host = self.hosts.host(machine);
+        host.is_some_and(|host| host.running.range(range).next().is_some())
+    }
+
+    /// A task runs at a host: its end is to be notified.
+    pub(crate) fn task_runs(&mut self, now: Micros, machine: MachineId, request: RequestId) {
+        let key = self
+            .requests
+            .get(request)
+            .map(|entry| entry.placement_request.key);
+        let host = self.hosts.host_or_new(machine);
+        if host.running.is_empty() {
+            // Silence counts from when there is something to wait for.
+            host.last_received = host.last_received.max(now);
+        }
+        host.running.extend(key.map(|key| (key, request)));
+        self.evaluate_host(now, machine);
+    }
+
+    /// A host accepted an attempt: its task runs there, and its client is answered.
+    pub(super) fn task_accepted(
+        &mut self,
+        now: Micros,
+        link: LinkId,
+        attempt: AttemptId,
+        description: String,
+    ) {
+        let request = attempt.request;
+        let Some(in_flight) = self.in_flight(attempt) else {
+            return;
+        };
+        let Some(entry) = self.requests.get(request) else {
+            return;
+        };
+        let (machine, id, conn) = (in_flight.machine, entry.id(), entry.conn);
+        if entry.phase != Phase::Open {
+            // Nobody waits for it any more: it is stopped, and its end belongs to the attempt.
+            self.send_to_host(
+                link,
+                ToHost::Release {
+                    id,
+                    cause: GIVEN_UP,
+                },
+            );
+            return self.take_back(request, Outcome::Stopped.into());
+        }
+        let placement = Placement {
+            machine,
+            attempt: attempt.number,
+            since: now,
+        };
+        self.requests.start_running(request, placement);
+        let took_us = now.saturating_sub(in_flight.sent_at);
+        self.events.push(Event::Placed {
+            attempt,
+            machine,
+            took_us,
+        });
+        self.send_to_client(conn, ToClient::Answer { id, description });
+        self.request_closed(conn, id);
+        if let Some(client) = self.clients.get_mut(&conn) {
+            client.was_answered = true;
+            client.last_received = now;
+        }
+        self.task_runs(now, machine, request);
+    }
+
+    /// A running task ended.
+    pub(super) fn task_ended(
+        &mut self,
+        now: Micros,
+        request: RequestId,
+        cause: u8,
+        result: AttemptResult,
+    ) {
+        let Some(entry) = self.requests.get(request) else {
+            return;
+        };
+        let Some(placement) = entry.phase.placement() else {
+            return;
+        };
+        // A client that stopped its task, or was told that it moves, is not notified.
+        let is_notified = matches!(entry.phase, Phase::Running(_));
+        let key = entry.placement_request.key;
+        let end = TaskEnd {
+            at: now,
+            requested_on: entry.conn,
+            id: entry.id(),
+            cause,
+        };
+        if let Some(host) = self.hosts.host_mut(placement.machine) {
+            host.running.remove(&(key, request));
+        }
+        self.attempt_ended(request, placement.attempt, placement.machine, result);
+        self.requests.remove(request);
+        if is_notified {
+            self.notify_task_end(now, end);
+        }
+    }
+}
--- a/crates/platform/src/io.rs
+++ b/crates/platform/src/io.rs
@@ -1,80 +1,79 @@
-//! What the engine is told and what it answers.
+//! Inputs and outputs of the engine.
 
 use std::net::SocketAddr;
+use std::sync::Arc;
 
 use reedring_platform_protocol::client::{FromClient, InvalidMessage, ToClient};
 use reedring_platform_protocol::discovery::WatchResponse;
 use reedring_platform_protocol::host::{FromHost, ToHost};
 
-use crate::decide::Down;
-
-/// A client's connection, as the shell numbers it.
-pub type ConnId = u64;
-/// A connection to a host, as the engine numbers it.
-pub type LinkId = u64;
+use crate::decide::LinkEnd;
+use crate::errors::{ClientReadError, DiscoveryError};
+use crate::ids::{ConnId, LinkId};
+use crate::log_event::LogEvent;
 
 /// Something that happened.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A client connected.
-    ClientCame(ConnId),
-    /// A client's message, or one that can't be used.
-    Client(ConnId, Result<FromClient, InvalidMessage>),
-    /// All that a client had said was read, or (`more`) some of it still waits to be: a cancel or the end may be
-    /// among that.
-    ClientRead {
+    ClientConnected(ConnId),
+    /// A client's message, or one that can't be decoded.
+    ClientMessage(ConnId, Result<FromClient, InvalidMessage>),
+    /// What was read of a client at once was passed on. If `has_more`, some of its input was not read yet: a
+    /// cancellation or the end of the stream may be among that.
+    ClientInputRead {
         /// The connection.
         conn: ConnId,
-        /// More waits to be read.
-        more: bool,
+        /// More input waits to be read.
+        has_more: bool,
     },
-    /// A client will say nothing more on its connection, and may still read.
-    ClientEnded(ConnId),
-    /// A client said what can't be read, in words; nothing more is read from it.
-    ClientSpoilt(ConnId, String),
+    /// A client closed its sending side; it may still read.
+    ClientEndOfStream(ConnId),
+    /// A client's input can't be read; nothing more is read from it.
+    ClientUnreadable(ConnId, ClientReadError),
     /// A client's connection ended.
-    ClientGone(ConnId),
-    /// A connection to a host stands.
+    ClientDisconnected(ConnId),
+    /// A link is established.
     LinkUp(LinkId),
     /// A host's message.
-    Host(LinkId, FromHost),
-    /// A connection to a host ended, or could not be made.
+    HostMessage(LinkId, FromHost),
+    /// A link ended, or could not be made.
     LinkDown {
-        /// The connection.
+        /// The link.
         link: LinkId,
-        /// How.
-        down: Down,
-        /// Messages of which at least a byte left.
-        begun: u64,
+        /// How it ended.
+        end: LinkEnd,
+        /// Messages of which at least one byte was written to the socket.
+        messages_begun: u64,
     },
     /// Discovery answered.
-    Discovery(WatchResponse),
+    DiscoveryUpdate(WatchResponse),
     /// Discovery can't be reached or understood.
-    DiscoveryLost(String),
-    /// The placer is to end.
+    DiscoveryFailed(Arc<DiscoveryError>),
+    /// The placer is to shut down.
     Terminate,
 }
 
-/// Something to do, in order.
-#[derive(Clone, Debug, PartialEq)]
+/// Something to do. Outputs are carried out in their order.
+#[derive(Clone, Debug)]
 pub enum Output {
     /// Write to a client.
     ToClient(ConnId, ToClient),
     /// Close a client's connection once all is written.
     CloseClient(ConnId),
-    /// Close a client's connection if it said nothing that was not read yet: else that goes on.
+    /// Close a client's connection unless it sent something that was not read yet.
     CloseIdleClient(ConnId),
     /// Connect to a host.
     Connect(LinkId, SocketAddr),
-    /// Write to a host, as soon as the connection stands.
+    /// Write to a host.
     ToHost(LinkId, ToHost),
-    /// Close a connection to a host.
+    /// Close a link.
     CloseLink(LinkId),
-    /// Take no new connections any more.
+    /// Accept no new connections any more.
     StopListening,
-    /// All that was taken in is answered: the placer may end if nothing more waits to be taken in; else it is said
+    /// All that was taken in is answered: the placer may exit if no further input waits. Otherwise this output comes
     /// again.
     Finished,
-    /// A line for the staff.
-    Log(String),
+    /// An event for the operators' log.
+    Log(LogEvent),
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,34 +1,40 @@
-//! A placer on the platform: clients' binary messages in, hosts' JSON lines out, discovery polled.
+//! A placer on the platform: binary messages of clients in, JSON lines to hosts out, discovery polled.
 //!
-//! [`Engine`] holds the ledger of requests and attempts, the connections to hosts and the ends that are owed,
-//! around [`reedring::Placer`], which alone decides where a task goes. It does no I/O and reads no clock; the
-//! loop around it is
+//! [`Engine`] keeps the requests and their attempts, the links to hosts and the task ends that clients are still to be
+//! notified of, around [`reedring::Placer`], which alone decides where a task is placed. It does no I/O and reads no
+//! clock; the loop around it is
 //!
 //! ```text
 //! loop {
 //!     wait for an input, or until engine.next_wake();
 //!     for input in all that came { engine.handle(now, input); }
-//!     engine.flush(now);                         // the module decides, once
+//!     engine.flush(now);                         // the decision module decides, once
 //!     while let Some(output) = engine.poll() { carry it out }
 //! }
 //! ```
 //!
 //! [`run()`] is that loop on sockets, in one thread.
 //!
-//! Modules import one way, each only from those on the lines below it (`tests/layers.rs` holds them to it):
+//! A *link* is a connection to a host. An *attempt* is one message that asks a host to start a task; a request has one
+//! in flight at most.
+//!
+//! Modules import one way, each only from those on the lines below it (`tests/layers.rs` checks it):
 //!
 //! ```text
-//! run                              the loop around the engine
-//! sockets, discovery, follow       tokio tasks, and log lines
-//! outbox                           bytes that wait to be written
-//! engine                           inputs to events, actions to outputs
-//! clients, hosts, attempts         methods on `Engine`, one concern each
-//! state                            the types that these share, `Engine` itself among them
-//! bounds, io                       limits; inputs and outputs
-//! decide                           pure decisions on connections
+//! run                                  the loop around the engine
+//! sockets, discovery, message_log      tokio tasks; the log of all messages
+//! write_buffer                         bytes that wait to be written
+//! engine                               inputs to events, actions to outputs
+//! clients, hosts, health_checks        methods of `Engine`, one concern each
+//! attempts                             methods of `Engine` that send and end attempts
+//! state                                tables with private fields, and `Engine` that holds them
+//! bounds, io                           limits; inputs and outputs
+//! log_event                            events for the operators' log
+//! errors                               what can be wrong with input
+//! decide, ids                          pure decisions on connections; their numbers
 //! ```
 //!
-//! `clients`, `hosts` and `attempts` import nothing of each other: where one needs another, it calls a method of
+//! `clients`, `hosts` and `health_checks` import nothing of each other: where one needs another, it calls a method of
 //! [`Engine`].
 #![forbid(unsafe_code)]
 
@@ -38,16 +44,23 @@
 pub mod decide;
 mod discovery;
 mod engine;
-mod follow;
+mod errors;
+mod health_checks;
 mod hosts;
+mod ids;
 mod io;
-mod outbox;
+mod log_event;
+mod message_log;
 mod run;
 mod sockets;
 mod state;
+mod write_buffer;
 
 pub use bounds::Bounds;
 pub use engine::{Sizes, Start};
-pub use io::{ConnId, Input, LinkId, Output};
+pub use errors::{ClientReadError, DiscoveryError, Rejection};
+pub use ids::{ConnId, LinkId};
+pub use io::{Input, Output};
+pub use log_event::{LogEvent, Peer};
 pub use run::{RunError, run, serve};
 pub use state::Engine;
--- /dev/null
+++ b/crates/platform/src/run/shell.rs
@@ -0,0 +1,225 @@
+//! Carries the engine's outputs out: connections, messages and log events.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use reedring_platform_protocol::GIVEN_UP;
+use reedring_platform_protocol::host::ToHost;
+use tokio::sync::{mpsc, oneshot};
+
+use crate::ids::{ConnId, LinkId};
+use crate::io::{Input, Output};
+use crate::log_event::{LogEvent, Peer};
+use crate::message_log;
+use crate::sockets::{ConnectionPermits, HostConnector, Incoming};
+use crate::state::Engine;
+use crate::write_buffer::{MessageWriter, WriteBudget, WriteBuffer};
+
+use super::log::RateLimitedLog;
+
+/// How long the last answers may take to be written at the exit, and the interval at which that is checked.
+const WRITE_ALL_LIMIT: Duration = Duration::from_millis(300);
+const WRITE_ALL_POLL: Duration = Duration::from_millis(5);
+
+/// What a [`Shell`] needs at its start.
+pub(super) struct ShellSettings {
+    pub connect_timeout: Duration,
+    pub permits: ConnectionPermits,
+    pub budget: WriteBudget,
+    /// Bytes that may wait to be written.
+    pub max_pending_bytes: usize,
+    /// Dropped when no new connections are to be accepted any more.
+    pub stop_listening: oneshot::Sender<()>,
+    pub incoming: mpsc::Sender<Incoming>,
+}
+
+/// The connections of clients and the links to hosts, by their numbers.
+pub(super) struct Shell {
+    pub(super) clients: BTreeMap<ConnId, MessageWriter>,
+    pub(super) links: BTreeMap<LinkId, MessageWriter>,
+    connect_timeout: Duration,
+    permits: ConnectionPermits,
+    pub(super) budget: WriteBudget,
+    max_pending_bytes: usize,
+    /// Connections that were sent something which is not written yet.
+    unflushed_clients: Vec<ConnId>,
+    unflushed_links: Vec<LinkId>,
+    stop_listening: Option<oneshot::Sender<()>>,
+    incoming: mpsc::Sender<Incoming>,
+    log: RateLimitedLog,
+}
+
+impl Shell {
+    pub(super) fn new(settings: ShellSettings) -> Self {
+        Self {
+            clients: BTreeMap::new(),
+            links: BTreeMap::new(),
+            connect_timeout: settings.connect_timeout,
+            permits: settings.permits,
+            budget: settings.budget,
+            max_pending_bytes: settings.max_pending_bytes,
+            unflushed_clients: Vec::new(),
+            unflushed_links: Vec::new(),
+            stop_listening: Some(settings.stop_listening),
+            incoming: settings.incoming,
+            log: RateLimitedLog::default(),
+        }
+    }
+
+    /// Passes what came on to the engine; how many inputs it was.
+    pub(super) fn take_in(&mut self, engine: &mut Engine, now: u64, incoming: Incoming) -> usize {
+        match incoming {
+            Incoming::Client(conn, writer) => {
+                self.clients.insert(conn, writer);
+                self.handle(engine, now, Input::ClientConnected(conn));
+                1
+            }
+            Incoming::Input(input) => {
+                self.handle(engine, now, input);
+                1
+            }
+            Incoming::Inputs(inputs) => {
+                let count = inputs.len();
+                for input in inputs {
+                    self.handle(engine, now, input);
+                }
+                count
+            }
+            Incoming::Log(event) => {
+                self.log.write(now, &event);
+                0
+            }
+        }
+    }
+
+    fn handle(&mut self, engine: &mut Engine, now: u64, input: Input) {
+        match &input {
+            Input::ClientDisconnected(conn) => drop(self.clients.remove(conn)),
+            Input::LinkDown { link, .. } => drop(self.links.remove(link)),
+            _ => {}
+        }
+        message_log::write(|| message_log::input(&input));
+        engine.handle(now, input);
+    }
+
+    pub(super) fn carry_out(&mut self, now: u64, output: Output) {
+        message_log::write(|| message_log::output(&output));
+        match output {
+            Output::ToClient(conn, message) => {
+                if let Some(writer) = self.clients.get(&conn) {
+                    writer.send(&message.encode());
+                    self.unflushed_clients.push(conn);
+                    self.limit_pending_bytes(now);
+                }
+            }
+            Output::CloseClient(conn) => {
+                if let Some(writer) = self.clients.remove(&conn) {
+                    writer.flush();
+                }
+            }
+            Output::CloseIdleClient(conn) => {
+                if let Some(writer) = self.clients.get(&conn) {
+                    writer.close_if_idle();
+                }
+            }
+            Output::Connect(link, address) => self.connect(link, address),
+            Output::ToHost(link, message) => self.send_to_host(now, link, &message),
+            Output::CloseLink(link) => {
+                // Attempts on it are given up with it, before they are sent elsewhere.
+                if let Some(writer) = self.links.remove(&link) {
+                    writer.flush();
+                    writer.abort();
+                }
+            }
+            Output::StopListening => drop(self.stop_listening.take()),
+            Output::Log(event) => self.log.write(now, &event),
+            Output::Finished => {}
+        }
+    }
+
+    fn connect(&mut self, link: LinkId, address: SocketAddr) {
+        let buffer = WriteBuffer::new(&self.budget);
+        self.links.insert(link, buffer.writer);
+        let connector = HostConnector {
+            link,
+            address,
+            timeout: self.connect_timeout,
+            permits: self.permits.clone(),
+            incoming: self.incoming.clone(),
+        };
+        tokio::spawn(connector.run(buffer.queue));
+    }
+
+    fn send_to_host(&mut self, now: u64, link: LinkId, message: &ToHost) {
+        let Some(writer) = self.links.get(&link) else {
+            return;
+        };
+        writer.send(&message.encode());
+        if !matches!(
+            message,
+            ToHost::Release {
+                cause: GIVEN_UP,
+                ..
+            }
+        ) {
+            self.unflushed_links.push(link);
+        } else if !writer.flush() {
+            // An attempt is to be given up before it is sent elsewhere: a host that takes nothing any more sees the
+            // connection end instead.
+            writer.abort();
+        }
+        self.limit_pending_bytes(now);
+    }
+
+    /// Writes what was sent since the last call.
+    pub(super) fn flush(&mut self) {
+        for link in self.unflushed_links.drain(..) {
+            self.links.get(&link).map(MessageWriter::flush);
+        }
+        for conn in self.unflushed_clients.drain(..) {
+            self.clients.get(&conn).map(MessageWriter::flush);
+        }
+    }
+
+    /// If too much waits to be written, the connection for which most of it waits is ended: its other end does not
+    /// read.
+    fn limit_pending_bytes(&mut self, now: u64) {
+        if self.budget.pending() <= self.max_pending_bytes {
+            return;
+        }
+        let client = self.clients.iter().max_by_key(|(_, writer)| writer.len());
+        let link = self.links.iter().max_by_key(|(_, writer)| writer.len());
+        let client = client.map(|(conn, writer)| (Peer::Client(*conn), writer));
+        let link = link.map(|(link, writer)| (Peer::Host(*link), writer));
+        let largest = client
+            .into_iter()
+            .chain(link)
+            .max_by_key(|(_, writer)| writer.len());
+        if let Some((peer, writer)) = largest {
+            let pending_bytes = writer.len();
+            writer.abort();
+            self.log.write(
+                now,
+                &LogEvent::WriteBufferLimit {
+                    peer,
+                    pending_bytes,
+                },
+            );
+        }
+    }
+
+    /// Lets the last messages be written.
+    pub(super) async fn write_all(&mut self) {
+        let clients = std::mem::take(&mut self.clients);
+        let written = async {
+            for writer in clients.into_values() {
+                while writer.len() > 0 {
+                    tokio::time::sleep(WRITE_ALL_POLL).await;
+                }
+            }
+        };
+        let _ = tokio::time::timeout(WRITE_ALL_LIMIT, written).await;
+        tokio::time::sleep(WRITE_ALL_POLL).await;
+    }
+}
--- a/crates/platform/src/run/tests.rs
+++ b/crates/platform/src/run/tests.rs
@@ -1,62 +1,74 @@
-//! The order in which the loop takes in and writes.
+//! The order in which the loop takes input in and writes.
 
+use std::sync::Arc;
+use std::time::Duration;
+
+use reedring_platform_protocol::GIVEN_UP;
 use reedring_platform_protocol::config::Limits;
+use reedring_platform_protocol::host::ToHost;
 use tokio::io::AsyncReadExt;
-use tokio::net::TcpStream;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::{mpsc, oneshot};
 
-use super::*;
+use super::event_loop::{DISCOVERY_QUEUE, INPUT_QUEUE, next_input};
+use super::shell::{Shell, ShellSettings};
+use crate::bounds::Bounds;
+use crate::errors::DiscoveryError;
+use crate::io::{Input, Output};
+use crate::sockets::{ConnectionPermits, Incoming};
+use crate::write_buffer::{WriteBudget, WriteBuffer};
 
-/// A drain counts from when it was told, however much waits before it.
+/// A drain counts from when discovery published it, however much input waits before it.
 #[tokio::test]
-async fn the_list_goes_before_all_that_waits() {
+async fn updates_of_discovery_go_before_all_input_that_waits() {
     for _ in 0..32 {
-        let (list, mut listed) = mpsc::channel(LISTED);
-        let (came, mut coming) = mpsc::channel(INPUTS);
-        for conn in 0..INPUTS as u64 {
-            came.try_send(Incoming::Input(Input::ClientGone(conn)))
-                .ok()
-                .unwrap();
+        let (updates, mut discovery) = mpsc::channel(DISCOVERY_QUEUE);
+        let (sender, mut incoming) = mpsc::channel(INPUT_QUEUE);
+        for conn in 0..INPUT_QUEUE as u64 {
+            let input = Incoming::Input(Input::ClientDisconnected(conn));
+            sender.try_send(input).ok().unwrap();
         }
-        list.try_send(Input::DiscoveryLost("a".to_owned())).unwrap();
-        let told = next(&mut listed, &mut coming, &mut Vec::new(), None).await;
-        assert!(matches!(&told[..], [Input::DiscoveryLost(_)]), "{told:?}");
+        let failed = Input::DiscoveryFailed(Arc::new(DiscoveryError::NoDescriptor));
+        updates.try_send(failed).unwrap();
+        let first = next_input(&mut discovery, &mut incoming, &mut Vec::new(), None).await;
+        assert!(
+            matches!(&first[..], [Input::DiscoveryFailed(_)]),
+            "{first:?}"
+        );
     }
 }
 
-/// Seen on split+mass: the word that gave an attempt up left after the next set-up on another connection, as the
-/// first one's task waited for the engine. Nothing but the loop may be needed to write it, and it writes it first.
+/// Seen on split+mass: the release of an attempt was written after the next attempt on another link, as the task of the
+/// first link waited for the engine. Nothing but the loop may be needed to write it, and it writes it first.
 #[tokio::test]
-async fn an_attempt_is_given_up_before_the_next_one_leaves() {
+async fn an_attempt_is_given_up_before_the_next_one_is_sent() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let (came, _coming) = mpsc::channel(4);
-    let mut shell = Shell {
-        clients: BTreeMap::new(),
-        links: BTreeMap::new(),
-        connect: Duration::from_secs(1),
-        places: Places::new(&Bounds::of(&Limits {
-            cores: 1.0,
-            memory_mb: 32,
-            sockets: 64,
-        })),
-        budget: Budget::default(),
-        most: 1 << 20,
-        touched_clients: Vec::new(),
-        touched_links: Vec::new(),
-        stop: None,
-        came,
-        second: (0, 0),
+    let (sender, _incoming) = mpsc::channel(4);
+    let limits = Limits {
+        cores: 1.0,
+        memory_mb: 32,
+        sockets: 64,
     };
+    let (stop_listening, _stopped) = oneshot::channel();
+    let mut shell = Shell::new(ShellSettings {
+        connect_timeout: Duration::from_secs(1),
+        permits: ConnectionPermits::new(&Bounds::of(&limits)),
+        budget: WriteBudget::default(),
+        max_pending_bytes: 1 << 20,
+        stop_listening,
+        incoming: sender,
+    });
     let mut ends = Vec::new();
     for link in [1, 2] {
-        let (sender, messages) = outbox(&shell.budget);
-        let stream = std::sync::Arc::new(TcpStream::connect(address).await.unwrap());
+        let WriteBuffer { writer, queue } = WriteBuffer::new(&shell.budget);
+        let stream = Arc::new(TcpStream::connect(address).await.unwrap());
         stream.writable().await.unwrap();
-        messages.attach(&stream, Vec::new());
-        shell.links.insert(link, sender);
-        ends.push((listener.accept().await.unwrap().0, messages));
+        queue.attach(&stream, Vec::new());
+        shell.links.insert(link, writer);
+        ends.push((listener.accept().await.unwrap().0, queue));
     }
-    let setup = ToHost::PlacementRequest {
+    let request = ToHost::PlacementRequest {
         id: 7,
         class: "play".to_owned(),
         key: 1,
@@ -64,7 +76,7 @@
         left_ms: 100,
         description: "x".to_owned(),
     };
-    // Both in one turn, whatever else was meant for the second before.
+    // Both in one pass of the loop, whatever else was sent on the second before.
     shell.carry_out(
         0,
         Output::ToHost(
@@ -85,7 +97,7 @@
             },
         ),
     );
-    shell.carry_out(0, Output::ToHost(2, setup));
+    shell.carry_out(0, Output::ToHost(2, request));
     let mut bytes = [0; 256];
     let count = ends[0].0.read(&mut bytes).await.unwrap();
     assert!(
@@ -94,11 +106,11 @@
             .contains("release")
     );
     assert_eq!(
-        ends[1].1.begun(),
+        ends[1].1.messages_begun(),
         0,
-        "the set-up waits for the end of the turn"
+        "the request waits for the end of the pass"
     );
-    shell.write();
+    shell.flush();
     let count = ends[1].0.read(&mut bytes).await.unwrap();
     assert!(
         std::str::from_utf8(&bytes[..count])
--- /dev/null
+++ b/crates/platform/src/sockets/host.rs
@@ -0,0 +1,175 @@
+//! Links to hosts: connected, read and written.
+
+use std::io;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use reedring_platform_protocol::host;
+use tokio::net::TcpStream;
+use tokio::sync::mpsc;
+use tokio::time::{Instant, timeout};
+
+use super::{ConnectionPermits, Incoming, Read, WRITE_STALL_LIMIT, limit_over, read, write};
+use crate::decide::LinkEnd;
+use crate::ids::LinkId;
+use crate::io::Input;
+use crate::log_event::LogEvent;
+use crate::write_buffer::WriteQueue;
+
+/// The delay before a connection is tried again while no descriptor is left.
+const DESCRIPTOR_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// Error numbers of the system: no descriptor is left in the machine (ENFILE), or in the process (EMFILE).
+const NO_DESCRIPTOR_ERRORS: [i32; 2] = [23, 24];
+
+/// Connects a link and serves it to its end.
+pub(crate) struct HostConnector {
+    pub link: LinkId,
+    pub address: SocketAddr,
+    pub timeout: Duration,
+    pub permits: ConnectionPermits,
+    pub incoming: mpsc::Sender<Incoming>,
+}
+
+impl HostConnector {
+    /// Keeps the link from the connection to its end, which is reported unless nobody wants the link any more.
+    pub async fn run(self, queue: WriteQueue) {
+        // That the placer has no descriptor for it for a moment is no sign of the host's.
+        let permit = tokio::select! {
+            permit = self.permits.for_link() => permit,
+            () = closed(&queue) => return,
+        };
+        let end = tokio::select! {
+            connected = timeout(self.timeout, connect(self.address)) => match connected {
+                Ok(Ok(stream)) => {
+                    let stream = Arc::new(stream);
+                    queue.attach(&stream, permit.into_iter().collect());
+                    match self.serve(&stream, &queue).await {
+                        Some(end) => end,
+                        None => return,
+                    }
+                }
+                Ok(Err(error)) => self.connect_failed(error).await,
+                Err(_) => LinkEnd::ConnectFailed,
+            },
+            () = closed(&queue) => return,
+        };
+        let messages_begun = queue.messages_begun();
+        let down = Input::LinkDown {
+            link: self.link,
+            end,
+            messages_begun,
+        };
+        let _ = self.incoming.send(Incoming::Input(down)).await;
+    }
+
+    async fn connect_failed(&self, error: io::Error) -> LinkEnd {
+        if error.kind() == io::ErrorKind::ConnectionRefused {
+            return LinkEnd::Refused;
+        }
+        let (address, error) = (self.address, Arc::new(error));
+        let event = LogEvent::LinkConnectFailed { address, error };
+        let _ = self.incoming.send(Incoming::Log(event)).await;
+        LinkEnd::ConnectFailed
+    }
+
+    /// Reports that the link is up and serves it; `None` if the loop runs no more.
+    async fn serve(&self, stream: &TcpStream, queue: &WriteQueue) -> Option<LinkEnd> {
+        let up = Incoming::Input(Input::LinkUp(self.link));
+        self.incoming.send(up).await.ok()?;
+        let _ = stream.set_nodelay(true);
+        let mut reader = host::Reader::default();
+        let mut stalled_since: Option<Instant> = None;
+        loop {
+            tokio::select! {
+                // What the host sent or did is processed before anything more is written to it.
+                biased;
+                ready = stream.readable() => {
+                    let read = match ready {
+                        Ok(()) => self.read(stream, &mut reader).await,
+                        Err(_) => Err(LinkEnd::Reset),
+                    };
+                    match read {
+                        Ok(()) => continue,
+                        Err(end) => return Some(end),
+                    }
+                }
+                ready = stream.writable(), if stalled_since.is_some() => {
+                    if ready.is_err() {
+                        return Some(LinkEnd::Reset);
+                    }
+                }
+                () = queue.changed() => {}
+                () = limit_over(stalled_since, WRITE_STALL_LIMIT), if stalled_since.is_some() => {
+                    return Some(LinkEnd::Reset);
+                }
+            }
+            // After a reset that came already, nothing is read any more.
+            if !matches!(stream.take_error(), Ok(None)) {
+                return Some(LinkEnd::Reset);
+            }
+            match write(queue, stalled_since) {
+                Ok(since) => stalled_since = since,
+                Err(_) => return Some(LinkEnd::Reset),
+            }
+            if queue.is_done() {
+                return Some(LinkEnd::Closed);
+            }
+        }
+    }
+
+    /// Reads once and reports all messages that are complete; how the link ended, if it did.
+    async fn read(&self, stream: &TcpStream, reader: &mut host::Reader) -> Result<(), LinkEnd> {
+        match read(stream, |bytes| reader.push(bytes)) {
+            Ok(Read::Nothing) => return Ok(()),
+            Ok(Read::Bytes) => {}
+            Ok(Read::EndOfStream) => return Err(LinkEnd::Closed),
+            Err(_) => return Err(LinkEnd::Reset),
+        }
+        loop {
+            match reader.next_message() {
+                Ok(Some(message)) => {
+                    let input = Incoming::Input(Input::HostMessage(self.link, message));
+                    self.incoming
+                        .send(input)
+                        .await
+                        .map_err(|_| LinkEnd::Reset)?;
+                }
+                Ok(None) => return Ok(()),
+                Err(error) => {
+                    let event = LogEvent::LinkUnreadable {
+                        link: self.link,
+                        error,
+                    };
+                    let _ = self.incoming.send(Incoming::Log(event)).await;
+                    return Err(LinkEnd::Unreadable);
+                }
+            }
+        }
+    }
+}
+
+/// Waits until nobody wants the link any more.
+async fn closed(queue: &WriteQueue) {
+    while !queue.is_closed() {
+        queue.changed().await;
+    }
+}
+
+/// Connects; that the placer has no descriptor left for a moment is no sign of the host's.
+async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
+    loop {
+        match TcpStream::connect(address).await {
+            Err(error) if is_out_of_descriptors(&error) => {
+                tokio::time::sleep(DESCRIPTOR_RETRY_DELAY).await;
+            }
+            connected => return connected,
+        }
+    }
+}
+
+fn is_out_of_descriptors(error: &io::Error) -> bool {
+    error
+        .raw_os_error()
+        .is_some_and(|number| NO_DESCRIPTOR_ERRORS.contains(&number))
+}
--- a/crates/platform/src/sockets/tests.rs
+++ b/crates/platform/src/sockets/tests.rs
@@ -1,11 +1,17 @@
-//! Which connections are accepted, and what is read in one go.
+//! Which connections are accepted, and what is read at once.
 
-use reedring_platform_protocol::config::Limits;
+use std::sync::Arc;
 
+use reedring_platform_protocol::config::Limits;
 use socket2::SockRef;
+use tokio::net::TcpListener;
+use tokio::sync::{mpsc, oneshot};
 
+use super::client::ClientTask;
+use super::permits::EXCESS_CLIENTS;
 use super::*;
-use crate::outbox::{self as outboxes};
+use crate::bounds::Bounds;
+use crate::write_buffer::{WriteBudget, WriteBuffer};
 
 fn bounds() -> Bounds {
     Bounds::of(&Limits {
@@ -15,157 +21,185 @@
     })
 }
 
-/// A placer that ends has taken whom the system took for it, however late its own turn comes.
+fn acceptor(incoming: mpsc::Sender<Incoming>) -> Acceptor {
+    Acceptor {
+        permits: ConnectionPermits::new(&bounds()),
+        budget: WriteBudget::default(),
+        incoming,
+    }
+}
+
+/// A placer that exits has taken the connections that the system accepted, however late its own turn comes.
 #[tokio::test]
-async fn who_waits_when_listening_stops_is_taken() {
+async fn connections_that_wait_when_listening_stops_are_accepted() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let mut clients = Vec::new();
     for _ in 0..8 {
         clients.push(TcpStream::connect(address).await.unwrap());
     }
-    let ((stop, stopped), (came, mut coming)) = (oneshot::channel(), mpsc::channel(16));
+    let ((stop, stopped), (sender, mut incoming)) = (oneshot::channel(), mpsc::channel(16));
     drop(stop);
-    accept(
-        listener,
-        Places::new(&bounds()),
-        Budget::default(),
-        came,
-        stopped,
-    )
-    .await;
+    acceptor(sender).run(listener, stopped).await;
     for _ in 0..8 {
-        assert!(matches!(coming.recv().await, Some(Incoming::Client(..))));
+        assert!(matches!(incoming.recv().await, Some(Incoming::Client(..))));
     }
     assert!(
         TcpStream::connect(address).await.is_err(),
-        "and nobody after that"
+        "and none after that"
     );
 }
 
-/// A client's connection and the placer's end of it, served by a task.
-async fn served() -> (
-    TcpStream,
-    outboxes::Sender,
-    mpsc::Receiver<Incoming>,
-    tokio::task::JoinHandle<()>,
-) {
+/// A client's connection, and the placer's end of it.
+struct Served {
+    client: TcpStream,
+    writer: MessageWriter,
+    incoming: mpsc::Receiver<Incoming>,
+    task: tokio::task::JoinHandle<()>,
+}
+
+/// A client's connection whose other end is served by its task.
+async fn served() -> Served {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let client = TcpStream::connect(listener.local_addr().unwrap())
         .await
         .unwrap();
     let stream = Arc::new(listener.accept().await.unwrap().0);
-    let (out, messages) = outbox(&Budget::default());
-    messages.attach(&stream, Vec::new());
-    let (came, coming) = mpsc::channel(16);
-    let serving = tokio::spawn(async move { serve(1, &stream, messages, &came).await });
-    (client, out, coming, serving)
+    let WriteBuffer { writer, queue } = WriteBuffer::new(&WriteBudget::default());
+    queue.attach(&stream, Vec::new());
+    let (sender, incoming) = mpsc::channel(16);
+    let task = tokio::spawn(async move { ClientTask::new(1, &stream, queue, &sender).run().await });
+    Served {
+        client,
+        writer,
+        incoming,
+        task,
+    }
 }
 
 /// A test of a placer: 11 bytes, and the cause.
 const TEST: [u8; 15] = [0, 13, 52, 0, 0, 0, 0, 0, 0, 0, 9, 194, 0, 1, 0];
 
-/// Its bytes lie in the socket's buffer in the instant in which the engine closes on it: they are heard, and it stays.
+/// A client's message lies in the socket's buffer when the engine closes the connection as idle: it is read, and the
+/// connection stays.
 #[tokio::test]
-async fn who_speaks_in_the_instant_of_an_idle_close_is_heard() {
+async fn a_message_that_crosses_an_idle_close_is_read() {
     for _ in 0..16 {
-        let (client, out, mut coming, serving) = served().await;
+        let Served {
+            client,
+            writer,
+            mut incoming,
+            task,
+        } = served().await;
         client.writable().await.unwrap();
         assert_eq!(client.try_write(&TEST).unwrap(), TEST.len());
-        out.close_idle();
-        let said = coming.recv().await.expect("it is not closed on");
-        assert!(matches!(said, Incoming::Said(said) if matches!(said[0], Input::Client(1, Ok(_)))));
-        // With nothing more to hear it ends.
-        out.close_idle();
-        tokio::time::timeout(Duration::from_secs(20), serving)
+        writer.close_if_idle();
+        let received = incoming.recv().await.expect("it is not closed");
+        assert!(
+            matches!(received, Incoming::Inputs(inputs) if matches!(inputs[0], Input::ClientMessage(1, Ok(_))))
+        );
+        // With nothing more to read it ends.
+        writer.close_if_idle();
+        tokio::time::timeout(Duration::from_secs(20), task)
             .await
             .expect("the close")
             .unwrap();
     }
 }
 
-/// Half a message lies there: its rest is waited for.
+/// A part of a message lies there: the rest is waited for.
 #[tokio::test]
-async fn half_a_message_in_the_instant_of_an_idle_close_may_come_to_its_end() {
-    let (mut client, out, mut coming, _serving) = served().await;
+async fn a_partial_message_that_crosses_an_idle_close_may_be_completed() {
+    let Served {
+        mut client,
+        writer,
+        mut incoming,
+        task: _task,
+    } = served().await;
     client.writable().await.unwrap();
     assert_eq!(client.try_write(&TEST[..5]).unwrap(), 5);
-    out.close_idle();
+    writer.close_if_idle();
     tokio::task::yield_now().await;
     tokio::io::AsyncWriteExt::write_all(&mut client, &TEST[5..])
         .await
         .unwrap();
-    assert!(matches!(coming.recv().await, Some(Incoming::Said(_))));
+    assert!(matches!(incoming.recv().await, Some(Incoming::Inputs(_))));
 }
 
-/// What a client says, takes back and ends in one go is known together.
+/// What a client sends, cancels and ends at once is reported together.
 #[tokio::test]
-async fn what_is_said_and_ended_in_one_go_comes_together() {
-    let (mut client, _out, mut coming, _serving) = served().await;
+async fn messages_and_the_end_of_stream_are_reported_together() {
+    let Served {
+        mut client,
+        writer: _writer,
+        mut incoming,
+        task: _task,
+    } = served().await;
     client.writable().await.unwrap();
     assert_eq!(client.try_write(&TEST.repeat(3)).unwrap(), 3 * TEST.len());
     SockRef::from(&client)
         .shutdown(std::net::Shutdown::Write)
         .unwrap();
-    let Some(Incoming::Said(said)) = coming.recv().await else {
-        panic!("nothing was said")
+    let Some(Incoming::Inputs(inputs)) = incoming.recv().await else {
+        panic!("nothing was reported")
     };
     assert!(matches!(
-        said[..],
+        inputs[..],
         [
-            Input::Client(..),
-            Input::Client(..),
-            Input::Client(..),
-            Input::ClientEnded(1)
+            Input::ClientMessage(..),
+            Input::ClientMessage(..),
+            Input::ClientMessage(..),
+            Input::ClientEndOfStream(1)
         ]
     ));
     drop(tokio::io::AsyncWriteExt::shutdown(&mut client).await);
 }
 
-/// Connections of clients wait in the listen queue, not in descriptors, once all places are taken.
+/// Connections of clients wait in the accept queue, not in descriptors, once all permits are taken.
 #[tokio::test]
-async fn no_more_are_taken_than_there_are_places() {
+async fn no_more_are_accepted_than_there_are_permits() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let (places, (_stop, stopped), (came, mut coming)) = (
-        Places::new(&bounds()),
-        oneshot::channel(),
-        mpsc::channel(512),
-    );
-    tokio::spawn(accept(listener, places, Budget::default(), came, stopped));
-    let most = bounds().clients + bounds().overflow + TURNED_AWAY;
+    let ((_stop, stopped), (sender, mut incoming)) = (oneshot::channel(), mpsc::channel(512));
+    tokio::spawn(acceptor(sender).run(listener, stopped));
+    let most = bounds().clients + bounds().client_overflow + EXCESS_CLIENTS;
     let mut clients = Vec::new();
     for _ in 0..most + 20 {
         clients.push(TcpStream::connect(address).await.unwrap());
     }
     let mut taken = Vec::new();
     for _ in 0..most {
-        let Some(Incoming::Client(_, out)) = coming.recv().await else {
-            panic!("one is not taken")
+        let Some(Incoming::Client(_, writer)) = incoming.recv().await else {
+            panic!("one is not accepted")
         };
-        taken.push(out);
+        taken.push(writer);
     }
     for _ in 0..100 {
         tokio::task::yield_now().await;
     }
     assert!(
-        coming.try_recv().is_err(),
-        "more were taken than there are places"
+        incoming.try_recv().is_err(),
+        "more were accepted than there are permits"
     );
-    // As one ends the next is taken.
+    // When one ends the next is accepted.
     drop(taken.pop());
-    while !matches!(coming.recv().await, Some(Incoming::Client(..))) {}
+    while !matches!(incoming.recv().await, Some(Incoming::Client(..))) {}
 }
 
-/// What still waits for an idle client is written before it is closed on.
+/// What still waits for an idle client is written before its connection is closed.
 #[tokio::test]
-async fn who_is_idle_gets_what_waits_for_it_before_its_close() {
-    let (mut client, out, _coming, serving) = served().await;
+async fn pending_bytes_are_written_before_an_idle_close() {
+    let Served {
+        mut client,
+        writer,
+        incoming: _incoming,
+        task,
+    } = served().await;
     let all = vec![7; 8 * 1024 * 1024];
-    out.send(&all);
-    out.flush();
-    assert!(out.len() > 0, "more than the sockets take");
-    out.close_idle();
+    writer.send(&all);
+    writer.flush();
+    assert!(writer.len() > 0, "more than the sockets take");
+    writer.close_if_idle();
     let mut read = vec![0; all.len()];
     let whole = tokio::io::AsyncReadExt::read_exact(&mut client, &mut read);
     tokio::time::timeout(Duration::from_secs(20), whole)
@@ -173,7 +207,7 @@
         .expect("all of it")
         .unwrap();
     assert_eq!(read, all);
-    tokio::time::timeout(Duration::from_secs(20), serving)
+    tokio::time::timeout(Duration::from_secs(20), task)
         .await
         .expect("the close")
         .unwrap();
--- a/crates/platform/src/state/mod.rs
+++ b/crates/platform/src/state/mod.rs
@@ -1,6 +1,8 @@
-//! What the engine knows: the types that clients, hosts and attempts share, and nothing that decides or sends.
+//! What the engine keeps: the types that clients, hosts and attempts share. Each table has private fields and keeps its
+//! own counts; nothing here decides or sends.
 
 mod client;
+mod health_check;
 mod host;
 mod request;
 
@@ -10,91 +12,79 @@
 use reedring::timers::Timers;
 use reedring::{AttemptId, Event, MachineId, Micros, Placer, RequestId};
 
-pub(crate) use self::client::{Conn, End};
-pub(crate) use self::host::{FIRST_WAIT, Host, Link};
-pub(crate) use self::request::{Out, Phase, Request};
+pub(crate) use self::client::{ClientConnection, TaskEnd, TaskEnds};
+pub(crate) use self::health_check::{HealthCheck, HealthChecks};
+pub(crate) use self::host::{FIRST_RECONNECT_DELAY, Host, HostTable, Link};
+pub(crate) use self::request::{InFlightAttempt, Phase, Placement, Request, RequestTable};
 use crate::bounds::Bounds;
-use crate::io::{ConnId, LinkId, Output};
+use crate::ids::ConnId;
+use crate::io::Output;
+use crate::log_event::LogEvent;
 
-/// How long a connection may take where the settings have no time-out.
-const CONNECT_US: Micros = 250_000;
+/// The connect timeout where the settings have none.
+const DEFAULT_CONNECT_TIMEOUT_US: Micros = 250_000;
 
-/// How long a connection may take, and so a probe too; a visit to a host lasts no less.
-pub(crate) fn connect_us(settings: &Deployment) -> Micros {
-    settings
-        .module
-        .rules
-        .connect_timeout_us
-        .unwrap_or(CONNECT_US)
+/// How long a connection to a host may take, and also a health check. A link made to check on a host is kept at least
+/// as long.
+pub(crate) fn connect_timeout_us(settings: &Deployment) -> Micros {
+    let timeout = settings.module.rules.connect_timeout_us;
+    timeout.unwrap_or(DEFAULT_CONNECT_TIMEOUT_US)
 }
 
-/// What a timer is for. None is ever withdrawn: what it asks is checked when it comes due.
+/// What a timer is for. None is ever cancelled: whether it still applies is checked when it fires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Timer {
-    /// One of the module's own.
+    /// A timer of the decision module.
     Module(u64),
-    /// The time of an attempt is over.
-    Attempt(AttemptId),
-    /// The time of a probe is over.
-    Probe(u64),
-    /// A host that holds tasks may be due to be connected to again.
+    /// An attempt times out.
+    AttemptTimeout(AttemptId),
+    /// A health check times out.
+    HealthCheckTimeout(u64),
+    /// A host that runs tasks may be due for another connection.
     Reconnect(MachineId),
-    /// A client ended a moment ago.
-    Gone(ConnId),
-    /// The time of a request is over that may still wait for its turn.
-    Overdue(RequestId),
-    /// Idle connections and old records are looked through.
+    /// The grace period after a client's end of stream is over.
+    DepartureGrace(ConnId),
+    /// The deadline of a request that may still wait to be submitted.
+    RequestDeadline(RequestId),
+    /// Idle connections and old records are swept.
     Sweep,
 }
 
-pub(crate) struct Probe {
-    pub machine: MachineId,
-    pub link: LinkId,
-    pub sent: Micros,
+/// How far the shutdown of the placer is.
+#[derive(Default)]
+pub(crate) struct Shutdown {
+    /// When it was requested.
+    pub requested_at: Option<Micros>,
+    pub has_stopped_listening: bool,
+    /// It was reported that the placer may exit, and no input came since.
+    pub is_finished: bool,
 }
 
-/// One placer on the platform. The crate's page shows the loop around it.
+/// One placer on the platform. The crate's documentation shows the loop around it.
 pub struct Engine {
     pub(crate) settings: Deployment,
     pub(crate) bounds: Bounds,
-    pub(crate) conns: BTreeMap<ConnId, Conn>,
-    pub(crate) hosts: BTreeMap<MachineId, Host>,
-    pub(crate) links: BTreeMap<LinkId, Link>,
-    pub(crate) last_link: LinkId,
-    /// Hosts that have a connection.
-    pub(crate) linked: usize,
-    /// Hosts that the list has.
-    pub(crate) on_list: usize,
-    pub(crate) requests: BTreeMap<RequestId, Request>,
-    /// Requests by the id on the wire.
-    pub(crate) by_id: BTreeMap<u64, RequestId>,
-    /// Connections with arrivals that were not submitted to the module yet, in turn.
-    pub(crate) turns: VecDeque<ConnId>,
-    /// Bytes of set-ups that wait for their answer.
-    pub(crate) waiting: usize,
-    pub(crate) probes: BTreeMap<u64, Probe>,
-    /// Ends of tasks that no connection could be found for yet.
-    pub(crate) unsent_ends: Vec<End>,
-    /// Ends that were sent just now, by task, and on which connection.
-    pub(crate) sent_ends: BTreeMap<u64, (ConnId, End)>,
-    pub(crate) rev: u64,
-    /// The module waits for word of the list.
-    pub(crate) asked_list: bool,
+    pub(crate) clients: BTreeMap<ConnId, ClientConnection>,
+    pub(crate) hosts: HostTable,
+    pub(crate) requests: RequestTable,
+    /// Connections with requests that were not submitted to the decision module yet, in the order of their turns.
+    pub(crate) submission_queue: VecDeque<ConnId>,
+    pub(crate) health_checks: HealthChecks,
+    pub(crate) task_ends: TaskEnds,
+    /// The number of the last discovery event that was applied.
+    pub(crate) discovery_revision: u64,
+    /// The decision module waits for a notification about the endpoint list.
+    pub(crate) is_list_requested: bool,
     pub(crate) timers: Timers<Timer>,
+    /// Events for the decision module's next step.
     pub(crate) events: Vec<Event>,
     pub(crate) outputs: VecDeque<Output>,
     pub(crate) placer: Placer,
-    pub(crate) last_request: u64,
-    pub(crate) last_probe: u64,
-    /// Since when it is to end.
-    pub(crate) ending: Option<Micros>,
-    pub(crate) stopped_listening: bool,
-    /// It was said that it may end, and nothing came since.
-    pub(crate) finished: bool,
+    pub(crate) shutdown: Shutdown,
 }
 
 impl Engine {
-    pub(crate) fn log(&mut self, line: String) {
-        self.outputs.push_back(Output::Log(line));
+    pub(crate) fn log(&mut self, event: LogEvent) {
+        self.outputs.push_back(Output::Log(event));
     }
 }
--- a/crates/platform/tests/clients.rs
+++ b/crates/platform/tests/clients.rs
@@ -15,7 +15,7 @@
     let conn = world.connect();
     world.ask(conn, setup(1, "play", 1_000));
     world.run(30 * SECOND);
-    world.tell(Input::Host(world.to_hosts[0].0, end(1)));
+    world.tell(Input::HostMessage(world.to_hosts[0].0, end(1)));
     assert!(world.clients.contains(&conn));
     assert_eq!((world.heard[&1].answers, world.heard[&1].ends), (1, 1));
 }
@@ -32,7 +32,7 @@
     world.run(50 * MS);
     world.close(conn);
     let link = world.to_hosts[0].0;
-    world.tell(Input::Host(link, end(1)));
+    world.tell(Input::HostMessage(link, end(1)));
     let told = |world: &World, id: u64| {
         let tells = |m: &ToClient| matches!(m, ToClient::Release { id: told, .. } if *told == id);
         world
@@ -46,7 +46,7 @@
     // It crossed the close: it is told again, to the next that shows itself a client.
     world.close(other);
     world.close(stranger);
-    world.tell(Input::Host(link, end(2)));
+    world.tell(Input::HostMessage(link, end(2)));
     assert!(told(&world, 2).is_empty());
     let next = world.connect();
     world.ask(next, setup(4, "play", 1_000));
@@ -77,7 +77,7 @@
     let (client, offender) = (world.connect(), world.connect());
     world.ask(client, setup(1, "play", 1_000));
     world.run(2 * MS);
-    world.tell(Input::Client(
+    world.tell(Input::ClientMessage(
         offender,
         Ok(FromClient::PlacementRequest(Box::new(setup(
             1, "print", 1_000,
@@ -110,7 +110,9 @@
         let twice = Ok(FromClient::PlacementRequest(Box::new(setup(
             1, "play", 1_000,
         ))));
-        world.engine.handle(world.now, Input::Client(conn, twice));
+        world
+            .engine
+            .handle(world.now, Input::ClientMessage(conn, twice));
     }
     world.run(SECOND);
     let finals = world
@@ -131,7 +133,7 @@
             why: "no such type".to_owned(),
         })
     };
-    world.tell(Input::Client(bad, wrong()));
+    world.tell(Input::ClientMessage(bad, wrong()));
     assert!(
         matches!(world.to_clients[..], [(to, ToClient::Release { id: 77, cause, .. })] if to == bad && cause != FULL)
     );
@@ -149,7 +151,7 @@
     }
     assert_eq!(world.to_clients.len(), 4);
     for _ in 0..20 {
-        world.tell(Input::Client(bad, wrong()));
+        world.tell(Input::ClientMessage(bad, wrong()));
     }
     assert!(!world.clients.contains(&bad) && world.clients.contains(&good));
     world.ask(good, setup(1, "play", 1_000));
@@ -179,7 +181,7 @@
         idle.push(world.connect());
         world.run(MS);
     }
-    assert!(world.engine.sizes().conns <= 16);
+    assert!(world.engine.sizes().clients <= 16);
     assert!(
         world.clients.contains(&answered),
         "who said nothing goes first"
--- a/crates/platform/tests/digest.rs
+++ b/crates/platform/tests/digest.rs
@@ -5,9 +5,10 @@
 mod world;
 
 use std::collections::BTreeMap;
+use std::sync::Arc;
 
-use reedring_platform::Input;
-use reedring_platform::decide::Down;
+use reedring_platform::decide::LinkEnd;
+use reedring_platform::{DiscoveryError, Input};
 use reedring_platform_protocol::client::{FromClient, InvalidMessage};
 use reedring_platform_protocol::discovery::WatchResponse;
 use world::digest::Digest;
@@ -34,13 +35,15 @@
     fn publish(&mut self, world: &mut World) {
         self.revision += 1;
         let event: WatchResponse = told(self.revision, false, &std::mem::take(&mut self.missed));
-        world.tell(Input::Discovery(event));
+        world.tell(Input::DiscoveryUpdate(event));
     }
 
     fn toggle_outage(&mut self, world: &mut World) {
         self.is_out = !self.is_out;
         if self.is_out {
-            world.tell(Input::DiscoveryLost("no answer within 1300 ms".to_owned()));
+            world.tell(Input::DiscoveryFailed(Arc::new(
+                DiscoveryError::NoDescriptor,
+            )));
         } else {
             self.publish(world);
         }
@@ -104,12 +107,16 @@
         8 => discovery.toggle_outage(world),
         9 => world.slow = [None, Some(0), Some(120 * MS), Some(900 * MS)][world.below(4) as usize],
         10 => {
-            world.connects =
-                [None, None, Some(Down::Refused), Some(Down::Unmade)][world.below(4) as usize]
+            world.connects = [
+                None,
+                None,
+                Some(LinkEnd::Refused),
+                Some(LinkEnd::ConnectFailed),
+            ][world.below(4) as usize]
         }
         11 => world.mute = !world.mute,
-        13 => world.tell(Input::Client(conn, Ok(FromClient::Test(id)))),
-        14 => world.tell(Input::Client(conn, Ok(FromClient::Released(id)))),
+        13 => world.tell(Input::ClientMessage(conn, Ok(FromClient::Test(id)))),
+        14 => world.tell(Input::ClientMessage(conn, Ok(FromClient::Released(id)))),
         15 => {
             // On an id of its own, or on one that nobody uses.
             let is_own = world.heard.get(&id).is_some_and(|heard| heard.conn == conn);
@@ -118,11 +125,11 @@
                 id,
                 why: "no such type".to_owned(),
             };
-            world.tell(Input::Client(conn, Err(unusable)));
+            world.tell(Input::ClientMessage(conn, Err(unusable)));
         }
-        16 => world.tell(Input::ClientRead {
+        16 => world.tell(Input::ClientInputRead {
             conn,
-            more: id.is_multiple_of(2),
+            has_more: id.is_multiple_of(2),
         }),
         17 => hand_over(world, conn, last_id),
         18 => {
@@ -138,8 +145,8 @@
             if let Some(link) = world.links_up().last().copied() {
                 world.tell(Input::LinkDown {
                     link,
-                    down: Down::Closed,
-                    begun: 0,
+                    end: LinkEnd::Closed,
+                    messages_begun: 0,
                 });
             }
         }
@@ -237,7 +244,7 @@
         (
             "a drain",
             quiet(1, &|world, conn| {
-                world.tell(Input::Discovery(told(
+                world.tell(Input::DiscoveryUpdate(told(
                     2,
                     false,
                     &[line("h-1", 1, "west", "leaving", 0)],
--- a/crates/platform/tests/engine.rs
+++ b/crates/platform/tests/engine.rs
@@ -27,7 +27,7 @@
                 let n = 1 + world.below(4) as u16;
                 let health = ["active", "leaving"][world.below(2) as usize];
                 let site = if n.is_multiple_of(2) { "east" } else { "west" };
-                world.tell(Input::Discovery(told(
+                world.tell(Input::DiscoveryUpdate(told(
                     rev,
                     false,
                     &[line(&format!("h-{n}"), n, site, health, 0)],
@@ -68,8 +68,8 @@
             prop_assert!(finals <= 1, "{id}: {heard:?}");
         }
         let sizes = world.engine.sizes();
-        prop_assert_eq!(sizes.probes, 0);
-        prop_assert!(sizes.conns <= 16 && sizes.links <= 24, "{:?}", sizes);
+        prop_assert_eq!(sizes.health_checks, 0);
+        prop_assert!(sizes.clients <= 16 && sizes.links <= 24, "{:?}", sizes);
     }
 
     #[test]
@@ -106,7 +106,7 @@
     // Its answer never comes: the attempt ends by its own time, and the connection is used no more.
     let link = world.to_hosts[0].0;
     world.tell(Input::LinkUp(link));
-    world.tell(Input::Host(link, FromHost::Free));
+    world.tell(Input::HostMessage(link, FromHost::Free));
     world.unruly = true;
     let before = world.engine.sizes().links;
     assert_eq!(before, 1);
@@ -120,7 +120,7 @@
     let conn = world.connect();
     world.ask(conn, setup(1, "play", 1_000));
     world.tell(Input::Terminate);
-    world.tell(Input::Client(conn, Ok(FromClient::Test(5))));
+    world.tell(Input::ClientMessage(conn, Ok(FromClient::Test(5))));
     assert!(world.to_clients.contains(&(
         conn,
         ToClient::Tested {
@@ -145,12 +145,12 @@
     for n in 1..600_u64 {
         let (old, new) = (format!("h-{}", n - 1), format!("h-{n}"));
         let address = |n: u64| 1 + (n % 7) as u16;
-        world.tell(Input::Discovery(told(
+        world.tell(Input::DiscoveryUpdate(told(
             2 * n,
             false,
             &[line(&new, address(n), "east", "active", 1)],
         )));
-        world.tell(Input::Discovery(told(
+        world.tell(Input::DiscoveryUpdate(told(
             2 * n + 1,
             false,
             &[line(&old, address(n - 1), "east", "left", 1)],
@@ -166,7 +166,7 @@
     world.run(60 * SECOND);
     let sizes = world.engine.sizes();
     assert!(
-        sizes.hosts <= 3 && sizes.requests <= 3 && sizes.ends == 0,
+        sizes.hosts <= 3 && sizes.requests <= 3 && sizes.task_ends == 0,
         "{sizes:?}"
     );
     assert!(sizes.module.iter().all(|size| *size < 20), "{sizes:?}");
@@ -189,7 +189,7 @@
     world.ask(conn, setup(1, "play", 1_000));
     assert!(!world.finished);
     world.run(SECOND);
-    world.tell(Input::Host(world.to_hosts[0].0, end(1)));
+    world.tell(Input::HostMessage(world.to_hosts[0].0, end(1)));
     assert_eq!(
         (
             world.heard[&1].answers,
--- a/crates/platform/tests/hosts.rs
+++ b/crates/platform/tests/hosts.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use reedring_platform::Input;
-use reedring_platform::decide::Down;
+use reedring_platform::decide::LinkEnd;
 use reedring_platform_protocol::client::{FromClient, PlacementRequest, ToClient};
 use reedring_platform_protocol::{CUT, GIVEN_UP};
 use world::{MS, SECOND, World, end, hosts, line, setup, told};
@@ -16,7 +16,7 @@
     world.run(50 * MS);
     let born = world.now / 1_000 + 5;
     world.run(20 * MS);
-    world.tell(Input::Discovery(told(
+    world.tell(Input::DiscoveryUpdate(told(
         2,
         false,
         &[line("h-1", 1, "east", "active", born)],
@@ -54,29 +54,29 @@
 #[test]
 fn a_host_that_leaves_refuses_connections_and_holds_its_tasks() {
     let (mut world, links) = standing();
-    world.connects = Some(Down::Refused);
-    world.tell(Input::Discovery(told(
+    world.connects = Some(LinkEnd::Refused);
+    world.tell(Input::DiscoveryUpdate(told(
         2,
         false,
         &[line("h-1", 1, "east", "leaving", 0)],
     )));
     world.run(5 * SECOND);
     assert_eq!(ends(&world), 0, "refusals alone are no sign");
-    world.tell(Input::Host(links[0], end(1)));
+    world.tell(Input::HostMessage(links[0], end(1)));
     assert_eq!(ends(&world), 1);
     // It closes those that are idle; that is no sign either.
     world.tell(Input::LinkDown {
         link: links[1],
-        down: Down::Closed,
-        begun: 1,
+        end: LinkEnd::Closed,
+        messages_begun: 1,
     });
     world.run(SECOND);
     assert_eq!(ends(&world), 1);
     // Once one is reset, its process is gone; others may stay open and silent.
     world.tell(Input::LinkDown {
         link: links[0],
-        down: Down::Broke,
-        begun: 1,
+        end: LinkEnd::Reset,
+        messages_begun: 1,
     });
     world.run(SECOND);
     assert_eq!(ends(&world), 2);
@@ -87,14 +87,14 @@
 fn tasks_of_a_host_that_left_or_fell_silent_are_over_within_eight_seconds() {
     for left in [false, true] {
         let (mut world, _) = standing();
-        world.connects = Some(Down::Refused);
-        world.tell(Input::Discovery(told(
+        world.connects = Some(LinkEnd::Refused);
+        world.tell(Input::DiscoveryUpdate(told(
             2,
             false,
             &[line("h-1", 1, "east", "leaving", 0)],
         )));
         if left {
-            world.tell(Input::Discovery(told(
+            world.tell(Input::DiscoveryUpdate(told(
                 3,
                 false,
                 &[line("h-1", 1, "east", "left", 0)],
@@ -109,7 +109,7 @@
 #[test]
 fn tasks_of_a_machine_that_vanished_are_over_within_eight_seconds() {
     let (mut world, _) = standing();
-    world.connects = Some(Down::Unmade);
+    world.connects = Some(LinkEnd::ConnectFailed);
     world.run(5 * SECOND);
     assert_eq!(ends(&world), 0, "a cut may be short");
     world.run(2_800 * MS);
@@ -122,8 +122,8 @@
     for link in links {
         world.tell(Input::LinkDown {
             link,
-            down: Down::Broke,
-            begun: 1,
+            end: LinkEnd::Reset,
+            messages_begun: 1,
         });
     }
     world.run(20 * SECOND);
@@ -167,7 +167,7 @@
     let (mut world, _) = standing();
     let conn = *world.clients.first().unwrap();
     world.deaf = true;
-    world.tell(Input::Client(
+    world.tell(Input::ClientMessage(
         conn,
         Ok(FromClient::Release {
             id: 1,
@@ -183,16 +183,19 @@
 fn a_whole_list_replaces_the_one_before_and_numbers_never_go_back() {
     let (mut world, _) = standing();
     let line = |id, port| line(id, port, "east", "active", 0);
-    world.tell(Input::Discovery(told(5, true, &[line("h-2", 2)])));
+    world.tell(Input::DiscoveryUpdate(told(5, true, &[line("h-2", 2)])));
     assert_eq!(
-        (ends(&world), world.engine.rev()),
+        (ends(&world), world.engine.discovery_revision()),
         (2, 5),
         "h-1 is gone with all that it held"
     );
-    world.tell(Input::Discovery(told(4, false, &[line("h-3", 3)])));
+    world.tell(Input::DiscoveryUpdate(told(4, false, &[line("h-3", 3)])));
     world.run(4 * SECOND);
     assert_eq!(
-        (world.engine.rev(), world.engine.sizes().hosts),
+        (
+            world.engine.discovery_revision(),
+            world.engine.sizes().hosts
+        ),
         (5, 1),
         "h-3 was told of before"
     );
@@ -210,8 +213,8 @@
     world.run(40 * SECOND);
     assert_eq!(world.engine.sizes().links, 1, "the ends are to be heard");
     let link = world.links_up()[0];
-    world.tell(Input::Host(link, end(1)));
-    world.tell(Input::Host(link, end(2)));
+    world.tell(Input::HostMessage(link, end(1)));
+    world.tell(Input::HostMessage(link, end(2)));
     world.run(40 * SECOND);
     assert_eq!((world.engine.sizes().links, ends(&world)), (0, 2));
 }
--- a/crates/platform/tests/layers.rs
+++ b/crates/platform/tests/layers.rs
@@ -3,15 +3,18 @@
 use std::path::{Path, PathBuf};
 
 /// The layers, from the top; the modules of one layer import none of each other.
-const LAYERS: [&[&str]; 8] = [
+const LAYERS: [&[&str]; 11] = [
     &["run"],
-    &["sockets", "discovery", "follow"],
-    &["outbox"],
+    &["sockets", "discovery", "message_log"],
+    &["write_buffer"],
     &["engine"],
-    &["clients", "hosts", "attempts"],
+    &["clients", "hosts", "health_checks"],
+    &["attempts"],
     &["state"],
     &["bounds", "io"],
-    &["decide"],
+    &["log_event"],
+    &["errors"],
+    &["decide", "ids"],
 ];
 
 fn layer(module: &str) -> usize {
--- a/crates/platform/tests/leaving.rs
+++ b/crates/platform/tests/leaving.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use reedring_platform::Input;
-use reedring_platform::decide::Down;
+use reedring_platform::decide::LinkEnd;
 use reedring_platform_protocol::client::ToClient;
 use reedring_platform_protocol::host::ToHost;
 use reedring_platform_protocol::{CUT, FULL, GIVEN_UP};
@@ -59,7 +59,7 @@
         // Refused, as it never ran.
         assert_eq!(causes(&world), vec![FULL; answers]);
         let active = [line("h-1", 1, "east", "active", 0)];
-        world.tell(Input::Discovery(told(2, false, &active)));
+        world.tell(Input::DiscoveryUpdate(told(2, false, &active)));
         world.run(6 * SECOND);
         assert_eq!(setups(&world), 0);
     }
@@ -115,8 +115,8 @@
             if breaks {
                 world.tell(Input::LinkDown {
                     link,
-                    down: Down::Broke,
-                    begun: u64::MAX,
+                    end: LinkEnd::Reset,
+                    messages_begun: u64::MAX,
                 });
             }
             world.run(6 * SECOND);
@@ -150,8 +150,8 @@
         world.run(50 * MS);
         world.tell(Input::LinkDown {
             link,
-            down: Down::Broke,
-            begun: 0,
+            end: LinkEnd::Reset,
+            messages_begun: 0,
         });
         world.run(6 * SECOND);
         let sent = |id: u64| {
@@ -208,8 +208,8 @@
         for link in ahead.chain([link]).collect::<Vec<_>>() {
             world.tell(Input::LinkDown {
                 link,
-                down: Down::Broke,
-                begun: u64::MAX,
+                end: LinkEnd::Reset,
+                messages_begun: u64::MAX,
             });
         }
         assert_eq!(setups(&world), 1);
@@ -230,9 +230,13 @@
                 id, "play", 5_000,
             ))),
         );
-        world.engine.handle(world.now, Input::Client(conn, asks));
+        world
+            .engine
+            .handle(world.now, Input::ClientMessage(conn, asks));
     }
-    world.engine.handle(world.now, Input::ClientEnded(conn));
+    world
+        .engine
+        .handle(world.now, Input::ClientEndOfStream(conn));
     world.run(SECOND);
     assert!(
         (1..=3).all(|id| world.heard[&id].answers == 1),
@@ -261,27 +265,27 @@
         let asks = FromClient::PlacementRequest(Box::new(setup(id, "play", 5_000)));
         world
             .engine
-            .handle(world.now, Input::Client(flood, Ok(asks)));
+            .handle(world.now, Input::ClientMessage(flood, Ok(asks)));
     }
     world.engine.handle(
         world.now,
-        Input::ClientRead {
+        Input::ClientInputRead {
             conn: flood,
-            more: true,
+            has_more: true,
         },
     );
     world.heard.entry(9_000).or_default().class = "play".to_owned();
     let asks = FromClient::PlacementRequest(Box::new(setup(9_000, "play", 5_000)));
     world
         .engine
-        .handle(world.now, Input::Client(usual, Ok(asks)));
+        .handle(world.now, Input::ClientMessage(usual, Ok(asks)));
     world.run(20 * MS);
     assert_eq!(setups_of(&world, count), 0, "more is to be read");
     assert_eq!(setups(&world), 1, "others don't wait for it");
     for id in 1..=count {
         world.engine.handle(
             world.now,
-            Input::Client(
+            Input::ClientMessage(
                 flood,
                 Ok(FromClient::Release {
                     id,
@@ -292,9 +296,9 @@
     }
     world.engine.handle(
         world.now,
-        Input::ClientRead {
+        Input::ClientInputRead {
             conn: flood,
-            more: false,
+            has_more: false,
         },
     );
     world.run(SECOND);
@@ -313,7 +317,7 @@
         let asks = FromClient::PlacementRequest(Box::new(setup(id, "play", 5_000)));
         world
             .engine
-            .handle(world.now, Input::Client(conn, Ok(asks)));
+            .handle(world.now, Input::ClientMessage(conn, Ok(asks)));
     };
     let count = 6_000;
     (1..=count).for_each(|id| tell(&mut world, flood, id));
@@ -369,7 +373,7 @@
         let asks = FromClient::PlacementRequest(Box::new(setup(id, "print", left)));
         world
             .engine
-            .handle(world.now, Input::Client(conn, Ok(asks)));
+            .handle(world.now, Input::ClientMessage(conn, Ok(asks)));
     }
     // One turn takes this long.
     let mut answered = false;
--- a/crates/platform/tests/links.rs
+++ b/crates/platform/tests/links.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use reedring_platform::Input;
-use reedring_platform::decide::Down;
+use reedring_platform::decide::LinkEnd;
 use reedring_platform_protocol::GIVEN_UP;
 use reedring_platform_protocol::client::{FromClient, PlacementRequest, ToClient};
 use reedring_platform_protocol::host::ToHost;
@@ -17,7 +17,7 @@
     world.run(50 * MS);
     let link = world.to_hosts[0].0;
     // Another host takes its address.
-    world.tell(Input::Discovery(told(
+    world.tell(Input::DiscoveryUpdate(told(
         2,
         false,
         &[
@@ -25,11 +25,11 @@
             line("h-2", 1, "east", "active", 5),
         ],
     )));
-    let down = Down::Broke;
+    let down = LinkEnd::Reset;
     world.tell(Input::LinkDown {
         link,
-        down,
-        begun: 1,
+        end: down,
+        messages_begun: 1,
     });
     assert_eq!(world.heard[&1].ends, 1, "its tasks are over with it");
     let made = world.engine.sizes().links;
@@ -115,7 +115,7 @@
     let asked = world.asked_links();
     assert_eq!(asked.len(), 1);
     // Its client does not wait for it, and neither does a second one whose time ends.
-    world.tell(Input::Client(
+    world.tell(Input::ClientMessage(
         conn,
         Ok(FromClient::Release {
             id: 1,
@@ -155,9 +155,9 @@
             world.run(10 * MS);
             world.deaf = true;
             world.ask(conn, setup(2, "print", 3_000));
-            world.connects = Some(Down::Closed);
+            world.connects = Some(LinkEnd::Closed);
         }
-        world.tell(Input::Discovery(told(
+        world.tell(Input::DiscoveryUpdate(told(
             2,
             false,
             &[line("h-1", 1, "west", "leaving", 0)],
@@ -166,8 +166,8 @@
         for link in world.links_up() {
             world.tell(Input::LinkDown {
                 link,
-                down: Down::Closed,
-                begun: 0,
+                end: LinkEnd::Closed,
+                messages_begun: 0,
             });
         }
         world.run(2 * SECOND);
@@ -196,7 +196,7 @@
             ..setup(30, "play", 4_294_967)
         },
     );
-    world.tell(Input::Client(
+    world.tell(Input::ClientMessage(
         conn,
         Ok(FromClient::Release {
             id: 30,
--- a/crates/platform/tests/world/mod.rs
+++ b/crates/platform/tests/world/mod.rs
@@ -8,7 +8,7 @@
 use rand_core::Rng;
 use rand_pcg::Pcg32;
 use reedring::settings::Deployment;
-use reedring_platform::decide::Down;
+use reedring_platform::decide::LinkEnd;
 use reedring_platform::{Bounds, ConnId, Engine, Input, LinkId, Output, Start};
 use reedring_platform_protocol::client::{FromClient, PlacementRequest, ToClient};
 use reedring_platform_protocol::discovery::{Names, WatchResponse};
@@ -126,7 +126,7 @@
     /// Hosts do as they please; else they answer each set-up.
     pub unruly: bool,
     /// How every new connection to a host ends; `None`: it stands.
-    pub connects: Option<Down>,
+    pub connects: Option<LinkEnd>,
     /// How long every new connection to a host takes to stand.
     pub slow: Option<u64>,
     /// Hosts do nothing on a release.
@@ -150,12 +150,12 @@
         let mut settings = reedring::settings::read(SETTINGS).expect("the settings are whole");
         change(&mut settings);
         let bounds = Bounds {
-            all: 40,
+            connections: 40,
             clients: 16,
-            overflow: 2,
-            reserved: 16,
-            links_each: 4,
-            waiting: 1 << 20,
+            client_overflow: 2,
+            reserved_for_clients: 16,
+            links_per_host: 4,
+            pending_request_bytes: 1 << 20,
         };
         let now = 1_700_000_000 * SECOND;
         let known = told(1, true, hosts);
@@ -225,7 +225,7 @@
             .find(|(_, link)| **link == (port, true))
             .map(|(link, _)| *link)
         {
-            Some(link) => self.tell(Input::Host(link, end(id))),
+            Some(link) => self.tell(Input::HostMessage(link, end(id))),
             None => self.unsaid.entry(port).or_default().push(id),
         }
     }
@@ -239,7 +239,7 @@
         self.next_conn += 1;
         let conn = self.next_conn;
         self.clients.insert(conn);
-        self.tell(Input::ClientCame(conn));
+        self.tell(Input::ClientConnected(conn));
         conn
     }
 
@@ -248,7 +248,7 @@
             let heard = self.heard.entry(setup.id).or_default();
             (heard.class, heard.conn) = (setup.class.clone(), conn);
         }
-        self.tell(Input::Client(
+        self.tell(Input::ClientMessage(
             conn,
             Ok(FromClient::PlacementRequest(Box::new(setup))),
         ));
@@ -263,7 +263,7 @@
     /// The client says that it said all, and may still read.
     pub fn end(&mut self, conn: ConnId) {
         self.leave(conn);
-        self.tell(Input::ClientEnded(conn));
+        self.tell(Input::ClientEndOfStream(conn));
     }
 
     /// The client takes a set-up back.
@@ -271,7 +271,7 @@
         if let Some(heard) = self.heard.get_mut(&id).filter(|heard| heard.conn == conn) {
             heard.left = heard.left.or(Some(self.now));
         }
-        self.tell(Input::Client(
+        self.tell(Input::ClientMessage(
             conn,
             Ok(FromClient::Release {
                 id,
@@ -284,7 +284,7 @@
     pub fn close(&mut self, conn: ConnId) {
         if self.clients.remove(&conn) {
             self.leave(conn);
-            self.tell(Input::ClientGone(conn));
+            self.tell(Input::ClientDisconnected(conn));
         }
     }
 
@@ -303,10 +303,10 @@
                 let link = *link;
                 unsaid
                     .into_iter()
-                    .for_each(|id| self.later(MS, Input::Host(link, end(id))));
+                    .for_each(|id| self.later(MS, Input::HostMessage(link, end(id))));
                 port.is_some()
             }
-            Input::Host(link, message) => {
+            Input::HostMessage(link, message) => {
                 let stands = self.links.get(link).is_some_and(|link| link.1);
                 if stands {
                     self.said(*link, message);
@@ -324,8 +324,8 @@
                     .collect();
                 self.live.retain(|id, _| !gone.contains(id));
                 if let Input::LinkDown {
-                    down: Down::Broke | Down::Spoilt,
-                    begun,
+                    end: LinkEnd::Reset | LinkEnd::Unreadable,
+                    messages_begun: begun,
                     ..
                 } = &input
                 {
@@ -418,7 +418,7 @@
             }
             Output::CloseClient(conn) | Output::CloseIdleClient(conn) => {
                 self.clients.remove(&conn);
-                self.later(0, Input::ClientGone(conn));
+                self.later(0, Input::ClientDisconnected(conn));
             }
             Output::Connect(link, address) => {
                 self.links.insert(link, (address.port(), false));
@@ -426,8 +426,8 @@
                 let chance = self.below(100);
                 let down = match chance {
                     _ if self.connects.is_some() => self.connects.map(|down| (down, 250 * MS)),
-                    0..4 if self.unruly => Some((Down::Refused, after)),
-                    4..8 if self.unruly => Some((Down::Unmade, 250 * MS)),
+                    0..4 if self.unruly => Some((LinkEnd::Refused, after)),
+                    4..8 if self.unruly => Some((LinkEnd::ConnectFailed, 250 * MS)),
                     _ => None,
                 };
                 match down {
@@ -435,8 +435,8 @@
                         after,
                         Input::LinkDown {
                             link,
-                            down,
-                            begun: 0,
+                            end: down,
+                            messages_begun: 0,
                         },
                     ),
                     None => self.later(after, Input::LinkUp(link)),
@@ -523,7 +523,7 @@
                 }
                 if self.standing.remove(id).is_some() {
                     let over = release(*id, CANCELLED);
-                    self.later(MS, Input::Host(link, over));
+                    self.later(MS, Input::HostMessage(link, over));
                 }
             }
             ToHost::Test { id, .. } => {
@@ -533,7 +533,7 @@
                     figures: BTreeMap::new(),
                 };
                 if !self.unruly || self.below(3) > 0 {
-                    self.later(MS, Input::Host(link, passed));
+                    self.later(MS, Input::HostMessage(link, passed));
                 }
             }
         }
@@ -548,36 +548,39 @@
         let chance = if self.unruly { self.below(100) } else { 0 };
         match chance {
             0..45 => {
-                self.later(after, Input::Host(link, answer.clone()));
+                self.later(after, Input::HostMessage(link, answer.clone()));
                 if chance > 35 {
                     // A second copy, and one under an id that nobody knows.
-                    self.later(after, Input::Host(link, answer));
+                    self.later(after, Input::HostMessage(link, answer));
                     let unknown = FromHost::Answer {
                         id: id ^ 1 << 60,
                         description: "?".to_owned(),
                     };
-                    self.later(after, Input::Host(link, unknown));
+                    self.later(after, Input::HostMessage(link, unknown));
                 }
                 let life = u64::from(1 + self.below(5_000)) * MS;
                 if chance % 3 > 0 {
-                    self.later(after + life, Input::Host(link, release(id, GIVEN_UP)));
+                    self.later(
+                        after + life,
+                        Input::HostMessage(link, release(id, GIVEN_UP)),
+                    );
                 }
             }
-            45..60 => self.later(after, Input::Host(link, release(id, FULL))),
-            60..67 => self.later(after, Input::Host(link, release(id, ERROR))),
-            67..74 => self.later(after, Input::Host(link, release(id, CUT))),
+            45..60 => self.later(after, Input::HostMessage(link, release(id, FULL))),
+            60..67 => self.later(after, Input::HostMessage(link, release(id, ERROR))),
+            67..74 => self.later(after, Input::HostMessage(link, release(id, CUT))),
             74..84 => {
                 let down = if chance % 2 == 0 {
-                    Down::Broke
+                    LinkEnd::Reset
                 } else {
-                    Down::Spoilt
+                    LinkEnd::Unreadable
                 };
                 self.later(
                     after,
                     Input::LinkDown {
                         link,
-                        down,
-                        begun: u64::MAX,
+                        end: down,
+                        messages_begun: u64::MAX,
                     },
                 );
             }
@@ -585,8 +588,8 @@
                 0,
                 Input::LinkDown {
                     link,
-                    down: Down::Broke,
-                    begun: 0,
+                    end: LinkEnd::Reset,
+                    messages_begun: 0,
                 },
             ),
             // It says nothing.
