--- a/crates/audit/src/constraint.rs
+++ b/crates/audit/src/constraint.rs
@@ -1,4 +1,4 @@
-//! Constraints, judged line by line: this shares the grammar with the placer and nothing else.
+//! Constraints, checked clause by clause: this shares the grammar with the placer and nothing else.
 
 use std::collections::BTreeMap;
 
@@ -6,53 +6,66 @@
     Attr, Compare, Constraint, Expr, Field, Op, Place, Rule, Spread, Strength, Value, Who,
 };
 
-/// A node as a list has it.
+/// What a node list says of a node.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Spot {
+pub(crate) struct Location {
     pub name: String,
     pub kind: String,
     pub rack: String,
-    pub hall: String,
+    pub zone: String,
     pub attrs: BTreeMap<String, Attr>,
     pub ready: bool,
 }
 
-/// A copy that stands or may stand.
+/// A copy of a task that runs, or may run.
 #[derive(Clone, Debug)]
-pub(crate) struct Copy {
+pub(crate) struct RunningCopy {
     pub node: String,
     pub class: String,
     pub service: String,
     pub labels: Vec<(String, String)>,
 }
 
-/// Whose constraint it is, and what is known at the moment of its offer.
-pub(crate) struct Scene<'a> {
-    pub spots: &'a BTreeMap<String, Spot>,
-    pub copies: &'a [Copy],
+/// An offer under a constraint: its class and service, and what is known at that moment.
+pub(crate) struct OfferContext<'a> {
+    pub locations: &'a BTreeMap<String, Location>,
+    pub copies: &'a [RunningCopy],
     pub class: &'a str,
     pub service: &'a str,
 }
 
-pub(crate) fn place(spot: &Spot, by: Place) -> Option<(String, String)> {
-    let told = |text: &String| !text.is_empty();
+/// A machine, rack or zone.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct Domain {
+    /// The zone, or the machine.
+    outer: String,
+    /// The rack within the zone; empty for the others.
+    rack: String,
+}
+
+/// The domain of a node, if the list names it.
+pub(crate) fn domain(location: &Location, by: Place) -> Option<Domain> {
+    let domain = |outer: &String, rack: &str| Domain {
+        outer: outer.clone(),
+        rack: rack.to_owned(),
+    };
     match by {
-        Place::Machine => Some((spot.name.clone(), String::new())),
-        Place::Rack => told(&spot.rack).then(|| (spot.hall.clone(), spot.rack.clone())),
-        Place::Hall => told(&spot.hall).then(|| (spot.hall.clone(), String::new())),
+        Place::Machine => Some(domain(&location.name, "")),
+        Place::Rack => (!location.rack.is_empty()).then(|| domain(&location.zone, &location.rack)),
+        Place::Hall => (!location.zone.is_empty()).then(|| domain(&location.zone, "")),
     }
 }
 
-fn compares(compare: &Compare, spot: &Spot) -> bool {
+fn compares(compare: &Compare, location: &Location) -> bool {
     let text = |text: &String| (!text.is_empty()).then(|| Attr::Text(text.clone()));
-    let told = match &compare.field {
-        Field::Kind => text(&spot.kind),
-        Field::Rack => text(&spot.rack),
-        Field::Hall => text(&spot.hall),
-        Field::Name => text(&spot.name),
-        Field::Attr(name) => spot.attrs.get(name).cloned(),
+    let attribute = match &compare.field {
+        Field::Kind => text(&location.kind),
+        Field::Rack => text(&location.rack),
+        Field::Hall => text(&location.zone),
+        Field::Name => text(&location.name),
+        Field::Attr(name) => location.attrs.get(name).cloned(),
     };
-    let order = match (told, &compare.value) {
+    let order = match (attribute, &compare.value) {
         (Some(Attr::Text(text)), Value::Set(all)) => {
             return compare.op == Op::In && all.contains(&text);
         }
@@ -81,8 +94,8 @@
     }
 }
 
-impl Scene<'_> {
-    fn is(&self, copy: &Copy, who: &Who) -> bool {
+impl OfferContext<'_> {
+    fn is_meant(&self, copy: &RunningCopy, who: &Who) -> bool {
         match who {
             Who::Copies => {
                 (copy.class.as_str(), copy.service.as_str()) == (self.class, self.service)
@@ -92,61 +105,67 @@
         }
     }
 
-    /// Copies by place; a copy on a node that no list holds has none.
-    fn counts(&self, who: &Who, by: Place) -> BTreeMap<(String, String), u32> {
+    /// How many copies run in each domain; a copy on a node that no list names is in none.
+    fn counts(&self, who: &Who, by: Place) -> BTreeMap<Domain, u32> {
         let mut counts = BTreeMap::new();
-        for copy in self.copies.iter().filter(|copy| self.is(copy, who)) {
-            if let Some(place) = self.spots.get(&copy.node).and_then(|spot| place(spot, by)) {
-                *counts.entry(place).or_insert(0) += 1;
+        for copy in self.copies.iter().filter(|copy| self.is_meant(copy, who)) {
+            if let Some(domain) = self
+                .locations
+                .get(&copy.node)
+                .and_then(|location| domain(location, by))
+            {
+                *counts.entry(domain).or_insert(0) += 1;
             }
         }
         counts
     }
 
-    fn holds(&self, expr: &Expr, spot: &Spot) -> bool {
+    fn is_true(&self, expr: &Expr, location: &Location) -> bool {
         match expr {
-            Expr::And(all) => all.iter().all(|inner| self.holds(inner, spot)),
-            Expr::Or(all) => all.iter().any(|inner| self.holds(inner, spot)),
-            Expr::Not(inner) => !self.holds(inner, spot),
-            Expr::Compare(compare) => compares(compare, spot),
-            Expr::Near(who, by) => place(spot, *by).is_some_and(|here| {
+            Expr::And(all) => all.iter().all(|inner| self.is_true(inner, location)),
+            Expr::Or(all) => all.iter().any(|inner| self.is_true(inner, location)),
+            Expr::Not(inner) => !self.is_true(inner, location),
+            Expr::Compare(compare) => compares(compare, location),
+            Expr::Near(who, by) => domain(location, *by).is_some_and(|here| {
                 let counts = self.counts(who, *by);
                 counts.contains_key(&here) || *who == Who::Copies && counts.is_empty()
             }),
             Expr::Apart(who, by) => {
-                place(spot, *by).is_some_and(|here| !self.counts(who, *by).contains_key(&here))
+                domain(location, *by).is_some_and(|here| !self.counts(who, *by).contains_key(&here))
             }
         }
     }
 
-    /// Ready nodes that pass what speaks of the list alone: an even spread is counted among their places.
-    pub fn open(&self, constraint: &Constraint) -> Vec<String> {
-        let passes = |spot: &&Spot| {
-            spot.ready
+    /// Ready nodes that pass the clauses about the node list alone: an even spread is counted among their domains.
+    pub fn candidates(&self, constraint: &Constraint) -> Vec<String> {
+        let passes = |location: &&Location| {
+            location.ready
                 && constraint
                     .clauses
                     .iter()
                     .filter(|clause| clause.strength == Strength::Require)
                     .all(|clause| match &clause.rule {
-                        Rule::Where(expr) if !expr.is_about_copies() => self.holds(expr, spot),
+                        Rule::Where(expr) if !expr.is_about_copies() => {
+                            self.is_true(expr, location)
+                        }
                         _ => true,
                     })
         };
-        self.spots
+        self.locations
             .values()
             .filter(passes)
-            .map(|spot| spot.name.clone())
+            .map(|location| location.name.clone())
             .collect()
     }
 
-    /// The requirements that a copy on this node does not keep; even spreads are judged elsewhere.
-    pub fn breaks(&self, constraint: &Constraint, node: &str) -> Vec<String> {
-        let Some(spot) = self.spots.get(node) else {
+    /// The required clauses that a copy on this node violates; even spreads are checked elsewhere.
+    pub fn violated_clauses(&self, constraint: &Constraint, node: &str) -> Vec<String> {
+        let Some(location) = self.locations.get(node) else {
             return Vec::new();
         };
-        let keeps = |rule: &Rule| match rule {
-            Rule::Where(expr) => self.holds(expr, spot),
-            Rule::Spread { by, how } => place(spot, *by).is_some_and(|here| {
+        let is_satisfied = |rule: &Rule| match rule {
+            Rule::Where(expr) => self.is_true(expr, location),
+            Rule::Spread { by, how } => domain(location, *by).is_some_and(|here| {
                 let counts = self.counts(&Who::Copies, *by);
                 let count = counts.get(&here).copied().unwrap_or(0);
                 match how {
@@ -161,7 +180,7 @@
             .iter()
             .filter(|clause| clause.strength == Strength::Require);
         required
-            .filter(|clause| !keeps(&clause.rule))
+            .filter(|clause| !is_satisfied(&clause.rule))
             .map(ToString::to_string)
             .collect()
     }
