--- a/crates/core/src/configuration/agreement/step.rs
+++ b/crates/core/src/configuration/agreement/step.rs
@@ -178,10 +178,10 @@
         }
         match self.catalog.has_joint_form(committed, self.file.settings()) {
             Ok(()) => Ok(Some(self.file.document().clone())),
-            Err(problems) => Err(ProposalError::NoJointForm {
+            Err(conflicts) => Err(ProposalError::NoJointForm {
                 committed,
                 own,
-                problems,
+                conflicts,
             }),
         }
     }
--- a/crates/core/src/configuration/catalog.rs
+++ b/crates/core/src/configuration/catalog.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeMap;
 
 use reedring_node_protocol::ConfigVersion;
-use reedring_plan::{ActiveConfig, ConfigDocument, DocumentCache, Usability, joint_bounds};
+use reedring_plan::{
+    ActiveConfig, ConfigDocument, DocumentCache, JointConflicts, Usability, joint_bounds,
+};
 use reedring_settings::{Problems, Settings};
 
 /// Known configurations.
@@ -74,7 +76,7 @@
     ///
     /// # Errors
     /// What has no joint form.
-    pub fn has_joint_form(&self, old: ConfigVersion, new: &Settings) -> Result<(), Vec<String>> {
+    pub fn has_joint_form(&self, old: ConfigVersion, new: &Settings) -> Result<(), JointConflicts> {
         match self.usable(old) {
             Some(old) => joint_bounds(&old.bounds(), &new.bounds()).map(drop),
             None => Ok(()),
@@ -99,14 +101,14 @@
             let open: BTreeMap<String, bool> = bounds
                 .classes
                 .iter()
-                .map(|(name, class)| (name.clone(), class.open))
+                .map(|(name, class)| (name.clone(), class.accepts_new_tasks))
                 .collect();
             bounds = stricter;
             bounds.classes.retain(|name, _| open.contains_key(name));
             bounds
                 .classes
                 .iter_mut()
-                .for_each(|(name, class)| class.open = open[name]);
+                .for_each(|(name, class)| class.accepts_new_tasks = open[name]);
         }
         // A configuration that names fewer placers than nodes hear is no leave to act for fewer.
         bounds.placers = bounds.placers.max(linked);
--- a/crates/core/src/configuration/proposal_error.rs
+++ b/crates/core/src/configuration/proposal_error.rs
@@ -1,6 +1,7 @@
 //! Why the configuration of the settings file is not proposed.
 
 use reedring_node_protocol::ConfigVersion;
+use reedring_plan::JointConflicts;
 
 /// Why the configuration of the settings file can't be proposed.
 #[derive(Debug)]
@@ -25,7 +26,7 @@
     NoJointForm {
         committed: ConfigVersion,
         own: ConfigVersion,
-        problems: Vec<String>,
+        conflicts: JointConflicts,
     },
 }
 
@@ -54,11 +55,10 @@
             Self::NoJointForm {
                 committed,
                 own,
-                problems,
+                conflicts,
             } => write!(
                 f,
-                "plan {own} of the file can't follow plan {committed}: {}",
-                problems.join("; ")
+                "plan {own} of the file can't follow plan {committed}: {conflicts}"
             ),
         }
     }
--- /dev/null
+++ b/crates/plan/src/joint/tests.rs
@@ -0,0 +1,194 @@
+use super::*;
+
+fn class() -> ClassBounds {
+    ClassBounds {
+        repeat: Repeat::Safe,
+        retry_group: Group::All,
+        deduplication_group: Group::All,
+        deduplication_window_us: None,
+        machine_kind: None,
+        spread: None,
+        rescheduling: ReschedulePolicy::Always,
+        accepts_new_tasks: true,
+    }
+}
+
+fn resources(cores: f64, memory: f64) -> Resources {
+    Resources { cores, memory }
+}
+
+fn spread(domain: SpreadDomain, max_per_domain: u32) -> SpreadLimit {
+    SpreadLimit {
+        domain,
+        max_per_domain,
+    }
+}
+
+fn bounds() -> ConfigBounds {
+    ConfigBounds {
+        placers: 1,
+        overcommit: resources(1.0, 1.0),
+        max_attempts: 4,
+        drain_grace_us: 500,
+        warm_up_us: None,
+        slow_start_window_us: None,
+        slow_start_offers: None,
+        accept_means_running: false,
+        classes: BTreeMap::from([("play".to_owned(), class())]),
+        machine_kinds: BTreeMap::from([("k".to_owned(), resources(8.0, 32.0))]),
+    }
+}
+
+/// Classes with every value of each bound.
+fn all_classes() -> Vec<ClassBounds> {
+    let spreads = [
+        None,
+        Some(spread(SpreadDomain::Zone, 1)),
+        Some(spread(SpreadDomain::Zone, 3)),
+        Some(spread(SpreadDomain::Rack, 2)),
+    ];
+    let policies = [
+        ReschedulePolicy::Always,
+        ReschedulePolicy::AfterKnownEnd,
+        ReschedulePolicy::Never,
+    ];
+    let mut classes = Vec::new();
+    for repeat in [Repeat::Safe, Repeat::Keyed, Repeat::Unsafe] {
+        for group in [Group::Rack, Group::Hall, Group::All] {
+            for rescheduling in policies {
+                for deduplication_window_us in [None, Some(3), Some(9)] {
+                    for spread in spreads {
+                        classes.push(ClassBounds {
+                            repeat,
+                            retry_group: group,
+                            deduplication_group: group,
+                            rescheduling,
+                            deduplication_window_us,
+                            spread,
+                            ..class()
+                        });
+                    }
+                }
+            }
+        }
+    }
+    classes
+}
+
+/// Every pair of each bound: the joint form is never looser than either, in either order.
+#[test]
+fn the_joint_form_of_every_pair_is_as_strict_as_each_of_the_two() {
+    let classes = all_classes();
+    for old in &classes {
+        for new in &classes {
+            let mut conflicts = Vec::new();
+            let joint = joint_class("c", old, new, &mut conflicts);
+            let spreads = old.spread.zip(new.spread);
+            let conflicting = spreads.is_some_and(|(old, new)| old.domain != new.domain);
+            assert_eq!(!conflicts.is_empty(), conflicting, "{old:?} {new:?}");
+            for one in [old, new] {
+                check_as_strict(&joint, one, conflicting);
+            }
+            let mut others = Vec::new();
+            assert_eq!(
+                joint_class("c", new, old, &mut others),
+                joint,
+                "the order of the two does not matter"
+            );
+        }
+    }
+}
+
+fn check_as_strict(joint: &ClassBounds, one: &ClassBounds, conflicting: bool) {
+    assert!(repeat_strictness(joint.repeat) >= repeat_strictness(one.repeat));
+    assert!(group_width(joint.retry_group) <= group_width(one.retry_group));
+    assert!(group_width(joint.deduplication_group) >= group_width(one.deduplication_group));
+    assert!(joint.rescheduling >= one.rescheduling);
+    // No window: a task that is idempotent by key is not retried at all.
+    let window = joint.deduplication_window_us;
+    assert!(window.is_none() || window <= one.deduplication_window_us);
+    let limit = |class: &ClassBounds| class.spread.map_or(u32::MAX, |s| s.max_per_domain);
+    assert!(conflicting || limit(joint) <= limit(one));
+}
+
+#[test]
+fn numbers_are_bound_by_the_stricter_and_a_value_beats_none() {
+    let old = ConfigBounds {
+        placers: 3,
+        slow_start_offers: Some(40.0),
+        drain_grace_us: 100,
+        ..bounds()
+    };
+    let new = ConfigBounds {
+        placers: 40,
+        slow_start_offers: Some(80.0),
+        slow_start_window_us: Some(7),
+        warm_up_us: Some(9),
+        overcommit: resources(2.0, 0.5),
+        max_attempts: 2,
+        machine_kinds: BTreeMap::from([
+            ("k".to_owned(), resources(16.0, 16.0)),
+            ("l".to_owned(), resources(1.0, 1.0)),
+        ]),
+        ..bounds()
+    };
+    for (one, other) in [(&old, &new), (&new, &old)] {
+        let joint = joint_bounds(one, other).unwrap();
+        assert_eq!(
+            (joint.placers, joint.slow_start_offers, joint.drain_grace_us),
+            (40, Some(40.0), 100)
+        );
+        assert_eq!(
+            (
+                joint.slow_start_window_us,
+                joint.warm_up_us,
+                joint.max_attempts
+            ),
+            (Some(7), Some(9), 2)
+        );
+        assert_eq!(joint.overcommit, resources(1.0, 0.5));
+        assert_eq!(joint.machine_kinds["k"], resources(8.0, 16.0));
+        assert_eq!(joint.machine_kinds["l"], resources(1.0, 1.0));
+    }
+}
+
+#[test]
+fn a_class_of_one_configuration_alone_stays_and_accepts_nothing_new() {
+    let mut new = bounds();
+    new.classes = BTreeMap::from([("edition".to_owned(), class())]);
+    let joint = joint_bounds(&bounds(), &new).unwrap();
+    let accepting: Vec<bool> = joint
+        .classes
+        .values()
+        .map(|class| class.accepts_new_tasks)
+        .collect();
+    assert_eq!(accepting, [false, false]);
+}
+
+#[test]
+fn what_has_no_joint_form_is_named_with_its_place() {
+    let with = |kind: &str, domain| {
+        let mut bounds = bounds();
+        let class = ClassBounds {
+            machine_kind: Some(kind.to_owned()),
+            spread: Some(spread(domain, 2)),
+            ..class()
+        };
+        bounds.classes.insert("play".to_owned(), class);
+        bounds
+    };
+    let new = ConfigBounds {
+        accept_means_running: true,
+        ..with("b", SpreadDomain::Rack)
+    };
+    let JointConflicts(conflicts) = joint_bounds(&with("a", SpreadDomain::Zone), &new).unwrap_err();
+    let places = [
+        "site.yes_when",
+        "class `play`, kind",
+        "class `play`, spread.over",
+    ];
+    assert_eq!(conflicts.len(), places.len());
+    for (conflict, place) in conflicts.iter().zip(places) {
+        assert!(conflict.to_string().starts_with(place), "{conflict}");
+    }
+}
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -12,7 +12,6 @@
 //! opens a socket or a file, reads a clock or draws a number. `docs/plan.md` has the tables in one place.
 #![forbid(unsafe_code)]
 
-mod bounds;
 mod compact;
 pub mod delta;
 mod fleet;
@@ -27,11 +26,13 @@
 mod standing;
 mod text;
 
-pub use bounds::{Bounds, ClassBounds, RepeatPolicy, SpreadDomain};
 pub use compact::Compactor;
 pub use fleet::{ClusterView, PeerState};
 pub use hold::{DispatchBlock, dispatch_block, must_raise};
-pub use joint::joint_bounds;
+pub use joint::{
+    ClassBounds, ConfigBounds, JointConflict, JointConflicts, ReschedulePolicy, Resources,
+    SpreadDomain, SpreadLimit, joint_bounds,
+};
 pub use kept::{CorruptState, MAX_PLACERS, read, write};
 pub use learner::LearnerState;
 pub use maker::{ChangePhase, DocumentCache, Proposer};
--- a/crates/settings/src/settings/plan.rs
+++ b/crates/settings/src/settings/plan.rs
@@ -9,7 +9,10 @@
 
 use reedring::{Effect, Group, Place, ReportField, ReportStyle};
 use reedring_node_protocol as wire;
-use reedring_plan::{Bounds, ClassBounds, ConfigDocument, RepeatPolicy, SpreadDomain};
+use reedring_plan::{
+    ClassBounds, ConfigBounds, ConfigDocument, ReschedulePolicy, Resources, SpreadDomain,
+    SpreadLimit,
+};
 
 use super::types::{Class, ComesAgain, Settings, Spread};
 use crate::problem::{Problem, Problems};
@@ -179,7 +182,7 @@
     }
 
     /// What the plan binds.
-    pub fn bounds(&self) -> Bounds {
+    pub fn bounds(&self) -> ConfigBounds {
         let class = |class: &Class| {
             let kind = class
                 .kind
@@ -190,45 +193,59 @@
                     Effect::Keyed => wire::Repeat::Keyed,
                     Effect::Unsafe => wire::Repeat::Unsafe,
                 },
-                resend: group(class.group),
-                drops: group(class.drops),
-                window_us: class.window_us,
-                kind: kind.map(|kind| kind.name.clone()),
-                spread: class.spread.map(|spread| (over(spread.over), spread.most)),
-                again: match class.comes_again {
-                    ComesAgain::Always => RepeatPolicy::Always,
-                    ComesAgain::Ended => RepeatPolicy::Ended,
-                    ComesAgain::Never => RepeatPolicy::Never,
+                retry_group: group(class.group),
+                deduplication_group: group(class.drops),
+                deduplication_window_us: class.window_us,
+                machine_kind: kind.map(|kind| kind.name.clone()),
+                spread: class.spread.map(|spread| SpreadLimit {
+                    domain: spread_domain(spread.over),
+                    max_per_domain: spread.most,
+                }),
+                rescheduling: match class.comes_again {
+                    ComesAgain::Always => ReschedulePolicy::Always,
+                    ComesAgain::Ended => ReschedulePolicy::AfterKnownEnd,
+                    ComesAgain::Never => ReschedulePolicy::Never,
                 },
-                open: !class.closed,
+                accepts_new_tasks: !class.closed,
             };
             (class.name.clone(), bounds)
         };
         let site = &self.site;
-        Bounds {
+        ConfigBounds {
             placers: site.placers,
-            accepts: (site.accepts_cores, site.accepts_memory),
+            overcommit: Resources {
+                cores: site.accepts_cores,
+                memory: site.accepts_memory,
+            },
             max_attempts: site.max_attempts,
             drain_grace_us: site.drain_grace_us,
-            warm_after_us: site.warm_after_us,
-            cold_window_us: site.cold_window_us,
-            cold_offers: site.cold_offers,
-            yes_when_running: site.yes_when_running,
+            warm_up_us: site.warm_after_us,
+            slow_start_window_us: site.cold_window_us,
+            slow_start_offers: site.cold_offers,
+            accept_means_running: site.yes_when_running,
             classes: self.classes.iter().map(class).collect(),
-            kinds: self
+            machine_kinds: self
                 .kinds
                 .iter()
-                .map(|kind| (kind.name.clone(), (kind.cores, kind.memory)))
+                .map(|kind| {
+                    (
+                        kind.name.clone(),
+                        Resources {
+                            cores: kind.cores,
+                            memory: kind.memory,
+                        },
+                    )
+                })
                 .collect(),
         }
     }
 
     /// These settings under stricter bounds.
-    pub fn bound_by(&self, bounds: &Bounds) -> Self {
+    pub fn bound_by(&self, bounds: &ConfigBounds) -> Self {
         let mut new = self.clone();
         for kind in &mut new.kinds {
-            if let Some((cores, memory)) = bounds.kinds.get(&kind.name) {
-                (kind.cores, kind.memory) = (*cores, *memory);
+            if let Some(size) = bounds.machine_kinds.get(&kind.name) {
+                (kind.cores, kind.memory) = (size.cores, size.memory);
             }
         }
         let kinds: Vec<String> = new.kinds.iter().map(|kind| kind.name.clone()).collect();
@@ -241,30 +258,35 @@
                 wire::Repeat::Keyed => Effect::Keyed,
                 wire::Repeat::Unsafe => Effect::Unsafe,
             };
-            (class.group, class.drops) = (ungroup(bound.resend), ungroup(bound.drops));
-            class.window_us = bound.window_us;
+            (class.group, class.drops) = (
+                ungroup(bound.retry_group),
+                ungroup(bound.deduplication_group),
+            );
+            class.window_us = bound.deduplication_window_us;
             let kind = bound
-                .kind
+                .machine_kind
                 .as_ref()
                 .and_then(|name| kinds.iter().position(|kind| kind == name));
             class.kind = kind.map(|kind| kind as u16);
-            class.spread = bound.spread.map(|(over, most)| Spread {
-                over: unover(over),
-                most,
+            class.spread = bound.spread.map(|limit| Spread {
+                over: place(limit.domain),
+                most: limit.max_per_domain,
             });
-            class.comes_again = match bound.again {
-                RepeatPolicy::Always => ComesAgain::Always,
-                RepeatPolicy::Ended => ComesAgain::Ended,
-                RepeatPolicy::Never => ComesAgain::Never,
+            class.comes_again = match bound.rescheduling {
+                ReschedulePolicy::Always => ComesAgain::Always,
+                ReschedulePolicy::AfterKnownEnd => ComesAgain::Ended,
+                ReschedulePolicy::Never => ComesAgain::Never,
             };
-            class.closed = !bound.open;
+            class.closed = !bound.accepts_new_tasks;
         }
         let site = &mut new.site;
         site.placers = bounds.placers;
-        (site.accepts_cores, site.accepts_memory) = bounds.accepts;
+        (site.accepts_cores, site.accepts_memory) =
+            (bounds.overcommit.cores, bounds.overcommit.memory);
         (site.max_attempts, site.drain_grace_us) = (bounds.max_attempts, bounds.drain_grace_us);
-        (site.warm_after_us, site.cold_window_us) = (bounds.warm_after_us, bounds.cold_window_us);
-        site.cold_offers = bounds.cold_offers;
+        (site.warm_after_us, site.cold_window_us) =
+            (bounds.warm_up_us, bounds.slow_start_window_us);
+        site.cold_offers = bounds.slow_start_offers;
         new
     }
 
@@ -386,19 +408,19 @@
     }
 }
 
-fn over(place: Place) -> SpreadDomain {
+fn spread_domain(place: Place) -> SpreadDomain {
     match place {
         Place::Machine => SpreadDomain::Machine,
         Place::Cell => SpreadDomain::Rack,
-        Place::Zone => SpreadDomain::Hall,
+        Place::Zone => SpreadDomain::Zone,
     }
 }
 
-fn unover(over: SpreadDomain) -> Place {
-    match over {
+fn place(domain: SpreadDomain) -> Place {
+    match domain {
         SpreadDomain::Machine => Place::Machine,
         SpreadDomain::Rack => Place::Cell,
-        SpreadDomain::Hall => Place::Zone,
+        SpreadDomain::Zone => Place::Zone,
     }
 }
 
