--- a/crates/placer/src/clients/mod.rs
+++ b/crates/placer/src/clients/mod.rs
@@ -9,7 +9,7 @@
 
 use std::sync::Arc;
 
-use reedring_connection::accept_failed;
+use reedring_connection::pause_after_accept_error;
 use reedring_core::ConnId;
 use tokio::sync::Semaphore;
 
@@ -61,7 +61,7 @@
             tokio::select! {
                 accepted = self.listener.accept() => match accepted {
                     Ok(stream) => self.serve(stream),
-                    Err(error) => accept_failed(&error).await,
+                    Err(error) => pause_after_accept_error(&error).await,
                 },
                 () = self.tasks.next_ended() => {}
             }
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -118,7 +118,7 @@
             }
             if self.is_failing {
                 tokio::select! {
-                    () = sleep(self.backoff.wait()) => {}
+                    () = sleep(self.backoff.next_delay()) => {}
                     _ = addresses.changed() => addresses.mark_changed(),
                 }
             }
--- a/crates/platform/src/hosts/failure.rs
+++ b/crates/platform/src/hosts/failure.rs
@@ -71,7 +71,7 @@
         if !host.needs_check() || is_scheduled || host.address().is_none() {
             return;
         }
-        let delay = host.backoff.wait();
+        let delay = host.backoff.next_delay();
         let is_immediate = host.refused == 0 && delay == FIRST_RECONNECT_DELAY;
         let delay_us = if is_immediate {
             0
--- a/crates/platform/src/run/control.rs
+++ b/crates/platform/src/run/control.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use reedring_connection::Asked;
+use reedring_connection::SignalRequest;
 use tokio::sync::{mpsc, watch};
 
 use crate::io::Input;
@@ -18,7 +18,7 @@
 /// Answers signals until the placer exits. A configuration that can't be used leaves the former one in force and is
 /// read again until it can.
 pub(super) async fn handle_signals(
-    mut signals: mpsc::Receiver<Asked>,
+    mut signals: mpsc::Receiver<SignalRequest>,
     path: PathBuf,
     discovery: watch::Sender<SocketAddr>,
     incoming: mpsc::Sender<Incoming>,
@@ -27,13 +27,13 @@
     loop {
         let signal = tokio::select! {
             signal = signals.recv() => signal,
-            () = tokio::time::sleep(READ_RETRY_DELAY), if must_read_again => Some(Asked::Reload),
+            () = tokio::time::sleep(READ_RETRY_DELAY), if must_read_again => Some(SignalRequest::Reload),
         };
         let Some(signal) = signal else {
             return;
         };
         match signal {
-            Asked::End => {
+            SignalRequest::Shutdown => {
                 if incoming
                     .send(Incoming::Input(Input::Terminate))
                     .await
@@ -42,7 +42,7 @@
                     return;
                 }
             }
-            Asked::Reload => match read_config(&path) {
+            SignalRequest::Reload => match read_config(&path) {
                 Ok(config) => {
                     must_read_again = false;
                     log::configuration_reloaded(config.board);
--- a/crates/platform/src/run/event_loop.rs
+++ b/crates/platform/src/run/event_loop.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use reedring_connection::Asked;
+use reedring_connection::SignalRequest;
 use reedring_platform_protocol::config::Config;
 use reedring_platform_protocol::discovery::Names;
 use tokio::net::TcpListener;
@@ -62,7 +62,7 @@
     path: &Path,
     config: Config,
     listener: TcpListener,
-    signals: mpsc::Receiver<Asked>,
+    signals: mpsc::Receiver<SignalRequest>,
 ) {
     EventLoop::start(path, config, listener, signals)
         .run()
@@ -86,7 +86,7 @@
         path: &Path,
         config: Config,
         listener: TcpListener,
-        signals: mpsc::Receiver<Asked>,
+        signals: mpsc::Receiver<SignalRequest>,
     ) -> Self {
         let clock = Clock::new();
         let (names, revision) = (Names::from(&config.settings), config.known.rev);
--- a/crates/platform/src/run/mod.rs
+++ b/crates/platform/src/run/mod.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use reedring_connection::{Asked, Signals};
+use reedring_connection::{SignalRequest, Signals};
 use reedring_platform_protocol::config::{self, Config};
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
@@ -77,7 +77,7 @@
     let served = runtime.block_on(async {
         // Signals are handled before the listener exists: whoever can connect can also ask for the exit.
         let mut signals = Signals::new()?;
-        let (send, requests) = mpsc::channel::<Asked>(SIGNAL_QUEUE);
+        let (send, requests) = mpsc::channel::<SignalRequest>(SIGNAL_QUEUE);
         tokio::spawn(async move { while send.send(signals.next().await).await.is_ok() {} });
         let address = config.listen;
         let listener = TcpListener::bind(address).await;
--- a/crates/platform/src/sockets/client.rs
+++ b/crates/platform/src/sockets/client.rs
@@ -46,7 +46,7 @@
                         return;
                     }
                 }
-                Err(error) => reedring_connection::accept_failed(&error).await,
+                Err(error) => reedring_connection::pause_after_accept_error(&error).await,
             }
         }
     }
--- a/crates/platform/tests/ending.rs
+++ b/crates/platform/tests/ending.rs
@@ -2,7 +2,7 @@
 
 mod standins;
 
-use reedring_connection::Asked;
+use reedring_connection::SignalRequest;
 use reedring_platform_protocol::FULL;
 use serde_json::json;
 use standins::{Client, Mood, alone, message, setup, soon};
@@ -20,7 +20,12 @@
     let mut link = host.link().await;
     let first = link.line().await.unwrap();
     std::fs::write(&placer.path, "{").unwrap();
-    for asked in [Asked::Reload, Asked::End, Asked::Reload, Asked::End] {
+    for asked in [
+        SignalRequest::Reload,
+        SignalRequest::Shutdown,
+        SignalRequest::Reload,
+        SignalRequest::Shutdown,
+    ] {
         placer.ask.send(asked).await.unwrap();
     }
     client.until_its_test_fails().await;
@@ -42,7 +47,7 @@
     client.send(&setup(1, "play", 8_000, "")).await;
     let mut link = host.link().await;
     let line = link.line().await.unwrap();
-    placer.ask.send(Asked::End).await.unwrap();
+    placer.ask.send(SignalRequest::Shutdown).await.unwrap();
     let (read, mut write) = client.stream.into_split();
     // Tests without end.
     let sends = tokio::spawn(async move {
--- a/crates/platform/tests/loopback.rs
+++ b/crates/platform/tests/loopback.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use reedring_connection::Asked;
+use reedring_connection::SignalRequest;
 use reedring_platform_protocol::FULL;
 use serde_json::json;
 use standins::{Client, Discovery, Host, Mood, alone, message, obliged, placer, setup, soon};
@@ -355,7 +355,7 @@
     );
     // One that can't be read leaves the old in force, and is read again.
     std::fs::write(&placer.path, "{").unwrap();
-    placer.ask.send(Asked::Reload).await.unwrap();
+    placer.ask.send(SignalRequest::Reload).await.unwrap();
     placer.configure(&discovery);
     discovery.until_asked(|asks| !asks.is_empty()).await;
     assert!(discovery.asked.lock().unwrap()[0].starts_with("/board/poll?watch=1&linger="));
@@ -378,7 +378,7 @@
     client.send(&setup(1, "play", 5_000, "")).await;
     let mut link = host.link().await;
     let first = link.line().await.unwrap();
-    placer.ask.send(Asked::End).await.unwrap();
+    placer.ask.send(SignalRequest::Shutdown).await.unwrap();
     // Until it knows, its test passes.
     client.until_its_test_fails().await;
     let mut late = Client::connect(placer.address).await;
--- a/crates/platform/tests/standins/mod.rs
+++ b/crates/platform/tests/standins/mod.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use reedring_connection::Asked;
+use reedring_connection::SignalRequest;
 use reedring_platform_protocol::config::Config;
 use serde_json::{Value, json};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
@@ -372,7 +372,7 @@
     pub address: SocketAddr,
     pub discovery: Discovery,
     pub path: PathBuf,
-    pub ask: mpsc::Sender<Asked>,
+    pub ask: mpsc::Sender<SignalRequest>,
     pub served: JoinHandle<()>,
     config: Value,
     _folder: tempfile::TempDir,
