--- a/crates/cli/tests/docs/main.rs
+++ b/crates/cli/tests/docs/main.rs
@@ -1,8 +1,11 @@
-//! The pages for engineers name what is there: each file and each type.
+//! The pages for engineers name what is there: each file, each type, and each event at warning or error level.
 
+mod events;
 mod markdown;
 mod sources;
 
+use std::collections::{BTreeMap, BTreeSet};
+
 use markdown::{code_spans, links, sections, table_rows};
 use sources::{read, root, type_names};
 
@@ -15,6 +18,11 @@
     "docs/vocabulary.md",
 ];
 
+/// The page on which each warning and error event stands.
+const ON_CALL: &str = "docs/on-call.md";
+/// The first cell of the head of its table of events.
+const EVENT_COLUMN: &str = "event";
+
 /// Whether a code span names a file or a folder of this repository: a path with a folder, or a file by its extension.
 fn is_path(span: &str) -> bool {
     const EXTENSIONS: [&str; 5] = [".rs", ".md", ".toml", ".json", ".py"];
@@ -96,3 +104,77 @@
     }
     assert!(wrong.is_empty(), "{}", wrong.join("\n"));
 }
+
+/// The events of the table, each with the line of its row.
+fn events_of_the_page() -> Vec<(String, usize)> {
+    let rows = table_rows(&read(ON_CALL));
+    let of_events = rows.into_iter().filter(|row| row.header[0] == EVENT_COLUMN);
+    of_events
+        .map(|row| match code_spans(&row.cells[0]).as_slice() {
+            [(_, name)] => (name.clone(), row.line),
+            _ => panic!("{ON_CALL}:{}: the first cell names one event", row.line),
+        })
+        .collect()
+}
+
+#[test]
+fn each_warning_has_an_event_name() {
+    let unnamed: Vec<String> = events::unnamed_records();
+    assert!(
+        unnamed.is_empty(),
+        "a warning or error without `event = \"name\"`:\n{}",
+        unnamed.join("\n")
+    );
+}
+
+#[test]
+fn the_on_call_page_has_each_warning_event_and_no_other() {
+    let logged: BTreeMap<String, String> = events::warning_events();
+    assert!(
+        !logged.is_empty(),
+        "the sources log no event; the search for them is broken"
+    );
+    let on_page = events_of_the_page();
+    let names: BTreeSet<&str> = on_page.iter().map(|(name, _)| name.as_str()).collect();
+    let mut wrong: Vec<String> = Vec::new();
+    for (name, place) in &logged {
+        if !names.contains(name.as_str()) {
+            wrong.push(format!("{ON_CALL} lacks the event `{name}` of {place}"));
+        }
+    }
+    for (name, line) in &on_page {
+        if !logged.contains_key(name) {
+            wrong.push(format!(
+                "{ON_CALL}:{line}: nothing logs the event `{name}` as a warning"
+            ));
+        }
+    }
+    assert!(wrong.is_empty(), "{}", wrong.join("\n"));
+}
+
+#[test]
+fn each_event_of_the_on_call_page_has_one_row_with_meaning_cause_and_action() {
+    let page = read(ON_CALL);
+    let mut seen = BTreeSet::new();
+    for row in table_rows(&page)
+        .iter()
+        .filter(|row| row.header[0] == EVENT_COLUMN)
+    {
+        assert_eq!(
+            row.header[1..],
+            ["meaning", "cause", "first action"],
+            "{ON_CALL}:{}",
+            row.line
+        );
+        assert!(
+            seen.insert(row.cells[0].clone()),
+            "{ON_CALL}:{}: a second row",
+            row.line
+        );
+        assert!(
+            row.cells.iter().all(|cell| !cell.is_empty()),
+            "{ON_CALL}:{}: an empty cell",
+            row.line
+        );
+    }
+}
