--- a/crates/cli/tests/churn.rs
+++ b/crates/cli/tests/churn.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use reedring_test_processes::Program;
+use reedring_test_processes::{Launch, Program};
 use standins::{Client, Discovery, Host, config, message, setup, soon};
 
 const ROUNDS: u64 = 60;
@@ -63,8 +63,11 @@
     let arguments = [
         "platform", "--log", "off", "--config", &shown, "--listen", &listen,
     ];
-    let placer =
-        Placer(Program::start(program, "the placer", &arguments, None).expect("it starts"));
+    let placer = Placer(
+        Launch::new(program, "the placer", &arguments)
+            .start()
+            .expect("it starts"),
+    );
     // It polls from after it listens.
     discovery
         .until_asked(|asks| asks.iter().any(|ask| ask.contains("watch=1&")))
--- a/crates/cli/tests/cli.rs
+++ b/crates/cli/tests/cli.rs
@@ -5,7 +5,7 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::Duration;
 
-use reedring_test_processes::{Program, Signal};
+use reedring_test_processes::{Launch, Signal};
 
 /// No wait in a test is longer; one that is has failed.
 const LONG: Duration = Duration::from_secs(20);
@@ -370,8 +370,9 @@
     // What it does not know is passed by, and the rest holds.
     std::fs::write(&path, good.to_string()).unwrap();
     let program = Path::new(env!("CARGO_BIN_EXE_reedring"));
-    let placer =
-        Program::start(program, "placer", &["platform", "--config", config], None).unwrap();
+    let placer = Launch::new(program, "placer", &["platform", "--config", config])
+        .start()
+        .unwrap();
     let says = |line: &'static str| {
         placer
             .wait_line(0, line, LONG, |said| said.contains(line))
@@ -384,5 +385,5 @@
     says("configuration_rejected");
     std::fs::write(&path, good.to_string()).unwrap();
     says("configuration_reloaded");
-    assert_eq!(placer.end(LONG).unwrap().code(), Some(0));
+    assert_eq!(placer.terminate(LONG).unwrap().code(), Some(0));
 }
--- a/crates/cli/tests/descriptors.rs
+++ b/crates/cli/tests/descriptors.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use reedring_test_processes::{Program, free_address};
+use reedring_test_processes::{Launch, free_address};
 use standins::{Client, Discovery, Host, LONG, config_at, message, setup};
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
@@ -58,8 +58,10 @@
         path.display().to_string(),
     );
     let arguments = ["platform", "--config", &shown];
-    let placer =
-        Program::start_with_descriptors(program, "the placer", &arguments, SOCKETS).unwrap();
+    let placer = Launch::new(program, "the placer", &arguments)
+        .max_descriptors(SOCKETS)
+        .start()
+        .unwrap();
     placer
         .wait_line(0, "that discovery is down", LONG, |line| {
             line.contains("refused")
@@ -94,12 +96,12 @@
     let short =
         |line: &String| line.contains("could not be accepted") || line.contains("no descriptor");
     assert!(
-        !placer.said().iter().any(short),
+        !placer.output_lines().iter().any(short),
         "{:?}",
-        placer.said().iter().find(|line| short(line))
+        placer.output_lines().iter().find(|line| short(line))
     );
     // Asked to end it does, with all places taken and more at the door.
-    let ended = tokio::task::spawn_blocking(move || placer.end(Duration::from_secs(10)));
+    let ended = tokio::task::spawn_blocking(move || placer.terminate(Duration::from_secs(10)));
     assert_eq!(
         standins::soon("the end", ended)
             .await
--- a/crates/local-cluster/src/kills.rs
+++ b/crates/local-cluster/src/kills.rs
@@ -17,7 +17,7 @@
 use reedring_client::drmaa::rpc::Range;
 use reedring_client::drmaa::{ErrorCode, JobTemplate};
 use reedring_state::{Disk, StateExport};
-use reedring_test_processes::{Program, free_address};
+use reedring_test_processes::{Launch, Program, free_address};
 
 use crate::badday::BadDayError;
 use crate::site::{Plan, Site, SiteError};
@@ -73,7 +73,7 @@
 fn start(program: &Path, config: &Path) -> Result<Program, BadDayError> {
     let config = config.display().to_string();
     let arguments = ["--log", "error", "serve", "--config", &config];
-    let placer = Program::start(program, "the placer", &arguments, None);
+    let placer = Launch::new(program, "the placer", &arguments).start();
     let ready = placer.and_then(|placer| {
         placer.wait_line(0, "its contact", READY, |line| {
             line.starts_with("contact: ")
--- a/crates/system-tests/src/control.rs
+++ b/crates/system-tests/src/control.rs
@@ -158,7 +158,7 @@
         let number = change + 2;
         let mut marks = Vec::new();
         for name in &names {
-            marks.push(fleet.placer(name)?.mark());
+            marks.push(fleet.placer(name)?.line_count());
         }
         let by = below(placers) as usize;
         fleet.settings_of(
--- a/crates/system-tests/src/fleet.rs
+++ b/crates/system-tests/src/fleet.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use reedring_audit::{Event, Recorder, Report, TraceError};
-use reedring_test_processes::{ProcessError, Program, Signal, free_address};
+use reedring_test_processes::{Launch, ProcessError, Program, Signal, free_address};
 use tempfile::TempDir;
 
 use crate::relay::Relays;
@@ -223,7 +223,9 @@
             arguments.extend(["--trace", &shown]);
             self.traces.push(trace);
         }
-        let program = Program::start(&self.site.program, name, &arguments, node.file.file_kib)?;
+        let program = Launch::new(&self.site.program, name, &arguments)
+            .max_file_kib(node.file.file_kib)
+            .start()?;
         program.wait_line(0, "ready", READY, |line| line == "ready")?;
         node.program = Some(program);
         Ok(())
@@ -387,7 +389,9 @@
         }
         let config = config.display().to_string();
         let arguments = ["program", "--log", "info", "serve", "--config", &config];
-        let program = Program::start(&self.site.program, name, &arguments, placer.file_kib)?;
+        let program = Launch::new(&self.site.program, name, &arguments)
+            .max_file_kib(placer.file_kib)
+            .start()?;
         program.wait_line(0, "its contact", READY, |line| {
             line.starts_with("contact: ")
         })?;
@@ -465,7 +469,7 @@
             .get_mut(name)
             .and_then(|placer| placer.program.take());
         let program = program.ok_or_else(|| TrialError::Unknown(name.to_owned()))?;
-        let status = program.end(READY)?;
+        let status = program.terminate(READY)?;
         self.faults.record(Event::PlacerEnded, name, "", 0, b"");
         Ok(status.code())
     }
@@ -476,7 +480,9 @@
     /// Where it does not end in time.
     pub fn ask(&self, arguments: &[&str]) -> Result<Vec<String>, TrialError> {
         let arguments: Vec<&str> = ["program"].iter().chain(arguments).copied().collect();
-        Ok(Program::start(&self.site.program, "reedring", &arguments, None)?.finish(READY)?)
+        Ok(Launch::new(&self.site.program, "reedring", &arguments)
+            .start()?
+            .wait_exit(READY)?)
     }
 
     /// Waits for a line of a placer from a mark on.
--- a/crates/system-tests/src/scale/cluster/nodes.rs
+++ b/crates/system-tests/src/scale/cluster/nodes.rs
@@ -1,6 +1,6 @@
 //! The nodes of a run, hollow and real: they are started, killed, told and asked.
 
-use reedring_test_processes::Program;
+use reedring_test_processes::{Launch, Program};
 
 use super::{Cluster, NodeGroup, PATIENCE};
 use crate::scale::ScaleError;
@@ -48,7 +48,9 @@
             "--config",
             &group.config.display().to_string(),
         ];
-        let process = Program::start_with_input(&self.program, &group.name, &arguments)?;
+        let process = Launch::new(&self.program, &group.name, &arguments)
+            .with_input()
+            .start()?;
         process.wait_line(0, "ready", PATIENCE, |line| line == "ready")?;
         group.process = Some(process);
         Ok(())
@@ -79,8 +81,8 @@
         let Some(process) = &mut self.groups[n].process else {
             return Ok(());
         };
-        let from = process.mark();
-        process.tell(&format!("{order} {}", nodes.join(" ")))?;
+        let from = process.line_count();
+        process.write_line(&format!("{order} {}", nodes.join(" ")))?;
         let answers = ["killed", "started", "failed"];
         let answer = process.wait_line(from, order, PATIENCE, |line| {
             answers.iter().any(|answer| line.starts_with(answer))
@@ -105,7 +107,9 @@
                 &node_configs(std::slice::from_ref(&node), self.seed),
             )?;
             let arguments = ["hollow-nodes", "--config", &config.display().to_string()];
-            let process = Program::start_with_input(&self.program, &node.name, &arguments)?;
+            let process = Launch::new(&self.program, &node.name, &arguments)
+                .with_input()
+                .start()?;
             process.wait_line(0, "ready", PATIENCE, |line| line == "ready")?;
             self.control.push(process);
         }
@@ -145,7 +149,7 @@
                 "--config",
                 &config,
             ];
-            let process = Program::start(&self.program, &node.name, &arguments, None)?;
+            let process = Launch::new(&self.program, &node.name, &arguments).start()?;
             process.wait_line(0, "ready", PATIENCE, |line| line == "ready")?;
             self.real_nodes.push(process);
         }
@@ -182,8 +186,8 @@
 }
 
 fn ask_counts(process: &mut Program) -> Result<PlacerCounts, ScaleError> {
-    let from = process.mark();
-    process.tell("counts")?;
+    let from = process.line_count();
+    process.write_line("counts")?;
     let line = process.wait_line(from, "counts", PATIENCE, |line| line.starts_with(COUNTS))?;
     PlacerCounts::parse(&line).ok_or(ScaleError::Refused(line))
 }
--- a/crates/system-tests/src/scale/cluster/placers.rs
+++ b/crates/system-tests/src/scale/cluster/placers.rs
@@ -5,7 +5,7 @@
 
 use reedring_client::Operator;
 use reedring_drmaa::rpc::NodeLine;
-use reedring_test_processes::{ProcessError, Program};
+use reedring_test_processes::{Launch, ProcessError, Program};
 
 use super::{Cluster, PATIENCE};
 use crate::scale::ScaleError;
@@ -37,7 +37,9 @@
             }
             let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
             let name = format!("hollow-placers-{process}");
-            let process = Program::start_with_input(&self.program, &name, &arguments)?;
+            let process = Launch::new(&self.program, &name, &arguments)
+                .with_input()
+                .start()?;
             process.wait_line(0, "ready", PATIENCE, |line| line == "ready")?;
             self.hollow_placers.push(process);
         }
@@ -60,7 +62,7 @@
         let config = self.write_settings(n)?.display().to_string();
         let placer = &mut self.placers[n];
         let arguments = ["child-program", "--log", LOG, "serve", "--config", &config];
-        let process = Program::start(&self.program, &placer.spec.name, &arguments, None)?;
+        let process = Launch::new(&self.program, &placer.spec.name, &arguments).start()?;
         process.wait_line(0, "its contact", PATIENCE, |line| {
             line.starts_with("contact: ")
         })?;
@@ -139,7 +141,12 @@
         while !wanted(&self.node_lines(placer)?) {
             if Instant::now() > until {
                 let name = self.placers[placer].spec.name.clone();
-                return Err(ProcessError::Silent(name, what.to_owned(), String::new()).into());
+                return Err(ProcessError::NotSeen {
+                    process: name,
+                    awaited: what.to_owned(),
+                    last_lines: String::new(),
+                }
+                .into());
             }
             std::thread::sleep(LOOK);
         }
--- a/crates/system-tests/src/scale/player.rs
+++ b/crates/system-tests/src/scale/player.rs
@@ -178,11 +178,11 @@
         let known = asked(self.cluster)?;
         while asked(self.cluster)? < known + nodes {
             if Instant::now() > until {
-                return Err(ProcessError::Silent(
-                    name,
-                    "every node was asked".to_owned(),
-                    String::new(),
-                )
+                return Err(ProcessError::NotSeen {
+                    process: name,
+                    awaited: "every node was asked".to_owned(),
+                    last_lines: String::new(),
+                }
                 .into());
             }
             std::thread::sleep(QUIET);
--- a/crates/system-tests/src/scale/work.rs
+++ b/crates/system-tests/src/scale/work.rs
@@ -135,7 +135,12 @@
         }
         if Instant::now() > until {
             let what = format!("{tasks} tasks decided; {stats:?}");
-            return Err(ProcessError::Silent(contact.to_owned(), what, String::new()).into());
+            return Err(ProcessError::NotSeen {
+                process: contact.to_owned(),
+                awaited: what,
+                last_lines: String::new(),
+            }
+            .into());
         }
         std::thread::sleep(LOOK);
     }
--- a/crates/system-tests/src/versions.rs
+++ b/crates/system-tests/src/versions.rs
@@ -268,7 +268,7 @@
     let mut faults = Vec::new();
     let mut marks: Vec<usize> = Vec::new();
     for name in &names {
-        marks.push(fleet.placer(name)?.mark());
+        marks.push(fleet.placer(name)?.line_count());
     }
     let mut change = |fleet: &mut Fleet, n: usize, grace: &str| -> Result<(), TrialError> {
         let site = format!("max_attempts = 3\nprice_fleet = {grace}");
--- a/crates/system-tests/tests/changes.rs
+++ b/crates/system-tests/tests/changes.rs
@@ -59,7 +59,7 @@
     let mut numbers: Vec<u64> = fleet
         .placer(placer)
         .unwrap()
-        .said()
+        .output_lines()
         .iter()
         .filter_map(number)
         .collect();
@@ -80,7 +80,7 @@
     fleet
         .placer(placer)
         .unwrap()
-        .said()
+        .output_lines()
         .into_iter()
         .filter(|line| line.contains(wanted))
         .collect()
--- a/crates/system-tests/tests/control.rs
+++ b/crates/system-tests/tests/control.rs
@@ -21,7 +21,7 @@
 fn marks(fleet: &Fleet) -> Vec<(String, usize)> {
     let placers = fleet.placers().into_iter();
     placers
-        .map(|name| (name.clone(), fleet.placer(&name).unwrap().mark()))
+        .map(|name| (name.clone(), fleet.placer(&name).unwrap().line_count()))
         .collect()
 }
 
@@ -228,7 +228,7 @@
     comes_in_force(&fleet, &from[1..2], 2);
     assert_eq!(five(&fleet, "placer-3").ended.get("refused"), Some(&5));
     assert_eq!(placed(&five(&fleet, "placer-2")), 5);
-    let mark = fleet.placer("placer-3").unwrap().mark();
+    let mark = fleet.placer("placer-3").unwrap().line_count();
     fleet
         .relays
         .set(cut, |mode: &mut Mode| mode.refuses = false);
--- a/crates/system-tests/tests/scale.rs
+++ b/crates/system-tests/tests/scale.rs
@@ -10,7 +10,7 @@
 use reedring_system_tests::scale::needs::Resource;
 use reedring_system_tests::scale::phase::PhaseName;
 use reedring_system_tests::scale::{self, Report, ScaleError, ScaleOptions};
-use reedring_system_tests::{Program, Signal};
+use reedring_system_tests::{Launch, Program, Signal};
 
 /// How long a process may take to say something.
 const PATIENCE: Duration = Duration::from_secs(60);
@@ -234,12 +234,12 @@
 fn start_run() -> (Program, Vec<u32>) {
     let arguments = "scale --nodes 24 --placers 3 --tasks 0 --window 600 --phases idle";
     let arguments: Vec<&str> = arguments.split_whitespace().collect();
-    let run = Program::start(program(), "scale", &arguments, None).unwrap();
+    let run = Launch::new(program(), "scale", &arguments).start().unwrap();
     run.wait_line(0, "its processes", PATIENCE, |line| {
         line.starts_with("all placers")
     })
     .unwrap();
-    let ids = process_ids(&run.said().join("\n"));
+    let ids = process_ids(&run.output_lines().join("\n"));
     assert_eq!(ids.len(), 8 + 3 + 3);
     assert!(ids.iter().all(|id| runs(*id)));
     (run, ids)
@@ -261,7 +261,7 @@
     let (run, ids) = start_run();
     let folder = folder_of(ids[0]);
     assert!(folder.exists());
-    let status = run.end(PATIENCE).unwrap();
+    let status = run.terminate(PATIENCE).unwrap();
     assert_eq!(status.code(), Some(130));
     all_ended(&ids);
     assert!(!folder.exists(), "{}", folder.display());
--- a/crates/system-tests/tests/versions.rs
+++ b/crates/system-tests/tests/versions.rs
@@ -54,7 +54,7 @@
 fn marks(fleet: &Fleet) -> Vec<(String, usize)> {
     let placers = fleet.placers().into_iter();
     placers
-        .map(|name| (name.clone(), fleet.placer(&name).unwrap().mark()))
+        .map(|name| (name.clone(), fleet.placer(&name).unwrap().line_count()))
         .collect()
 }
 
@@ -201,7 +201,7 @@
     ]);
     assert_eq!(outcomes.ended.get("placed"), Some(&20), "{outcomes:?}");
     // One of them is updated.
-    let mark = fleet.placer("placer-1").unwrap().mark();
+    let mark = fleet.placer("placer-1").unwrap().line_count();
     fleet.kill_node("node-1");
     fleet.node_file("node-1", |file| *file = keeping());
     fleet.start_node("node-1").unwrap();
@@ -217,7 +217,7 @@
 #[test]
 fn a_placer_that_is_cut_off_stops_after_its_lease_and_comes_back_by_itself() {
     let fleet = fleet(2, vec![keeping(); 5]);
-    let mark = fleet.placer("placer-2").unwrap().mark();
+    let mark = fleet.placer("placer-2").unwrap().line_count();
     let cut = |placer: &str, node: &str| placer == "placer-2" && node != "node-1";
     fleet
         .relays
@@ -236,7 +236,7 @@
     let load = Load::start(&fleet.contact("placer-2"), &["play"], 4, 50, None).unwrap();
     let outcomes = all_told(vec![load]);
     assert_eq!(outcomes.ended.get("refused"), Some(&4), "{outcomes:?}");
-    let mark = fleet.placer("placer-2").unwrap().mark();
+    let mark = fleet.placer("placer-2").unwrap().line_count();
     fleet.relays.set(cut, |mode| mode.refuses = false);
     acts_by(&fleet, "placer-2", mark, 1, SETTLES).unwrap();
     clean(fleet);
@@ -278,7 +278,7 @@
     said(&fleet, "placer-1", 0, "plan.number: plan 4");
     restart(&mut fleet, "placer-1", &settings(2, 2));
     said(&fleet, "placer-1", 0, "site.placers: plan 2");
-    let mark = fleet.placer("placer-2").unwrap().mark();
+    let mark = fleet.placer("placer-2").unwrap().line_count();
     fleet.tell_list_of("placer-2", 0).unwrap();
     said(&fleet, "placer-2", mark, "node list ignored");
     let stands = Load::start(&fleet.contact("placer-2"), &["edition"], 3, 3_000, None).unwrap();
@@ -364,7 +364,7 @@
         })
         .unwrap();
     acts_by(&fleet, "placer-2", 0, 1, SETTLES).unwrap();
-    let mark = fleet.placer("placer-2").unwrap().mark();
+    let mark = fleet.placer("placer-2").unwrap().line_count();
     restart(&mut fleet, "placer-1", &settings(2, 3));
     acts_by(&fleet, "placer-2", mark, 2, SETTLES).unwrap();
     let outcomes = all_told(vec![
--- a/crates/test-processes/src/lib.rs
+++ b/crates/test-processes/src/lib.rs
@@ -1,9 +1,16 @@
-//! Programs as processes of a test or trial. Each is started, waited for by what it says - a line, never a sleep -
-//! and ended by its own handle.
+//! Programs as child processes of a test or a measurement: their output lines, their signals, their exit.
+//!
+//! A test starts a [`Program`], waits for what it prints - a line, never a sleep - and ends it by its own handle. A
+//! program whose handle is dropped is killed.
 #![forbid(unsafe_code)]
 
 mod address;
+mod error;
+mod launch;
+mod output;
 mod program;
 
 pub use address::free_address;
-pub use program::{ProcessError, Program, Signal};
+pub use error::ProcessError;
+pub use launch::Launch;
+pub use program::{Program, Signal};
