--- a/crates/core/benches/constraints.rs
+++ b/crates/core/benches/constraints.rs
@@ -32,7 +32,7 @@
             Start {
                 now: 0,
                 unix_us: 0,
-                life: 1,
+                incarnation: 1,
                 seed: 1,
             },
         );
@@ -55,11 +55,11 @@
                 0,
                 Input::LinkUp {
                     node: node.clone(),
-                    called,
-                    life,
+                    reported_name: called,
+                    incarnation: life,
                     up_ms,
                     can_suspend,
-                    record: None,
+                    report: None,
                 },
             );
             site.core.handle(
@@ -89,8 +89,10 @@
 
     fn tell_list(&mut self) {
         let nodes = self.list.clone();
-        self.core
-            .handle(self.now, Input::Listed(NodeList { revision: 0, nodes }));
+        self.core.handle(
+            self.now,
+            Input::NodeListChanged(NodeList { revision: 0, nodes }),
+        );
     }
 
     fn submit(&mut self, count: u64, constraint: &str) {
--- a/crates/core/benches/keep.rs
+++ b/crates/core/benches/keep.rs
@@ -26,11 +26,11 @@
     let start = Start {
         now: 1_000_000,
         unix_us: 1_000_000,
-        life: 9,
+        incarnation: 9,
         seed: 1,
     };
     let restored = Restored {
-        image,
+        ledger: image,
         ..Restored::default()
     };
     if keeps {
@@ -82,7 +82,7 @@
         core.flush(1_000_000);
         longest = longest.max(ms(began));
         while let Some(output) = core.poll() {
-            if let Output::Keep { batch, .. } = output {
+            if let Output::Persist { batch, .. } = output {
                 core.handle(1_000_000, Input::Durable(batch.sequence.0));
                 changes.extend(batch.changes);
             }
@@ -110,12 +110,12 @@
         }
         core.handle(
             1_000_000,
-            Input::StateLost {
-                why: "full".to_owned(),
-                marked: true,
+            Input::StateUnavailable {
+                reason: "full".to_owned(),
+                marked_incomplete: true,
             },
         );
-        core.handle(1_000_000, Input::StateBack);
+        core.handle(1_000_000, Input::StateAvailable);
         let began = Instant::now();
         core.flush(1_000_000);
         println!(
--- a/crates/core/src/configuration/agreement.rs
+++ b/crates/core/src/configuration/agreement.rs
@@ -33,7 +33,7 @@
     /// The newest committed configuration whose text is here: what requests and answers may leave out.
     base: Option<ConfigDocument>,
     /// A configuration of which a wrong delta came: it is fetched whole.
-    fetch_whole: Option<ConfigVersion>,
+    fetch_in_full: Option<ConfigVersion>,
     /// The newest committed configuration that this incarnation knows of, whatever nodes have forgotten.
     committed: ConfigVersion,
     lease_state: LeaseState,
@@ -62,7 +62,7 @@
             backoff: ProposalBackoff::new(Incarnation(incarnation)),
             compactor: RequestCompactor::default(),
             base: None,
-            fetch_whole: None,
+            fetch_in_full: None,
             committed: ConfigVersion::default(),
             lease_state: LeaseState::Suspended(SuspendReason::NoQuorum),
             last_status: None,
@@ -150,7 +150,7 @@
     ) {
         self.backoff.reset_node(node.0);
         match record {
-            Some(record) => self.record_reported(now, node, record, cx),
+            Some(record) => self.report_received(now, node, record, cx),
             None => {
                 self.peers.stores_nothing(now, node);
                 self.changed = true;
@@ -159,7 +159,7 @@
     }
 
     /// What a node stores has changed, or was asked for.
-    pub fn record_reported(
+    pub fn report_received(
         &mut self,
         now: Micros,
         node: NodeNumber,
@@ -207,7 +207,7 @@
                 Ok(())
             }
             Err(error) => {
-                self.fetch_whole = Some(delta.target);
+                self.fetch_in_full = Some(delta.target);
                 Err(error)
             }
         }
--- a/crates/core/src/configuration/agreement/step.rs
+++ b/crates/core/src/configuration/agreement/step.rs
@@ -32,16 +32,25 @@
     to_raise: Vec<NodeNumber>,
 }
 
+/// By what this placer acts after a step, for the voters.
+struct Heartbeat {
+    stamp: VersionStamp,
+    /// It acts by another configuration than before the step.
+    is_changed: bool,
+    /// Microseconds after which the voters are queried again.
+    interval: Micros,
+}
+
 impl Agreement {
     /// Evaluates all that is known, and does what follows.
     pub fn advance(&mut self, now: Micros, effects: &mut AgreementEffects<'_>) {
         self.changed = false;
         let view = self.peers.view(effects.nodes);
         let list = effects.nodes.list_revision();
-        let heard = self.peers.lease.quorum_contact(now, &view);
+        let contact = self.peers.lease.quorum_contact(now, &view);
         self.learn_committed(&view);
         let before = self.stamp(list);
-        self.lease_state = self.evaluate_lease(&view, heard);
+        self.lease_state = self.evaluate_lease(&view, contact);
         self.apply_settings(&view, effects);
         let proposal = self.proposal(&view);
         let rejected = proposal.as_ref().err().map(ToString::to_string);
@@ -49,38 +58,35 @@
         let proposal = proposal
             .ok()
             .flatten()
-            .filter(|_| heard == QuorumContact::Recent);
+            .filter(|_| contact == QuorumContact::Recent);
         let ChangeProgress {
             phase,
             mut requests,
-        } = self.next_ballot(now, &view, heard, proposal.as_ref());
+        } = self.next_ballot(now, &view, contact, proposal.as_ref());
         let stamp = self.stamp(list);
-        let interval = self.heartbeat_interval(&view, heard);
-        let stamp_changed = (stamp.version, stamp.joint) != (before.version, before.joint);
-        self.heartbeat(
-            now,
+        let heartbeat = Heartbeat {
             stamp,
-            stamp_changed,
-            interval,
-            &view,
-            &mut requests,
-            effects,
-        );
+            is_changed: (stamp.version, stamp.joint) != (before.version, before.joint),
+            interval: self.heartbeat_interval(&view, contact),
+        };
+        requests.extend(self.heartbeat(now, &heartbeat, &view, effects));
         let blocked = self.block_nodes(now, effects);
-        requests.extend(blocked.to_raise.iter().map(|node| NodeRequest {
+        let request = ConfigRequest::RaiseFloor { stamp };
+        let raise = |node: &NodeNumber| NodeRequest {
             node: node.0,
-            request: ConfigRequest::RaiseFloor { stamp },
-        }));
+            request: request.clone(),
+        };
+        requests.extend(blocked.to_raise.iter().map(raise));
         let requests = self.due_requests(now, requests);
-        let is_waiting =
-            matches!(self.lease_state, LeaseState::Suspended(_)) && heard == QuorumContact::Recent;
+        let is_waiting = matches!(self.lease_state, LeaseState::Suspended(_))
+            && contact == QuorumContact::Recent;
         let is_busy = phase != ChangePhase::Idle || blocked.ends_by_time || is_waiting;
-        self.schedule(
-            now,
-            &view,
-            if is_busy { BUSY_INTERVAL_US } else { interval },
-            effects.cx,
-        );
+        let interval = if is_busy {
+            BUSY_INTERVAL_US
+        } else {
+            heartbeat.interval
+        };
+        self.schedule(now, &view, interval, effects.cx);
         for NodeRequest { node, request } in requests {
             effects.queue.send(
                 NodeNumber(node),
@@ -104,14 +110,14 @@
         }
     }
 
-    fn evaluate_lease(&self, view: &ClusterView, heard: QuorumContact) -> LeaseState {
+    fn evaluate_lease(&self, view: &ClusterView, contact: QuorumContact) -> LeaseState {
         let committed = self.committed;
         let usability = |version| self.catalog.usability(version, committed);
         let inputs = LeaseInputs {
             local: self.file.own(),
             cluster: view,
             known_committed: committed,
-            contact: heard,
+            contact,
         };
         lease_state(&inputs, usability)
     }
@@ -137,7 +143,7 @@
         );
         cx.replace_settings(settings.clone());
         let zone = settings.hall.as_deref().map(|zone| nodes.zone_number(zone));
-        cx.tell_module(ModuleEvent::SettingsChanged(Box::new(
+        cx.notify_module(ModuleEvent::SettingsChanged(Box::new(
             settings.module(zone),
         )));
         cx.output(Output::Settings(Box::new(settings)));
@@ -182,7 +188,7 @@
         let status = self.status(rejected);
         if self.last_status.as_ref() != Some(&status) {
             self.last_status = Some(status.clone());
-            cx.output(Output::ShutOut(self.fenced().is_some()));
+            cx.output(Output::Fenced(self.fenced().is_some()));
             cx.log(status);
         }
     }
@@ -192,12 +198,12 @@
         &mut self,
         now: Micros,
         view: &ClusterView,
-        heard: QuorumContact,
+        contact: QuorumContact,
         proposal: Option<&ConfigDocument>,
     ) -> ChangeProgress {
         let may_preempt = self.backoff.may_preempt(now, view);
         let may_complete = self.backoff.may_complete_change(now, view);
-        if heard != QuorumContact::Recent {
+        if contact != QuorumContact::Recent {
             return ChangeProgress {
                 phase: ChangePhase::Idle,
                 requests: Vec::new(),
@@ -221,10 +227,10 @@
         progress
     }
 
-    fn heartbeat_interval(&self, view: &ClusterView, heard: QuorumContact) -> Micros {
+    fn heartbeat_interval(&self, view: &ClusterView, contact: QuorumContact) -> Micros {
         // Control machines are few: without a majority of them they are queried until one is heard.
         let few_voters = view.membership != Membership::AllNodes;
-        if heard != QuorumContact::Recent && few_voters {
+        if contact != QuorumContact::Recent && few_voters {
             QUORUM_RETRY_US
         } else {
             self.file.lease_us() / HEARTBEATS_PER_LEASE
@@ -232,40 +238,40 @@
     }
 
     /// Tells the voters by what this placer acts now, and so hears that they are there.
-    #[expect(
-        clippy::too_many_arguments,
-        reason = "each is a result of the step that calls it, and used once"
-    )]
     fn heartbeat(
         &mut self,
         now: Micros,
-        stamp: VersionStamp,
-        stamp_changed: bool,
-        interval: Micros,
+        heartbeat: &Heartbeat,
         view: &ClusterView,
-        requests: &mut Vec<NodeRequest>,
         effects: &mut AgreementEffects<'_>,
-    ) {
+    ) -> Vec<NodeRequest> {
+        let Heartbeat {
+            stamp,
+            is_changed,
+            interval,
+        } = *heartbeat;
         let is_first = self.last_heartbeat == 0;
-        let changed = stamp_changed || is_first;
-        if changed || now >= self.last_heartbeat + interval {
-            self.last_heartbeat = now;
-            requests.extend(view.voters().map(|(node, _)| NodeRequest {
-                node,
-                request: ConfigRequest::Query { stamp },
-            }));
-            effects.cx.output(Output::Acts(stamp));
+        let is_due = is_changed || is_first || now >= self.last_heartbeat + interval;
+        if is_changed || is_first {
+            effects
+                .queue
+                .record(Change::ActiveConfig(state::ActiveConfigRow {
+                    version_number: stamp.version.number,
+                    digest: stamp.version.digest.to_string(),
+                    joint: stamp.joint,
+                    node_list_revision: stamp.list,
+                }));
         }
-        if changed {
-            let (version_number, digest) = (stamp.version.number, stamp.version.digest.to_string());
-            let acts = state::ActiveConfigRow {
-                version_number,
-                digest,
-                joint: stamp.joint,
-                node_list_revision: stamp.list,
-            };
-            effects.queue.record(Change::ActiveConfig(acts));
+        if !is_due {
+            return Vec::new();
         }
+        self.last_heartbeat = now;
+        effects.cx.output(Output::ActiveConfiguration(stamp));
+        let query = |(node, _)| NodeRequest {
+            node,
+            request: ConfigRequest::Query { stamp },
+        };
+        view.voters().map(query).collect()
     }
 
     /// Blocks the nodes to which nothing may be dispatched by the active configuration.
@@ -299,9 +305,9 @@
         {
             self.base = Some(committed);
         }
-        let (base, peers, fetch_whole) = (self.base.as_ref(), &self.peers, self.fetch_whole);
+        let (base, peers, fetch_in_full) = (self.base.as_ref(), &self.peers, self.fetch_in_full);
         let compact = |NodeRequest { node, request }: NodeRequest| {
-            let in_full = matches!(request, ConfigRequest::Fetch { version, .. } if Some(version) == fetch_whole);
+            let in_full = matches!(request, ConfigRequest::Fetch { version, .. } if Some(version) == fetch_in_full);
             let report = peers.record(NodeNumber(node)).filter(|_| !in_full);
             let request = match report {
                 Some(report) => self.compactor.compact(request, report, base),
--- a/crates/core/src/configuration/mod.rs
+++ b/crates/core/src/configuration/mod.rs
@@ -89,7 +89,7 @@
     }
 
     /// What a node stores has changed, or was asked for.
-    pub fn record_reported(
+    pub fn report_received(
         &mut self,
         now: Micros,
         node: NodeNumber,
@@ -97,7 +97,7 @@
         cx: &mut Context,
     ) {
         if let Some(agreement) = &mut self.agreement {
-            agreement.record_reported(now, node, record, cx);
+            agreement.report_received(now, node, record, cx);
         }
     }
 
--- a/crates/core/src/constraints/placed.rs
+++ b/crates/core/src/constraints/placed.rs
@@ -115,29 +115,12 @@
             self.node.index(),
             &mut self.reached,
         );
-        let dark = site
-            .fleet()
-            .lines()
-            .get(self.node.index())
-            .is_none_or(|line| line.dark);
-        let violated: BTreeSet<usize> = breaches.iter().map(|breach| breach.clause).collect();
-        if !dark {
-            // Of a copy on a node that is gone nobody knows whether it runs.
-            let restored = self.violated.iter().filter(|(n, _)| !violated.contains(n));
-            for (n, since) in restored {
-                let text = constraint.clauses[*n].to_string();
-                let breach = Breach {
-                    clause: *n,
-                    text,
-                    mends: String::new(),
-                };
-                changes.push(ClauseChange {
-                    job,
-                    breach,
-                    violated_since: Some(*since),
-                });
-            }
-            self.violated.retain(|n, _| violated.contains(n));
+        let node = site.fleet().lines().get(self.node.index());
+        // Of a copy on a node that is gone nobody knows whether it runs.
+        let is_gone = node.is_none_or(|line| line.dark);
+        if !is_gone {
+            let violated = breaches.iter().map(|breach| breach.clause).collect();
+            self.note_restored(job, &violated, changes);
         }
         for breach in breaches {
             if self.violated.insert(breach.clause, now).is_none() {
@@ -149,4 +132,29 @@
             }
         }
     }
+
+    /// Notes the clauses that are no longer violated.
+    fn note_restored(
+        &mut self,
+        job: JobNumber,
+        violated: &BTreeSet<usize>,
+        changes: &mut Vec<ClauseChange>,
+    ) {
+        let clauses = &self.job.constraint.constraint.clauses;
+        let restored = self.violated.iter().filter(|(n, _)| !violated.contains(n));
+        for (n, since) in restored {
+            let text = clauses[*n].to_string();
+            let breach = Breach {
+                clause: *n,
+                text,
+                mends: String::new(),
+            };
+            changes.push(ClauseChange {
+                job,
+                breach,
+                violated_since: Some(*since),
+            });
+        }
+        self.violated.retain(|n, _| violated.contains(n));
+    }
 }
--- a/crates/core/src/constraints/queued.rs
+++ b/crates/core/src/constraints/queued.rs
@@ -33,11 +33,11 @@
 struct QueuedRequest {
     job: ConstrainedJob,
     /// The machines that the decision module was told last.
-    told: Option<Vec<MachineId>>,
+    announced: Option<Vec<MachineId>>,
     /// Preferences dropped for it, from the last.
     dropped: usize,
     /// It was open, and found no room.
-    tried: bool,
+    had_turn: bool,
     /// An offer of it is unanswered.
     offered: bool,
 }
@@ -84,12 +84,12 @@
         if takes_turns {
             self.stale.insert(request);
         }
-        let told = Some(machines.clone());
+        let announced = Some(machines.clone());
         let queued = QueuedRequest {
             job,
-            told,
+            announced,
             dropped: 0,
-            tried: false,
+            had_turn: false,
             offered: false,
         };
         self.requests.insert(request, queued);
@@ -116,7 +116,7 @@
         if !queued.job.constraint.takes_turns() {
             return None;
         }
-        queued.told = Some(Vec::new());
+        queued.announced = Some(Vec::new());
         if self.turn == Some(request) {
             self.turn = None;
         }
@@ -156,7 +156,7 @@
 
     /// Some time passed: among those that had machines and found no room on them, the next gets a turn.
     pub fn rotate(&mut self) {
-        let waits = |(_, queued): &(&RequestId, &QueuedRequest)| queued.tried && !queued.offered;
+        let waits = |(_, queued): &(&RequestId, &QueuedRequest)| queued.had_turn && !queued.offered;
         let from = self.last_turn.map_or(Bound::Unbounded, Bound::Excluded);
         let after = self.requests.range((from, Bound::Unbounded)).find(waits);
         let next = after
@@ -181,12 +181,12 @@
             };
             let (job, dropped) = (queued.job.clone(), queued.dropped);
             if !job.constraint.takes_turns() {
-                told.extend(self.tell(request, site.open_ever(&job)));
+                told.extend(self.announce(request, site.open_ever(&job)));
             } else if self.reconciled {
                 let machines = site.open_now(&job, dropped);
                 if !machines.is_empty() {
                     self.turn = Some(request);
-                    told.extend(self.tell(request, machines));
+                    told.extend(self.announce(request, machines));
                     break;
                 }
             }
@@ -199,15 +199,15 @@
         let request = self.turn.take()?;
         self.last_turn = Some(request);
         let queued = self.requests.get_mut(&request)?;
-        queued.tried = true;
-        queued.told = Some(Vec::new());
+        queued.had_turn = true;
+        queued.announced = Some(Vec::new());
         Some(OpenMachines::none(request))
     }
 
-    fn tell(&mut self, request: RequestId, machines: Vec<MachineId>) -> Option<OpenMachines> {
+    fn announce(&mut self, request: RequestId, machines: Vec<MachineId>) -> Option<OpenMachines> {
         let queued = self.requests.get_mut(&request)?;
-        (queued.told.as_ref() != Some(&machines)).then(|| {
-            queued.told = Some(machines.clone());
+        (queued.announced.as_ref() != Some(&machines)).then(|| {
+            queued.announced = Some(machines.clone());
             OpenMachines { request, machines }
         })
     }
--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -30,7 +30,7 @@
 
     /// This incarnation of the placer.
     pub const fn incarnation(&self) -> u64 {
-        self.start.life
+        self.start.incarnation
     }
 
     /// Microseconds since 1970 at a moment.
@@ -123,7 +123,7 @@
     }
 
     /// Has the decision module decide on an event, with the next flush.
-    pub fn tell_module(&mut self, event: ModuleEvent) {
+    pub fn notify_module(&mut self, event: ModuleEvent) {
         self.module_events.push(event);
     }
 
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -3,6 +3,7 @@
 mod dispatch;
 
 use reedring::{Event as ModuleEvent, Micros, Placer};
+use reedring_node_protocol::AcceptorReport;
 use reedring_settings::Settings;
 use reedring_state::{BeliefSnapshot, NodeIdentity};
 
@@ -60,7 +61,7 @@
         let mut nodes = NodeRegistry::new(kinds, start.now, reconcile_until);
         let zone = settings.hall.as_deref().map(|zone| nodes.zone_number(zone));
         let placer = Placer::new(settings.module(zone), start.seed);
-        let configuration = Configuration::new(&settings, start.life);
+        let configuration = Configuration::new(&settings, start.incarnation);
         let window = settings.site.cold_window_us;
         let mut cx = Context::new(settings, start);
         cx.set_timer(reconcile_until, Timer::ReconciliationDeadline);
@@ -72,7 +73,7 @@
             cx,
             module: DecisionModule::new(placer),
             nodes,
-            ledger: Ledger::new(start.life),
+            ledger: Ledger::new(start.incarnation),
             sessions: Sessions::default(),
             constraints: ConstraintTracker::default(),
             blocks: DispatchBlocks::default(),
@@ -127,12 +128,12 @@
                 let caller = Caller { conn, id };
                 self.with_requests(|requests, calls| requests.handle(now, caller, call, calls));
             }
-            Input::ClientGone(conn) => {
-                self.sessions.client_gone(conn);
-                self.queue.client_gone(conn);
-                self.requests.client_gone(conn);
+            Input::ClientDisconnected(conn) => {
+                self.sessions.client_disconnected(conn);
+                self.queue.client_disconnected(conn);
+                self.requests.client_disconnected(conn);
             }
-            Input::Listed(list) => {
+            Input::NodeListChanged(list) => {
                 if handshake::node_list_changed(&mut lifecycle, now, list) {
                     configuration.nodes_changed();
                 }
@@ -140,31 +141,34 @@
             Input::SettingsChanged(settings) => configuration.file_changed(&settings, lifecycle.cx),
             Input::LinkUp {
                 node,
-                called,
-                life,
+                reported_name,
+                incarnation,
                 up_ms,
                 can_suspend,
-                record,
+                report,
             } => {
-                let (listed_as, reported, incarnation) = (node, called, life);
                 let hello = NodeHello {
-                    listed_as,
-                    reported,
+                    listed_as: node,
+                    reported_name,
                     incarnation,
                     up_ms,
                     can_suspend,
                 };
-                if let Some(number) = handshake::link_up(&mut lifecycle, now, hello) {
-                    configuration.node_connected(now, number, record, lifecycle.cx);
-                    lifecycle.nodes.announce(number, now, lifecycle.cx);
-                }
+                self.link_up(now, hello, report);
             }
             Input::Message { node, message } => self.node_message(now, &node, message),
-            Input::LinkDown { node, why } => handshake::link_down(&mut lifecycle, now, &node, &why),
-            Input::Unwritten(attempts) => lifecycle.offers_unwritten(now, &attempts),
+            Input::LinkDown { node, reason } => {
+                handshake::link_down(&mut lifecycle, now, &node, &reason);
+            }
+            Input::OffersUnwritten(attempts) => lifecycle.offers_unwritten(now, &attempts),
             Input::Durable(seq) => lifecycle.batch_durable(now, seq),
-            Input::StateLost { why, marked } => lifecycle.state_lost(now, why, marked),
-            Input::StateBack => self.queue.resume(&mut self.cx),
+            Input::StateUnavailable {
+                reason,
+                marked_incomplete,
+            } => {
+                lifecycle.state_lost(now, reason, marked_incomplete);
+            }
+            Input::StateAvailable => self.queue.resume(&mut self.cx),
             Input::Tick => {}
         }
     }
@@ -230,11 +234,24 @@
             })
         };
         let learned = BeliefSnapshot::new(self.cx.clock().unix_us(now), beliefs, node_of);
-        self.cx.output(Output::Learn(Box::new(learned)));
+        self.cx.output(Output::PersistBeliefs(Box::new(learned)));
     }
 
     // ---- Steps of the loop ----
 
+    /// The handshake with a node is done.
+    fn link_up(&mut self, now: Micros, hello: NodeHello, report: Option<AcceptorReport>) {
+        let Parts {
+            mut lifecycle,
+            configuration,
+            ..
+        } = self.parts();
+        if let Some(number) = handshake::link_up(&mut lifecycle, now, hello) {
+            configuration.node_connected(now, number, report, lifecycle.cx);
+            lifecycle.nodes.announce(number, now, lifecycle.cx);
+        }
+    }
+
     fn parts(&mut self) -> Parts<'_> {
         Parts {
             lifecycle: JobLifecycle {
@@ -320,7 +337,7 @@
     fn announce_open(&mut self, opened: impl IntoIterator<Item = OpenMachines>) {
         for OpenMachines { request, machines } in opened {
             self.cx
-                .tell_module(ModuleEvent::EligibilityChanged { request, machines });
+                .notify_module(ModuleEvent::EligibilityChanged { request, machines });
         }
     }
 
--- a/crates/core/src/core/dispatch.rs
+++ b/crates/core/src/core/dispatch.rs
@@ -7,7 +7,8 @@
 use super::{Core, Parts};
 use crate::event::Event;
 use crate::handshake;
-use crate::lifecycle::OfferDecision;
+use crate::ids::NodeNumber;
+use crate::lifecycle::{JobLifecycle, OfferDecision};
 use crate::requests::wait_timed_out;
 use crate::timers::Timer;
 
@@ -23,53 +24,24 @@
             health_checks,
             ..
         } = self.parts();
+        let JobLifecycle { nodes, cx, .. } = &mut lifecycle;
         match message {
             Message::Holds { held, last } => {
-                let is_reconciled = handshake::held_reported(&mut lifecycle, now, node, held, last);
+                let is_reconciled =
+                    handshake::holdings_reported(&mut lifecycle, now, node, held, last);
                 if is_reconciled {
                     self.reconciliation_done(now);
                 }
             }
-            Message::Accepted { attempt, report } => {
-                lifecycle.accept_reported(now, node, attempt, report);
-            }
-            Message::Refused {
-                attempt,
-                reason,
-                report,
-                ..
-            } => {
-                lifecycle.rejection_reported(now, node, attempt, reason, report);
-            }
-            Message::Note {
-                attempt,
-                topic,
-                amount,
-            } => {
-                lifecycle.note_reported(now, node, attempt, topic, amount);
-            }
-            Message::Ended {
-                attempt,
-                end,
-                ran,
-                report,
-            } => {
-                lifecycle.end_reported(now, node, attempt, end, ran, report);
-            }
             Message::Report { nonce, report } => {
-                health_checks.answered(now, nonce, report, lifecycle.nodes, lifecycle.cx);
-            }
-            Message::AcceptorReport(record) => {
-                configuration.record_reported(now, node, record, lifecycle.cx)
+                health_checks.answered(now, nonce, report, nodes, cx)
             }
+            Message::AcceptorReport(report) => configuration.report_received(now, node, report, cx),
             Message::ConfigText { version, text } => {
-                configuration.text_received(node, version, &text, lifecycle.nodes, lifecycle.cx);
-            }
-            Message::ConfigDelta(delta) => {
-                configuration.delta_received(node, &delta, lifecycle.nodes, lifecycle.cx);
+                configuration.text_received(node, version, &text, nodes, cx);
             }
-            // The rest is what placers send; the shell reads handshakes itself.
-            _ => {}
+            Message::ConfigDelta(delta) => configuration.delta_received(node, &delta, nodes, cx),
+            message => attempt_message(&mut lifecycle, now, node, message),
         }
     }
 
@@ -135,7 +107,7 @@
         match timer {
             Timer::Module(token) => {
                 lifecycle.constraints.rotate();
-                lifecycle.cx.tell_module(reedring::Event::Woken(token));
+                lifecycle.cx.notify_module(reedring::Event::Woken(token));
             }
             Timer::OfferTimeout(id) => lifecycle.offer_timed_out(now, id),
             Timer::StopTimeout(id) => lifecycle.stop_timed_out(now, id),
@@ -182,3 +154,42 @@
         self.farewell(now);
     }
 }
+
+/// A message of a node about an attempt.
+fn attempt_message(
+    lifecycle: &mut JobLifecycle<'_>,
+    now: Micros,
+    node: NodeNumber,
+    message: Message,
+) {
+    match message {
+        Message::Accepted { attempt, report } => {
+            lifecycle.accept_reported(now, node, attempt, report)
+        }
+        Message::Refused {
+            attempt,
+            reason,
+            report,
+            ..
+        } => {
+            lifecycle.rejection_reported(now, node, attempt, reason, report);
+        }
+        Message::Note {
+            attempt,
+            topic,
+            amount,
+        } => {
+            lifecycle.note_reported(now, node, attempt, topic, amount);
+        }
+        Message::Ended {
+            attempt,
+            end,
+            ran,
+            report,
+        } => {
+            lifecycle.end_reported(now, node, attempt, end, ran, report);
+        }
+        // The rest is what placers send; the shell reads handshakes itself.
+        _ => {}
+    }
+}
--- a/crates/core/src/decide.rs
+++ b/crates/core/src/decide.rs
@@ -93,7 +93,7 @@
 
 /// What is done with such a copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LateCopy {
+pub enum CopyAction {
     /// It is the job's copy from now on.
     Adopt,
     /// Its node is asked to stop it.
@@ -108,10 +108,10 @@
 /// | unknown: a former incarnation of this placer placed it | adopted |
 /// | waits for a place | adopted; what was still offered for it is stopped |
 /// | forgotten, ended, or placed elsewhere | stopped |
-pub fn late_copy(standing: JobStatus) -> LateCopy {
+pub fn copy_action(standing: JobStatus) -> CopyAction {
     match standing {
-        JobStatus::Unknown | JobStatus::Queued => LateCopy::Adopt,
-        JobStatus::Forgotten | JobStatus::PlacedElsewhere | JobStatus::Ended => LateCopy::Stop,
+        JobStatus::Unknown | JobStatus::Queued => CopyAction::Adopt,
+        JobStatus::Forgotten | JobStatus::PlacedElsewhere | JobStatus::Ended => CopyAction::Stop,
     }
 }
 
@@ -308,7 +308,7 @@
     /// When the oldest unanswered offer to it was sent.
     pub oldest_unanswered: Option<u64>,
     /// Until when an offer that it answered late counts against it.
-    pub late_until: u64,
+    pub overdue_until: u64,
 }
 
 /// Whether a node that is warming up gets nothing more for now (rule 4).
@@ -324,10 +324,10 @@
 /// | yes | older than the jitter | any | yes |
 /// | yes | younger, or none | less than a window ago | yes |
 /// | yes | younger, or none | longer ago, or never | no |
-pub fn slow_start_late(now: u64, offers: SlowStartOffers, jitter: u64) -> bool {
+pub fn slow_start_overdue(now: u64, offers: SlowStartOffers, jitter: u64) -> bool {
     let is_overdue = |sent: u64| now >= sent.saturating_add(jitter);
     offers.is_warming_up
-        && (offers.late_until > now || offers.oldest_unanswered.is_some_and(is_overdue))
+        && (offers.overdue_until > now || offers.oldest_unanswered.is_some_and(is_overdue))
 }
 
 /// How long ago an offer of a former incarnation counts as sent to a node that is warming up, which the ledger has as
--- a/crates/core/src/decide/tests.rs
+++ b/crates/core/src/decide/tests.rs
@@ -80,10 +80,10 @@
         JobStatus::PlacedElsewhere,
         JobStatus::Ended,
     ] {
-        assert_eq!(late_copy(standing), LateCopy::Stop);
+        assert_eq!(copy_action(standing), CopyAction::Stop);
     }
     for standing in [JobStatus::Unknown, JobStatus::Queued] {
-        assert_eq!(late_copy(standing), LateCopy::Adopt);
+        assert_eq!(copy_action(standing), CopyAction::Adopt);
     }
 }
 
@@ -152,7 +152,7 @@
 #[test]
 fn a_cold_node_that_is_late_gets_nothing_until_a_window_after_it_answered() {
     let (now, jitter) = (1_000, 100);
-    for (cold, oldest, late_until, held) in [
+    for (cold, oldest, overdue_until, held) in [
         (false, Some(0), 2_000, false),
         (true, Some(900), 0, true),
         (true, Some(901), 0, false),
@@ -165,10 +165,10 @@
         let offers = SlowStartOffers {
             is_warming_up,
             oldest_unanswered,
-            late_until,
+            overdue_until,
         };
-        let got = slow_start_late(now, offers, jitter);
-        assert_eq!(got, held, "{cold} {oldest:?} {late_until}");
+        let got = slow_start_overdue(now, offers, jitter);
+        assert_eq!(got, held, "{cold} {oldest:?} {overdue_until}");
     }
 }
 
--- a/crates/core/src/dispatch_blocks.rs
+++ b/crates/core/src/dispatch_blocks.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum BlockReason {
     /// It is warming up, and offers to it were answered late or not at all: they may all reach it at once.
-    SlowStartLate,
+    SlowStartOverdue,
     /// The active configuration does not allow it.
     Configuration(DispatchBlock),
 }
@@ -25,7 +25,7 @@
     /// For whoever asks why a task got no place.
     const fn describe(self) -> &'static str {
         match self {
-            Self::SlowStartLate => "cold, and late to answer",
+            Self::SlowStartOverdue => "cold, and late to answer",
             Self::Configuration(hold) => hold.description(),
         }
     }
@@ -118,7 +118,7 @@
         if !self.machines.is_empty() {
             self.restricted_requests.insert(request);
             let machines = self.open_machines(nodes);
-            cx.tell_module(ModuleEvent::EligibilityChanged { request, machines });
+            cx.notify_module(ModuleEvent::EligibilityChanged { request, machines });
         }
     }
 
@@ -157,7 +157,7 @@
         };
         let open = self.open_machines(nodes);
         for request in &unconstrained {
-            cx.tell_module(ModuleEvent::EligibilityChanged {
+            cx.notify_module(ModuleEvent::EligibilityChanged {
                 request: *request,
                 machines: open.clone(),
             });
--- a/crates/core/src/handshake.rs
+++ b/crates/core/src/handshake.rs
@@ -19,7 +19,7 @@
     /// The name under which it is listed.
     pub listed_as: String,
     /// Its own name, which must be the same.
-    pub reported: String,
+    pub reported_name: String,
     /// Its incarnation.
     pub incarnation: u64,
     /// Milliseconds since its start.
@@ -89,9 +89,9 @@
     hello: NodeHello,
 ) -> Option<NodeNumber> {
     let number = lifecycle.nodes.number(&hello.listed_as)?;
-    if hello.reported != hello.listed_as {
+    if hello.reported_name != hello.listed_as {
         let address = lifecycle.nodes.get(number).map(Node::address)?;
-        let (node, reported) = (hello.listed_as, hello.reported);
+        let (node, reported) = (hello.listed_as, hello.reported_name);
         lifecycle.cx.log(Event::NodeNameMismatch {
             node,
             address,
@@ -118,14 +118,14 @@
 }
 
 /// Takes in a part of what a node holds; whether that was the last part.
-pub(crate) fn held_reported(
+pub(crate) fn holdings_reported(
     lifecycle: &mut JobLifecycle<'_>,
     now: Micros,
     number: NodeNumber,
     page: Vec<Held>,
     last: bool,
 ) -> bool {
-    let Some(held) = lifecycle.nodes.held_page(number, page, last) else {
+    let Some(held) = lifecycle.nodes.holdings_page(number, page, last) else {
         return false;
     };
     lifecycle.node_reconciled(now, number, held);
--- a/crates/core/src/health_checks.rs
+++ b/crates/core/src/health_checks.rs
@@ -84,7 +84,7 @@
         };
         let (answered, took_us) = (report.is_some(), now.saturating_sub(sent));
         let report = report.unwrap_or_default();
-        cx.tell_module(ModuleEvent::Probed {
+        cx.notify_module(ModuleEvent::Probed {
             machine,
             answered,
             took_us,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -39,7 +39,7 @@
 //!     class = [{ name = "play", repeat = "safe", aim = "1s", give_up = "8s" }]
 //! "#;
 //! let settings = Settings::parse(text, "example").unwrap();
-//! let mut core = Core::new(settings, Start { now: 0, unix_us: 0, life: 1, seed: 7 });
+//! let mut core = Core::new(settings, Start { now: 0, unix_us: 0, incarnation: 1, seed: 7 });
 //!
 //! // Take in what came, in order, ...
 //! core.handle(10, Input::Call { conn: 1, id: 1, call: Call::Version {} });
@@ -81,7 +81,7 @@
 
 pub use crate::core::Core;
 pub use crate::event::{Event, Level};
-pub use crate::io::{ConnId, Input, Output, Start};
+pub use crate::io::{ConnectionId, Input, Output, Start};
 pub use crate::restore::Restored;
 pub use reedring::names::{machine_id, service_id};
 
--- a/crates/core/src/lifecycle/adoption.rs
+++ b/crates/core/src/lifecycle/adoption.rs
@@ -2,12 +2,12 @@
 
 use std::sync::Arc;
 
-use reedring::{AttemptId, Event as ModuleEvent, Micros, TaskKey};
+use reedring::{AttemptId, Event as ModuleEvent, MachineId, Micros, TaskKey};
 use reedring_drmaa::JobSpec;
 use reedring_node_protocol::{self as wire, Held, HeldState, Message};
 
 use super::JobLifecycle;
-use crate::decide::{self, AttemptState, JobStatus, LateCopy};
+use crate::decide::{self, AttemptState, CopyAction, JobStatus};
 use crate::event::Event;
 use crate::ids::{JobNumber, NodeNumber};
 use crate::ledger::{Attempt, Job, JobName, Phase};
@@ -44,11 +44,11 @@
         }
         let job = self.job_named(&task.job);
         let status = self.status_of(job, attempt, &task.job);
-        let is_adopted = match decide::late_copy(status) {
+        let is_adopted = match decide::copy_action(status) {
             // A copy still in the node's queue of offers is no copy to count on.
-            LateCopy::Adopt if state == HeldState::Waiting => false,
-            LateCopy::Adopt => self.adopt(now, number, attempt, &task, job, &state),
-            LateCopy::Stop => false,
+            CopyAction::Adopt if state == HeldState::Waiting => false,
+            CopyAction::Adopt => self.adopt(now, number, attempt, &task, job, &state),
+            CopyAction::Stop => false,
         };
         if !is_adopted {
             self.cx.stats.late_stopped += 1;
@@ -120,36 +120,52 @@
         let Some(module_task) = self.module_task(job, request) else {
             return false;
         };
-        self.cx.tell_module(ModuleEvent::Adopted {
+        self.cx.notify_module(ModuleEvent::Adopted {
             task: module_task,
             machine,
         });
+        if !self.open_adopted(now, id, job, number, machine, wire) {
+            return false;
+        }
+        self.cx.stats.adopted += 1;
+        self.job_placed(now, job, id);
+        self.apply_held_state(now, id, state);
+        true
+    }
+
+    /// Opens an adopted attempt in the ledger.
+    fn open_adopted(
+        &mut self,
+        now: Micros,
+        id: AttemptId,
+        job: JobNumber,
+        node: NodeNumber,
+        machine: MachineId,
+        wire: wire::AttemptId,
+    ) -> bool {
         let Some(entry) = self.ledger.job(job) else {
             return false;
         };
         let topics = Arc::clone(&entry.requirements.topics);
-        self.constraints.copy_added(&topics, number);
+        self.constraints.copy_added(&topics, node);
         let attempt = Attempt {
             job,
-            node: number,
+            node,
             machine,
             wire,
             sent: now,
             state: AttemptState::Accepted,
             accepted: true,
             announced: true,
-            node_incarnation: self.nodes.incarnation(number),
+            node_incarnation: self.nodes.incarnation(node),
             topics,
         };
         self.ledger.open(id, attempt);
-        self.nodes.add_attempt(number, id);
+        self.nodes.add_attempt(node, id);
         if let Some(entry) = self.ledger.job_mut(job) {
-            entry.record_attempt(id, number, now);
+            entry.record_attempt(id, node, now);
             entry.record_result(id, "adopted");
         }
-        self.cx.stats.adopted += 1;
-        self.job_placed(now, job, id);
-        self.apply_held_state(now, id, state);
         true
     }
 
--- a/crates/core/src/lifecycle/mod.rs
+++ b/crates/core/src/lifecycle/mod.rs
@@ -32,7 +32,7 @@
 use crate::constraints::ConstraintTracker;
 use crate::context::Context;
 use crate::dispatch_blocks::DispatchBlocks;
-use crate::io::{ConnId, Output};
+use crate::io::{ConnectionId, Output};
 use crate::ledger::{Job, Ledger};
 use crate::nodes::NodeRegistry;
 use crate::persistence::WriteAheadQueue;
@@ -94,7 +94,7 @@
     }
 
     /// Answers a client, once what it is told is durable.
-    pub fn reply(&mut self, conn: ConnId, response: Response) {
+    pub fn reply(&mut self, conn: ConnectionId, response: Response) {
         self.queue.reply(conn, Output::Reply { conn, response });
     }
 
--- a/crates/core/src/lifecycle/offers.rs
+++ b/crates/core/src/lifecycle/offers.rs
@@ -73,7 +73,7 @@
         let topics = Arc::clone(&entry.requirements.topics);
         self.constraints.copy_added(&topics, node);
         if let Some(open) = self.constraints.request_offered(id.request) {
-            self.cx.tell_module(ModuleEvent::EligibilityChanged {
+            self.cx.notify_module(ModuleEvent::EligibilityChanged {
                 request: open.request,
                 machines: open.machines,
             });
@@ -295,6 +295,6 @@
             closed,
             report,
         };
-        self.cx.tell_module(ModuleEvent::Ended(ended));
+        self.cx.notify_module(ModuleEvent::Ended(ended));
     }
 }
--- a/crates/core/src/lifecycle/reports.rs
+++ b/crates/core/src/lifecycle/reports.rs
@@ -105,18 +105,19 @@
         self.constraints.request_closed(id.request);
         self.blocks.request_closed(id.request);
         if announced {
-            self.cx.tell_module(ModuleEvent::Placed {
+            self.cx.notify_module(ModuleEvent::Placed {
                 attempt: id,
                 machine,
                 took_us,
             });
         } else if let Some(task) = self.module_task(job, id.request) {
             // A former incarnation offered it.
-            self.cx.tell_module(ModuleEvent::Adopted { task, machine });
+            self.cx
+                .notify_module(ModuleEvent::Adopted { task, machine });
         }
         self.set_recovered(job);
         if !report.is_empty() {
-            self.cx.tell_module(ModuleEvent::Probed {
+            self.cx.notify_module(ModuleEvent::Probed {
                 machine,
                 answered: true,
                 took_us,
@@ -210,7 +211,7 @@
             Topic::Served => Note::Served(amount),
             Topic::Pressure => Note::Pressure(amount),
         };
-        self.cx.tell_module(ModuleEvent::TaskSignal {
+        self.cx.notify_module(ModuleEvent::TaskSignal {
             attempt: id,
             machine,
             note,
--- a/crates/core/src/lifecycle/requests.rs
+++ b/crates/core/src/lifecycle/requests.rs
@@ -79,32 +79,38 @@
             self.record_outcome(job, Outcome::Refused);
             return self.end_job(now, job, Ending::aborted(format!("refused: {never}")));
         }
-        let Some(entry) = self.ledger.job_mut(job) else {
-            return;
-        };
-        (entry.phase, entry.until, entry.may_have_run) =
-            (Phase::Requested(request), now + grace_us, false);
-        self.ledger.open_request(request, job);
+        self.open_request(now, task, job, grace_us);
+        match constrained {
+            Some(constrained) => {
+                let OpenMachines { request, machines } =
+                    self.constraints.request_queued(request, constrained);
+                self.cx
+                    .notify_module(ModuleEvent::EligibilityChanged { request, machines });
+            }
+            None => self.blocks.restrict(request, self.nodes, self.cx),
+        }
+    }
+
+    /// Has the decision module answer a request before the client of its job gives up.
+    fn open_request(&mut self, now: Micros, task: Task, number: JobNumber, grace_us: Micros) {
+        let request = task.request;
+        if let Some(job) = self.ledger.job_mut(number) {
+            job.phase = Phase::Requested(request);
+            job.until = now + grace_us;
+            job.may_have_run = false;
+        }
+        self.ledger.open_request(request, number);
         // The answer must be with the client before it gives up, so the module gets a little less time.
         let margin = decide::answer_margin(grace_us, self.cx.lag(now));
         let deadline = Timer::PlacementDeadline {
-            job,
+            job: number,
             request: request.0,
         };
         self.cx.set_timer(now + grace_us - margin / 2, deadline);
-        self.cx.tell_module(ModuleEvent::Arrived {
+        self.cx.notify_module(ModuleEvent::Arrived {
             task,
             grace_us: grace_us - margin,
         });
-        match constrained {
-            Some(constrained) => {
-                let OpenMachines { request, machines } =
-                    self.constraints.request_queued(request, constrained);
-                self.cx
-                    .tell_module(ModuleEvent::EligibilityChanged { request, machines });
-            }
-            None => self.blocks.restrict(request, self.nodes, self.cx),
-        }
     }
 
     /// For how long the client of a job waits for its placement.
@@ -134,7 +140,7 @@
         self.ledger.close_request(request);
         self.constraints.request_closed(request);
         self.blocks.request_closed(request);
-        self.cx.tell_module(ModuleEvent::Withdrawn(request));
+        self.cx.notify_module(ModuleEvent::Withdrawn(request));
     }
 
     /// The decision module's final answer to a request.
--- a/crates/core/src/lifecycle/slow_start.rs
+++ b/crates/core/src/lifecycle/slow_start.rs
@@ -30,9 +30,9 @@
         let (jitter, window) = (settings.jitter_us(), settings.site.cold_window_us);
         let is_late = self.nodes.is_warming_up(number, now, &settings.site) && now > sent + jitter;
         if let (true, Some(window)) = (is_late, window) {
-            let late_until = now + window + jitter;
-            self.nodes.set_late_until(number, late_until);
-            self.cx.set_timer(late_until, Timer::SlowStart(number));
+            let overdue_until = now + window + jitter;
+            self.nodes.set_overdue_until(number, overdue_until);
+            self.cx.set_timer(overdue_until, Timer::SlowStart(number));
         }
         self.evaluate_slow_start(now, number);
     }
@@ -66,10 +66,14 @@
         let offers = SlowStartOffers {
             is_warming_up,
             oldest_unanswered: if is_unresolved { Some(0) } else { oldest },
-            late_until: node.late_until(),
+            overdue_until: node.overdue_until(),
         };
-        let is_late = decide::slow_start_late(now, offers, self.cx.settings().jitter_us());
-        self.blocks
-            .set(number, node.machine(), BlockReason::SlowStartLate, is_late);
+        let is_late = decide::slow_start_overdue(now, offers, self.cx.settings().jitter_us());
+        self.blocks.set(
+            number,
+            node.machine(),
+            BlockReason::SlowStartOverdue,
+            is_late,
+        );
     }
 }
--- a/crates/core/src/nodes/announcements.rs
+++ b/crates/core/src/nodes/announcements.rs
@@ -23,7 +23,7 @@
         }
         if !changed.is_empty() {
             let (numbers, machines): (Vec<_>, Vec<_>) = changed.into_iter().unzip();
-            cx.tell_module(ModuleEvent::Listed(Listing::Changes(machines)));
+            cx.notify_module(ModuleEvent::Listed(Listing::Changes(machines)));
             numbers
                 .into_iter()
                 .for_each(|number| self.hand_over_beliefs(number, cx));
@@ -33,7 +33,7 @@
     /// Announces a node, if the decision module does not know what is so.
     pub fn announce(&mut self, number: NodeNumber, now: Micros, cx: &mut Context) {
         if let Some(machine) = self.unannounced(number, now, &cx.settings().site) {
-            cx.tell_module(ModuleEvent::Listed(Listing::Changes(vec![machine])));
+            cx.notify_module(ModuleEvent::Listed(Listing::Changes(vec![machine])));
         }
         self.hand_over_beliefs(number, cx);
     }
@@ -150,7 +150,7 @@
             }
         };
         let machines = vec![belief];
-        cx.tell_module(ModuleEvent::BeliefsRestored(Beliefs {
+        cx.notify_module(ModuleEvent::BeliefsRestored(Beliefs {
             machines,
             ..Beliefs::default()
         }));
--- a/crates/core/src/nodes/connections.rs
+++ b/crates/core/src/nodes/connections.rs
@@ -39,7 +39,7 @@
     pub fn change_zone(&mut self, number: NodeNumber, cx: &mut Context) {
         if let Some(node) = self.get(number) {
             let (node, zone) = (node.name.clone(), node.entry.hall.clone());
-            cx.output(Output::MoveZone { node, zone });
+            cx.output(Output::ChangeZone { node, zone });
         }
     }
 
@@ -62,7 +62,7 @@
     }
 
     /// Takes in a part of what a node holds; all of it, once it was the last part.
-    pub fn held_page(
+    pub fn holdings_page(
         &mut self,
         number: NodeNumber,
         page: Vec<Held>,
--- a/crates/core/src/nodes/mod.rs
+++ b/crates/core/src/nodes/mod.rs
@@ -216,9 +216,9 @@
     }
 
     /// A node that is warming up answered late, which counts until then.
-    pub fn set_late_until(&mut self, number: NodeNumber, until: Micros) {
+    pub fn set_overdue_until(&mut self, number: NodeNumber, until: Micros) {
         if let Some(node) = self.nodes.get_mut(&number) {
-            node.late_until = until;
+            node.overdue_until = until;
         }
     }
 }
--- a/crates/core/src/nodes/node.rs
+++ b/crates/core/src/nodes/node.rs
@@ -57,7 +57,7 @@
     /// Offers that it rejected, by reason.
     pub(super) rejections: BTreeMap<Reason, u64>,
     /// Until when offers that it answered late count against it while it is warming up.
-    pub(super) late_until: Micros,
+    pub(super) overdue_until: Micros,
     /// Only a former incarnation's ledger names it so far: where it is the node list will say.
     pub(super) restored: bool,
     /// What the decision module was told of it last.
@@ -81,7 +81,7 @@
             reconciled: false,
             attempts: BTreeSet::new(),
             rejections: BTreeMap::new(),
-            late_until: 0,
+            overdue_until: 0,
             restored: false,
             announced: None,
         }
@@ -131,8 +131,8 @@
     }
 
     /// Until when offers that it answered late count against it while it is warming up.
-    pub const fn late_until(&self) -> Micros {
-        self.late_until
+    pub const fn overdue_until(&self) -> Micros {
+        self.overdue_until
     }
 
     /// The placer's attempts at it, in order.
--- a/crates/core/src/persistence/batches.rs
+++ b/crates/core/src/persistence/batches.rs
@@ -121,7 +121,10 @@
                 at: cx.clock().unix_us(now),
                 changes,
             };
-            cx.output(Output::Keep { batch, whole });
+            cx.output(Output::Persist {
+                batch,
+                is_rewrite: whole,
+            });
         }
     }
 
--- a/crates/core/src/persistence/mod.rs
+++ b/crates/core/src/persistence/mod.rs
@@ -20,7 +20,7 @@
 use crate::context::Context;
 use crate::event::Event;
 use crate::ids::{NodeNumber, SessionNumber};
-use crate::io::{ConnId, Output};
+use crate::io::{ConnectionId, Output};
 use crate::ledger::Ledger;
 use crate::nodes::NodeRegistry;
 use crate::sessions::Sessions;
@@ -29,7 +29,7 @@
 /// To whom an output goes. Each destination gets its outputs in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Destination {
-    Client(ConnId),
+    Client(ConnectionId),
     Node(NodeNumber),
 }
 
@@ -174,14 +174,14 @@
     // ---- Outputs ----
 
     /// Sends to a client once this flush's changes are durable.
-    pub fn reply(&mut self, conn: ConnId, output: Output) {
+    pub fn reply(&mut self, conn: ConnectionId, output: Output) {
         self.push(Destination::Client(conn), Requires::CurrentBatch, output);
     }
 
     /// Returns the end of a job that batch `seq` has. That it was returned need not be durable: a successor that does
     /// not know returns the same end again. A client that waits for one job after the other would otherwise get no more
     /// of them than the disk has syncs, and many too late.
-    pub fn reply_after(&mut self, conn: ConnId, output: Output, seq: u64) {
+    pub fn reply_after(&mut self, conn: ConnectionId, output: Output, seq: u64) {
         self.push(Destination::Client(conn), Requires::Batch(seq), output);
     }
 
@@ -223,7 +223,7 @@
             .retain(|pending| pending.to != to || !matches!(pending.output, Output::Send { .. }));
     }
 
-    pub fn client_gone(&mut self, conn: ConnId) {
+    pub fn client_disconnected(&mut self, conn: ConnectionId) {
         self.gate.remove_destination(&Destination::Client(conn));
     }
 
--- a/crates/core/src/requests/mod.rs
+++ b/crates/core/src/requests/mod.rs
@@ -18,18 +18,18 @@
 use std::collections::VecDeque;
 
 use reedring::Micros;
-use reedring_drmaa::rpc::{Answer, Call, CallKey, Jobs, Range, Response};
+use reedring_drmaa::rpc::{Answer, Call, CallKey, Jobs, Response};
 use reedring_drmaa::{Error, ErrorCode, Result, VERSION};
 
 use crate::configuration::Configuration;
 use crate::handshake;
 use crate::ids::{JobNumber, SessionNumber};
-use crate::io::{ConnId, Output};
+use crate::io::ConnectionId;
 use crate::ledger::JobName;
 use crate::lifecycle::JobLifecycle;
 use crate::sessions::CallRecord;
 use submission::{Submission, submitted};
-use waiting::WaitResult;
+use waiting::Wait;
 pub(crate) use waiting::wait_timed_out;
 
 fn error(code: ErrorCode, text: impl Into<String>) -> Error {
@@ -39,7 +39,7 @@
 /// Who made a call: its connection, and the id of the call there.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Caller {
-    pub conn: ConnId,
+    pub conn: ConnectionId,
     pub id: u64,
 }
 
@@ -90,7 +90,7 @@
     }
 
     /// A connection ended: its calls need no answer any more.
-    pub fn client_gone(&mut self, conn: ConnId) {
+    pub fn client_disconnected(&mut self, conn: ConnectionId) {
         self.deferred
             .retain(|deferred| deferred.caller.conn != conn);
         self.listings.retain(|listing| listing.caller.conn != conn);
@@ -159,82 +159,46 @@
     fn session_call(
         &mut self,
         now: Micros,
-        number: SessionNumber,
+        session: SessionNumber,
         key: CallKey,
         caller: Caller,
         call: Call,
         cx: &mut CallContext<'_, '_>,
     ) -> Option<Result<Answer>> {
-        let call_number = key.call;
+        let number = key.call;
+        let wait = |timeout_s| Wait {
+            session,
+            call: number,
+            caller,
+            timeout_s,
+        };
         let lifecycle = &mut *cx.lifecycle;
         let result = match call {
             Call::RunJob { job, .. } => {
-                let range = Range {
-                    first: 1,
-                    last: 1,
-                    step: 1,
-                };
-                let submission = Submission {
-                    key,
-                    spec: *job,
-                    range,
-                    is_bulk: false,
-                };
-                return self.submit(now, number, caller, submission, cx);
+                let submission = Submission::single(key, *job);
+                return self.submit(now, session, caller, submission, cx);
             }
             Call::RunBulkJobs { job, range, .. } => {
-                let submission = Submission {
-                    key,
-                    spec: *job,
-                    range,
-                    is_bulk: true,
-                };
-                return self.submit(now, number, caller, submission, cx);
+                let submission = Submission::bulk(key, *job, range);
+                return self.submit(now, session, caller, submission, cx);
             }
-            Call::Exit { .. } => close_session(lifecycle, number),
+            Call::Exit { .. } => close_session(lifecycle, session),
             Call::Control { jobs, action, .. } => {
-                control::control(lifecycle, now, number, &jobs, action)
+                control::control(lifecycle, now, session, &jobs, action)
             }
             Call::Synchronize {
                 jobs,
                 timeout_s,
                 dispose,
                 ..
-            } => {
-                let wait = waiting::Wait {
-                    session: number,
-                    call: call_number,
-                    caller,
-                    timeout_s,
-                };
-                waiting::synchronize(lifecycle, now, wait, &jobs, dispose)?
-            }
+            } => waiting::synchronize(lifecycle, now, wait(timeout_s), &jobs, dispose)?,
             Call::Wait { job, timeout_s, .. } => {
-                let wait = waiting::Wait {
-                    session: number,
-                    call: call_number,
-                    caller,
-                    timeout_s,
-                };
-                let WaitResult {
-                    result,
-                    recorded_in,
-                } = waiting::wait(lifecycle, now, wait, job.as_deref())?;
-                if let Some(batch) = recorded_in {
-                    let session = lifecycle.sessions.get_mut(number)?;
-                    session.record(call_number, CallRecord::Answer(result.clone()));
-                    let (conn, response) = (caller.conn, Response::new(caller.id, result));
-                    lifecycle
-                        .queue
-                        .reply_after(conn, Output::Reply { conn, response }, batch);
-                    return None;
-                }
-                result
+                waiting::wait(lifecycle, now, wait(timeout_s), job.as_deref())?
             }
             _ => return None,
         };
-        let session = lifecycle.sessions.get_mut(number)?;
-        session.record(call_number, CallRecord::Answer(result.clone()));
+        let session = lifecycle.sessions.get_mut(session)?;
+        session.record(number, CallRecord::Answer(result.clone()));
         Some(result)
     }
 }
--- a/crates/core/src/requests/submission.rs
+++ b/crates/core/src/requests/submission.rs
@@ -19,13 +19,38 @@
 
 /// One call that submits jobs.
 pub(super) struct Submission {
-    pub key: CallKey,
-    pub spec: JobSpec,
-    pub range: Range,
-    pub is_bulk: bool,
+    key: CallKey,
+    spec: JobSpec,
+    range: Range,
+    is_bulk: bool,
 }
 
 impl Submission {
+    /// One job.
+    pub fn single(key: CallKey, spec: JobSpec) -> Self {
+        let range = Range {
+            first: 1,
+            last: 1,
+            step: 1,
+        };
+        Self {
+            key,
+            spec,
+            range,
+            is_bulk: false,
+        }
+    }
+
+    /// A job for each index of a range.
+    pub const fn bulk(key: CallKey, spec: JobSpec, range: Range) -> Self {
+        Self {
+            key,
+            spec,
+            range,
+            is_bulk: true,
+        }
+    }
+
     /// The call as it was made.
     fn into_call(self) -> Call {
         let Self {
--- a/crates/core/src/requests/waiting.rs
+++ b/crates/core/src/requests/waiting.rs
@@ -3,14 +3,15 @@
 use std::collections::BTreeSet;
 
 use reedring::Micros;
-use reedring_drmaa::rpc::{Answer, Jobs};
+use reedring_drmaa::rpc::{Answer, Jobs, Response};
 use reedring_drmaa::{ErrorCode, Result};
 
 use super::{Caller, error, job_of, named_jobs};
 use crate::ids::{JobNumber, SessionNumber};
+use crate::io::Output;
 use crate::ledger::Job;
 use crate::lifecycle::{JobLifecycle, ended_answer};
-use crate::sessions::{WaitCondition, Waiter};
+use crate::sessions::{CallRecord, WaitCondition, Waiter};
 use crate::timers::Timer;
 
 /// A call that waits.
@@ -23,59 +24,58 @@
     pub timeout_s: i64,
 }
 
-/// What a wait comes to at once.
-pub(super) struct WaitResult {
-    pub result: Result<Answer>,
-    /// The batch that has the end of the job, if that is the answer.
-    pub recorded_in: Option<u64>,
-}
-
-impl WaitResult {
-    const fn new(result: Result<Answer>) -> Self {
-        Self {
-            result,
-            recorded_in: None,
-        }
-    }
-}
-
 /// Waits for one job, or for any. `None` where the answer comes later.
 pub(super) fn wait(
     lifecycle: &mut JobLifecycle<'_>,
     now: Micros,
     wait: Wait,
     job: Option<&str>,
-) -> Option<WaitResult> {
+) -> Option<Result<Answer>> {
     let (ended, condition) = match job {
         Some(name) => match job_of(lifecycle, wait.session, name) {
             Ok(job) => {
                 let has_ended = lifecycle.ledger.job(job).is_some_and(Job::is_ended);
                 (has_ended.then_some(job), WaitCondition::Job(job))
             }
-            Err(error) => return Some(WaitResult::new(Err(error))),
+            Err(error) => return Some(Err(error)),
         },
         None => {
             let session = lifecycle.sessions.get(wait.session)?;
             if !session.has_jobs() {
                 let none = error(ErrorCode::InvalidJob, "the session has no job to wait for");
-                return Some(WaitResult::new(Err(none)));
+                return Some(Err(none));
             }
             (session.first_ended(), WaitCondition::Any)
         }
     };
-    if let Some(job) = ended {
-        let result = ended_answer(lifecycle.job_info(job));
-        let recorded_in = lifecycle
-            .ledger
-            .job(job)
-            .and_then(|job| job.end_recorded_in);
-        lifecycle.forget_job(job);
-        return Some(WaitResult {
-            result,
-            recorded_in,
-        });
+    match ended {
+        Some(job) => take_ended(lifecycle, wait, job),
+        None => wait_for(lifecycle, now, wait, condition),
     }
-    wait_for(lifecycle, now, wait, condition).map(WaitResult::new)
+}
+
+/// Returns the end of a job, which is forgotten then. `None` where the answer leaves once the end is durable.
+fn take_ended(
+    lifecycle: &mut JobLifecycle<'_>,
+    wait: Wait,
+    job: JobNumber,
+) -> Option<Result<Answer>> {
+    let result = ended_answer(lifecycle.job_info(job));
+    let recorded_in = lifecycle
+        .ledger
+        .job(job)
+        .and_then(|job| job.end_recorded_in);
+    lifecycle.forget_job(job);
+    let Some(batch) = recorded_in else {
+        return Some(result);
+    };
+    let session = lifecycle.sessions.get_mut(wait.session)?;
+    session.record(wait.call, CallRecord::Answer(result.clone()));
+    let (conn, response) = (wait.caller.conn, Response::new(wait.caller.id, result));
+    lifecycle
+        .queue
+        .reply_after(conn, Output::Reply { conn, response }, batch);
+    None
 }
 
 /// Waits for several jobs. `None` where the answer comes later.
--- a/crates/core/src/requirements.rs
+++ b/crates/core/src/requirements.rs
@@ -14,7 +14,7 @@
 use crate::constraints::{ConstrainedJob, JobConstraint};
 
 /// Bytes of a template that are left for the digits of an index in each place that may hold one.
-const INDEX_ROOM: usize = 256;
+const INDEX_DIGITS_RESERVE: usize = 256;
 
 /// A job's template with what follows from it. All jobs of one submission share it.
 #[derive(Debug, PartialEq)]
@@ -205,7 +205,7 @@
         ));
     }
     let size = serde_json::to_vec(spec).map_or(usize::MAX, |bytes| bytes.len());
-    let limit = MAX_PAYLOAD - INDEX_ROOM;
+    let limit = MAX_PAYLOAD - INDEX_DIGITS_RESERVE;
     if size > limit {
         return Err(invalid(format!(
             "the template has {size} bytes, at most {limit} fit"
--- a/crates/core/src/sessions/mod.rs
+++ b/crates/core/src/sessions/mod.rs
@@ -15,7 +15,7 @@
 use reedring_state::{self as state, Change};
 
 use crate::ids::{JobNumber, SessionNumber};
-use crate::io::ConnId;
+use crate::io::ConnectionId;
 pub(crate) use call_record::CallRecord;
 pub(crate) use session::Session;
 pub(crate) use waiter::{CompletedCall, WaitCondition, Waiter};
@@ -27,7 +27,7 @@
     numbers: BTreeMap<Arc<str>, SessionNumber>,
     last: SessionNumber,
     /// Waiting calls by connection, to find those of one that ended.
-    by_conn: BTreeSet<(ConnId, SessionNumber, u64)>,
+    by_conn: BTreeSet<(ConnectionId, SessionNumber, u64)>,
     /// Sessions that may have changes that are not persisted, and those that are forgotten.
     touched: BTreeSet<SessionNumber>,
     forgotten: Vec<SessionNumber>,
@@ -128,7 +128,7 @@
     }
 
     /// A connection ended: nobody waits on it any more.
-    pub fn client_gone(&mut self, conn: ConnId) {
+    pub fn client_disconnected(&mut self, conn: ConnectionId) {
         let first = (conn, SessionNumber::default(), 0);
         let last = (conn, SessionNumber::MAX, u64::MAX);
         let waits: Vec<_> = self.by_conn.range(first..=last).copied().collect();
--- a/crates/core/src/sessions/waiter.rs
+++ b/crates/core/src/sessions/waiter.rs
@@ -5,7 +5,7 @@
 use reedring_drmaa::rpc::Response;
 
 use crate::ids::JobNumber;
-use crate::io::ConnId;
+use crate::io::ConnectionId;
 
 /// What a waiting call waits for.
 #[derive(Debug)]
@@ -25,7 +25,7 @@
 /// A call that waits.
 #[derive(Debug)]
 pub(crate) struct Waiter {
-    pub conn: ConnId,
+    pub conn: ConnectionId,
     pub id: u64,
     pub condition: WaitCondition,
 }
@@ -43,6 +43,6 @@
 
 /// A call that waited and has its answer.
 pub(crate) struct CompletedCall {
-    pub conn: ConnId,
+    pub conn: ConnectionId,
     pub response: Response,
 }
--- a/crates/core/tests/control.rs
+++ b/crates/core/tests/control.rs
@@ -260,7 +260,7 @@
         node.hall = ["control", "control", "control", "east", "west"][n].to_owned();
     }
     let (now, list) = (world.now, world.list.clone());
-    world.cores[0].handle(now, Input::Listed(list));
+    world.cores[0].handle(now, Input::NodeListChanged(list));
     first_plan(&mut world);
     submit_bulk(
         &mut world,
--- a/crates/core/tests/plans/mod.rs
+++ b/crates/core/tests/plans/mod.rs
@@ -217,7 +217,7 @@
             Start {
                 now,
                 unix_us: now,
-                life,
+                incarnation: life,
                 seed: life,
             },
         );
@@ -240,7 +240,7 @@
         }
         let list = self.list.clone();
         let now = self.clock(placer);
-        self.cores[placer].handle(now, Input::Listed(list));
+        self.cores[placer].handle(now, Input::NodeListChanged(list));
         self.turn(placer);
     }
 
@@ -261,7 +261,7 @@
                 now,
                 Input::LinkDown {
                     node: name,
-                    why: "replaced".to_owned(),
+                    reason: "replaced".to_owned(),
                 },
             );
             let (life, link) = (self.lives[placer] * 1_000 + placer as u64, life);
@@ -288,7 +288,7 @@
             .for_each(|(n, node)| node.control = control.contains(&n));
         for placer in 0..self.cores.len() {
             let (now, list) = (self.clock(placer), self.list.clone());
-            self.cores[placer].handle(now, Input::Listed(list));
+            self.cores[placer].handle(now, Input::NodeListChanged(list));
             self.turn(placer);
         }
     }
@@ -352,7 +352,7 @@
                     self.send(Due::AtNode(placer, n, message));
                 }
                 Output::Event(event) => self.events.push((placer, event)),
-                Output::Acts(stamp)
+                Output::ActiveConfiguration(stamp)
                     if !stamp.joint && self.acts[placer].0 != stamp.version.number =>
                 {
                     self.acts[placer] = (stamp.version.number, self.now);
@@ -409,11 +409,11 @@
                                 record,
                             } => Input::LinkUp {
                                 node,
-                                called,
-                                life,
+                                reported_name: called,
+                                incarnation: life,
                                 up_ms,
                                 can_suspend,
-                                record,
+                                report: record,
                             },
                             message => Input::Message { node, message },
                         };
--- a/crates/core/tests/quiet.rs
+++ b/crates/core/tests/quiet.rs
@@ -48,7 +48,7 @@
     world.list.revision += 1;
     world.list.nodes[1].rack = "another".to_owned();
     let (now, list) = (world.now, world.list.clone());
-    world.cores[0].handle(now, Input::Listed(list));
+    world.cores[0].handle(now, Input::NodeListChanged(list));
     let told = outputs(&mut world);
     (world, told)
 }
@@ -99,9 +99,9 @@
     let mut world = after_heartbeat(9);
     world.list.nodes[1].hall = "north".to_owned();
     let (now, list) = (world.now, world.list.clone());
-    world.cores[0].handle(now, Input::Listed(list.clone()));
+    world.cores[0].handle(now, Input::NodeListChanged(list.clone()));
     let told = outputs(&mut world);
-    let moves = |output: &Output| matches!(output, Output::MoveZone { node, zone } if node == "node-1" && zone == "north");
+    let moves = |output: &Output| matches!(output, Output::ChangeZone { node, zone } if node == "node-1" && zone == "north");
     assert_eq!(
         told.iter().filter(|output| moves(output)).count(),
         1,
@@ -111,7 +111,7 @@
         |output: &&Output| matches!(output, Output::Connect { .. } | Output::Disconnect { .. });
     assert_eq!(told.iter().filter(relinks).count(), 0, "{told:?}");
     // Told once: the same list again moves nothing.
-    world.cores[0].handle(now, Input::Listed(list));
+    world.cores[0].handle(now, Input::NodeListChanged(list));
     assert!(!outputs(&mut world).iter().any(moves));
 }
 
@@ -173,7 +173,7 @@
     let unmet = reedring_settings::NodeEntry::at("node-99", ([127, 0, 0, 1], 9).into());
     world.list.nodes.push(unmet);
     let (now, list) = (world.now, world.list.clone());
-    world.cores[0].handle(now, Input::Listed(list));
+    world.cores[0].handle(now, Input::NodeListChanged(list));
     outputs(&mut world);
     let count = wakes(&mut world);
     assert!(count <= 6, "{count} looks in ten seconds");
--- a/crates/core/tests/unwritten.rs
+++ b/crates/core/tests/unwritten.rs
@@ -23,7 +23,7 @@
 
 fn tell(world: &mut World) {
     let unwritten = std::mem::take(&mut world.unwritten);
-    world.input(Input::Unwritten(unwritten));
+    world.input(Input::OffersUnwritten(unwritten));
 }
 
 /// A task that must not start twice is refused and not failed: it can't have run.
--- a/crates/core/tests/world/disk.rs
+++ b/crates/core/tests/world/disk.rs
@@ -42,13 +42,13 @@
                     .map(|learned| learned.aged(self.now, &half))
                     .unwrap_or_default();
                 Restored {
-                    image,
-                    learned,
-                    lost: None,
+                    ledger: image,
+                    beliefs: learned,
+                    unavailable: None,
                 }
             }
             Err(error) => Restored {
-                lost: Some(error.to_string()),
+                unavailable: Some(error.to_string()),
                 ..Restored::default()
             },
         };
@@ -114,9 +114,9 @@
             _ if kept.dark => {}
             Ok(through) => self.input(Input::Durable(through.0)),
             Err(lost) => {
-                self.input(Input::StateLost {
-                    why: lost.reason,
-                    marked: lost.marked_incomplete,
+                self.input(Input::StateUnavailable {
+                    reason: lost.reason,
+                    marked_incomplete: lost.marked_incomplete,
                 });
                 self.later(50 * MS, Due::Retry(self.life));
             }
@@ -131,7 +131,7 @@
             .and_then(|kept| kept.keeper.as_mut())
             .unwrap();
         match keeper.prepare_replacement() {
-            Ok(()) => self.input(Input::StateBack),
+            Ok(()) => self.input(Input::StateAvailable),
             Err(_) => self.later(50 * MS, Due::Retry(self.life)),
         }
     }
--- a/crates/core/tests/world/faults.rs
+++ b/crates/core/tests/world/faults.rs
@@ -20,7 +20,7 @@
             Start {
                 now: self.now,
                 unix_us: self.now,
-                life: self.life,
+                incarnation: self.life,
                 seed: 0,
             },
         );
@@ -116,7 +116,7 @@
             revision: 0,
             nodes: listed.map(|(_, entry)| entry.clone()).collect(),
         };
-        self.input(Input::Listed(list));
+        self.input(Input::NodeListChanged(list));
     }
 
     /// Takes a node's line from the list, or puts it back.
@@ -146,7 +146,7 @@
         let start = Start {
             now: self.now,
             unix_us: self.now,
-            life: self.life,
+            incarnation: self.life,
             seed: self.life,
         };
         if let Some(kept) = self.kept.as_mut() {
--- a/crates/core/tests/world/network.rs
+++ b/crates/core/tests/world/network.rs
@@ -139,11 +139,11 @@
             } if first => {
                 self.input(Input::LinkUp {
                     node,
-                    called,
-                    life,
+                    reported_name: called,
+                    incarnation: life,
                     up_ms,
                     can_suspend,
-                    record,
+                    report: record,
                 });
             }
             message => {
@@ -166,7 +166,7 @@
             let node = self.list[n].name.clone();
             self.input(Input::LinkDown {
                 node,
-                why: "refused".to_owned(),
+                reason: "refused".to_owned(),
             });
             return self.later(100 * MS, Due::Connect(n));
         }
@@ -200,7 +200,7 @@
         let node = self.list[link.node].name.clone();
         self.input(Input::LinkDown {
             node,
-            why: "cut".to_owned(),
+            reason: "cut".to_owned(),
         });
         self.later(50 * MS, Due::Connect(link.node));
     }
--- a/crates/core/tests/world/outputs.rs
+++ b/crates/core/tests/world/outputs.rs
@@ -40,14 +40,16 @@
                 digest.add("reply", now, &conn.to_be_bytes());
                 digest.add("response", now, &serde_json::to_vec(response).unwrap());
             }
-            Output::Keep { whole, .. } => digest.add("persist", now, &[u8::from(*whole)]),
-            Output::Learn(_) => digest.add("beliefs", now, &[]),
-            Output::Acts(stamp) => {
+            Output::Persist {
+                is_rewrite: whole, ..
+            } => digest.add("persist", now, &[u8::from(*whole)]),
+            Output::PersistBeliefs(_) => digest.add("beliefs", now, &[]),
+            Output::ActiveConfiguration(stamp) => {
                 digest.add("active configuration", now, &stamp.level().to_be_bytes())
             }
-            Output::MoveZone { .. } => digest.add("zone changed", now, &[]),
+            Output::ChangeZone { .. } => digest.add("zone changed", now, &[]),
             Output::Settings(_) => digest.add("settings", now, &[]),
-            Output::ShutOut(_) => digest.add("fenced", now, &[]),
+            Output::Fenced(_) => digest.add("fenced", now, &[]),
             Output::Event(_) => {}
         }
     }
@@ -79,7 +81,10 @@
                 let after = self.latency();
                 self.later(after, Due::Answer(self.life, Box::new(response)));
             }
-            Output::Keep { batch, whole } => {
+            Output::Persist {
+                batch,
+                is_rewrite: whole,
+            } => {
                 let slow = self.disk_us.unwrap_or(self.latency() * 4);
                 let kept = self.kept.as_mut().unwrap();
                 kept.queue.push((batch, whole));
@@ -87,17 +92,17 @@
                     self.later(slow, Due::Written(self.life));
                 }
             }
-            Output::Learn(_) if self.is_dark() => {}
-            Output::Learn(learned) => {
+            Output::PersistBeliefs(_) if self.is_dark() => {}
+            Output::PersistBeliefs(learned) => {
                 let _ = self
                     .kept
                     .as_ref()
                     .and_then(|kept| kept.keeper.as_ref()?.save_beliefs(&learned).ok());
             }
-            Output::MoveZone { .. }
-            | Output::Acts(_)
+            Output::ChangeZone { .. }
+            | Output::ActiveConfiguration(_)
             | Output::Settings(_)
-            | Output::ShutOut(_) => {}
+            | Output::Fenced(_) => {}
             Output::Event(event) => self.events.push(event),
         }
     }
--- a/crates/core/tests/world/setup.rs
+++ b/crates/core/tests/world/setup.rs
@@ -35,7 +35,7 @@
         let start = Start {
             now: SECOND,
             unix_us: SECOND,
-            life: 1,
+            incarnation: 1,
             seed,
         };
         let mut world = Self {
--- a/crates/placer/src/clients/connection.rs
+++ b/crates/placer/src/clients/connection.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use reedring_core::{ConnId, Input};
+use reedring_core::{ConnectionId, Input};
 use reedring_drmaa::ErrorCode;
 use reedring_drmaa::framing::{FrameError, Reader, wrap};
 use reedring_drmaa::rpc::{DRMAA_BASE, INVALID_REQUEST, MAX_REQUEST, Response, read_request};
@@ -29,7 +29,7 @@
 /// One client's connection.
 #[derive(Clone)]
 pub(super) struct ClientConnection {
-    conn: ConnId,
+    conn: ConnectionId,
     context: Arc<PlacerContext>,
     inbound: InboundSender,
     /// One permit for each request that may still be read before another is answered.
@@ -38,7 +38,7 @@
 
 impl ClientConnection {
     /// The connection of this number.
-    pub fn new(conn: ConnId, context: Arc<PlacerContext>, inbound: InboundSender) -> Self {
+    pub fn new(conn: ConnectionId, context: Arc<PlacerContext>, inbound: InboundSender) -> Self {
         let unanswered = Arc::new(Semaphore::new(MAX_UNANSWERED as usize));
         Self {
             conn,
@@ -65,7 +65,7 @@
             self.read_requests(stream.reader).await;
             let _ = self
                 .inbound
-                .send(InboundEvent::Core(Input::ClientGone(self.conn)))
+                .send(InboundEvent::Core(Input::ClientDisconnected(self.conn)))
                 .await;
         }
         // What was answered by now is written, unless the client does not read it.
@@ -165,7 +165,7 @@
 }
 
 /// Tells a client beyond the limit of connections to try later.
-pub(super) async fn refuse(conn: ConnId, stream: ClientStream, context: Arc<PlacerContext>) {
+pub(super) async fn refuse(conn: ConnectionId, stream: ClientStream, context: Arc<PlacerContext>) {
     let ClientStream { reader, mut writer } = stream;
     drop(reader);
     let code = DRMAA_BASE + i64::from(ErrorCode::TryLater.number());
@@ -176,7 +176,7 @@
 
 async fn write_response(
     stream: &mut (impl AsyncWrite + Unpin),
-    conn: ConnId,
+    conn: ConnectionId,
     response: &Response,
     context: &PlacerContext,
 ) -> std::io::Result<()> {
--- a/crates/placer/src/clients/mod.rs
+++ b/crates/placer/src/clients/mod.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 
 use reedring_connection::pause_after_accept_error;
-use reedring_core::ConnId;
+use reedring_core::ConnectionId;
 use tokio::sync::Semaphore;
 
 use self::connection::{ClientConnection, refuse};
@@ -25,7 +25,7 @@
     listener: Listener,
     /// One for each connection that may still be served.
     permits: Arc<Semaphore>,
-    last_conn: ConnId,
+    last_conn: ConnectionId,
     tasks: TaskGroup,
     context: Arc<PlacerContext>,
     inbound: InboundSender,
--- a/crates/placer/src/clients/tests.rs
+++ b/crates/placer/src/clients/tests.rs
@@ -50,7 +50,7 @@
     served.client.shutdown().await.unwrap();
     assert!(matches!(
         served.events.recv().await,
-        Some(InboundEvent::Core(Input::ClientGone(1)))
+        Some(InboundEvent::Core(Input::ClientDisconnected(1)))
     ));
     let mut bytes = Vec::new();
     served.client.read_to_end(&mut bytes).await.unwrap();
--- a/crates/placer/src/event_loop.rs
+++ b/crates/placer/src/event_loop.rs
@@ -134,7 +134,7 @@
                     .handle(self.clock.now_us(), welcome.into_input(node));
             }
             InboundEvent::Core(input) => {
-                if let Input::ClientGone(conn) = input {
+                if let Input::ClientDisconnected(conn) = input {
                     self.dispatcher.clients.remove(conn);
                 }
                 self.core.handle(self.clock.now_us(), input);
@@ -146,7 +146,8 @@
         match update {
             NodeListUpdate::List { list, text } => {
                 self.dispatcher.context.trace.node_list(&text);
-                self.core.handle(self.clock.now_us(), Input::Listed(list));
+                self.core
+                    .handle(self.clock.now_us(), Input::NodeListChanged(list));
             }
             NodeListUpdate::Rejected(error) => tracing::warn!(
                 event = "node_list_rejected",
--- a/crates/placer/src/inbound.rs
+++ b/crates/placer/src/inbound.rs
@@ -1,6 +1,6 @@
 //! What the tasks of a placer hand to its event loop.
 
-use reedring_core::{ConnId, Input};
+use reedring_core::{ConnectionId, Input};
 use reedring_drmaa::rpc::Response;
 use reedring_node_protocol::AcceptorReport;
 use tokio::sync::mpsc;
@@ -22,14 +22,14 @@
     /// A client has connected; its responses go to `responses`.
     ClientConnected {
         /// Its connection.
-        conn: ConnId,
+        conn: ConnectionId,
         /// Where its responses go.
         responses: ResponseSender,
     },
     /// A request was answered without the core, as it could not be read.
     ClientAnswered {
         /// The client's connection.
-        conn: ConnId,
+        conn: ConnectionId,
         /// The answer.
         response: Response,
     },
@@ -73,11 +73,11 @@
         } = self;
         Input::LinkUp {
             node,
-            called: name,
-            life: incarnation,
+            reported_name: name,
+            incarnation,
             up_ms,
             can_suspend,
-            record,
+            report: record,
         }
     }
 }
--- a/crates/placer/src/ledger/mod.rs
+++ b/crates/placer/src/ledger/mod.rs
@@ -42,7 +42,7 @@
         let retry_interval = Duration::from_micros(state.retry_us);
         let unwritable = |reason: String| {
             let restored = Restored {
-                lost: Some(reason),
+                unavailable: Some(reason),
                 ..Restored::default()
             };
             Ok(Self {
@@ -79,9 +79,9 @@
             .map(|beliefs| beliefs.aged(now_unix_us, &half_lives))
             .unwrap_or_default();
         let restored = Restored {
-            image: snapshot,
-            learned,
-            lost: None,
+            ledger: snapshot,
+            beliefs: learned,
+            unavailable: None,
         };
         Ok(Self {
             writer: Some(writer),
@@ -92,7 +92,7 @@
 
     /// The last incarnation that the ledger knows of.
     pub fn last_incarnation(&self) -> u64 {
-        self.restored.image.last_incarnation()
+        self.restored.ledger.last_incarnation()
     }
 
     /// Takes out what was stored.
--- a/crates/placer/src/ledger/tests.rs
+++ b/crates/placer/src/ledger/tests.rs
@@ -49,7 +49,10 @@
         let lost = events.blocking_recv().unwrap();
         assert!(matches!(
             lost,
-            InboundEvent::Core(Input::StateLost { marked: true, .. })
+            InboundEvent::Core(Input::StateUnavailable {
+                marked_incomplete: true,
+                ..
+            })
         ));
         let started = Instant::now();
         let back = loop {
@@ -66,7 +69,7 @@
             // Well under the time between two tries.
             std::thread::sleep(Duration::from_millis(5));
         };
-        assert!(matches!(back, InboundEvent::Core(Input::StateBack)));
+        assert!(matches!(back, InboundEvent::Core(Input::StateAvailable)));
         drop(commands);
     });
 }
--- a/crates/placer/src/ledger/thread.rs
+++ b/crates/placer/src/ledger/thread.rs
@@ -159,7 +159,7 @@
         match self.writer.prepare_replacement() {
             Ok(()) => {
                 self.next_retry = None;
-                self.notify(Input::StateBack);
+                self.notify(Input::StateAvailable);
             }
             Err(_) => self.next_retry = Some(Instant::now() + self.retry_interval),
         }
@@ -200,9 +200,9 @@
             Err(error) => {
                 self.next_retry
                     .get_or_insert_with(|| Instant::now() + self.retry_interval);
-                self.notify(Input::StateLost {
-                    why: error.reason,
-                    marked: error.marked_incomplete,
+                self.notify(Input::StateUnavailable {
+                    reason: error.reason,
+                    marked_incomplete: error.marked_incomplete,
                 });
             }
         }
--- a/crates/placer/src/lib.rs
+++ b/crates/placer/src/lib.rs
@@ -13,7 +13,7 @@
 //!     select! {                                      // whichever is first
 //!         inbound events, up to 512                  // clients, links, the ledger's thread
 //!             => clients.add / respond / remove, links.link_established, core.handle(now, input)
-//!         a node list         => core.handle(now, Input::Listed)
+//!         a node list         => core.handle(now, Input::NodeListChanged)
 //!         a settings file     => core.handle(now, Input::SettingsChanged)
 //!         a command           => stall, for tests
 //!         a request to end    => return shut_down()
--- a/crates/placer/src/links/mod.rs
+++ b/crates/placer/src/links/mod.rs
@@ -129,7 +129,7 @@
             format!("the node does not read: {QUEUE_CAPACITY} messages wait; closing the link");
         let down = Input::LinkDown {
             node: node.to_owned(),
-            why,
+            reason: why,
         };
         self.replace(node.to_owned(), location, Some(InboundEvent::Core(down)));
     }
--- a/crates/placer/src/links/outbox.rs
+++ b/crates/placer/src/links/outbox.rs
@@ -37,7 +37,7 @@
     if !attempts.is_empty() {
         // Fails only while the placer shuts down, and the next send says so.
         let _ = inbound
-            .send(InboundEvent::Core(Input::Unwritten(attempts)))
+            .send(InboundEvent::Core(Input::OffersUnwritten(attempts)))
             .await;
     }
 }
--- a/crates/placer/src/links/task.rs
+++ b/crates/placer/src/links/task.rs
@@ -103,7 +103,7 @@
         self.context.trace.link_down(&self.node, self.link, &why);
         let down = Input::LinkDown {
             node: self.node.clone(),
-            why,
+            reason: why,
         };
         self.inbound.send(InboundEvent::Core(down)).await.is_ok()
     }
--- a/crates/placer/src/links/tests.rs
+++ b/crates/placer/src/links/tests.rs
@@ -137,7 +137,7 @@
             is_reachable
         );
         let report = tokio::time::timeout(Duration::from_secs(10), events.recv()).await;
-        let Ok(Some(InboundEvent::Core(Input::Unwritten(attempts)))) = report else {
+        let Ok(Some(InboundEvent::Core(Input::OffersUnwritten(attempts)))) = report else {
             panic!("not reported")
         };
         assert_eq!(attempts, [attempt]);
--- a/crates/placer/src/output.rs
+++ b/crates/placer/src/output.rs
@@ -39,10 +39,13 @@
                 address,
                 zone,
             } => self.links.connect(node, NodeLocation { address, zone }),
-            Output::MoveZone { node, zone } => self.links.change_zone(&node, zone),
+            Output::ChangeZone { node, zone } => self.links.change_zone(&node, zone),
             Output::Disconnect { node } => self.links.disconnect(&node),
             Output::Send { node, message } => self.links.send(&node, message),
-            Output::Keep { batch, whole } => {
+            Output::Persist {
+                batch,
+                is_rewrite: whole,
+            } => {
                 if let Some(ledger) = &self.ledger {
                     if whole {
                         ledger.rewrite(batch)
@@ -51,18 +54,18 @@
                     }
                 }
             }
-            Output::Learn(learned) => {
+            Output::PersistBeliefs(learned) => {
                 if let Some(ledger) = &self.ledger {
                     ledger.save_beliefs(learned);
                 }
             }
-            Output::Acts(stamp) => self.context.set_active_config(stamp),
+            Output::ActiveConfiguration(stamp) => self.context.set_active_config(stamp),
             Output::Settings(settings) => {
                 if let Some(active_settings) = &self.active_settings {
                     active_settings.send_replace(*settings);
                 }
             }
-            Output::ShutOut(is_fenced) => self.is_fenced.store(is_fenced, Ordering::Relaxed),
+            Output::Fenced(is_fenced) => self.is_fenced.store(is_fenced, Ordering::Relaxed),
             Output::Event(event) => log_events::record(&self.context.name, &event),
         }
     }
--- a/crates/placer/src/startup.rs
+++ b/crates/placer/src/startup.rs
@@ -109,7 +109,7 @@
     Start {
         now: clock.start_us(),
         unix_us: clock.start_us(),
-        life: incarnation,
+        incarnation,
         seed: settings.seed.unwrap_or(incarnation),
     }
 }
--- a/crates/placer/src/trace.rs
+++ b/crates/placer/src/trace.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use reedring_audit::{Event, Recorder};
-use reedring_core::ConnId;
+use reedring_core::ConnectionId;
 
 use crate::link_number::LinkNumber;
 
@@ -56,23 +56,23 @@
     }
 
     /// A frame was read from a client. `frame` runs only where a trace is written.
-    pub fn client_frame_read(&self, conn: ConnId, frame: impl FnOnce() -> Vec<u8>) {
+    pub fn client_frame_read(&self, conn: ConnectionId, frame: impl FnOnce() -> Vec<u8>) {
         self.client_frame(Event::FromClient, conn, frame);
     }
 
     /// A frame is about to be written to a client. `frame` runs only where a trace is written.
-    pub fn client_frame_written(&self, conn: ConnId, frame: impl FnOnce() -> Vec<u8>) {
+    pub fn client_frame_written(&self, conn: ConnectionId, frame: impl FnOnce() -> Vec<u8>) {
         self.client_frame(Event::ToClient, conn, frame);
     }
 
-    fn client_frame(&self, event: Event, conn: ConnId, frame: impl FnOnce() -> Vec<u8>) {
+    fn client_frame(&self, event: Event, conn: ConnectionId, frame: impl FnOnce() -> Vec<u8>) {
         if self.recorder.is_some() {
             self.record(event, "", conn, &frame());
         }
     }
 
     /// A client's connection has ended.
-    pub fn client_disconnected(&self, conn: ConnId) {
+    pub fn client_disconnected(&self, conn: ConnectionId) {
         self.record(Event::ClientGone, "", conn, b"");
     }
 
