--- a/crates/audit/tests/rules.rs
+++ b/crates/audit/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The audit on traces made by hand: a clean one, and one that breaks each rule.
+//! The audit of traces made by hand: clean ones, and one that breaks each rule.
 
 use reedring_audit::{Event, Frame, Recorder, Report, Rule, audit, read};
 use reedring_drmaa::framing::wrap;
@@ -65,13 +65,13 @@
             .record(Event::ToClient, "p", "", 1, &wrap(text.as_bytes()));
     }
 
-    fn taken(&self, job: &str, class: &str) {
+    fn submitted(&self, job: &str, class: &str) {
         let params = format!(r#"{{"key":{{"session":"s"}},"job":{{"native":"class={class}"}}}}"#);
         self.call(1, "drmaa_run_job", &params);
         self.answer(1, &format!(r#"{{"submitted":{{"jobs":["{job}"]}}}}"#));
     }
 
-    fn told(&self, job: &str, outcome: &str) {
+    fn reported(&self, job: &str, outcome: &str) {
         self.call(2, "drmaa_wait", r#"{"key":{"session":"s"},"job":null}"#);
         let usage = format!(r#"[["reedring.outcome","{outcome}"]]"#);
         self.answer(
@@ -191,12 +191,12 @@
         );
     }
 
-    fn judge(self) -> Report {
+    fn report(self) -> Report {
         audit(&read(&self.0.finish().unwrap()).unwrap())
     }
 
-    fn breaks(self) -> Vec<Rule> {
-        let report = self.judge();
+    fn broken_rules(self) -> Vec<Rule> {
+        let report = self.report();
         report
             .breaches
             .iter()
@@ -206,16 +206,16 @@
 }
 
 #[test]
-fn a_refused_try_and_a_placed_one_are_clean() {
+fn a_refused_attempt_and_a_placed_one_are_clean() {
     let trace = Trace::new();
-    trace.taken("s.1.1", "unsafe");
+    trace.submitted("s.1.1", "unsafe");
     let first = trace.offer("s.1.1", "unsafe", "a1", 1, 0);
     trace.refused("a1", first);
     let second = trace.offer("s.1.1", "unsafe", "b1", 1, 1);
     trace.accepted("b1", second);
     trace.ended("b1", second, End::Exited(0), true);
-    trace.told("s.1.1", "placed");
-    let report = trace.judge();
+    trace.reported("s.1.1", "placed");
+    let report = trace.report();
     assert_eq!(report.breaches, []);
     assert_eq!((report.taken, report.placed, report.offers), (1, 1, 2));
 }
@@ -223,14 +223,14 @@
 #[test]
 fn two_outcomes_break_rule_1() {
     let trace = Trace::new();
-    trace.taken("s.1.1", "safe");
-    trace.told("s.1.1", "refused");
-    trace.told("s.1.1", "failed");
-    assert_eq!(trace.breaks(), [Rule::OneOutcome]);
+    trace.submitted("s.1.1", "safe");
+    trace.reported("s.1.1", "refused");
+    trace.reported("s.1.1", "failed");
+    assert_eq!(trace.broken_rules(), [Rule::OneOutcome]);
     let trace = Trace::new();
-    trace.taken("s.1.1", "safe");
-    trace.told("s.1.1", "placed");
-    assert_eq!(trace.breaks(), [Rule::OneOutcome]);
+    trace.submitted("s.1.1", "safe");
+    trace.reported("s.1.1", "placed");
+    assert_eq!(trace.broken_rules(), [Rule::OneOutcome]);
 }
 
 #[test]
@@ -239,12 +239,12 @@
         let trace = Trace::new();
         trace.offer("s.1.1", class, "a1", 1, 0);
         trace.offer("s.1.1", class, "a2", 1, 1);
-        assert_eq!(trace.breaks(), [Rule::NoSecondRun], "{class}");
+        assert_eq!(trace.broken_rules(), [Rule::NoSecondRun], "{class}");
     }
 }
 
 #[test]
-fn what_may_have_run_is_sent_again_only_as_its_class_allows() {
+fn a_task_that_may_have_run_is_sent_again_only_as_its_class_allows() {
     for (class, node, clean) in [
         ("safe", "b1", true),
         ("keyed", "a2", true),
@@ -255,29 +255,29 @@
         let first = trace.offer("s.1.1", class, "a1", 1, 0);
         trace.stop("a1", first);
         trace.offer("s.1.1", class, node, 1, 1);
-        assert_eq!(trace.breaks().is_empty(), clean, "{class} to {node}");
+        assert_eq!(trace.broken_rules().is_empty(), clean, "{class} to {node}");
     }
 }
 
 #[test]
 fn a_refusal_after_an_unsafe_task_may_have_run_breaks_rule_2() {
     let trace = Trace::new();
-    trace.taken("s.1.1", "unsafe");
+    trace.submitted("s.1.1", "unsafe");
     let first = trace.offer("s.1.1", "unsafe", "a1", 1, 0);
     trace.stop("a1", first);
-    trace.told("s.1.1", "refused");
-    assert_eq!(trace.breaks(), [Rule::NoSecondRun]);
+    trace.reported("s.1.1", "refused");
+    assert_eq!(trace.broken_rules(), [Rule::NoSecondRun]);
     let trace = Trace::new();
-    trace.taken("s.1.1", "unsafe");
+    trace.submitted("s.1.1", "unsafe");
     let first = trace.offer("s.1.1", "unsafe", "a1", 1, 0);
     trace.stop("a1", first);
     trace.ended("a1", first, End::Stopped, false);
-    trace.told("s.1.1", "refused");
-    assert_eq!(trace.breaks(), []);
+    trace.reported("s.1.1", "refused");
+    assert_eq!(trace.broken_rules(), []);
 }
 
 #[test]
-fn a_lost_task_comes_again_only_as_its_class_allows() {
+fn a_lost_task_is_placed_again_only_as_its_class_allows() {
     for (class, end, clean) in [
         ("safe", End::Evicted, true),
         ("keyed", End::Evicted, true),
@@ -288,15 +288,15 @@
         trace.accepted("a1", first);
         trace.ended("a1", first, end, true);
         trace.offer("s.1.1", class, "b1", 2, 0);
-        assert_eq!(trace.breaks().is_empty(), clean, "{class}");
+        assert_eq!(trace.broken_rules().is_empty(), clean, "{class}");
     }
 }
 
-/// A copy that was placed and whose end is known is no try of the placing that follows: the window of that one
-/// begins with its own first try.
+/// An attempt that was accepted and whose end is known does not belong to the placement that follows: the window of that
+/// one begins with its own first attempt.
 #[test]
-fn the_window_of_a_lost_task_begins_with_its_new_placing() {
-    for (tries_apart_us, clean) in [(0, true), (2 * HOUR_US, false)] {
+fn the_window_of_a_lost_task_begins_with_its_new_placement() {
+    for (attempts_apart_us, clean) in [(0, true), (2 * HOUR_US, false)] {
         let trace = Trace::new();
         let first = trace.offer("s.1.1", "keyed", "a1", 1, 0);
         trace.accepted("a1", first);
@@ -323,11 +323,11 @@
             .for_each(|frame| frame.time_us += 2 * HOUR_US);
         frames[third..]
             .iter_mut()
-            .for_each(|frame| frame.time_us += tries_apart_us);
+            .for_each(|frame| frame.time_us += attempts_apart_us);
         assert_eq!(
             audit(&frames).breaches.is_empty(),
             clean,
-            "{tries_apart_us}"
+            "{attempts_apart_us}"
         );
     }
 }
@@ -348,13 +348,13 @@
     );
     let second = trace.offer("s.1.1", "unsafe", "a2", 1, 1);
     trace.accepted("a2", second);
-    assert_eq!(trace.breaks(), [Rule::NoSecondRun, Rule::NoSecondRun]);
+    assert_eq!(trace.broken_rules(), [Rule::NoSecondRun, Rule::NoSecondRun]);
 }
 
 #[test]
-fn a_copy_that_a_successor_finds_is_the_jobs_own() {
+fn an_attempt_that_the_next_incarnation_finds_is_the_jobs_own() {
     let trace = Trace::new();
-    trace.taken("s.1.1", "unsafe");
+    trace.submitted("s.1.1", "unsafe");
     let first = trace.offer("s.1.1", "unsafe", "a1", 1, 0);
     trace.0.record(Event::PlacerEnded, "p", "", 1, b"");
     trace
@@ -373,8 +373,8 @@
     }];
     trace.node("a1", &Message::Holds { held, last: true });
     trace.ended("a1", first, End::Exited(0), true);
-    trace.told("s.1.1", "placed");
-    assert_eq!(trace.breaks(), []);
+    trace.reported("s.1.1", "placed");
+    assert_eq!(trace.broken_rules(), []);
 }
 
 #[test]
@@ -391,21 +391,21 @@
     std::thread::sleep(std::time::Duration::from_millis(1));
     trace.offer("s.1.1", "safe", "a1", 1, 0);
     // Where it left, and where it arrived.
-    assert_eq!(trace.breaks(), [Rule::DrainsKept, Rule::DrainsKept]);
+    assert_eq!(trace.broken_rules(), [Rule::DrainsKept, Rule::DrainsKept]);
     let trace = Trace::new();
     trace.call(9, "reedring_drain", r#"{"node":"a1","drain":true}"#);
     trace.offer("s.1.1", "safe", "a2", 1, 0);
-    assert_eq!(trace.breaks(), []);
+    assert_eq!(trace.broken_rules(), []);
 }
 
 #[test]
-fn too_much_for_a_cold_node_breaks_rule_4_once() {
+fn too_many_offers_to_a_node_that_warms_up_break_rule_4_once() {
     let trace = Trace::new();
     trace.0.record(Event::NodeStarted, "a1", "", 1, b"");
     for n in 1..=6 {
         trace.offer(&format!("s.1.{n}"), "safe", "a1", n, 0);
     }
-    assert_eq!(trace.breaks(), [Rule::ColdNodes]);
+    assert_eq!(trace.broken_rules(), [Rule::ColdNodes]);
 }
 
 #[test]
@@ -415,7 +415,7 @@
     trace.offer("s.1.2", "apart", "b1", 2, 0);
     trace.accepted("a1", first);
     trace.offer("s.1.3", "apart", "a2", 3, 0);
-    assert_eq!(trace.breaks(), [Rule::Spread]);
+    assert_eq!(trace.broken_rules(), [Rule::Spread]);
 }
 
 /// Two links write in no common order, so what is under no spread and was written to another node just before may
@@ -479,7 +479,7 @@
 }
 
 #[test]
-fn noise_is_counted_and_judged_as_nothing() {
+fn noise_is_counted_and_breaks_no_rule() {
     let trace = Trace::new();
     trace
         .0
@@ -487,11 +487,11 @@
     trace
         .0
         .record(Event::FromClient, "p", "", 1, b"GET / HTTP/1.1\r\n\r\n");
-    let report = trace.judge();
+    let report = trace.report();
     assert_eq!((report.unreadable, report.breaches.len()), (2, 0));
 }
 
-// ---- Plans ----
+// ---- Configuration versions ----
 
 fn version(number: u64) -> ConfigVersion {
     ConfigVersion {
@@ -500,7 +500,7 @@
     }
 }
 
-/// A record with this plan in force, and the next one joint or not.
+/// A report with this configuration committed, and the next one joint or not.
 fn record(force: u64, next: Option<(u64, bool)>) -> Message {
     let introduced = |(number, joint)| {
         let ballot = Ballot { round: 1, by: 1 };
@@ -527,11 +527,11 @@
 }
 
 #[test]
-fn a_node_that_accepts_what_is_under_its_floor_breaks_the_check_of_plans() {
+fn a_node_that_accepts_an_offer_below_its_floor_breaks_the_check_of_versions() {
     for (number, joint, clean) in [(1, false, false), (2, true, true), (2, false, true)] {
         let trace = Trace::new();
         trace.node("a1", &record(1, Some((2, true))));
-        trace.taken("s.1.1", "safe");
+        trace.submitted("s.1.1", "safe");
         let attempt = trace.offer_by("s.1.1", "safe", "a1", (1, 0), stamp(number, joint));
         trace.accepted("a1", attempt);
         let want = if clean {
@@ -539,12 +539,12 @@
         } else {
             vec![Rule::Versions]
         };
-        assert_eq!(trace.breaks(), want, "{number} {joint}");
+        assert_eq!(trace.broken_rules(), want, "{number} {joint}");
     }
 }
 
 #[test]
-fn a_plan_in_force_without_a_majority_breaks_the_check_of_plans() {
+fn a_configuration_committed_without_a_majority_breaks_the_check_of_versions() {
     for joint in [["a1"].as_slice(), &["a1", "b1"]] {
         let trace = Trace::new();
         ["a1", "a2", "b1"]
@@ -559,12 +559,12 @@
         } else {
             vec![Rule::Versions]
         };
-        assert_eq!(trace.breaks(), want, "{joint:?}");
+        assert_eq!(trace.broken_rules(), want, "{joint:?}");
     }
 }
 
 #[test]
-fn more_than_the_stricter_part_of_a_cold_budget_breaks_the_check_of_plans() {
+fn more_than_the_stricter_part_of_a_slow_start_budget_breaks_the_check_of_versions() {
     let text = |placers: u32| {
         format!(
             "[site]\nplacers = {placers}\ncold_offers = 3.0\ncold_window = \"1h\"\nwarm_after = \"1h\"\n"
@@ -589,7 +589,7 @@
             );
         }
         for n in 1..=offers {
-            // By plan 1 alone all three are its own; by both, one.
+            // By configuration 1 alone all three are its own; by both, one.
             let by = if joint {
                 stamp(2, true)
             } else {
@@ -597,14 +597,14 @@
             };
             trace.offer_by(&format!("s.1.{n}"), "safe", "a1", (n, 0), by);
         }
-        trace.breaks()
+        trace.broken_rules()
     };
     assert_eq!(sent(false, 3), []);
     assert_eq!(sent(true, 1), []);
     assert_eq!(sent(true, 2), [Rule::Versions]);
 }
 
-/// A learner's record, by the plan whose joint form is its floor; 0 is none yet.
+/// A learner's report, by the configuration whose joint form is its floor; 0 is none yet.
 fn learner(number: u64) -> AcceptorReport {
     let introduced = AcceptedVersion {
         ballot: Ballot::default(),
@@ -621,8 +621,8 @@
 }
 
 #[test]
-fn a_learner_that_accepts_what_is_under_what_it_has_read_breaks_the_check_of_plans() {
-    // By which plan the second offer comes, after one by plan 2.
+fn a_learner_that_accepts_an_offer_below_those_it_has_read_breaks_the_check_of_versions() {
+    // By which configuration the second offer comes, after one by configuration 2.
     for (second, clean) in [
         (stamp(1, false), false),
         (None, false),
@@ -633,7 +633,7 @@
         let trace = Trace::new();
         trace.node("a1", &Message::AcceptorReport(learner(0)));
         for (n, by) in [(1, stamp(2, false)), (2, second)] {
-            trace.taken(&format!("s.1.{n}"), "safe");
+            trace.submitted(&format!("s.1.{n}"), "safe");
             let attempt = trace.offer_by(&format!("s.1.{n}"), "safe", "a1", (n, 0), by);
             trace.accepted("a1", attempt);
         }
@@ -642,13 +642,13 @@
         } else {
             vec![Rule::Versions]
         };
-        assert_eq!(trace.breaks(), want, "{second:?}");
+        assert_eq!(trace.broken_rules(), want, "{second:?}");
     }
 }
 
-/// A new life begins without a floor, and says so in its greeting.
+/// A new incarnation begins without a floor, and reports that in its handshake.
 #[test]
-fn a_learner_that_starts_again_may_accept_what_its_former_life_would_not() {
+fn a_restarted_learner_may_accept_what_its_former_incarnation_would_not() {
     let trace = Trace::new();
     trace.node("a1", &Message::AcceptorReport(learner(2)));
     let (node, life, up_ms, can_suspend) = ("a1".to_owned(), 9, 0, true);
@@ -662,15 +662,15 @@
             record: Some(learner(0)),
         },
     );
-    trace.taken("s.1.1", "safe");
+    trace.submitted("s.1.1", "safe");
     let attempt = trace.offer_by("s.1.1", "safe", "a1", (1, 0), stamp(1, false));
     trace.accepted("a1", attempt);
-    assert_eq!(trace.breaks(), []);
+    assert_eq!(trace.broken_rules(), []);
 }
 
-/// Of five listed nodes three vote: two of them are a majority, and what others keep counts for nothing.
+/// Of five listed nodes three vote: two of them are a majority, and what others accept does not count.
 #[test]
-fn a_plan_in_force_without_a_majority_of_the_voters_breaks_the_check_of_plans() {
+fn a_configuration_committed_without_a_majority_of_the_voters_breaks_the_check_of_versions() {
     let list = r#"
         node = [{ name = "a1", control = true }, { name = "a2", control = true }, { name = "b1", control = true },
                 { name = "b2" }, { name = "b3" }]
@@ -694,13 +694,13 @@
         } else {
             vec![Rule::Versions]
         };
-        assert_eq!(trace.breaks(), want, "{joint:?}");
+        assert_eq!(trace.broken_rules(), want, "{joint:?}");
     }
 }
 
-/// What a learner turns away at the door costs it nothing while it is cold.
+/// An offer that a learner rejects for its version costs it nothing while it is warming up.
 #[test]
-fn offers_under_a_learners_floor_are_no_part_of_a_cold_budget() {
+fn offers_below_a_learners_floor_are_no_part_of_a_slow_start_budget() {
     for (fourth, want) in [(1, vec![]), (2, vec![Rule::ColdNodes])] {
         let trace = Trace::new();
         trace.0.record(Event::NodeStarted, "a1", "", 1, b"");
@@ -714,6 +714,10 @@
                 stamp(plan, false),
             );
         }
-        assert_eq!(trace.breaks(), want, "the fourth by plan {fourth}");
+        assert_eq!(
+            trace.broken_rules(),
+            want,
+            "the fourth by configuration {fourth}"
+        );
     }
 }
