--- a/crates/platform-protocol/src/config.rs
+++ b/crates/platform-protocol/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of a placer: the platform's JSON file, checked whole.
+//! The configuration of a placer: the platform's JSON file, read and checked whole.
 
 use std::net::SocketAddr;
 
@@ -9,22 +9,22 @@
 use crate::discovery::{Names, WatchResponse};
 use crate::hex;
 
-/// What a placer is told when it starts.
+/// The configuration of a placer.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Its name.
     pub name: String,
-    /// Where owners connect.
+    /// Where clients connect.
     pub listen: SocketAddr,
     /// Seed of its random numbers.
     pub seed: u64,
-    /// What it may use.
+    /// Its limits.
     pub limits: Limits,
-    /// Where the notice board is.
-    pub board: SocketAddr,
-    /// Events of the board up to now.
+    /// Where the discovery service listens.
+    pub discovery: SocketAddr,
+    /// Events of discovery up to now.
     pub known: WatchResponse,
-    /// The settings of the module, and the names and times around them.
+    /// The settings of the decision module, and the names and times around them.
     pub settings: Settings,
 }
 
@@ -45,46 +45,47 @@
     listen: SocketAddr,
     seed: String,
     limits: Limits,
-    board: SocketAddr,
+    #[serde(rename = "board")]
+    discovery: SocketAddr,
     known: WatchResponse,
     #[serde(borrow)]
     settings: &'a RawValue,
 }
 
-/// What is wrong with a configuration: the place and the fix.
+/// What is wrong with a configuration, with the place and the fix.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// It is not in the platform's form.
+    /// It is no JSON of the platform's form.
     #[error("{0}; put it in the platform's form")]
     Form(#[from] serde_path_to_error::Error<serde_json::Error>),
-    /// The settings can't be read.
+    /// The settings are invalid.
     #[error("settings.{0}; put them in the form of the simulator's first message")]
     Settings(settings::Error),
-    /// The seed is none.
+    /// The seed is malformed.
     #[error("seed: {0:?} is not 16 hex digits; give it as such")]
     Seed(String),
-    /// The known events don't fit.
-    #[error("known: {0}; give the board's events up to now")]
+    /// The known events are invalid.
+    #[error("known: {0}; give the events of discovery up to now")]
     Known(#[from] crate::discovery::Error),
-    /// A limit leaves no room to work in.
-    #[error("limits.sockets: {0} are too few; give at least {LEAST_SOCKETS}")]
+    /// There are too few file descriptors.
+    #[error("limits.sockets: {0} are too few; give at least {MIN_SOCKETS}")]
     Sockets(usize),
 }
 
-/// Descriptors without which a placer can't work: its own, the board's, some of owners and of hosts.
-pub const LEAST_SOCKETS: usize = 64;
+/// File descriptors that a placer needs at least: its own, discovery's, some of clients and of hosts.
+pub const MIN_SOCKETS: usize = 64;
 
 impl Config {
     /// Reads a configuration.
     ///
     /// # Errors
-    /// Where any part of it can't be used.
+    /// If any part of it is invalid.
     pub fn read(text: &str) -> Result<Self, Error> {
         let file: File =
             serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_str(text))?;
         let settings = settings::read(file.settings.get()).map_err(Error::Settings)?;
         file.known.check(&Names::from(&settings))?;
-        if file.limits.sockets < LEAST_SOCKETS {
+        if file.limits.sockets < MIN_SOCKETS {
             return Err(Error::Sockets(file.limits.sockets));
         }
         Ok(Self {
@@ -92,7 +93,7 @@
             name: file.name,
             listen: file.listen,
             limits: file.limits,
-            board: file.board,
+            discovery: file.discovery,
             known: file.known,
             settings,
         })
--- a/crates/platform-protocol/src/discovery.rs
+++ b/crates/platform-protocol/src/discovery.rs
@@ -1,72 +1,84 @@
-//! Events of the notice board: the list of hosts, and changes of it.
+//! The discovery service: the endpoint list of hosts, and watch events that change it.
 
 use std::net::SocketAddr;
 
 use reedring::settings::Deployment as Settings;
 use serde::Deserialize;
 
-/// Events, numbered from 1 at each start of a placer.
+/// The answer to a poll: events, numbered from 1 at each start of a placer.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct WatchResponse {
-    /// The number of the last one.
-    pub rev: u64,
-    /// Those that were not told yet, in order.
-    pub notices: Vec<WatchEvent>,
+    /// The number of the last event.
+    #[serde(rename = "rev")]
+    pub revision: u64,
+    /// The events after the one that the poll named, in order.
+    #[serde(rename = "notices")]
+    pub events: Vec<WatchEvent>,
 }
 
-/// One event.
+/// A change of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct WatchEvent {
     /// Its number.
-    pub rev: u64,
-    /// What it says of the list of hosts.
-    pub pool: Option<EndpointList>,
+    #[serde(rename = "rev")]
+    pub revision: u64,
+    /// The endpoints that it concerns; `None` if it concerns none.
+    #[serde(rename = "pool")]
+    pub endpoints: Option<EndpointList>,
 }
 
-/// What an event says of the list of hosts.
+/// Endpoints of hosts.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct EndpointList {
-    /// It is the whole list; a host that it lacks is gone.
-    pub whole: bool,
-    /// Its lines.
-    pub hosts: Vec<Entry>,
+    /// It is a snapshot: a host that it lacks has left.
+    #[serde(rename = "whole")]
+    pub is_snapshot: bool,
+    /// The hosts.
+    pub hosts: Vec<HostEntry>,
 }
 
-/// A line of the list.
+/// A host of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct Entry {
-    /// The host's id.
-    pub host: String,
+pub struct HostEntry {
+    /// The host's name.
+    #[serde(rename = "host")]
+    pub name: String,
     /// Where it listens.
-    pub dial: SocketAddr,
+    #[serde(rename = "dial")]
+    pub address: SocketAddr,
     /// Its zone's name.
-    pub site: String,
+    #[serde(rename = "site")]
+    pub zone: String,
     /// Its kind's name.
-    pub class: String,
+    #[serde(rename = "class")]
+    pub kind: String,
     /// Its cell.
-    pub block: u16,
+    #[serde(rename = "block")]
+    pub cell: u16,
     /// Whether it takes tasks.
-    pub health: State,
+    pub health: HostHealth,
     /// Unix milliseconds of a late start; 0 for long ago.
-    #[serde(default)]
-    pub born_ms: u64,
-    /// Cores and memory that nobody asked for.
-    pub room: Option<[f64; 2]>,
+    #[serde(default, rename = "born_ms")]
+    pub started_at_ms: u64,
+    /// Cores and memory that no task asked for.
+    #[serde(rename = "room")]
+    pub free: Option<[f64; 2]>,
 }
 
 /// Whether a host takes tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum State {
+pub enum HostHealth {
     /// It takes tasks.
     Active,
-    /// It wraps up its work.
-    Leaving,
+    /// It takes no new tasks and finishes its work.
+    #[serde(rename = "leaving")]
+    Draining,
     /// It was removed.
     Left,
 }
 
-/// Names that lines use, by number.
+/// Names that entries use, by number.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Names {
     /// Zones.
@@ -87,80 +99,118 @@
 impl Names {
     /// The number of a zone.
     pub fn zone(&self, name: &str) -> Option<u16> {
-        number(&self.zones, name)
+        number_of(&self.zones, name)
     }
 
     /// The number of a kind.
     pub fn kind(&self, name: &str) -> Option<u16> {
-        number(&self.kinds, name)
+        number_of(&self.kinds, name)
     }
 }
 
 /// The position of a name in its list.
-pub fn number(names: &[String], name: &str) -> Option<u16> {
-    names
-        .iter()
-        .position(|other| other == name)
-        .and_then(|at| u16::try_from(at).ok())
+pub fn number_of(names: &[String], name: &str) -> Option<u16> {
+    let position = names.iter().position(|other| other == name);
+    position.and_then(|at| u16::try_from(at).ok())
 }
 
-/// What can't be used of the board's answer; nothing of it is.
+/// Why an answer of the discovery service can't be used; nothing of it is.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// It is not in the board's form.
-    #[error("not in the board's form: {0}")]
+    /// It is no JSON of the protocol's form.
+    #[error("not in the form of discovery: {0}")]
     Form(#[from] serde_json::Error),
-    /// A number, name or figure in it does not fit.
-    #[error("event {rev}: {what}")]
+    /// An event is invalid.
+    #[error("event {revision}: {error}")]
     Event {
-        /// The event.
-        rev: u64,
-        /// What does not fit.
-        what: String,
+        /// The event's number.
+        revision: u64,
+        /// What is wrong with it.
+        error: EventError,
+    },
+}
+
+/// What is wrong with an event.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum EventError {
+    /// Its number is not between the one before and the last.
+    #[error("its number is out of order")]
+    OutOfOrder,
+    /// A host's zone is not one of the settings.
+    #[error("{host}: no site {zone:?}")]
+    UnknownZone {
+        /// The host.
+        host: String,
+        /// Its zone.
+        zone: String,
+    },
+    /// A host's kind is not one of the settings.
+    #[error("{host}: no class {kind:?}")]
+    UnknownKind {
+        /// The host.
+        host: String,
+        /// Its kind.
+        kind: String,
+    },
+    /// A host's free resources are not finite.
+    #[error("{host}: room is not finite")]
+    InvalidFree {
+        /// The host.
+        host: String,
     },
 }
 
 impl WatchResponse {
-    /// Reads an answer of the board whole.
+    /// Reads an answer of discovery whole.
     ///
     /// # Errors
-    /// Where any part of it does not fit.
+    /// If any part of it is invalid.
     pub fn read(text: &[u8], names: &Names) -> Result<Self, Error> {
-        let told: Self = serde_json::from_slice(text)?;
-        told.check(names)?;
-        Ok(told)
+        let response: Self = serde_json::from_slice(text)?;
+        response.check(names)?;
+        Ok(response)
     }
 
-    /// Checks what the form alone does not.
+    /// Checks what the form alone does not ensure.
     ///
     /// # Errors
-    /// Where a number, name or figure does not fit.
+    /// If a number, name or figure is invalid.
     pub fn check(&self, names: &Names) -> Result<(), Error> {
         let mut last = 0;
-        for notice in &self.notices {
-            let wrong = |what: String| Error::Event {
-                rev: notice.rev,
-                what,
-            };
-            if notice.rev <= last || notice.rev > self.rev {
-                return Err(wrong("its number is out of order".to_owned()));
+        for event in &self.events {
+            let revision = event.revision;
+            let invalid = |error| Error::Event { revision, error };
+            if revision <= last || revision > self.revision {
+                return Err(invalid(EventError::OutOfOrder));
             }
-            last = notice.rev;
-            for entry in notice.pool.iter().flat_map(|pool| &pool.hosts) {
-                if names.zone(&entry.site).is_none() {
-                    return Err(wrong(format!("{}: no site {:?}", entry.host, entry.site)));
-                }
-                if names.kind(&entry.class).is_none() {
-                    return Err(wrong(format!("{}: no class {:?}", entry.host, entry.class)));
-                }
-                if entry
-                    .room
-                    .is_some_and(|room| !room.iter().all(|left| left.is_finite()))
-                {
-                    return Err(wrong(format!("{}: room is no figure", entry.host)));
-                }
+            last = revision;
+            for host in event.endpoints.iter().flat_map(|list| &list.hosts) {
+                host.check(names).map_err(invalid)?;
             }
         }
         Ok(())
     }
 }
+
+impl HostEntry {
+    fn check(&self, names: &Names) -> Result<(), EventError> {
+        let host = || self.name.clone();
+        if names.zone(&self.zone).is_none() {
+            return Err(EventError::UnknownZone {
+                host: host(),
+                zone: self.zone.clone(),
+            });
+        }
+        if names.kind(&self.kind).is_none() {
+            return Err(EventError::UnknownKind {
+                host: host(),
+                kind: self.kind.clone(),
+            });
+        }
+        let is_finite = |free: [f64; 2]| free.iter().all(|left| left.is_finite());
+        if !self.free.is_none_or(is_finite) {
+            return Err(EventError::InvalidFree { host: host() });
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/platform-protocol/src/host/decode.rs
@@ -0,0 +1,127 @@
+//! Decodes hosts' lines.
+
+use std::collections::BTreeMap;
+
+use reedring::{Note, Reason};
+use serde::Deserialize;
+use serde_json::Value;
+
+use super::{Figures, FromHost, LineError};
+use crate::hex;
+
+/// The cause of a health check that passed.
+const PASSED: u8 = 1;
+
+#[derive(Deserialize)]
+struct Line {
+    r#type: String,
+    id: String,
+    #[serde(default)]
+    fields: BTreeMap<String, Value>,
+    cause: Option<u64>,
+    sdp: Option<String>,
+}
+
+impl Line {
+    fn id(&self) -> Result<u64, LineError> {
+        hex(&self.id).ok_or_else(|| LineError::InvalidId(self.id.clone()))
+    }
+
+    fn cause(&self) -> Result<u8, LineError> {
+        let cause = self.cause.ok_or(LineError::Missing("cause"))?;
+        u8::try_from(cause).map_err(|_| LineError::InvalidCause(cause))
+    }
+
+    fn note(&self) -> Option<&str> {
+        self.fields.get("note").and_then(Value::as_str)
+    }
+
+    /// The figures of all fields: numbers, and those that a text lists, as `x0:12.157;x1:1.399`.
+    fn figures(&self) -> Figures {
+        let mut figures = Figures::new();
+        for (name, value) in &self.fields {
+            match number(value) {
+                Some(value) => drop(figures.insert(name.clone(), value)),
+                None => figures.extend(listed_figures(value)),
+            }
+        }
+        figures
+    }
+}
+
+/// Decodes a line without its line feed.
+pub(super) fn message(line: &[u8]) -> Result<FromHost, LineError> {
+    let line: Line =
+        serde_json::from_slice(line).map_err(|error| LineError::Json(error.to_string()))?;
+    let id = line.id()?;
+    match line.r#type.as_str() {
+        "answer" => Ok(FromHost::Answer {
+            id,
+            description: line.sdp.ok_or(LineError::Missing("sdp"))?,
+        }),
+        "release" => Ok(FromHost::Release {
+            id,
+            cause: line.cause()?,
+            reason: line.note().and_then(reason),
+            figures: line.figures(),
+        }),
+        "note" => {
+            let name = line.note().ok_or(LineError::Missing("note"))?;
+            let signal = task_signal(name, line.fields.get("value").and_then(number))?;
+            Ok(signal.map_or(FromHost::Ignored, |note| FromHost::TaskSignal { id, note }))
+        }
+        "pong" => Ok(FromHost::HealthCheckResult {
+            id,
+            passed: line.cause()? == PASSED,
+            figures: line.figures(),
+        }),
+        "progress" | "released" | "ping" | "move" => Ok(FromHost::Ignored),
+        other => Err(LineError::UnknownType(other.to_owned())),
+    }
+}
+
+/// The figures that a text lists; parts that are none are skipped.
+fn listed_figures(value: &Value) -> impl Iterator<Item = (String, f64)> {
+    let parts = value.as_str().into_iter().flat_map(|text| text.split(';'));
+    parts.filter_map(|part| {
+        let (name, value) = part.split_once(':')?;
+        let value: f64 = value.trim().parse().ok()?;
+        value.is_finite().then(|| (name.trim().to_owned(), value))
+    })
+}
+
+/// Numbers are sent as such or as text.
+fn number(value: &Value) -> Option<f64> {
+    let number = match value {
+        Value::Number(number) => number.as_f64(),
+        Value::String(text) => text.parse().ok(),
+        _ => None,
+    };
+    number.filter(|number| number.is_finite())
+}
+
+fn reason(name: &str) -> Option<Reason> {
+    Some(match name {
+        "lack_cpu" => Reason::NoCores,
+        "lack_ram" => Reason::NoMemory,
+        "backlog" => Reason::Crowded,
+        "unfit" => Reason::NotHere,
+        "killed" => Reason::Evicted,
+        "displaced" => Reason::PushedOut,
+        "dismissed" => Reason::SentAway,
+        _ => return None,
+    })
+}
+
+/// The signal of a note; `None` for one without meaning for a placer.
+fn task_signal(name: &str, value: Option<f64>) -> Result<Option<Note>, LineError> {
+    let required = |name: &'static str| value.ok_or(LineError::MissingValue(name));
+    Ok(Some(match name {
+        "running" => Note::Runs,
+        "use_cpu" => Note::Cores(required("use_cpu")?),
+        "use_ram" => Note::Memory(required("use_ram")?),
+        "health" => Note::Served(required("health")?),
+        "ram_high" => Note::Pressure(required("ram_high")?),
+        _ => return Ok(None),
+    }))
+}
--- a/crates/platform-protocol/tests/golden.rs
+++ b/crates/platform-protocol/tests/golden.rs
@@ -41,7 +41,7 @@
         (0x9b1f_03aa_5c7e_2d41, "take", 1_500)
     );
     assert_eq!(
-        (setup.tenant.as_deref(), setup.retry),
+        (setup.tenant.as_deref(), setup.is_retry),
         (Some("radio"), true)
     );
     assert_eq!(
@@ -49,11 +49,11 @@
         (0x7f3a_9c21_e0b4_d655, 0xb4d6_5521)
     );
     assert_eq!(
-        (setup.cores, setup.memory, setup.at.as_deref()),
+        (setup.cores, setup.memory, setup.runs_at.as_deref()),
         (0.5, 2.25, Some("host-00017"))
     );
     assert_eq!(
-        setup.idem.as_deref(),
+        setup.idempotency_key.as_deref(),
         Some("5c0f5c0f5c0f5c0f5c0f5c0f5c0f5c0f")
     );
     assert_eq!(setup.description, "v=0\r\nm=audio 9\r\n");
@@ -78,10 +78,14 @@
             cause: CANCELLED
         }
     );
-    assert_eq!(from_client(&bytes(52)), FromClient::Test(id));
-    assert_eq!(from_client(&bytes(16)), FromClient::Released(id));
+    assert_eq!(from_client(&bytes(52)), FromClient::HealthCheck(id));
+    assert_eq!(from_client(&bytes(16)), FromClient::ReleaseConfirmed(id));
     for ignored in [6, 44, 51, 53] {
-        assert_eq!(from_client(&bytes(ignored)), FromClient::Free, "{ignored}");
+        assert_eq!(
+            from_client(&bytes(ignored)),
+            FromClient::Ignored,
+            "{ignored}"
+        );
     }
 }
 
@@ -102,7 +106,7 @@
     assert_eq!(ToClient::refusal(id, None).encode(), refusal);
     let not_in_service = b"\x00\x0d\x35\x01\x02\x03\x04\x05\x06\x07\x08\xc2\x00\x01\x00";
     assert_eq!(
-        ToClient::Tested { id, passed: false }.encode(),
+        ToClient::HealthCheckResult { id, passed: false }.encode(),
         not_in_service
     );
 }
@@ -113,7 +117,7 @@
         id: 0x9b1f,
         class: "play".to_owned(),
         key: 0x7f,
-        idem: idem.map(str::to_owned),
+        idempotency_key: idem.map(str::to_owned),
         left_ms: 1_200,
         description: "v=0\r\n\u{e9}\"\\\u{1}".to_owned(),
     };
@@ -133,7 +137,13 @@
         let probe = format!(
             "{{\"type\":\"ping\",\"id\":\"0000000000000003\",\"fields\":{{}},\"cause\":{cause}}}\n"
         );
-        assert_eq!(text(&ToHost::Test { id: 3, report }), probe);
+        assert_eq!(
+            text(&ToHost::HealthCheck {
+                id: 3,
+                wants_report: report
+            }),
+            probe
+        );
     }
 }
 
@@ -158,13 +168,13 @@
             r#"{{"type":"note","id":"000000000000000a","fields":{{"note":"{name}","value":{value}}}}}"#
         ))
     };
-    let is = |note: reedring::Note| FromHost::Note { id: 10, note };
+    let is = |note: reedring::Note| FromHost::TaskSignal { id: 10, note };
     assert_eq!(note("running", "null"), is(reedring::Note::Runs));
     assert_eq!(note("use_cpu", "\"0.25\""), is(reedring::Note::Cores(0.25)));
     assert_eq!(note("use_ram", "1.5"), is(reedring::Note::Memory(1.5)));
     assert_eq!(note("health", "0.75"), is(reedring::Note::Served(0.75)));
     assert_eq!(note("ram_high", "1"), is(reedring::Note::Pressure(1.0)));
-    assert_eq!(note("weather", "1"), FromHost::Free);
+    assert_eq!(note("weather", "1"), FromHost::Ignored);
 }
 
 #[test]
@@ -205,12 +215,12 @@
     for kind in ["progress", "released", "ping", "move"] {
         assert_eq!(
             from_host(&format!(r#"{{"type":"{kind}","id":"000000000000000a"}}"#)),
-            FromHost::Free
+            FromHost::Ignored
         );
     }
     let failed =
         from_host(r#"{"type":"pong","id":"00000000000000ff","fields":{"x0":1},"cause":0}"#);
-    let FromHost::Tested {
+    let FromHost::HealthCheckResult {
         id: 255,
         passed: false,
         figures,
@@ -240,55 +250,55 @@
 }
 
 fn check_events(events: &WatchResponse) {
-    assert_eq!(events.rev, 9);
+    assert_eq!(events.revision, 9);
     assert_eq!(
         events
-            .notices
+            .events
             .iter()
-            .map(|event| event.rev)
+            .map(|event| event.revision)
             .collect::<Vec<_>>(),
         [7, 8, 9]
     );
-    assert_eq!(events.notices[1].pool, None);
+    assert_eq!(events.events[1].endpoints, None);
     let lists: Vec<&discovery::EndpointList> = events
-        .notices
+        .events
         .iter()
-        .filter_map(|event| event.pool.as_ref())
+        .filter_map(|event| event.endpoints.as_ref())
         .collect();
     assert_eq!(
         lists
             .iter()
-            .map(|list| (list.whole, list.hosts.len()))
+            .map(|list| (list.is_snapshot, list.hosts.len()))
             .collect::<Vec<_>>(),
         [(true, 2), (false, 1)]
     );
     let (first, second, last) = (&lists[0].hosts[0], &lists[0].hosts[1], &lists[1].hosts[0]);
     assert_eq!(
-        (first.host.as_str(), first.dial.to_string().as_str()),
+        (first.name.as_str(), first.address.to_string().as_str()),
         ("h-1", "10.1.2.3:9000")
     );
     assert_eq!(
-        (first.site.as_str(), first.class.as_str(), first.block),
+        (first.zone.as_str(), first.kind.as_str(), first.cell),
         ("east", "std", 1)
     );
     assert_eq!(
-        (first.born_ms, first.room),
+        (first.started_at_ms, first.free),
         (1_700_000_000_123, Some([1.5, -2.0]))
     );
-    assert_eq!(first.health, discovery::State::Active);
+    assert_eq!(first.health, discovery::HostHealth::Active);
     assert_eq!(
-        (second.host.as_str(), second.dial.to_string().as_str()),
+        (second.name.as_str(), second.address.to_string().as_str()),
         ("h-2", "[::1]:9001")
     );
     assert_eq!(
-        (second.block, second.born_ms, second.room),
+        (second.cell, second.started_at_ms, second.free),
         (65_535, 0, None)
     );
     assert_eq!(
         (second.health, last.health),
-        (discovery::State::Leaving, discovery::State::Left)
+        (discovery::HostHealth::Draining, discovery::HostHealth::Left)
     );
-    assert_eq!((last.block, last.room), (2, None));
+    assert_eq!((last.cell, last.free), (2, None));
 }
 
 #[test]
@@ -305,7 +315,7 @@
         ("n1", "127.0.0.1:7001")
     );
     assert_eq!(
-        (config.seed, config.board.to_string().as_str()),
+        (config.seed, config.discovery.to_string().as_str()),
         (0x8c1f_30d2_7a5b_e964, "127.0.0.1:7002")
     );
     assert_eq!(
--- a/crates/platform-protocol/tests/messages.rs
+++ b/crates/platform-protocol/tests/messages.rs
@@ -53,7 +53,7 @@
         (1.0, 2.5, 0xb4d6_5521)
     );
     assert_eq!(
-        (setup.key, setup.retry, setup.at),
+        (setup.key, setup.is_retry, setup.runs_at),
         (0x7f3a_9c21_e0b4_d655, false, None)
     );
     assert_eq!(setup.description, "v=0\r\nm=audio 9\r\n");
@@ -64,7 +64,7 @@
     let Ok(FromClient::PlacementRequest(setup)) = one(&handed) else {
         panic!("no set-up")
     };
-    assert_eq!(setup.at.as_deref(), Some("h-1"));
+    assert_eq!(setup.runs_at.as_deref(), Some("h-1"));
     // A task that stands already is handed over with the longest time there is.
     assert!(one(&with(181, Some(b"4294967"))).is_ok());
 }
@@ -144,7 +144,7 @@
     .encode();
     assert_eq!(answer, message(9, 5, &[(195, b"a\r\nb")]));
     assert_eq!(
-        ToClient::Tested {
+        ToClient::HealthCheckResult {
             id: 7,
             passed: true
         }
@@ -190,7 +190,7 @@
         line(r#"{"type":"note","id":"9b1f03aa5c7e2d41","fields":{"note":"use_cpu","value":0.5}}"#);
     assert!(matches!(
         note,
-        Ok(Some(FromHost::Note {
+        Ok(Some(FromHost::TaskSignal {
             note: reedring::Note::Cores(0.5),
             ..
         }))
@@ -198,7 +198,7 @@
     let pong = line(r#"{"type":"pong","id":"0000000000000001","fields":{},"cause":1}"#);
     assert!(matches!(
         pong,
-        Ok(Some(FromHost::Tested {
+        Ok(Some(FromHost::HealthCheckResult {
             id: 1,
             passed: true,
             ..
@@ -210,7 +210,7 @@
 #[test]
 fn a_load_report_is_read_from_one_text() {
     let pong = r#"{"type":"pong","id":"0000000000000001","fields":{"load":"x0:12.157;x1:-1.399;x2:nan;x3"},"cause":1}"#;
-    let Ok(Some(FromHost::Tested { figures, .. })) = line(pong) else {
+    let Ok(Some(FromHost::HealthCheckResult { figures, .. })) = line(pong) else {
         panic!("{:?}", line(pong))
     };
     assert_eq!(
@@ -257,7 +257,7 @@
         id: 0x9b1f,
         class: "play".to_owned(),
         key: 0x7f,
-        idem: Some("5c0f".to_owned()),
+        idempotency_key: Some("5c0f".to_owned()),
         left_ms: 1_200,
         description: "v=0\r\n\u{e9}".to_owned(),
     };
@@ -296,7 +296,7 @@
     };
     let told = read(4, &format!("{},{}", notice(3, ""), notice(4, ""))).unwrap();
     assert_eq!(
-        told.notices[1].pool.as_ref().unwrap().hosts[0].room,
+        told.events[1].endpoints.as_ref().unwrap().hosts[0].free,
         Some([1.5, 2.0])
     );
     assert!(read(4, "").is_ok());
--- a/crates/platform/src/attempts.rs
+++ b/crates/platform/src/attempts.rs
@@ -91,7 +91,7 @@
             id,
             class: wanted.class.clone(),
             key: wanted.key,
-            idem: wanted.idem.clone(),
+            idempotency_key: wanted.idempotency_key.clone(),
             left_ms: remaining_ms(now, attempt.deadline),
             description: wanted.description.clone(),
         };
--- a/crates/platform/src/clients/mod.rs
+++ b/crates/platform/src/clients/mod.rs
@@ -47,15 +47,15 @@
                 self.placement_request(now, conn, *request)
             }
             Ok(FromClient::Release { id, .. }) => self.client_release(now, conn, id),
-            Ok(FromClient::Test(id)) => {
+            Ok(FromClient::HealthCheck(id)) => {
                 client.last_received = now;
                 let passed = self.shutdown.requested_at.is_none();
-                self.send_to_client(conn, ToClient::Tested { id, passed });
+                self.send_to_client(conn, ToClient::HealthCheckResult { id, passed });
             }
-            Ok(FromClient::Released(id)) => self.task_ends.confirm(id),
-            Ok(FromClient::Free) => {}
-            Err(InvalidMessage { id, why }) => {
-                self.reject(now, conn, id, Rejection::InvalidMessage(why));
+            Ok(FromClient::ReleaseConfirmed(id)) => self.task_ends.confirm(id),
+            Ok(FromClient::Ignored) => {}
+            Err(InvalidMessage { id, error }) => {
+                self.reject(now, conn, id, Rejection::InvalidMessage(error));
             }
         }
     }
--- a/crates/platform/src/clients/requests.rs
+++ b/crates/platform/src/clients/requests.rs
@@ -4,7 +4,7 @@
 use reedring::{Event, MachineId, Micros, RequestId, ServiceId, Task, TaskKey};
 use reedring_platform_protocol::CUT;
 use reedring_platform_protocol::client::{PlacementRequest, ToClient};
-use reedring_platform_protocol::discovery::number;
+use reedring_platform_protocol::discovery::number_of;
 
 use crate::errors::Rejection;
 use crate::ids::ConnId;
@@ -22,7 +22,7 @@
             Ok(task) => task,
             Err(reason) => return self.reject(now, conn, request.id, reason),
         };
-        if let Some(host) = &request.at {
+        if let Some(host) = &request.runs_at {
             let machine = machine_id(host);
             self.adopt_task(now, conn, request, task, machine);
         } else if self.admit(now, conn, &request) {
@@ -120,12 +120,12 @@
 
     /// The task of a placement request, as the decision module knows it.
     pub(super) fn task(&self, request: &PlacementRequest) -> Result<Task, Rejection> {
-        let class = number(&self.settings.classes, &request.class)
+        let class = number_of(&self.settings.classes, &request.class)
             .ok_or_else(|| Rejection::UnknownClass(request.class.clone()))?;
         let tenant = match &request.tenant {
             None if self.settings.tenants.is_empty() => 0,
             None => return Err(Rejection::MissingTenant),
-            Some(name) => number(&self.settings.tenants, name)
+            Some(name) => number_of(&self.settings.tenants, name)
                 .ok_or_else(|| Rejection::UnknownTenant(name.clone()))?,
         };
         let (cores, memory) = (request.cores, request.memory);
@@ -141,7 +141,7 @@
             cores,
             memory,
             life_us: None,
-            again: request.retry,
+            again: request.is_retry,
         })
     }
 
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -129,7 +129,7 @@
     fn input(&mut self, polled: Result<WatchResponse, DiscoveryError>) -> Option<Input> {
         match polled {
             Ok(update) => {
-                self.revision = self.revision.max(update.rev);
+                self.revision = self.revision.max(update.revision);
                 self.backoff.reset();
                 self.is_failing = false;
                 Some(Input::DiscoveryUpdate(update))
--- a/crates/platform/src/engine/actions.rs
+++ b/crates/platform/src/engine/actions.rs
@@ -39,8 +39,8 @@
 
     /// Refuses a request, and tells its client for how long not to ask again.
     fn refuse(&mut self, request: RequestId, stay_away_us: Option<Micros>) {
-        let stay_away_ms = stay_away_us.map(|us| us.div_ceil(1_000));
-        self.answer(request, |id| ToClient::refusal(id, stay_away_ms));
+        let retry_after_ms = stay_away_us.map(|us| us.div_ceil(1_000));
+        self.answer(request, |id| ToClient::refusal(id, retry_after_ms));
     }
 
     /// Sends the final answer to a request, at once.
--- a/crates/platform/src/errors.rs
+++ b/crates/platform/src/errors.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::net::SocketAddr;
 
-use reedring_platform_protocol::client::Unreadable;
+use reedring_platform_protocol::client::{MessageError, Unreadable};
 use reedring_platform_protocol::discovery;
 
 /// Why a client's input can't be split into messages. Nothing more is read from that connection.
@@ -21,8 +21,8 @@
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Rejection {
     /// The message can be delimited but not decoded.
-    #[error("{0}")]
-    InvalidMessage(String),
+    #[error(transparent)]
+    InvalidMessage(#[from] MessageError),
     /// Its class is not one of the settings.
     #[error("no class {0:?} in the settings")]
     UnknownClass(String),
--- a/crates/platform/src/health_checks.rs
+++ b/crates/platform/src/health_checks.rs
@@ -25,8 +25,8 @@
         if let Some(link) = self.hosts.link_mut(link) {
             link.health_checks += 1;
         }
-        let report = !self.settings.report.is_empty();
-        self.send_to_host(link, ToHost::Test { id, report });
+        let wants_report = !self.settings.report.is_empty();
+        self.send_to_host(link, ToHost::HealthCheck { id, wants_report });
         let timeout = connect_timeout_us(&self.settings);
         self.timers
             .set(now + timeout, Timer::HealthCheckTimeout(id));
--- a/crates/platform/src/hosts/endpoints.rs
+++ b/crates/platform/src/hosts/endpoints.rs
@@ -7,7 +7,7 @@
 use reedring::{AttemptId, Event, Health, Listing, Machine, MachineId, Micros, Outcome};
 use reedring_platform_protocol::CUT;
 use reedring_platform_protocol::discovery::{
-    EndpointList, Entry, State, WatchEvent, WatchResponse, number,
+    EndpointList, HostEntry, HostHealth, WatchEvent, WatchResponse, number_of,
 };
 
 use crate::errors::DiscoveryError;
@@ -18,10 +18,10 @@
 impl Engine {
     /// Takes in what the configuration has of the endpoint list.
     pub(crate) fn load_endpoints(&mut self, now: Micros, known: WatchResponse) {
-        for event in known.notices {
+        for event in known.events {
             self.watch_event(now, event);
         }
-        self.discovery_revision = self.discovery_revision.max(known.rev);
+        self.discovery_revision = self.discovery_revision.max(known.revision);
         self.events.clear();
         self.events
             .push(Event::Listed(Listing::Cached(self.machines())));
@@ -29,10 +29,10 @@
 
     pub(crate) fn discovery_update(&mut self, now: Micros, update: WatchResponse) {
         let before = self.events.len();
-        for event in update.notices {
+        for event in update.events {
             self.watch_event(now, event);
         }
-        self.discovery_revision = self.discovery_revision.max(update.rev);
+        self.discovery_revision = self.discovery_revision.max(update.revision);
         let has_changed = self.events.len() != before;
         if std::mem::take(&mut self.is_list_requested) && !has_changed {
             self.events
@@ -45,7 +45,7 @@
         self.events.push(Event::Listed(Listing::Failed));
     }
 
-    /// The number of the last discovery event that was applied.
+    /// The number_of of the last discovery event that was applied.
     pub fn discovery_revision(&self) -> u64 {
         self.discovery_revision
     }
@@ -65,25 +65,25 @@
     }
 
     /// Applies an event, once, whatever discovery repeats after it was moved.
-    fn watch_event(&mut self, now: Micros, WatchEvent { rev, pool }: WatchEvent) {
-        if rev <= self.discovery_revision {
+    fn watch_event(&mut self, now: Micros, event: WatchEvent) {
+        if event.revision <= self.discovery_revision {
             return;
         }
-        self.discovery_revision = rev;
-        let Some(EndpointList { whole, hosts }) = pool else {
+        self.discovery_revision = event.revision;
+        let Some(EndpointList { is_snapshot, hosts }) = event.endpoints else {
             return;
         };
         let machines: Vec<Machine> = hosts
             .iter()
             .filter_map(|entry| self.machine(entry))
             .collect();
-        if whole {
+        if is_snapshot {
             self.remove_unlisted(now, &machines);
         }
         for entry in hosts {
             self.set_endpoint(now, entry);
         }
-        let listing = if whole {
+        let listing = if is_snapshot {
             Listing::Whole(machines)
         } else {
             Listing::Changes(machines)
@@ -91,7 +91,7 @@
         self.events.push(Event::Listed(listing));
     }
 
-    /// A whole list came: hosts that it lacks have left.
+    /// A snapshot came: hosts that it lacks have left.
     fn remove_unlisted(&mut self, now: Micros, listed: &[Machine]) {
         let listed: BTreeSet<MachineId> = listed.iter().map(|machine| machine.id).collect();
         let hosts = self
@@ -103,8 +103,8 @@
             if let Some(entry) = entry {
                 self.set_endpoint(
                     now,
-                    Entry {
-                        health: State::Left,
+                    HostEntry {
+                        health: HostHealth::Left,
                         ..entry
                     },
                 );
@@ -113,38 +113,38 @@
     }
 
     /// A host's entry, as the decision module has it.
-    fn machine(&self, entry: &Entry) -> Option<Machine> {
-        let room = entry.room.filter(|_| self.settings.lists_free);
+    fn machine(&self, entry: &HostEntry) -> Option<Machine> {
+        let free = entry.free.filter(|_| self.settings.lists_free);
         Some(Machine {
-            id: machine_id(&entry.host),
-            zone: number(&self.settings.zones, &entry.site)?,
-            kind: number(&self.settings.kinds, &entry.class)?,
-            cell: entry.block,
+            id: machine_id(&entry.name),
+            zone: number_of(&self.settings.zones, &entry.zone)?,
+            kind: number_of(&self.settings.kinds, &entry.kind)?,
+            cell: entry.cell,
             health: match entry.health {
-                State::Active => Health::Ready,
-                State::Leaving => Health::Draining,
-                State::Left => Health::Gone,
+                HostHealth::Active => Health::Ready,
+                HostHealth::Draining => Health::Draining,
+                HostHealth::Left => Health::Gone,
             },
-            ready_at: Some(entry.born_ms * 1_000).filter(|at| *at != 0),
-            free_cores: room.map(|room| room[0]),
-            free_memory: room.map(|room| room[1]),
+            ready_at: Some(entry.started_at_ms * 1_000).filter(|at| *at != 0),
+            free_cores: free.map(|free| free[0]),
+            free_memory: free.map(|free| free[1]),
         })
     }
 
-    fn set_endpoint(&mut self, now: Micros, entry: Entry) {
-        let machine = machine_id(&entry.host);
-        let (address, started_ms, health) = (entry.dial, entry.born_ms, entry.health);
+    fn set_endpoint(&mut self, now: Micros, entry: HostEntry) {
+        let machine = machine_id(&entry.name);
+        let (address, started_ms, health) = (entry.address, entry.started_at_ms, entry.health);
         let former = self.hosts.set_entry(now, machine, entry);
         if former
             .as_ref()
-            .is_some_and(|former| former.born_ms != started_ms)
+            .is_some_and(|former| former.started_at_ms != started_ms)
         {
             self.end_tasks_of_former_process(now, machine, started_ms * 1_000);
         }
-        if former.is_some_and(|former| former.dial != address) {
+        if former.is_some_and(|former| former.address != address) {
             self.close_idle_links(machine);
         }
-        if health != State::Active {
+        if health != HostHealth::Active {
             self.recall_queued_attempts(machine);
         }
         self.evaluate_host(now, machine);
--- a/crates/platform/src/hosts/failure.rs
+++ b/crates/platform/src/hosts/failure.rs
@@ -2,7 +2,7 @@
 
 use reedring::{MachineId, Micros, Outcome};
 use reedring_platform_protocol::CUT;
-use reedring_platform_protocol::discovery::State;
+use reedring_platform_protocol::discovery::HostHealth;
 
 use crate::decide::{self, HostLoss, HostObservation};
 use crate::log_event::LogEvent;
@@ -28,7 +28,7 @@
         HostObservation {
             // One that no list ever had can't be connected to.
             is_listed: host.entry.is_none() || host.is_listed(),
-            is_draining: host.health() == Some(State::Leaving),
+            is_draining: host.health() == Some(HostHealth::Draining),
             was_reset: host.was_reset,
             links_up: self
                 .hosts
@@ -51,7 +51,7 @@
         };
         let running = host.running_requests();
         let entry = host.entry.as_ref();
-        let name = entry.map_or("(not in the endpoint list)", |entry| entry.host.as_str());
+        let name = entry.map_or("(not in the endpoint list)", |entry| entry.name.as_str());
         let event = LogEvent::HostTasksLost {
             host: name.to_owned(),
             tasks: running.len(),
--- a/crates/platform/src/hosts/links.rs
+++ b/crates/platform/src/hosts/links.rs
@@ -2,7 +2,7 @@
 
 use reedring::{AttemptId, MachineId, Micros, Outcome};
 use reedring_platform_protocol::CANCELLED;
-use reedring_platform_protocol::discovery::State;
+use reedring_platform_protocol::discovery::HostHealth;
 use reedring_platform_protocol::host::{Figures, ToHost};
 
 use crate::attempts::remaining_ms;
@@ -204,7 +204,7 @@
         };
         let execution = decide::execution_after(end, in_flight.position < messages_begun);
         let host = self.hosts.host(in_flight.machine);
-        let is_active = host.and_then(Host::health) == Some(State::Active);
+        let is_active = host.and_then(Host::health) == Some(HostHealth::Active);
         let may_resend = in_flight.resends < MAX_RESENDS && now < in_flight.deadline;
         if execution == Execution::Unsent && may_resend && is_active && is_wanted {
             in_flight.resends += 1;
--- a/crates/platform/src/hosts/messages.rs
+++ b/crates/platform/src/hosts/messages.rs
@@ -70,15 +70,15 @@
                 };
                 self.host_release(now, id, machine, release);
             }
-            FromHost::Note { id: wire_id, note } => self.host_note(machine, wire_id, note),
-            FromHost::Tested {
+            FromHost::TaskSignal { id: wire_id, note } => self.host_note(machine, wire_id, note),
+            FromHost::HealthCheckResult {
                 id,
                 passed,
                 figures,
             } => {
                 self.health_check_done(now, id, passed, &figures);
             }
-            FromHost::Free => {}
+            FromHost::Ignored => {}
         }
     }
 
--- a/crates/platform/src/message_log.rs
+++ b/crates/platform/src/message_log.rs
@@ -46,8 +46,8 @@
         Input::DiscoveryUpdate(update) => {
             format!(
                 "discovery at {}: {} events",
-                update.rev,
-                update.notices.len()
+                update.revision,
+                update.events.len()
             )
         }
         Input::DiscoveryFailed(error) => format!("discovery failed: {error}"),
@@ -59,14 +59,14 @@
     Some(match message {
         FromClient::PlacementRequest(request) => {
             let (id, class, left_ms) = (request.id, &request.class, request.left_ms);
-            let host = request.at.as_ref();
+            let host = request.runs_at.as_ref();
             let runs_at = host.map_or(String::new(), |host| format!(", runs at {host}"));
             format!("requests {id:016x}: {class}, {left_ms} ms{runs_at}")
         }
         FromClient::Release { id, cause } => format!("releases {id:016x}: cause {cause}"),
-        FromClient::Test(id) => format!("tests {id:016x}"),
-        FromClient::Released(id) => format!("confirms the release of {id:016x}"),
-        FromClient::Free => return None,
+        FromClient::HealthCheck(id) => format!("tests {id:016x}"),
+        FromClient::ReleaseConfirmed(id) => format!("confirms the release of {id:016x}"),
+        FromClient::Ignored => return None,
     })
 }
 
@@ -78,14 +78,14 @@
         } => {
             format!("releases {id:016x}: cause {cause}, {reason:?}")
         }
-        FromHost::Tested {
+        FromHost::HealthCheckResult {
             id,
             passed,
             figures,
         } => {
             format!("health check {id:016x}: {passed}, {figures:?}")
         }
-        FromHost::Note { .. } | FromHost::Free => return None,
+        FromHost::TaskSignal { .. } | FromHost::Ignored => return None,
     })
 }
 
@@ -109,7 +109,7 @@
         ToClient::Answer { id, .. } => format!("answer {id:016x}"),
         ToClient::Release { id, cause, .. } => format!("release {id:016x}: cause {cause}"),
         ToClient::Moved(id) => format!("move {id:016x}"),
-        ToClient::Tested { id, passed } => format!("test result {id:016x}: {passed}"),
+        ToClient::HealthCheckResult { id, passed } => format!("test result {id:016x}: {passed}"),
     }
 }
 
@@ -117,6 +117,6 @@
     match message {
         ToHost::PlacementRequest { id, left_ms, .. } => format!("request {id:016x}: {left_ms} ms"),
         ToHost::Release { id, cause } => format!("release {id:016x}: cause {cause}"),
-        ToHost::Test { id, .. } => format!("health check {id:016x}"),
+        ToHost::HealthCheck { id, .. } => format!("health check {id:016x}"),
     }
 }
--- a/crates/platform/src/run/control.rs
+++ b/crates/platform/src/run/control.rs
@@ -45,8 +45,8 @@
             SignalRequest::Reload => match read_config(&path) {
                 Ok(config) => {
                     must_read_again = false;
-                    log::configuration_reloaded(config.board);
-                    discovery.send_replace(config.board);
+                    log::configuration_reloaded(config.discovery);
+                    discovery.send_replace(config.discovery);
                 }
                 Err(error) => {
                     must_read_again = true;
--- a/crates/platform/src/run/event_loop.rs
+++ b/crates/platform/src/run/event_loop.rs
@@ -89,11 +89,11 @@
         signals: mpsc::Receiver<SignalRequest>,
     ) -> Self {
         let clock = Clock::new();
-        let (names, revision) = (Names::from(&config.settings), config.known.rev);
+        let (names, revision) = (Names::from(&config.settings), config.known.revision);
         let bounds = Bounds::of(&config.limits);
         let (sender, incoming) = mpsc::channel(INPUT_QUEUE);
         let (updates, discovery) = mpsc::channel(DISCOVERY_QUEUE);
-        let (discovery_address, addresses) = watch::channel(config.board);
+        let (discovery_address, addresses) = watch::channel(config.discovery);
         tokio::spawn(discovery::poll(addresses, names, revision, updates));
         let control = handle_signals(signals, path.to_owned(), discovery_address, sender.clone());
         tokio::spawn(control);
--- a/crates/platform/src/run/tests.rs
+++ b/crates/platform/src/run/tests.rs
@@ -72,7 +72,7 @@
         id: 7,
         class: "play".to_owned(),
         key: 1,
-        idem: None,
+        idempotency_key: None,
         left_ms: 100,
         description: "x".to_owned(),
     };
@@ -81,9 +81,9 @@
         0,
         Output::ToHost(
             2,
-            ToHost::Test {
+            ToHost::HealthCheck {
                 id: 1,
-                report: false,
+                wants_report: false,
             },
         ),
     );
--- a/crates/platform/src/state/host.rs
+++ b/crates/platform/src/state/host.rs
@@ -6,7 +6,7 @@
 
 use reedring::{AttemptId, MachineId, Micros, RequestId};
 use reedring_connection::Backoff;
-use reedring_platform_protocol::discovery::{Entry, State};
+use reedring_platform_protocol::discovery::{HostEntry, HostHealth};
 use reedring_platform_protocol::host::ToHost;
 
 use crate::ids::LinkId;
@@ -19,7 +19,7 @@
 #[derive(Debug)]
 pub(crate) struct Host {
     /// Its entry in the endpoint list; `None` where only a task that was handed over names it so far.
-    pub entry: Option<Entry>,
+    pub entry: Option<HostEntry>,
     /// Since when the list does not have it any more.
     pub left_at: Option<Micros>,
     pub links: BTreeSet<LinkId>,
@@ -74,12 +74,13 @@
         self.running.iter().map(|(_, request)| *request).collect()
     }
 
-    pub fn health(&self) -> Option<State> {
+    pub fn health(&self) -> Option<HostHealth> {
         self.entry.as_ref().map(|entry| entry.health)
     }
 
     pub fn is_listed(&self) -> bool {
-        self.health().is_some_and(|health| health != State::Left)
+        self.health()
+            .is_some_and(|health| health != HostHealth::Left)
     }
 
     /// Its address; `None` unless the list has it.
@@ -87,7 +88,7 @@
         self.entry
             .as_ref()
             .filter(|_| self.is_listed())
-            .map(|entry| entry.dial)
+            .map(|entry| entry.address)
     }
 }
 
@@ -241,10 +242,15 @@
     }
 
     /// Replaces a host's entry in the endpoint list; the former one.
-    pub fn set_entry(&mut self, now: Micros, machine: MachineId, entry: Entry) -> Option<Entry> {
+    pub fn set_entry(
+        &mut self,
+        now: Micros,
+        machine: MachineId,
+        entry: HostEntry,
+    ) -> Option<HostEntry> {
         let host = self.hosts.entry(machine).or_insert_with(Host::new);
         self.listed_hosts -= usize::from(host.is_listed());
-        host.left_at = (entry.health == State::Left).then(|| host.left_at.unwrap_or(now));
+        host.left_at = (entry.health == HostHealth::Left).then(|| host.left_at.unwrap_or(now));
         let former = host.entry.replace(entry);
         self.listed_hosts += usize::from(host.is_listed());
         former
--- a/crates/platform/tests/clients.rs
+++ b/crates/platform/tests/clients.rs
@@ -4,7 +4,7 @@
 
 use reedring_platform::Input;
 use reedring_platform_protocol::FULL;
-use reedring_platform_protocol::client::{FromClient, InvalidMessage, ToClient};
+use reedring_platform_protocol::client::{FromClient, InvalidMessage, MessageError, ToClient};
 use reedring_platform_protocol::host::ToHost;
 use world::{MS, SECOND, World, end, hosts, setup};
 
@@ -61,7 +61,7 @@
     let mut world = World::new(3, &hosts(2));
     let conn = world.connect();
     let mut at = setup(9, "print", 4_294_967);
-    at.at = Some("h-1".to_owned());
+    at.runs_at = Some("h-1".to_owned());
     world.ask(conn, at.clone());
     at.id = 10;
     world.ask(conn, at);
@@ -130,7 +130,7 @@
     let wrong = || {
         Err(InvalidMessage {
             id: 77,
-            why: "no such type".to_owned(),
+            error: MessageError::UnknownType(99),
         })
     };
     world.tell(Input::ClientMessage(bad, wrong()));
--- a/crates/platform/tests/digest.rs
+++ b/crates/platform/tests/digest.rs
@@ -9,7 +9,7 @@
 
 use reedring_platform::decide::LinkEnd;
 use reedring_platform::{DiscoveryError, Input};
-use reedring_platform_protocol::client::{FromClient, InvalidMessage};
+use reedring_platform_protocol::client::{FromClient, InvalidMessage, MessageError};
 use reedring_platform_protocol::discovery::WatchResponse;
 use world::digest::Digest;
 use world::{CLASSES, MS, SECOND, World, hosts, line, setup, told};
@@ -115,15 +115,18 @@
             ][world.below(4) as usize]
         }
         11 => world.mute = !world.mute,
-        13 => world.tell(Input::ClientMessage(conn, Ok(FromClient::Test(id)))),
-        14 => world.tell(Input::ClientMessage(conn, Ok(FromClient::Released(id)))),
+        13 => world.tell(Input::ClientMessage(conn, Ok(FromClient::HealthCheck(id)))),
+        14 => world.tell(Input::ClientMessage(
+            conn,
+            Ok(FromClient::ReleaseConfirmed(id)),
+        )),
         15 => {
             // On an id of its own, or on one that nobody uses.
             let is_own = world.heard.get(&id).is_some_and(|heard| heard.conn == conn);
             let id = if is_own { id } else { id + (1 << 40) };
             let unusable = InvalidMessage {
                 id,
-                why: "no such type".to_owned(),
+                error: MessageError::UnknownType(99),
             };
             world.tell(Input::ClientMessage(conn, Err(unusable)));
         }
@@ -164,7 +167,7 @@
     *last_id += 1;
     let host = 1 + world.below(u32::from(HOSTS));
     let mut handed_over = setup(*last_id, "play", 4_294_967);
-    handed_over.at = Some(format!("h-{host}"));
+    handed_over.runs_at = Some(format!("h-{host}"));
     world.ask(conn, handed_over);
 }
 
--- a/crates/platform/tests/engine.rs
+++ b/crates/platform/tests/engine.rs
@@ -106,7 +106,7 @@
     // Its answer never comes: the attempt ends by its own time, and the connection is used no more.
     let link = world.to_hosts[0].0;
     world.tell(Input::LinkUp(link));
-    world.tell(Input::HostMessage(link, FromHost::Free));
+    world.tell(Input::HostMessage(link, FromHost::Ignored));
     world.unruly = true;
     let before = world.engine.sizes().links;
     assert_eq!(before, 1);
@@ -120,10 +120,10 @@
     let conn = world.connect();
     world.ask(conn, setup(1, "play", 1_000));
     world.tell(Input::Terminate);
-    world.tell(Input::ClientMessage(conn, Ok(FromClient::Test(5))));
+    world.tell(Input::ClientMessage(conn, Ok(FromClient::HealthCheck(5))));
     assert!(world.to_clients.contains(&(
         conn,
-        ToClient::Tested {
+        ToClient::HealthCheckResult {
             id: 5,
             passed: false
         }
--- a/crates/platform/tests/hosts.rs
+++ b/crates/platform/tests/hosts.rs
@@ -138,7 +138,7 @@
     world.ask(
         conn,
         PlacementRequest {
-            at: Some("h-9".to_owned()),
+            runs_at: Some("h-9".to_owned()),
             ..setup(5, "print", 4_294_967)
         },
     );
--- a/crates/platform/tests/links.rs
+++ b/crates/platform/tests/links.rs
@@ -45,7 +45,7 @@
         world.ask(
             conn,
             PlacementRequest {
-                at: Some(format!("h-{n}")),
+                runs_at: Some(format!("h-{n}")),
                 ..setup(u64::from(n), "play", 4_294_967)
             },
         );
@@ -192,7 +192,7 @@
     world.ask(
         conn,
         PlacementRequest {
-            at: Some("h-nowhere".to_owned()),
+            runs_at: Some("h-nowhere".to_owned()),
             ..setup(30, "play", 4_294_967)
         },
     );
--- a/crates/platform/tests/world/mod.rs
+++ b/crates/platform/tests/world/mod.rs
@@ -47,13 +47,13 @@
         class: class.to_owned(),
         left_ms,
         tenant: Some("radio".to_owned()),
-        retry: false,
+        is_retry: false,
         key: id ^ 0xabc,
-        idem: (class == "take").then(|| format!("{id:032x}")),
+        idempotency_key: (class == "take").then(|| format!("{id:032x}")),
         cores: 0.5,
         memory: 1.0,
         service: 7,
-        at: None,
+        runs_at: None,
         description: format!("for {id}"),
     }
 }
@@ -244,7 +244,7 @@
     }
 
     pub fn ask(&mut self, conn: ConnId, setup: PlacementRequest) {
-        if setup.at.is_none() {
+        if setup.runs_at.is_none() {
             let heard = self.heard.entry(setup.id).or_default();
             (heard.class, heard.conn) = (setup.class.clone(), conn);
         }
@@ -489,7 +489,7 @@
                     );
                 }
             }
-            ToClient::Moved(_) | ToClient::Tested { .. } => {}
+            ToClient::Moved(_) | ToClient::HealthCheckResult { .. } => {}
         }
     }
 
@@ -526,8 +526,8 @@
                     self.later(MS, Input::HostMessage(link, over));
                 }
             }
-            ToHost::Test { id, .. } => {
-                let passed = FromHost::Tested {
+            ToHost::HealthCheck { id, .. } => {
+                let passed = FromHost::HealthCheckResult {
                     id: *id,
                     passed: true,
                     figures: BTreeMap::new(),
--- a/fuzz/fuzz_targets/platform.rs
+++ b/fuzz/fuzz_targets/platform.rs
@@ -1,4 +1,4 @@
-//! What owners, hosts and the notice board may send: cut anywhere, never a panic.
+//! What clients, hosts and discovery may send: cut anywhere, never a panic.
 #![no_main]
 
 use libfuzzer_sys::fuzz_target;
@@ -7,10 +7,10 @@
 
 fuzz_target!(|input: (Vec<u8>, u8)| {
     let (bytes, size) = input;
-    let (mut owners, mut hosts) = (client::Reader::default(), host::Reader::default());
+    let (mut clients, mut hosts) = (client::Reader::default(), host::Reader::default());
     for chunk in bytes.chunks(usize::from(size).max(1)) {
-        owners.push(chunk);
-        while let Ok(Some(_)) = owners.next_message() {}
+        clients.push(chunk);
+        while let Ok(Some(_)) = clients.next_message() {}
         hosts.push(chunk);
         while let Ok(Some(_)) = hosts.next_message() {}
     }
