--- a/crates/platform-protocol/tests/messages.rs
+++ b/crates/platform-protocol/tests/messages.rs
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn what_owners_are_told_has_the_platforms_numbers() {
+fn messages_to_clients_have_the_platforms_numbers() {
     let refusal = ToClient::refusal(5, Some(250)).encode();
     assert_eq!(refusal, message(12, 5, &[(186, b"250"), (194, &[FULL])]));
     let answer = ToClient::Answer {
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn a_set_up_goes_on_as_the_owner_worded_it() {
+fn a_request_is_passed_on_as_the_client_sent_it() {
     let setup = ToHost::PlacementRequest {
         id: 0x9b1f,
         class: "play".to_owned(),
@@ -287,7 +287,7 @@
 }
 
 #[test]
-fn the_board_is_read_whole_or_not_at_all() {
+fn an_answer_of_discovery_is_read_whole_or_not_at_all() {
     let read = |rev: u64, notices: &str| {
         WatchResponse::read(
             format!(r#"{{"rev":{rev},"notices":[{notices}]}}"#).as_bytes(),
@@ -346,7 +346,7 @@
 
 proptest! {
     #[test]
-    fn no_bytes_of_an_owner_make_the_reader_panic(chunks in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..80), 0..20)) {
+    fn no_bytes_of_a_client_make_the_reader_panic(chunks in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..80), 0..20)) {
         let mut reader = client::Reader::default();
         for chunk in chunks {
             reader.push(&chunk);
@@ -391,7 +391,7 @@
     }
 
     #[test]
-    fn no_answer_of_the_board_makes_the_reader_panic(text in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn no_answer_of_discovery_makes_the_reader_panic(text in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = WatchResponse::read(&text, &names());
     }
 }
--- a/crates/platform-protocol/tests/wire/mod.rs
+++ b/crates/platform-protocol/tests/wire/mod.rs
@@ -1,4 +1,4 @@
-//! An encoder of owners' messages that shares nothing with the one under test.
+//! An encoder of clients' messages that shares nothing with the one under test.
 
 /// A message with these parameters, right or wrong.
 pub fn message(kind: u8, id: u64, parameters: &[(u8, &[u8])]) -> Vec<u8> {
