--- a/crates/plan/src/lease.rs
+++ b/crates/plan/src/lease.rs
@@ -37,7 +37,7 @@
     /// When each node last answered, on a connection that may have ended since.
     last_answers: BTreeMap<NodeNumber, u64>,
     /// A majority of the voters answered before in this incarnation.
-    held_before: bool,
+    was_renewed: bool,
 }
 
 impl ReadLease {
@@ -46,7 +46,7 @@
         Self {
             duration_us,
             last_answers: BTreeMap::new(),
-            held_before: false,
+            was_renewed: false,
         }
     }
 
@@ -72,10 +72,10 @@
             answered.is_some_and(|at| now_us < at.saturating_add(self.duration_us))
         };
         if cluster.has_quorum(answered_recently) {
-            self.held_before = true;
+            self.was_renewed = true;
             return QuorumContact::Recent;
         }
-        if self.held_before {
+        if self.was_renewed {
             QuorumContact::Expired
         } else {
             QuorumContact::Never
