--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -42,7 +42,8 @@
 //!    proposes that one. A ballot proposes one configuration. Hence at most one of each number is chosen (Paxos).
 //! 4. Only a chosen configuration becomes joint, only at acceptors that have committed the one before, and only a joint
 //!    one is committed. So the fleet commits the numbers in order, one configuration of each.
-//! 5. No acceptor goes back: ballots, committed numbers and floors only rise ([`AcceptorState::apply`]).
+//! 5. No acceptor goes back: committed numbers and floors only rise, and so do promised ballots until the next commit
+//!    ([`AcceptorState::apply`]).
 //! 6. A node admits its floor and one level above, so only neighbours meet there: *n* alone and *n* + 1 joint, or
 //!    *n* + 1 joint and *n* + 1 alone. The joint bounds are as strict as both, so neither pair exceeds either's.
 //! 7. The lease bounds for how long a placer acts by a configuration that it can't know to be replaced. What it sends
@@ -86,8 +87,13 @@
 //! | `dispatch_block` | which nodes it must not dispatch to | [`dispatch_block()`], [`DispatchBlock`] |
 //! | [`delta`] | what changed between two texts | [`delta::between`], [`delta::apply`] |
 //!
-//! `reedring-core` owns one [`Proposer`], [`ProposalBackoff`] and [`ReadLease`] for each placer; a node owns one
-//! [`AcceptorState`] or [`LearnerState`]. `docs/plan.md` is the page for operators, with the options that were weighed.
+//! # Who owns the values
+//!
+//! A placer owns one [`Proposer`], [`ProposalBackoff`], [`RequestCompactor`] and [`DocumentCache`] (`Agreement` in
+//! `crates/core/src/configuration/agreement.rs`), and one [`ReadLease`] beside the last report of each node (`Peers` in
+//! `peers.rs` there). A node owns one [`AcceptorState`] where it votes, else one [`LearnerState`]
+//! (`crates/node-simulator/src/model/plans.rs`). `docs/plan.md` is the page for operators, with the options that were
+//! weighed.
 #![forbid(unsafe_code)]
 
 mod acceptor;
