--- a/crates/system-tests/src/scale/report.rs
+++ b/crates/system-tests/src/scale/report.rs
@@ -272,7 +272,8 @@
 /// How the cluster agrees on a change.
 fn mechanism(control_machines: u32) -> String {
     match control_machines {
-        0 => "every node votes (crates/plan/src/cluster.rs)".to_owned(),
+        // Run files keep this text, so that later runs share a series with the recorded ones.
+        0 => "every node votes (crates/plan/src/fleet.rs)".to_owned(),
         some => format!("{some} control machines vote (crates/plan/src/membership.rs)"),
     }
 }
