--- a/crates/audit/src/checker/duplicates.rs
+++ b/crates/audit/src/checker/duplicates.rs
@@ -1,6 +1,6 @@
 //! Rule 2: no second live attempt of a job, and a duplicate only as its class allows.
 
-use reedring_node_protocol::{AttemptId, Group, Repeat};
+use reedring_node_protocol::{AttemptId, DeduplicationScope, Idempotency};
 
 use super::observed::{Attempt, ClosedAs, RackLocation};
 use super::settings::{RetryPolicy, duration};
@@ -25,7 +25,7 @@
     /// Whether an earlier attempt belongs to an earlier placement, which was lost. The window of a class is that of the
     /// attempts of one placement.
     fn is_of_lost_placement(&self, id: &AttemptId, attempt: &Attempt) -> bool {
-        attempt.accepted && (id.request, id.life) != (self.id.request, self.id.life)
+        attempt.accepted && (id.request, id.incarnation) != (self.id.request, self.id.incarnation)
     }
 
     /// Whether an earlier attempt counts for the window of the class.
@@ -44,9 +44,11 @@
             let attempt = &self.attempts[&id];
             let never_ran = attempt.closed == Some(ClosedAs::NeverRan);
             let harmless = match attempt.repeat {
-                Repeat::Safe => true,
-                Repeat::Keyed => attempt.group == Group::All || never_ran,
-                Repeat::Unsafe => never_ran,
+                Idempotency::Idempotent => true,
+                Idempotency::IdempotentByKey => {
+                    attempt.group == DeduplicationScope::All || never_ran
+                }
+                Idempotency::NonIdempotent => never_ran,
             };
             if !harmless {
                 let text = format!(
@@ -139,17 +141,19 @@
         let new = offer.attempt;
         let rack_location = |node: &str| self.rack_location(&new.placer, node);
         let in_group = match new.group {
-            Group::All => true,
-            Group::Hall => rack_location(&old.node).zone == rack_location(&new.node).zone,
-            Group::Rack => rack_location(&old.node) == rack_location(&new.node),
+            DeduplicationScope::All => true,
+            DeduplicationScope::Zone => {
+                rack_location(&old.node).zone == rack_location(&new.node).zone
+            }
+            DeduplicationScope::Rack => rack_location(&old.node) == rack_location(&new.node),
         };
         let in_window = offer
             .first_sent_us
             .is_none_or(|first| offer.time_us < first + new.window_us);
         match new.repeat {
-            Repeat::Safe => true,
-            Repeat::Keyed => in_group && in_window,
-            Repeat::Unsafe => false,
+            Idempotency::Idempotent => true,
+            Idempotency::IdempotentByKey => in_group && in_window,
+            Idempotency::NonIdempotent => false,
         }
     }
 
--- a/crates/audit/src/checker/node_messages.rs
+++ b/crates/audit/src/checker/node_messages.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeSet;
 
-use reedring_node_protocol::{AttemptId, End, Held, HeldState, Message, Repeat, Task};
+use reedring_node_protocol::{
+    AttemptId, Idempotency, InFlightState, InFlightTask, Message, Task, TaskEnd,
+};
 
 use super::observed::{Attempt, ClosedAs};
 use super::outcome::AcceptedBy;
@@ -69,8 +71,8 @@
             native: settings.native(&task.payload),
             node: frame.peer.clone(),
             placer: frame.place.clone(),
-            repeat: class.map_or(task.repeat, Class::repeat),
-            group: class.map_or(task.group, Class::group),
+            repeat: class.map_or(task.idempotency, Class::repeat),
+            group: class.map_or(task.deduplication_scope, Class::group),
             window_us: window_us.unwrap_or(0),
             sent_us: frame.time_us,
             expires_us,
@@ -87,12 +89,14 @@
     /// A placer read a message from a node.
     pub(super) fn message_from_node(&mut self, frame: &Frame, message: Message) {
         match message {
-            Message::Welcome { life, .. } => self.handshake(frame, life),
-            Message::Holds { held, last } => self.running_reported(frame, held, last),
+            Message::Welcome {
+                incarnation: life, ..
+            } => self.handshake(frame, life),
+            Message::InFlight { tasks: held, last } => self.running_reported(frame, held, last),
             Message::Accepted { attempt, .. } => {
                 self.attempt_accepted(frame, attempt, AcceptedBy::Answer);
             }
-            Message::Refused { attempt, .. } => self.close(attempt, ClosedAs::NeverRan),
+            Message::Rejected { attempt, .. } => self.close(attempt, ClosedAs::NeverRan),
             Message::Ended {
                 attempt, end, ran, ..
             } => self.attempt_ended(attempt, &end, ran),
@@ -114,7 +118,7 @@
     }
 
     /// A node reports what it runs, in one message or several; what the last has not named it does not run.
-    fn running_reported(&mut self, frame: &Frame, held: Vec<Held>, last: bool) {
+    fn running_reported(&mut self, frame: &Frame, held: Vec<InFlightTask>, last: bool) {
         let link = link_key(frame);
         for report in held {
             let reported = self.reported_running.entry(link.clone()).or_default();
@@ -125,8 +129,8 @@
             }
             let by_report = AcceptedBy::Report(&report.task.job);
             match report.state {
-                HeldState::Waiting => {}
-                HeldState::Ended { end, ran } => {
+                InFlightState::Queued => {}
+                InFlightState::Ended { end, ran } => {
                     if ran {
                         // It was accepted while its placer was away.
                         self.attempt_accepted(frame, report.attempt, by_report);
@@ -156,12 +160,12 @@
         }
     }
 
-    fn attempt_ended(&mut self, id: AttemptId, end: &End, ran: bool) {
+    fn attempt_ended(&mut self, id: AttemptId, end: &TaskEnd, ran: bool) {
         let accepted = self
             .attempts
             .get(&id)
             .is_some_and(|attempt| attempt.accepted);
-        let never_ran = !ran || *end == End::Unknown && !accepted;
+        let never_ran = !ran || *end == TaskEnd::Unknown && !accepted;
         let closed_as = if never_ran {
             ClosedAs::NeverRan
         } else {
@@ -182,10 +186,10 @@
         else {
             return;
         };
-        if task.repeat == Repeat::Unsafe {
+        if task.idempotency == Idempotency::NonIdempotent {
             self.non_idempotent_offers.insert(attempt, task.job);
         }
-        if let Some(placer) = self.incarnations.get(&attempt.life).cloned() {
+        if let Some(placer) = self.incarnations.get(&attempt.incarnation).cloned() {
             let sent = self.attempts.get(&attempt).map(|attempt| attempt.frame);
             self.check_drain(frame, &placer, &frame.place, sent);
             // An offer that is rejected for its version costs a node that is warming up nothing.
@@ -218,7 +222,7 @@
         let sent = self.attempts.get(&attempt);
         // A placer in a process of its own may have left no trace: then the offer tells what it was.
         let job = match sent {
-            Some(sent) => (sent.repeat == Repeat::Unsafe).then(|| sent.job.clone()),
+            Some(sent) => (sent.repeat == Idempotency::NonIdempotent).then(|| sent.job.clone()),
             None => self.non_idempotent_offers.get(&attempt).cloned(),
         };
         let Some(job) = job else { return };
--- a/crates/audit/src/checker/observed.rs
+++ b/crates/audit/src/checker/observed.rs
@@ -4,7 +4,7 @@
 
 use reedring_constraint::Place;
 use reedring_drmaa::native::Native;
-use reedring_node_protocol::{AttemptId, Group, Repeat};
+use reedring_node_protocol::{AttemptId, DeduplicationScope, Idempotency};
 use serde_json::Value;
 
 use super::SLACK_US;
@@ -29,8 +29,8 @@
     pub(super) native: Native,
     pub(super) node: String,
     pub(super) placer: String,
-    pub(super) repeat: Repeat,
-    pub(super) group: Group,
+    pub(super) repeat: Idempotency,
+    pub(super) group: DeduplicationScope,
     pub(super) window_us: u64,
     pub(super) sent_us: u64,
     /// From then on its node does not start it any more.
--- a/crates/audit/src/checker/settings.rs
+++ b/crates/audit/src/checker/settings.rs
@@ -4,7 +4,7 @@
 
 use reedring_constraint::Attr;
 use reedring_drmaa::native::{Native, duration_us};
-use reedring_node_protocol::{Group, Repeat};
+use reedring_node_protocol::{DeduplicationScope, Idempotency};
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -62,19 +62,19 @@
 
 impl Class {
     /// What the settings say of duplicates: what an offer says of itself is not trusted.
-    pub(super) fn repeat(&self) -> Repeat {
+    pub(super) fn repeat(&self) -> Idempotency {
         match self.repeat.as_str() {
-            "safe" => Repeat::Safe,
-            "keyed" => Repeat::Keyed,
-            _ => Repeat::Unsafe,
+            "safe" => Idempotency::Idempotent,
+            "keyed" => Idempotency::IdempotentByKey,
+            _ => Idempotency::NonIdempotent,
         }
     }
 
-    pub(super) fn group(&self) -> Group {
+    pub(super) fn group(&self) -> DeduplicationScope {
         match self.group.as_deref() {
-            Some("all") => Group::All,
-            Some("hall") => Group::Hall,
-            _ => Group::Rack,
+            Some("all") => DeduplicationScope::All,
+            Some("hall") => DeduplicationScope::Zone,
+            _ => DeduplicationScope::Rack,
         }
     }
 }
--- a/crates/audit/src/checker/versions/messages.rs
+++ b/crates/audit/src/checker/versions/messages.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 
 use reedring_node_protocol::{
-    AcceptorReport, AttemptId, ConfigRequest, ConfigVersion, DeltaStep, Message, Reason,
-    VersionStamp,
+    AcceptorReport, AttemptId, ConfigRequest, ConfigVersion, DeltaStep, Message, RejectionReason,
+    VersionInfo, VersionStamp,
 };
 
 use super::OfferRead;
@@ -17,7 +17,7 @@
     pub(in crate::checker) fn config_message_to_node(&mut self, frame: &Frame, message: &Message) {
         match message {
             Message::Hello {
-                acts: Some((stamp, _)),
+                version_info: Some(VersionInfo { stamp, .. }),
                 ..
             } => self.versions.acts_by(&frame.place, frame.time_us, stamp),
             Message::Offer {
@@ -111,17 +111,17 @@
     ) {
         match message {
             Message::Welcome {
-                record: Some(report),
+                acceptor_report: Some(report),
                 ..
             }
             | Message::AcceptorReport(report) => self.acceptor_report(frame, report),
             Message::Accepted { attempt, .. } => self.check_floor(frame, attempt),
-            Message::Refused {
-                reason: Reason::Superseded,
+            Message::Rejected {
+                reason: RejectionReason::Superseded,
                 attempt,
                 ..
             } => {
-                if let Some(placer) = self.incarnations.get(&attempt.life).cloned() {
+                if let Some(placer) = self.incarnations.get(&attempt.incarnation).cloned() {
                     let placer = self.versions.placers.entry(placer).or_default();
                     placer.superseded += 1;
                 }
@@ -157,22 +157,23 @@
         let node = versions.nodes.entry(frame.place.clone()).or_default();
         let before = node.report.replace(*report);
         // What a learner reports is its floor of then, also that of a new incarnation.
-        node.learner_floor = report.learns.then(|| report.floor());
-        if report.force.number > 0 {
-            node.first_committed.get_or_insert(report.force);
+        node.learner_floor = report.is_learner.then(|| report.floor());
+        if report.committed.number > 0 {
+            node.first_committed.get_or_insert(report.committed);
         }
-        let joint = report.next.filter(|next| next.joint);
-        if !report.stuck {
+        let joint = report.accepted.filter(|next| next.joint);
+        if !report.cannot_persist {
             node.joint.extend(joint.map(|next| next.version));
         }
         if let Some(next) = joint {
             versions.joint(next.version, frame.time_us);
         }
-        let advanced = before.is_some_and(|before| before.force.number < report.force.number);
-        let first = !versions.is_committed(report.force);
-        versions.committed(report.force, frame.time_us);
+        let advanced =
+            before.is_some_and(|before| before.committed.number < report.committed.number);
+        let first = !versions.is_committed(report.committed);
+        versions.committed(report.committed, frame.time_us);
         if advanced && first {
-            self.check_majority(frame, report.force);
+            self.check_majority(frame, report.committed);
         }
     }
 
--- a/crates/audit/src/checker/versions/mod.rs
+++ b/crates/audit/src/checker/versions/mod.rs
@@ -46,7 +46,7 @@
     fn requires_stamp(&self, floor: u64) -> bool {
         let moved_on = self.report.is_some_and(|report| {
             let first = self.first_committed;
-            first.is_some_and(|first| report.force != first)
+            first.is_some_and(|first| report.committed != first)
         });
         moved_on || self.learner_floor.is_some() && floor > 0
     }
--- a/crates/audit/src/checker/versions/summary.rs
+++ b/crates/audit/src/checker/versions/summary.rs
@@ -29,7 +29,7 @@
         if stamp.joint { "joint " } else { "" },
         stamp.version,
         seconds(acted.time_us),
-        stamp.list,
+        stamp.list_revision,
         stamp.build
     )
 }
--- a/crates/audit/tests/rules.rs
+++ b/crates/audit/tests/rules.rs
@@ -4,7 +4,8 @@
 use reedring_drmaa::framing::wrap;
 use reedring_node_protocol::{
     AcceptedVersion, AcceptorReport, AttemptId, Ballot, ConfigDigest, ConfigRequest, ConfigVersion,
-    End, Held, HeldState, Message, Reason, Task, VersionStamp, decode, encode,
+    InFlightState, InFlightTask, Message, RejectionReason, Task, TaskEnd, VersionStamp, decode,
+    encode,
 };
 
 const SETTINGS: &str = r#"
@@ -109,7 +110,7 @@
         stamp: Option<VersionStamp>,
     ) -> AttemptId {
         let attempt = AttemptId {
-            life: 1,
+            incarnation: 1,
             request,
             number,
         };
@@ -157,10 +158,10 @@
     }
 
     fn refused(&self, node: &str, attempt: AttemptId) {
-        let (reason, text, report) = (Reason::Crowded, String::new(), Vec::new());
+        let (reason, text, report) = (RejectionReason::QueueFull, String::new(), Vec::new());
         self.node(
             node,
-            &Message::Refused {
+            &Message::Rejected {
                 attempt,
                 reason,
                 text,
@@ -169,7 +170,7 @@
         );
     }
 
-    fn ended(&self, node: &str, attempt: AttemptId, end: End, ran: bool) {
+    fn ended(&self, node: &str, attempt: AttemptId, end: TaskEnd, ran: bool) {
         self.node(
             node,
             &Message::Ended {
@@ -213,7 +214,7 @@
     trace.refused("a1", first);
     let second = trace.offer("s.1.1", "unsafe", "b1", 1, 1);
     trace.accepted("b1", second);
-    trace.ended("b1", second, End::Exited(0), true);
+    trace.ended("b1", second, TaskEnd::Exited(0), true);
     trace.reported("s.1.1", "placed");
     let report = trace.report();
     assert_eq!(report.breaches, []);
@@ -271,7 +272,7 @@
     trace.submitted("s.1.1", "unsafe");
     let first = trace.offer("s.1.1", "unsafe", "a1", 1, 0);
     trace.stop("a1", first);
-    trace.ended("a1", first, End::Stopped, false);
+    trace.ended("a1", first, TaskEnd::Stopped, false);
     trace.reported("s.1.1", "refused");
     assert_eq!(trace.broken_rules(), []);
 }
@@ -279,9 +280,9 @@
 #[test]
 fn a_lost_task_is_placed_again_only_as_its_class_allows() {
     for (class, end, clean) in [
-        ("safe", End::Evicted, true),
-        ("keyed", End::Evicted, true),
-        ("unsafe", End::Evicted, false),
+        ("safe", TaskEnd::Evicted, true),
+        ("keyed", TaskEnd::Evicted, true),
+        ("unsafe", TaskEnd::Evicted, false),
     ] {
         let trace = Trace::new();
         let first = trace.offer("s.1.1", class, "a1", 1, 0);
@@ -300,7 +301,7 @@
         let trace = Trace::new();
         let first = trace.offer("s.1.1", "keyed", "a1", 1, 0);
         trace.accepted("a1", first);
-        trace.ended("a1", first, End::Evicted, true);
+        trace.ended("a1", first, TaskEnd::Evicted, true);
         let second = trace.offer("s.1.1", "keyed", "a2", 2, 0);
         trace.stop("a2", second);
         trace.offer("s.1.1", "keyed", "a1", 2, 1);
@@ -366,13 +367,19 @@
         class: "unsafe".into(),
         ..Task::default()
     };
-    let held = vec![Held {
+    let held = vec![InFlightTask {
         attempt: first,
         task,
-        state: HeldState::Running,
+        state: InFlightState::Running,
     }];
-    trace.node("a1", &Message::Holds { held, last: true });
-    trace.ended("a1", first, End::Exited(0), true);
+    trace.node(
+        "a1",
+        &Message::InFlight {
+            tasks: held,
+            last: true,
+        },
+    );
+    trace.ended("a1", first, TaskEnd::Exited(0), true);
     trace.reported("s.1.1", "placed");
     assert_eq!(trace.broken_rules(), []);
 }
@@ -503,7 +510,10 @@
 /// A report with this configuration committed, and the next one joint or not.
 fn record(force: u64, next: Option<(u64, bool)>) -> Message {
     let introduced = |(number, joint)| {
-        let ballot = Ballot { round: 1, by: 1 };
+        let ballot = Ballot {
+            round: 1,
+            proposer: 1,
+        };
         AcceptedVersion {
             ballot,
             version: version(number),
@@ -511,8 +521,8 @@
         }
     };
     Message::AcceptorReport(AcceptorReport {
-        force: version(force),
-        next: next.map(introduced),
+        committed: version(force),
+        accepted: next.map(introduced),
         ..AcceptorReport::default()
     })
 }
@@ -521,7 +531,7 @@
     Some(VersionStamp {
         version: version(number),
         joint,
-        list: 1,
+        list_revision: 1,
         build: 1,
     })
 }
@@ -613,9 +623,9 @@
     };
     let next = (number > 0).then_some(introduced);
     AcceptorReport {
-        next,
-        learns: true,
-        stuck: true,
+        accepted: next,
+        is_learner: true,
+        cannot_persist: true,
         ..AcceptorReport::default()
     }
 }
@@ -656,10 +666,10 @@
         "a1",
         &Message::Welcome {
             node,
-            life,
+            incarnation: life,
             up_ms,
             can_suspend,
-            record: Some(learner(0)),
+            acceptor_report: Some(learner(0)),
         },
     );
     trace.submitted("s.1.1", "safe");
--- a/crates/core/benches/constraints.rs
+++ b/crates/core/benches/constraints.rs
@@ -7,7 +7,7 @@
 use reedring_core::{Core, Input, Output, Start};
 use reedring_drmaa::JobSpec;
 use reedring_drmaa::rpc::{Call, CallKey, Range};
-use reedring_node_protocol::{End, Message};
+use reedring_node_protocol::{Message, TaskEnd};
 use reedring_settings::{Health, NodeEntry, NodeList, Settings};
 
 const SETTINGS: &str = r#"
@@ -66,8 +66,8 @@
                 0,
                 Input::Message {
                     node,
-                    message: Message::Holds {
-                        held: Vec::new(),
+                    message: Message::InFlight {
+                        tasks: Vec::new(),
                         last: true,
                     },
                 },
@@ -151,7 +151,7 @@
                     });
                     let ended = Message::Ended {
                         attempt,
-                        end: End::Exited(0),
+                        end: TaskEnd::Exited(0),
                         ran: true,
                         report,
                     };
--- a/crates/core/src/configuration/agreement.rs
+++ b/crates/core/src/configuration/agreement.rs
@@ -115,7 +115,7 @@
         VersionStamp {
             version,
             joint,
-            list,
+            list_revision: list,
             build: self.build,
         }
     }
--- a/crates/core/src/configuration/agreement/step.rs
+++ b/crates/core/src/configuration/agreement/step.rs
@@ -259,7 +259,7 @@
                     version_number: stamp.version.number,
                     digest: stamp.version.digest.to_string(),
                     joint: stamp.joint,
-                    node_list_revision: stamp.list,
+                    node_list_revision: stamp.list_revision,
                 }));
         }
         if !is_due {
--- a/crates/core/src/configuration/peers.rs
+++ b/crates/core/src/configuration/peers.rs
@@ -34,7 +34,7 @@
         // What only says that the node is there need not be evaluated at once.
         let is_same = |old: &AcceptorReport| {
             AcceptorReport {
-                floor_ms: record.floor_ms,
+                floor_age_ms: record.floor_age_ms,
                 ..*old
             } == record
         };
@@ -66,7 +66,7 @@
         if let PeerState::Reported(record) = &mut state {
             let answered = self.lease.last_answer(node.0);
             let since = answered.map_or(0, |at| now.saturating_sub(at));
-            record.floor_ms = record.floor_ms.saturating_add(since / 1_000);
+            record.floor_age_ms = record.floor_age_ms.saturating_add(since / 1_000);
         }
         state
     }
--- a/crates/core/src/configuration/status.rs
+++ b/crates/core/src/configuration/status.rs
@@ -60,7 +60,7 @@
             PeerState::Reported(record) => record,
         };
         let votes = nodes.get(number).is_some_and(|node| node.entry().control);
-        Some(if record.learns {
+        Some(if record.is_learner {
             describe_learner(record, votes)
         } else {
             describe_acceptor(record, votes)
@@ -69,7 +69,7 @@
 }
 
 fn describe_learner(record: &AcceptorReport, votes: bool) -> String {
-    let floor = record.next.map_or("no plan yet".to_owned(), |next| {
+    let floor = record.accepted.map_or("no plan yet".to_owned(), |next| {
         format!("plan {}", next.version)
     });
     let wrong = if votes {
@@ -81,21 +81,21 @@
 }
 
 fn describe_acceptor(record: &AcceptorReport, votes: bool) -> String {
-    let mut line = record.force.to_string();
+    let mut line = record.committed.to_string();
     if votes {
         line.push_str(", voter");
     }
-    if let Some(next) = &record.next {
+    if let Some(next) = &record.accepted {
         let word = if next.joint { "joint with" } else { "offered" };
         line = format!("{line}, {word} {}", next.version);
     }
-    if record.stuck {
+    if record.cannot_persist {
         line.push_str(", can't keep more");
     }
-    if record.behind > 0 {
+    if record.lagging_placers > 0 {
         line = format!(
             "{line}, {} of {} placers behind",
-            record.behind, record.linked
+            record.lagging_placers, record.connected_placers
         );
     }
     line
--- a/crates/core/src/core/dispatch.rs
+++ b/crates/core/src/core/dispatch.rs
@@ -26,7 +26,7 @@
         } = self.parts();
         let JobLifecycle { nodes, cx, .. } = &mut lifecycle;
         match message {
-            Message::Holds { held, last } => {
+            Message::InFlight { tasks: held, last } => {
                 let is_reconciled =
                     handshake::holdings_reported(&mut lifecycle, now, node, held, last);
                 if is_reconciled {
@@ -166,7 +166,7 @@
         Message::Accepted { attempt, report } => {
             lifecycle.accept_reported(now, node, attempt, report)
         }
-        Message::Refused {
+        Message::Rejected {
             attempt,
             reason,
             report,
@@ -174,9 +174,9 @@
         } => {
             lifecycle.rejection_reported(now, node, attempt, reason, report);
         }
-        Message::Note {
+        Message::TaskSignal {
             attempt,
-            topic,
+            kind: topic,
             amount,
         } => {
             lifecycle.note_reported(now, node, attempt, topic, amount);
--- a/crates/core/src/decide.rs
+++ b/crates/core/src/decide.rs
@@ -5,7 +5,7 @@
 //! arguments alone, and `tests` goes through every case.
 
 use reedring::Effect;
-use reedring_node_protocol::{End, HeldState};
+use reedring_node_protocol::{InFlightState, TaskEnd};
 use reedring_settings::ComesAgain;
 
 /// What the ledger knows of an open attempt.
@@ -29,7 +29,7 @@
     /// It has ended.
     Ended {
         /// How.
-        end: End,
+        end: TaskEnd,
         /// It ran, or may have.
         ran: bool,
     },
@@ -55,18 +55,17 @@
 /// connection drops what it has not read from the older one, and keeps each end until it is acknowledged.
 pub fn reconcile(
     known: AttemptState,
-    held: Option<&HeldState>,
+    held: Option<&InFlightState>,
     same_incarnation: bool,
 ) -> Reconciled {
     match (known, held) {
-        (_, Some(HeldState::Ended { end, ran })) => Reconciled::Ended {
+        (_, Some(InFlightState::Ended { end, ran })) => Reconciled::Ended {
             end: end.clone(),
             ran: *ran,
         },
         (AttemptState::Stopping, Some(_)) => Reconciled::StopAgain,
-        (AttemptState::Offered, Some(HeldState::Waiting)) | (AttemptState::Accepted, Some(_)) => {
-            Reconciled::Unchanged
-        }
+        (AttemptState::Offered, Some(InFlightState::Queued))
+        | (AttemptState::Accepted, Some(_)) => Reconciled::Unchanged,
         (AttemptState::Offered, Some(_)) => Reconciled::Accepted,
         (AttemptState::Accepted, None) => Reconciled::Lost,
         (AttemptState::Offered | AttemptState::Stopping, None) if same_incarnation => {
--- a/crates/core/src/decide/tests.rs
+++ b/crates/core/src/decide/tests.rs
@@ -6,16 +6,16 @@
     AttemptState::Stopping,
 ];
 
-fn states() -> Vec<Option<HeldState>> {
-    let over = |end, ran| Some(HeldState::Ended { end, ran });
+fn states() -> Vec<Option<InFlightState>> {
+    let over = |end, ran| Some(InFlightState::Ended { end, ran });
     vec![
         None,
-        Some(HeldState::Waiting),
-        Some(HeldState::Accepted),
-        Some(HeldState::Running),
-        Some(HeldState::Suspended),
-        over(End::Exited(0), true),
-        over(End::Stopped, false),
+        Some(InFlightState::Queued),
+        Some(InFlightState::Accepted),
+        Some(InFlightState::Running),
+        Some(InFlightState::Suspended),
+        over(TaskEnd::Exited(0), true),
+        over(TaskEnd::Stopped, false),
     ]
 }
 
@@ -23,12 +23,12 @@
 fn an_end_that_was_told_is_an_end_whatever_the_ledger_held() {
     for known in KNOWN {
         for same_life in [false, true] {
-            let held = HeldState::Ended {
-                end: End::Evicted,
+            let held = InFlightState::Ended {
+                end: TaskEnd::Evicted,
                 ran: true,
             };
             let over = Reconciled::Ended {
-                end: End::Evicted,
+                end: TaskEnd::Evicted,
                 ran: true,
             };
             assert_eq!(reconcile(known, Some(&held), same_life), over);
@@ -59,7 +59,7 @@
     for known in KNOWN {
         for held in states().into_iter().flatten() {
             let verdict = reconcile(known, Some(&held), true);
-            let over = matches!(held, HeldState::Ended { .. });
+            let over = matches!(held, InFlightState::Ended { .. });
             let want = match known {
                 _ if over => matches!(verdict, Reconciled::Ended { .. }),
                 AttemptState::Stopping => verdict == Reconciled::StopAgain,
--- a/crates/core/src/event/tests.rs
+++ b/crates/core/src/event/tests.rs
@@ -17,7 +17,7 @@
 fn one_of_each() -> Vec<Event> {
     let (node, job, reason) = (text("node-1"), text("s.1.1"), text("full"));
     let attempt = AttemptId {
-        life: 1,
+        incarnation: 1,
         request: 2,
         number: 3,
     };
--- a/crates/core/src/handshake.rs
+++ b/crates/core/src/handshake.rs
@@ -4,7 +4,7 @@
 use reedring_drmaa::rpc::Answer;
 use reedring_drmaa::template::nearest;
 use reedring_drmaa::{Error, ErrorCode, Result};
-use reedring_node_protocol::Held;
+use reedring_node_protocol::InFlightTask;
 use reedring_settings::NodeList;
 use reedring_state::Change;
 
@@ -122,7 +122,7 @@
     lifecycle: &mut JobLifecycle<'_>,
     now: Micros,
     number: NodeNumber,
-    page: Vec<Held>,
+    page: Vec<InFlightTask>,
     last: bool,
 ) -> bool {
     let Some(held) = lifecycle.nodes.holdings_page(number, page, last) else {
--- a/crates/core/src/ledger/mod.rs
+++ b/crates/core/src/ledger/mod.rs
@@ -213,7 +213,7 @@
     /// The name on the wire of an attempt of this incarnation.
     pub const fn wire_id(&self, id: AttemptId) -> wire::AttemptId {
         wire::AttemptId {
-            life: self.incarnation,
+            incarnation: self.incarnation,
             request: id.request.0,
             number: id.number,
         }
@@ -235,7 +235,7 @@
 
     /// Whether another incarnation made an attempt.
     pub const fn is_foreign(&self, id: wire::AttemptId) -> bool {
-        id.life != self.incarnation
+        id.incarnation != self.incarnation
     }
 
     pub fn open(&mut self, id: AttemptId, attempt: Attempt) {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -102,7 +102,7 @@
     Some(reedring_node_protocol::VersionStamp {
         version,
         joint: false,
-        list: 0,
+        list_revision: 0,
         build: build(),
     })
 }
--- a/crates/core/src/lifecycle/adoption.rs
+++ b/crates/core/src/lifecycle/adoption.rs
@@ -4,7 +4,7 @@
 
 use reedring::{AttemptId, Event as ModuleEvent, MachineId, Micros, TaskKey};
 use reedring_drmaa::JobSpec;
-use reedring_node_protocol::{self as wire, Held, HeldState, Message};
+use reedring_node_protocol::{self as wire, InFlightState, InFlightTask, Message};
 
 use super::JobLifecycle;
 use crate::decide::{self, AttemptState, CopyAction, JobStatus};
@@ -33,20 +33,25 @@
 
 impl JobLifecycle<'_> {
     /// A node reports a copy that the ledger does not hold.
-    pub(super) fn unknown_attempt_reported(&mut self, now: Micros, number: NodeNumber, held: Held) {
-        let Held {
+    pub(super) fn unknown_attempt_reported(
+        &mut self,
+        now: Micros,
+        number: NodeNumber,
+        held: InFlightTask,
+    ) {
+        let InFlightTask {
             attempt,
             task,
             state,
         } = held;
-        if let HeldState::Ended { end, ran } = state {
+        if let InFlightState::Ended { end, ran } = state {
             return self.unknown_end_reported(now, number, attempt, &task, end, ran);
         }
         let job = self.job_named(&task.job);
         let status = self.status_of(job, attempt, &task.job);
         let is_adopted = match decide::copy_action(status) {
             // A copy still in the node's queue of offers is no copy to count on.
-            CopyAction::Adopt if state == HeldState::Waiting => false,
+            CopyAction::Adopt if state == InFlightState::Queued => false,
             CopyAction::Adopt => self.adopt(now, number, attempt, &task, job, &state),
             CopyAction::Stop => false,
         };
@@ -80,7 +85,7 @@
         number: NodeNumber,
         attempt: wire::AttemptId,
         task: &wire::Task,
-        end: wire::End,
+        end: wire::TaskEnd,
         ran: bool,
     ) {
         self.send(now, number, Message::Ack { attempt });
@@ -92,7 +97,14 @@
         if !self.ledger.is_known(attempt)
             && is_untold
             && ran
-            && self.adopt(now, number, attempt, task, recovering, &HeldState::Running)
+            && self.adopt(
+                now,
+                number,
+                attempt,
+                task,
+                recovering,
+                &InFlightState::Running,
+            )
             && let Some(id) = self.ledger.find(attempt)
         {
             self.attempt_ended(now, id, end, ran, Vec::new());
@@ -107,7 +119,7 @@
         wire: wire::AttemptId,
         task: &wire::Task,
         job: Option<JobNumber>,
-        state: &HeldState,
+        state: &InFlightState,
     ) -> bool {
         let Some(job) = self.job_to_adopt_for(now, number, wire, task, job) else {
             return false;
@@ -219,7 +231,8 @@
         // What it was placed with holds, also where the settings say otherwise by now.
         (requirements.cores, requirements.memory) = (task.cores, task.memory);
         requirements.service.clone_from(&task.service);
-        requirements.life_us = (task.life_ms > 0).then(|| task.life_ms.saturating_mul(1_000));
+        requirements.life_us = (task.expected_duration_ms > 0)
+            .then(|| task.expected_duration_ms.saturating_mul(1_000));
         let limit = self.cx.settings().limits.sessions;
         let session = self
             .sessions
@@ -229,7 +242,7 @@
             name,
             session,
             Arc::new(requirements),
-            TaskKey(task.key),
+            TaskKey(task.idempotency_key),
             now,
         );
         Ok(self.add_job(Job {
--- a/crates/core/src/lifecycle/durability.rs
+++ b/crates/core/src/lifecycle/durability.rs
@@ -87,7 +87,7 @@
                         message: Message::Offer { attempt, task, .. },
                         ..
                     },
-                ) if task.repeat != wire::Repeat::Safe
+                ) if task.idempotency != wire::Idempotency::Idempotent
                     && !self.queue.may_offer(Effect::Unsafe, self.cx) =>
                 {
                     if let Some(id) = self.ledger.find(*attempt) {
--- a/crates/core/src/lifecycle/jobs.rs
+++ b/crates/core/src/lifecycle/jobs.rs
@@ -44,7 +44,7 @@
 
     /// Whether a former incarnation made this attempt, its job was in the ledger, and its client was told how it ended.
     pub(super) fn is_settled(&self, attempt: wire::AttemptId, name: &str) -> bool {
-        if !self.ledger.is_complete(attempt.life) {
+        if !self.ledger.is_complete(attempt.incarnation) {
             return false;
         }
         let is_settled = JobName::parse(name).and_then(|name| {
--- a/crates/core/src/lifecycle/offers.rs
+++ b/crates/core/src/lifecycle/offers.rs
@@ -135,21 +135,22 @@
             class: class.name.clone(),
             tenant: self.cx.settings().tenants[usize::from(requirements.tenant)].clone(),
             service: requirements.service.clone(),
-            repeat: match class.effect {
-                Effect::Safe => wire::Repeat::Safe,
-                Effect::Keyed => wire::Repeat::Keyed,
-                Effect::Unsafe => wire::Repeat::Unsafe,
+            idempotency: match class.effect {
+                Effect::Safe => wire::Idempotency::Idempotent,
+                Effect::Keyed => wire::Idempotency::IdempotentByKey,
+                Effect::Unsafe => wire::Idempotency::NonIdempotent,
             },
-            group: match class.drops {
-                Group::All => wire::Group::All,
-                Group::Zone => wire::Group::Hall,
-                Group::Cell => wire::Group::Rack,
+            deduplication_scope: match class.drops {
+                Group::All => wire::DeduplicationScope::All,
+                Group::Zone => wire::DeduplicationScope::Zone,
+                Group::Cell => wire::DeduplicationScope::Rack,
             },
-            window_ms: u32::try_from(class.window_us.unwrap_or(0) / 1_000).unwrap_or(u32::MAX),
-            key: job.key.0,
+            deduplication_window_ms: u32::try_from(class.window_us.unwrap_or(0) / 1_000)
+                .unwrap_or(u32::MAX),
+            idempotency_key: job.key.0,
             cores: requirements.cores,
             memory: requirements.memory,
-            life_ms: requirements.life_us.unwrap_or(0) / 1_000,
+            expected_duration_ms: requirements.life_us.unwrap_or(0) / 1_000,
             payload: serde_json::to_vec(&requirements.spec.at_index(job.name.index))
                 .unwrap_or_default(),
         })
--- a/crates/core/src/lifecycle/reconciliation.rs
+++ b/crates/core/src/lifecycle/reconciliation.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use reedring::{AttemptId, Micros, Outcome};
-use reedring_node_protocol::{self as wire, Held, HeldState, Message, Topic};
+use reedring_node_protocol::{self as wire, InFlightState, InFlightTask, Message, TaskSignalKind};
 use reedring_settings::Health;
 
 use super::{AttemptEnd, JobLifecycle};
@@ -12,9 +12,9 @@
 
 impl JobLifecycle<'_> {
     /// A node reported all that it holds.
-    pub fn node_reconciled(&mut self, now: Micros, number: NodeNumber, held: Vec<Held>) {
+    pub fn node_reconciled(&mut self, now: Micros, number: NodeNumber, held: Vec<InFlightTask>) {
         // The ledger's attempts first: what has ended makes room for what is adopted.
-        let by_wire: BTreeMap<wire::AttemptId, &Held> =
+        let by_wire: BTreeMap<wire::AttemptId, &InFlightTask> =
             held.iter().map(|held| (held.attempt, held)).collect();
         for id in self.attempts_at(number) {
             let Some(attempt) = self.ledger.attempt(id) else {
@@ -80,10 +80,10 @@
     }
 
     /// Applies reports that were lost with a connection.
-    pub(super) fn apply_held_state(&mut self, now: Micros, id: AttemptId, state: &HeldState) {
+    pub(super) fn apply_held_state(&mut self, now: Micros, id: AttemptId, state: &InFlightState) {
         match state {
-            HeldState::Running => self.attempt_noted(now, id, Topic::Runs, 0.0),
-            HeldState::Suspended => self.attempt_noted(now, id, Topic::Suspended, 0.0),
+            InFlightState::Running => self.attempt_noted(now, id, TaskSignalKind::Running, 0.0),
+            InFlightState::Suspended => self.attempt_noted(now, id, TaskSignalKind::Suspended, 0.0),
             _ => {}
         }
     }
--- a/crates/core/src/lifecycle/reports.rs
+++ b/crates/core/src/lifecycle/reports.rs
@@ -3,7 +3,7 @@
 use reedring::{AttemptId, Event as ModuleEvent, Micros, Note, Outcome as AttemptOutcome, Reason};
 use reedring_drmaa::End;
 use reedring_drmaa::info::signal_name;
-use reedring_node_protocol::{self as wire, Message, Topic};
+use reedring_node_protocol::{self as wire, Message, TaskSignalKind};
 use reedring_state::{Ending, Outcome};
 
 use super::{AttemptEnd, JobLifecycle};
@@ -44,7 +44,7 @@
         now: Micros,
         node: NodeNumber,
         attempt: wire::AttemptId,
-        reason: wire::Reason,
+        reason: wire::RejectionReason,
         report: Vec<f64>,
     ) {
         self.attempt_resolved(now, attempt);
@@ -60,7 +60,7 @@
         now: Micros,
         node: NodeNumber,
         attempt: wire::AttemptId,
-        topic: Topic,
+        topic: TaskSignalKind,
         amount: f64,
     ) {
         if let Some(id) = self.reported_attempt(node, attempt) {
@@ -74,7 +74,7 @@
         now: Micros,
         node: NodeNumber,
         attempt: wire::AttemptId,
-        end: wire::End,
+        end: wire::TaskEnd,
         ran: bool,
         report: Vec<f64>,
     ) {
@@ -178,26 +178,32 @@
         }
     }
 
-    pub(super) fn attempt_noted(&mut self, now: Micros, id: AttemptId, topic: Topic, amount: f64) {
+    pub(super) fn attempt_noted(
+        &mut self,
+        now: Micros,
+        id: AttemptId,
+        topic: TaskSignalKind,
+        amount: f64,
+    ) {
         let Some(attempt) = self.ledger.attempt(id) else {
             return;
         };
         let (job, machine) = (attempt.job, attempt.machine);
         let note = match topic {
-            Topic::Runs => {
+            TaskSignalKind::Running => {
                 let phase = self.ledger.job(job).map(|job| &job.phase);
                 if matches!(phase, Some(Phase::Placed(_))) {
                     self.job_running(now, job, id);
                 }
                 Note::Runs
             }
-            Topic::Suspended | Topic::Resumed => {
+            TaskSignalKind::Suspended | TaskSignalKind::Resumed => {
                 if let Some(job) = self
                     .ledger
                     .job_mut(job)
                     .filter(|job| job.placed_attempt().is_some())
                 {
-                    let is_suspended = topic == Topic::Suspended;
+                    let is_suspended = topic == TaskSignalKind::Suspended;
                     job.phase = if is_suspended {
                         Phase::Suspended(id)
                     } else {
@@ -206,10 +212,10 @@
                 }
                 return;
             }
-            Topic::Cores => Note::Cores(amount),
-            Topic::Memory => Note::Memory(amount),
-            Topic::Served => Note::Served(amount),
-            Topic::Pressure => Note::Pressure(amount),
+            TaskSignalKind::CoresUsed => Note::Cores(amount),
+            TaskSignalKind::MemoryUsed => Note::Memory(amount),
+            TaskSignalKind::ServiceFraction => Note::Served(amount),
+            TaskSignalKind::MemoryPressure => Note::Pressure(amount),
         };
         self.cx.notify_module(ModuleEvent::TaskSignal {
             attempt: id,
@@ -224,21 +230,21 @@
         &mut self,
         now: Micros,
         id: AttemptId,
-        reason: wire::Reason,
+        reason: wire::RejectionReason,
         report: Vec<f64>,
     ) {
         let module_reason = match reason {
-            wire::Reason::Untold => None,
-            wire::Reason::NoCores => Some(Reason::NoCores),
-            wire::Reason::NoMemory => Some(Reason::NoMemory),
-            wire::Reason::Crowded => Some(Reason::Crowded),
-            wire::Reason::Draining
-            | wire::Reason::CopyStands
-            | wire::Reason::TooLate
-            | wire::Reason::NotHere => Some(Reason::NotHere),
+            wire::RejectionReason::Unspecified => None,
+            wire::RejectionReason::NoCores => Some(Reason::NoCores),
+            wire::RejectionReason::NoMemory => Some(Reason::NoMemory),
+            wire::RejectionReason::QueueFull => Some(Reason::Crowded),
+            wire::RejectionReason::Draining
+            | wire::RejectionReason::DuplicateActive
+            | wire::RejectionReason::DeadlineExceeded
+            | wire::RejectionReason::Unsupported => Some(Reason::NotHere),
             // It was never considered: the node has reported what it stores, and is blocked until that is caught up
             // with.
-            wire::Reason::Superseded => {
+            wire::RejectionReason::Superseded => {
                 let end =
                     AttemptEnd::new(AttemptOutcome::Unsent, reason.word()).with_report(report);
                 return self.attempt_unplaced(now, id, end);
@@ -258,7 +264,7 @@
         &mut self,
         now: Micros,
         id: AttemptId,
-        end: wire::End,
+        end: wire::TaskEnd,
         ran: bool,
         report: Vec<f64>,
     ) {
@@ -280,10 +286,10 @@
         let loss = if ran { Loss::Ended } else { Loss::NeverRan };
         let reset = |label, reason| AttemptEnd::new(AttemptOutcome::Reset, label).because(reason);
         let lost = match end {
-            wire::End::Exited(status) => {
+            wire::TaskEnd::Exited(status) => {
                 return self.attempt_finished(now, id, Ending::ran(End::Exited { status }), report);
             }
-            wire::End::Signaled(signal) => {
+            wire::TaskEnd::Signaled(signal) => {
                 let signal = signal_name(i32::from(signal)).to_owned();
                 let ending = Ending::ran(End::Signaled {
                     signal,
@@ -291,16 +297,16 @@
                 });
                 return self.attempt_finished(now, id, ending, report);
             }
-            wire::End::Error(text) if ran => {
+            wire::TaskEnd::Error(text) if ran => {
                 let ending = Ending::aborted(format!("its node could not run it: {text}"));
                 return self.attempt_finished(now, id, ending, report);
             }
-            wire::End::Evicted => reset("evicted", Some(Reason::Evicted)),
-            wire::End::PushedOut => reset("pushed out", Some(Reason::PushedOut)),
-            wire::End::SentAway => reset("sent away", Some(Reason::SentAway)),
-            wire::End::Stopped => AttemptEnd::new(AttemptOutcome::Stopped, "stopped"),
-            wire::End::Error(_) => AttemptEnd::new(AttemptOutcome::Error, "node error"),
-            wire::End::Unknown => reset("node lost it", None),
+            wire::TaskEnd::Evicted => reset("evicted", Some(Reason::Evicted)),
+            wire::TaskEnd::Preempted => reset("pushed out", Some(Reason::PushedOut)),
+            wire::TaskEnd::Drained => reset("sent away", Some(Reason::SentAway)),
+            wire::TaskEnd::Stopped => AttemptEnd::new(AttemptOutcome::Stopped, "stopped"),
+            wire::TaskEnd::Error(_) => AttemptEnd::new(AttemptOutcome::Error, "node error"),
+            wire::TaskEnd::Unknown => reset("node lost it", None),
         };
         self.attempt_lost(now, id, loss, lost);
     }
--- a/crates/core/src/lifecycle/sending.rs
+++ b/crates/core/src/lifecycle/sending.rs
@@ -38,7 +38,7 @@
             .job_named(&task.job)
             .and_then(|job| self.ledger.job(job));
         match job.and_then(|job| job.recorded_in) {
-            Some(batch) if !is_warming_up && task.repeat == wire::Repeat::Safe => {
+            Some(batch) if !is_warming_up && task.idempotency == wire::Idempotency::Idempotent => {
                 Requires::Batch(batch)
             }
             _ => Requires::CurrentBatch,
--- a/crates/core/src/nodes/connections.rs
+++ b/crates/core/src/nodes/connections.rs
@@ -1,7 +1,7 @@
 //! Connections to nodes, and the handshakes on them.
 
 use reedring::Micros;
-use reedring_node_protocol::Held;
+use reedring_node_protocol::InFlightTask;
 use reedring_settings::Health;
 
 use super::node::Link;
@@ -65,9 +65,9 @@
     pub fn holdings_page(
         &mut self,
         number: NodeNumber,
-        page: Vec<Held>,
+        page: Vec<InFlightTask>,
         last: bool,
-    ) -> Option<Vec<Held>> {
+    ) -> Option<Vec<InFlightTask>> {
         let node = self.nodes.get_mut(&number)?;
         let Link::Reconciling(held) = &mut node.link else {
             return None;
--- a/crates/core/src/nodes/mod.rs
+++ b/crates/core/src/nodes/mod.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 
 use reedring::{AttemptId, MachineId, Micros};
-use reedring_node_protocol::Reason;
+use reedring_node_protocol::RejectionReason;
 use reedring_settings::{Health, Site};
 use reedring_state::NodeBeliefs;
 
@@ -209,7 +209,7 @@
         }
     }
 
-    pub fn count_rejection(&mut self, number: NodeNumber, reason: Reason) {
+    pub fn count_rejection(&mut self, number: NodeNumber, reason: RejectionReason) {
         if let Some(node) = self.nodes.get_mut(&number) {
             *node.rejections.entry(reason).or_default() += 1;
         }
--- a/crates/core/src/nodes/node.rs
+++ b/crates/core/src/nodes/node.rs
@@ -6,7 +6,7 @@
 use reedring::names::machine_id;
 use reedring::{self as module, AttemptId, MachineId, Micros};
 use reedring_drmaa::rpc::NodeLine;
-use reedring_node_protocol::{Held, Reason};
+use reedring_node_protocol::{InFlightTask, RejectionReason};
 use reedring_settings::{Health, NodeEntry};
 
 /// The connection to a node.
@@ -17,7 +17,7 @@
     NeverConnected,
     Down,
     /// The handshake is done; the node reports what it holds, and this much of it has come.
-    Reconciling(Vec<Held>),
+    Reconciling(Vec<InFlightTask>),
     Up,
 }
 
@@ -55,7 +55,7 @@
     /// The placer's attempts at it.
     pub(super) attempts: BTreeSet<AttemptId>,
     /// Offers that it rejected, by reason.
-    pub(super) rejections: BTreeMap<Reason, u64>,
+    pub(super) rejections: BTreeMap<RejectionReason, u64>,
     /// Until when offers that it answered late count against it while it is warming up.
     pub(super) overdue_until: Micros,
     /// Only a former incarnation's ledger names it so far: where it is the node list will say.
@@ -171,7 +171,8 @@
 
     /// What operators see of it.
     pub fn line(&self, load: NodeLoad, kind: &str, plan: Option<String>) -> NodeLine {
-        let rejection = |(reason, count): (&Reason, &u64)| (reason.word().to_owned(), *count);
+        let rejection =
+            |(reason, count): (&RejectionReason, &u64)| (reason.word().to_owned(), *count);
         let listed = if self.listed {
             self.entry.health
         } else {
--- a/crates/core/src/persistence/rows.rs
+++ b/crates/core/src/persistence/rows.rs
@@ -68,7 +68,7 @@
 
 fn attempt_row(attempt: &Attempt, nodes: &NodeRegistry, cx: &Context) -> state::Attempt {
     state::Attempt {
-        incarnation: attempt.wire.life,
+        incarnation: attempt.wire.incarnation,
         request: attempt.wire.request,
         number: attempt.wire.number,
         node: nodes.name(attempt.node),
--- a/crates/core/src/restore/jobs.rs
+++ b/crates/core/src/restore/jobs.rs
@@ -242,7 +242,7 @@
         node,
         machine: machine_id(&row.node),
         wire: wire::AttemptId {
-            life: row.incarnation,
+            incarnation: row.incarnation,
             request: row.request,
             number: row.number,
         },
--- a/crates/core/tests/agree.rs
+++ b/crates/core/tests/agree.rs
@@ -58,7 +58,7 @@
         let force: Vec<_> = world
             .nodes
             .iter()
-            .map(|node| node.record(world.now).force)
+            .map(|node| node.record(world.now).committed)
             .collect();
         assert!(
             force
--- a/crates/core/tests/changes.rs
+++ b/crates/core/tests/changes.rs
@@ -153,7 +153,7 @@
         world
             .nodes
             .iter()
-            .all(|node| node.record(world.now).force == want)
+            .all(|node| node.record(world.now).committed == want)
     );
     // One that is taken back before its turn is not brought in.
     let rival = settings_of_teams(7, PLACERS, &teams(70));
@@ -169,7 +169,7 @@
         world
             .nodes
             .iter()
-            .all(|node| seven.contains(&node.record(world.now).force))
+            .all(|node| seven.contains(&node.record(world.now).committed))
     );
 }
 
@@ -189,7 +189,7 @@
         world
             .nodes
             .iter()
-            .all(|node| node.record(world.now).force == version(&file(3, 33)))
+            .all(|node| node.record(world.now).committed == version(&file(3, 33)))
     );
     world.change_file(0, file(4, 4));
     world.change_file(0, file(5, 5));
@@ -332,6 +332,6 @@
         world
             .nodes
             .iter()
-            .all(|node| node.record(world.now).force.number == 0)
+            .all(|node| node.record(world.now).committed.number == 0)
     );
 }
--- a/crates/core/tests/control.rs
+++ b/crates/core/tests/control.rs
@@ -164,7 +164,7 @@
     assert_eq!(world.raises.keys().copied().collect::<Vec<_>>(), [cold]);
     assert_eq!(world.raises[&cold], PLACERS as u64, "once by each placer");
     let record = world.nodes[cold].record(world.now);
-    assert_eq!((record.floor(), record.learns), (1, true));
+    assert_eq!((record.floor(), record.is_learner), (1, true));
     // The next plan: told to this one cold node, by each placer.
     world.raises.clear();
     world.start(0, cold_settings(2, PLACERS), 2);
@@ -289,7 +289,7 @@
     let force: Vec<u64> = world
         .nodes
         .iter()
-        .map(|node| node.record(world.now).force.number)
+        .map(|node| node.record(world.now).committed.number)
         .collect();
     assert_eq!(force, [2; 9]);
     // Those that do not vote are no majority either.
@@ -317,7 +317,11 @@
     for n in 0..3 {
         let record = world.nodes[n].record(world.now);
         assert_eq!(
-            (record.force.number, record.next, record.stuck),
+            (
+                record.committed.number,
+                record.accepted,
+                record.cannot_persist
+            ),
             (1, None, true),
             "taught, and no vote"
         );
@@ -348,7 +352,7 @@
         line.contains("plan.number: learners know of plan 2/"),
         "{line}"
     );
-    assert!((0..3).all(|n| world.nodes[n].record(world.now).force.number == 0));
+    assert!((0..3).all(|n| world.nodes[n].record(world.now).committed.number == 0));
     // The plan that they know of may begin.
     world.start(0, settings(2, 1), 4);
     world.until_all(2, 60 * SECOND).expect("in force again");
--- a/crates/core/tests/model.rs
+++ b/crates/core/tests/model.rs
@@ -7,7 +7,7 @@
 
 use reedring::Effect;
 use reedring_core::decide::{self, AttemptState, Reconciled, RecoveringJob, RecoveryAction};
-use reedring_node_protocol::{End, HeldState};
+use reedring_node_protocol::{InFlightState, TaskEnd};
 use stateright::{Checker, Model, Property};
 
 const NODES: usize = 2;
@@ -219,13 +219,13 @@
             } else {
                 AttemptState::Accepted
             };
-            let ended = HeldState::Ended {
-                end: End::Exited(0),
+            let ended = InFlightState::Ended {
+                end: TaskEnd::Exited(0),
                 ran: true,
             };
             let held = match () {
                 () if node.ended == Some(number) => Some(&ended),
-                () if node.running == Some(number) => Some(&HeldState::Running),
+                () if node.running == Some(number) => Some(&InFlightState::Running),
                 () => None,
             };
             self.judge(world, decide::reconcile(known, held, life == node.life));
@@ -353,7 +353,7 @@
                             self.judge(
                                 &mut world,
                                 Reconciled::Ended {
-                                    end: End::Exited(0),
+                                    end: TaskEnd::Exited(0),
                                     ran: true,
                                 },
                             );
--- a/crates/core/tests/plans/mod.rs
+++ b/crates/core/tests/plans/mod.rs
@@ -7,7 +7,7 @@
 use rand_pcg::Pcg32;
 use reedring_core::event::Event;
 use reedring_core::{Core, Input, Output, Start, first_stamp};
-use reedring_node_protocol::{ConfigRequest, Message};
+use reedring_node_protocol::{ConfigRequest, Message, VersionInfo, VersionStamp};
 use reedring_node_simulator::{Config, Effect, Groups, Keep, Node};
 use reedring_plan::AcceptorState;
 use reedring_settings::{NodeEntry, NodeList, Settings};
@@ -209,7 +209,7 @@
     pub fn start(&mut self, placer: usize, mut settings: Settings, life: u64) {
         self.lives[placer] = life;
         settings.name = format!("placer-{placer}");
-        let acts = first_stamp(&settings).map(|stamp| (stamp, "bench".to_owned()));
+        let version_info = first_stamp(&settings).map(bench_build);
         let life = life * 1_000 + placer as u64;
         let now = self.clock(placer);
         let core = Core::new(
@@ -232,9 +232,9 @@
         for n in 0..self.nodes.len() {
             let hello = Message::Hello {
                 placer: format!("placer-{placer}"),
-                life,
+                incarnation: life,
                 link: 1,
-                acts: acts.clone(),
+                version_info: version_info.clone(),
             };
             self.send(Due::AtNode(placer, n, hello));
         }
@@ -265,13 +265,12 @@
                 },
             );
             let (life, link) = (self.lives[placer] * 1_000 + placer as u64, life);
-            let acts =
-                first_stamp(self.cores[placer].settings()).map(|stamp| (stamp, "bench".to_owned()));
+            let version_info = first_stamp(self.cores[placer].settings()).map(bench_build);
             let hello = Message::Hello {
                 placer: format!("placer-{placer}"),
-                life,
+                incarnation: life,
                 link,
-                acts,
+                version_info,
             };
             self.send(Due::AtNode(placer, n, hello));
             self.turn(placer);
@@ -403,10 +402,10 @@
                         let input = match message {
                             Message::Welcome {
                                 node: called,
-                                life,
+                                incarnation: life,
                                 up_ms,
                                 can_suspend,
-                                record,
+                                acceptor_report: record,
                             } => Input::LinkUp {
                                 node,
                                 reported_name: called,
@@ -433,3 +432,11 @@
         None
     }
 }
+
+/// What a placer of the build `bench` says in its hello.
+fn bench_build(stamp: VersionStamp) -> VersionInfo {
+    VersionInfo {
+        stamp,
+        build: "bench".to_owned(),
+    }
+}
--- a/crates/core/tests/quiet.rs
+++ b/crates/core/tests/quiet.rs
@@ -83,7 +83,7 @@
                 Output::Send {
                     message: Message::ConfigRequest(ConfigRequest::Query { stamp }),
                     ..
-                } => Some(stamp.list),
+                } => Some(stamp.list_revision),
                 _ => None,
             })
             .collect();
--- a/crates/core/tests/restart.rs
+++ b/crates/core/tests/restart.rs
@@ -7,7 +7,7 @@
 use rand_core::Rng;
 use reedring_drmaa::JobInfo;
 use reedring_drmaa::rpc::Call;
-use reedring_node_protocol::Repeat;
+use reedring_node_protocol::Idempotency;
 use reedring_settings::Health;
 use world::{MS, SECOND, World};
 
@@ -32,7 +32,7 @@
 /// Rule 2, and what a refusal promises.
 fn one_start(world: &World) {
     for (job, copies) in &world.copies {
-        if copies.repeat == Some(Repeat::Unsafe) {
+        if copies.repeat == Some(Idempotency::NonIdempotent) {
             assert!(copies.ran.len() <= 1, "{job} ran as {:?}", copies.ran);
             let told = world
                 .told
@@ -344,7 +344,7 @@
     let job = world
         .told
         .iter()
-        .find(|(job, _)| world.copies[*job].repeat == Some(Repeat::Unsafe))
+        .find(|(job, _)| world.copies[*job].repeat == Some(Idempotency::NonIdempotent))
         .unwrap();
     assert_eq!(outcome(&job.1[0]), "placed");
 }
@@ -433,9 +433,9 @@
     let (mut node, mut groups) = (Node::new(Config::named("n"), 1, 1, 0), Groups::default());
     let hello = |life, link| Message::Hello {
         placer: "p".to_owned(),
-        life,
+        incarnation: life,
         link,
-        acts: None,
+        version_info: None,
     };
     node.message(1, 10, hello(6, 1), &mut groups);
     node.message(2, 11, hello(5, 99), &mut groups);
@@ -456,7 +456,7 @@
     node.message(1, 10, hello(5, 1), &mut groups);
     node.message(2, 11, hello(6, 1), &mut groups);
     let attempt = reedring_node_protocol::AttemptId {
-        life: 5,
+        incarnation: 5,
         request: 1,
         number: 0,
     };
--- a/crates/core/tests/simulation.rs
+++ b/crates/core/tests/simulation.rs
@@ -4,7 +4,7 @@
 
 use proptest::prelude::*;
 use rand_core::Rng;
-use reedring_node_protocol::Repeat;
+use reedring_node_protocol::Idempotency;
 use reedring_settings::Health;
 use world::{MS, SECOND, World};
 
@@ -52,7 +52,7 @@
 /// Rule 2 at the nodes: an unsafe job stands once at most at any moment.
 fn one_copy(world: &World) {
     for (job, copies) in world.standing() {
-        if world.copies[&job].repeat == Some(Repeat::Unsafe) {
+        if world.copies[&job].repeat == Some(Idempotency::NonIdempotent) {
             assert!(copies.len() <= 1, "{job} stands {} times", copies.len());
         }
     }
@@ -63,7 +63,7 @@
     assert_eq!(world.late_offers, Vec::<String>::new());
     // Rule 2: what must not run twice ran once at most, over all lives of nodes and placer.
     for (job, copies) in &world.copies {
-        if copies.repeat == Some(Repeat::Unsafe) {
+        if copies.repeat == Some(Idempotency::NonIdempotent) {
             assert!(copies.ran.len() <= 1, "{job} ran as {:?}", copies.ran);
         }
     }
@@ -91,7 +91,7 @@
         let unsafe_job = world
             .copies
             .get(&infos[0].job)
-            .is_some_and(|c| c.repeat == Some(Repeat::Unsafe));
+            .is_some_and(|c| c.repeat == Some(Idempotency::NonIdempotent));
         assert!(
             !(outcome == "refused" && unsafe_job && ran > 0),
             "{infos:?}"
--- a/crates/core/tests/world/mod.rs
+++ b/crates/core/tests/world/mod.rs
@@ -18,7 +18,7 @@
 use reedring_core::{Core, Input};
 use reedring_drmaa::JobInfo;
 use reedring_drmaa::rpc::{Call, Response};
-use reedring_node_protocol::{AttemptId, Message, Repeat};
+use reedring_node_protocol::{AttemptId, Idempotency, Message};
 use reedring_node_simulator::{Config, Groups, Node};
 use reedring_settings::{NodeEntry, Settings};
 use reedring_state::{Batch, LedgerWriter, SimFolder};
@@ -114,7 +114,7 @@
 /// What a job's copies did at the nodes.
 #[derive(Debug, Default)]
 pub struct Copies {
-    pub repeat: Option<Repeat>,
+    pub repeat: Option<Idempotency>,
     /// Attempts that some node accepted and did not hand back unstarted.
     pub ran: BTreeSet<AttemptId>,
 }
--- a/crates/core/tests/world/network.rs
+++ b/crates/core/tests/world/network.rs
@@ -2,7 +2,7 @@
 
 use rand_core::Rng;
 use reedring_core::Input;
-use reedring_node_protocol::{End, Message, encode};
+use reedring_node_protocol::{Message, TaskEnd, VersionInfo, encode};
 use reedring_node_simulator::Effect;
 
 use super::{Due, Link, LinkId, MS, World};
@@ -61,7 +61,7 @@
         if let Some(node) = self.places[n].node.as_ref() {
             for (attempt, task) in node.held() {
                 let copies = self.copies.entry(task.job.clone()).or_default();
-                copies.repeat = Some(task.repeat);
+                copies.repeat = Some(task.idempotency);
                 copies.ran.insert(attempt);
             }
         }
@@ -71,7 +71,7 @@
         // Handed back before it started: it never ran.
         if let Message::Ended {
             attempt,
-            end: End::Stopped,
+            end: TaskEnd::Stopped,
             ran: false,
             ..
         } = message
@@ -132,10 +132,10 @@
         match message {
             Message::Welcome {
                 node: called,
-                life,
+                incarnation: life,
                 up_ms,
                 can_suspend,
-                record,
+                acceptor_report: record,
             } if first => {
                 self.input(Input::LinkUp {
                     node,
@@ -147,7 +147,7 @@
                 });
             }
             message => {
-                if let Message::Refused { attempt, .. } | Message::Ended { attempt, .. } = &message
+                if let Message::Rejected { attempt, .. } | Message::Ended { attempt, .. } = &message
                 {
                     self.known.remove(attempt);
                 }
@@ -184,10 +184,12 @@
         );
         let hello = Message::Hello {
             placer: "p".to_owned(),
-            life: self.life,
+            incarnation: self.life,
             link: id,
-            acts: reedring_core::first_stamp(&self.settings)
-                .map(|stamp| (stamp, "test".to_owned())),
+            version_info: reedring_core::first_stamp(&self.settings).map(|stamp| VersionInfo {
+                stamp,
+                build: "test".to_owned(),
+            }),
         };
         self.over(id, 0, Due::AtNode(id, hello));
     }
--- a/crates/local-cluster/src/restart.rs
+++ b/crates/local-cluster/src/restart.rs
@@ -264,7 +264,7 @@
     {
         match (frame.event, decode(&frame.bytes)) {
             (Event::ToNode, Ok(Message::Offer { .. })) => told.offers += 1,
-            (Event::FromNode, Ok(Message::Refused { .. })) => {
+            (Event::FromNode, Ok(Message::Rejected { .. })) => {
                 (told.refused, answers) = (told.refused + 1, answers + 1)
             }
             (Event::FromNode, Ok(Message::Accepted { .. })) => answers += 1,
--- a/crates/node-protocol/src/lib.rs
+++ b/crates/node-protocol/src/lib.rs
@@ -1,43 +1,80 @@
-//! The protocol between a placer and its nodes: messages, their bytes, and frames with a checksum.
+//! The protocol between placers and nodes: its messages, their bytes, and the frames that carry them.
 //!
-//! What this crate is not: it opens no socket and decides nothing. [`encode`] makes the bytes of a
-//! frame, [`Reader`] cuts incoming bytes into frames and reads them; both ends use both.
-//! `docs/node-protocol.md` describes the bytes for whoever writes a node in another language.
+//! What this crate is not: it opens no socket, reads no clock and decides nothing. Which message follows which is up to
+//! the two ends; `docs/node-protocol.md` states what each of them promises and describes the bytes for whoever writes a
+//! node in another language.
 //!
-//! A garbled frame is never taken for another: each frame ends in a CRC-32C, each answer names the
-//! attempt it is about, and an attempt's id names the life of the placer that made it.
+//! A reader needs three names: [`Message`] is everything that the ends can say to each other, [`encode`] returns the
+//! bytes of a message's frame, and [`FrameDecoder`] cuts the bytes of a connection into frames and decodes them.
+//!
+//! ```
+//! use reedring_node_protocol::{FrameDecoder, Message, encode};
+//!
+//! let bytes = encode(&Message::Probe { nonce: 7 });
+//! let mut decoder = FrameDecoder::default();
+//! decoder.push(&bytes);
+//! let received = decoder.next_message()?.map(|(message, _frame)| message);
+//! assert_eq!(received, Some(Message::Probe { nonce: 7 }));
+//! # Ok::<(), reedring_node_protocol::FrameError>(())
+//! ```
+//!
+//! # Frames
+//!
+//! A frame is an 8-byte header (length of the body, protocol version, message kind, flags), the body, and a CRC-32C of
+//! both. After a [`FrameError`] the connection has to be closed: where the next frame begins is not known. A corrupted
+//! frame is never taken for another one, and an answer names the attempt that it is about, whose id holds the
+//! incarnation of the placer that made it.
+//!
+//! # Versions
+//!
+//! A message is sent in the lowest version that can express it, so that a placer without configuration agreement is
+//! understood by every node. Version 2 added agreement on configurations, version 3 deltas between them. The
+//! decoder accepts every version up to [`VERSION`]; the version decides which fields a body has. Flags of the header that are
+//! not known are ignored, so that a later version can add them.
+//!
+//! # How to add a message kind
+//!
+//! 1. Add the variant to [`Message`] (`message/mod.rs`), with its fields and who sends it when.
+//! 2. Give it a number in `codec/tags.rs`: up to 64 for placers, from 65 for nodes. Numbers are never reused.
+//! 3. Write its body: `impl Wire` for new types in the module of their group (`codec/handshake.rs`,
+//!    `codec/task.rs`, `codec/outcome.rs`, `codec/configuration.rs`, `codec/request.rs`, `codec/delta.rs`), and one arm each in `kind_of`, `encode_body` and
+//!    `decode_body` (`codec/mod.rs`). The compiler asks for the first two; a round trip fails
+//!    without the third.
+//! 4. If former ends can't read it, raise [`VERSION`] and give the kind that version in `required_version`.
+//! 5. Add its counter to [`MessageKind`] (`traffic/message_kind.rs`).
+//! 6. Add a strategy to `tests/frames.rs`, its values and its frame to `tests/golden.rs` and `tests/golden/frames.txt`
+//!    (lines that are there never change), and a row to `docs/node-protocol.md`.
 #![forbid(unsafe_code)]
 
 mod codec;
-mod delta;
+mod configuration;
 mod frame;
 mod message;
 mod traffic;
-mod versions;
 
-pub use codec::decode;
-pub use delta::{Delta, Edit, SectionKey, Table};
-pub use frame::{FrameError, Reader, encode};
-pub use message::{AttemptId, End, Group, Held, HeldState, Message, Reason, Repeat, Task, Topic};
-pub use traffic::{Count, Counts, MessageKind, PeerTraffic, Traffic};
-pub use versions::{
-    AcceptedVersion, AcceptorReport, Ballot, ConfigDigest, ConfigRequest, ConfigVersion, DeltaStep,
-    VersionStamp, version_level,
+pub use codec::Field;
+pub use configuration::{
+    AcceptedVersion, AcceptorReport, Ballot, ConfigDigest, ConfigRequest, ConfigVersion, Delta,
+    DeltaStep, Edit, SectionKey, Table, VersionStamp, version_level,
+};
+pub use frame::{FrameDecoder, FrameError, decode, encode};
+pub use message::{
+    AttemptId, DeduplicationScope, Idempotency, InFlightState, InFlightTask, Message,
+    RejectionReason, Task, TaskEnd, TaskSignalKind, VersionInfo,
 };
+pub use traffic::{Count, Counts, MessageKind, PeerCounters, PeerTraffic, Traffic, TrafficCounts};
 
-/// The newest version of the protocol that this crate speaks. A frame has version 1 unless it says what only
-/// version 2 can, so that who tells nothing of plans is read by every node; version 3 adds what changed between two
-/// plans.
+/// The newest version of the protocol that this crate speaks.
 pub const VERSION: u8 = 3;
-/// Bytes of a frame's body at most.
+/// The longest body of a frame, in bytes.
 pub const MAX_BODY: usize = 64 * 1024;
-/// Bytes of a name at most: placers, nodes, jobs, classes, tenants, services, sessions.
+/// The longest name (of a placer, node, job, class, tenant, service or session), in bytes.
 pub const MAX_NAME: usize = 256;
-/// Bytes of a text at most: reasons for the staff.
+/// The longest explanation for operators, in bytes.
 pub const MAX_TEXT: usize = 1024;
-/// Bytes of a plan's text at most.
+/// The longest text of a configuration, in bytes.
 pub const MAX_PLAN: usize = 48 * 1024;
-/// Bytes of a task's payload at most.
+/// The longest payload of a task, in bytes.
 pub const MAX_PAYLOAD: usize = 32 * 1024;
-/// Values of a load report at most.
+/// The most values of a load report.
 pub const MAX_REPORT: usize = 8;
--- a/crates/node-protocol/tests/frames.rs
+++ b/crates/node-protocol/tests/frames.rs
@@ -5,7 +5,7 @@
 
 fn attempt() -> impl Strategy<Value = AttemptId> {
     (any::<u64>(), any::<u64>(), any::<u16>()).prop_map(|(life, request, number)| AttemptId {
-        life,
+        incarnation: life,
         request,
         number,
     })
@@ -22,40 +22,48 @@
             class: names[2].clone(),
             tenant: names[3].clone(),
             service: names[4].clone(),
-            repeat: [Repeat::Safe, Repeat::Keyed, Repeat::Unsafe][usize::from(repeat)],
-            group: [Group::All, Group::Hall, Group::Rack][usize::from(group)],
-            window_ms: asks.4,
-            key: asks.3,
+            idempotency: [
+                Idempotency::Idempotent,
+                Idempotency::IdempotentByKey,
+                Idempotency::NonIdempotent,
+            ][usize::from(repeat)],
+            deduplication_scope: [
+                DeduplicationScope::All,
+                DeduplicationScope::Zone,
+                DeduplicationScope::Rack,
+            ][usize::from(group)],
+            deduplication_window_ms: asks.4,
+            idempotency_key: asks.3,
             cores: asks.0,
             memory: asks.1,
-            life_ms: asks.2,
+            expected_duration_ms: asks.2,
             payload,
         }
     })
 }
 
-fn end() -> impl Strategy<Value = End> {
+fn end() -> impl Strategy<Value = TaskEnd> {
     prop_oneof![
-        any::<u8>().prop_map(End::Exited),
-        any::<u8>().prop_map(End::Signaled),
-        Just(End::Evicted),
-        Just(End::PushedOut),
-        Just(End::SentAway),
-        Just(End::Stopped),
-        Just(End::Unknown),
-        "[a-z ]{0,20}".prop_map(End::Error),
+        any::<u8>().prop_map(TaskEnd::Exited),
+        any::<u8>().prop_map(TaskEnd::Signaled),
+        Just(TaskEnd::Evicted),
+        Just(TaskEnd::Preempted),
+        Just(TaskEnd::Drained),
+        Just(TaskEnd::Stopped),
+        Just(TaskEnd::Unknown),
+        "[a-z ]{0,20}".prop_map(TaskEnd::Error),
     ]
 }
 
-fn held() -> impl Strategy<Value = Held> {
+fn held() -> impl Strategy<Value = InFlightTask> {
     let state = prop_oneof![
-        Just(HeldState::Waiting),
-        Just(HeldState::Accepted),
-        Just(HeldState::Running),
-        Just(HeldState::Suspended),
-        (end(), any::<bool>()).prop_map(|(end, ran)| HeldState::Ended { end, ran }),
+        Just(InFlightState::Queued),
+        Just(InFlightState::Accepted),
+        Just(InFlightState::Running),
+        Just(InFlightState::Suspended),
+        (end(), any::<bool>()).prop_map(|(end, ran)| InFlightState::Ended { end, ran }),
     ];
-    (attempt(), task(), state).prop_map(|(attempt, task, state)| Held {
+    (attempt(), task(), state).prop_map(|(attempt, task, state)| InFlightTask {
         attempt,
         task,
         state,
@@ -74,7 +82,10 @@
 }
 
 fn ballot() -> impl Strategy<Value = Ballot> {
-    (any::<u64>(), any::<u64>()).prop_map(|(round, by)| Ballot { round, by })
+    (any::<u64>(), any::<u64>()).prop_map(|(round, by)| Ballot {
+        round,
+        proposer: by,
+    })
 }
 
 fn stamp() -> impl Strategy<Value = VersionStamp> {
@@ -82,7 +93,7 @@
         |(version, joint, list, build)| VersionStamp {
             version,
             joint,
-            list,
+            list_revision: list,
             build,
         },
     )
@@ -106,16 +117,16 @@
     (version(), prop::option::of(next), ballot(), rest).prop_map(
         |(force, next, promised, (list, floor_ms, linked, behind, (stuck, learns, deltas)))| {
             AcceptorReport {
-                force,
-                next,
+                committed: force,
+                accepted: next,
                 promised,
-                list,
-                floor_ms,
-                linked,
-                behind,
-                stuck,
-                learns,
-                deltas,
+                list_revision: list,
+                floor_age_ms: floor_ms,
+                connected_placers: linked,
+                lagging_placers: behind,
+                cannot_persist: stuck,
+                is_learner: learns,
+                reads_deltas: deltas,
             }
         },
     )
@@ -201,16 +212,19 @@
         ("[a-z]{0,9}", any::<u64>(), any::<u64>()).prop_map(|(placer, life, link)| {
             Message::Hello {
                 placer,
-                life,
+                incarnation: life,
                 link,
-                acts: None,
+                version_info: None,
             }
         }),
         ("[a-z]{0,9}", any::<u64>(), stamp()).prop_map(|(placer, life, stamp)| Message::Hello {
             placer,
-            life,
+            incarnation: life,
             link: life ^ 5,
-            acts: Some((stamp, "0.2.0".to_owned())),
+            version_info: Some(VersionInfo {
+                stamp,
+                build: "0.2.0".to_owned()
+            }),
         }),
         order().prop_map(Message::ConfigRequest),
         record().prop_map(Message::AcceptorReport),
@@ -239,29 +253,33 @@
             .prop_map(
                 |(node, life, up_ms, can_suspend, record)| Message::Welcome {
                     node,
-                    life,
+                    incarnation: life,
                     up_ms,
                     can_suspend,
-                    record
+                    acceptor_report: record
                 }
             ),
         (prop::collection::vec(held(), 0..5), any::<bool>())
-            .prop_map(|(held, last)| Message::Holds { held, last }),
+            .prop_map(|(held, last)| Message::InFlight { tasks: held, last }),
         (attempt(), report()).prop_map(|(attempt, report)| Message::Accepted { attempt, report }),
-        (attempt(), 0..Reason::ALL.len(), "[a-z ]{0,30}", report()).prop_map(
-            |(attempt, reason, text, report)| {
-                Message::Refused {
+        (
+            attempt(),
+            0..RejectionReason::ALL.len(),
+            "[a-z ]{0,30}",
+            report()
+        )
+            .prop_map(|(attempt, reason, text, report)| {
+                Message::Rejected {
                     attempt,
-                    reason: Reason::ALL[reason],
+                    reason: RejectionReason::ALL[reason],
                     text,
                     report,
                 }
-            }
-        ),
-        (attempt(), 0..Topic::ALL.len(), 0.0..1e9).prop_map(|(attempt, topic, amount)| {
-            Message::Note {
+            }),
+        (attempt(), 0..TaskSignalKind::ALL.len(), 0.0..1e9).prop_map(|(attempt, topic, amount)| {
+            Message::TaskSignal {
                 attempt,
-                topic: Topic::ALL[topic],
+                kind: TaskSignalKind::ALL[topic],
                 amount,
             }
         }),
@@ -281,7 +299,7 @@
     #[test]
     fn messages_survive_their_bytes(messages in prop::collection::vec(message(), 1..5), step in 1_usize..50) {
         let bytes: Vec<u8> = messages.iter().flat_map(encode).collect();
-        let (mut reader, mut found) = (Reader::default(), Vec::new());
+        let (mut reader, mut found) = (FrameDecoder::default(), Vec::new());
         for chunk in bytes.chunks(step) {
             reader.push(chunk);
             while let Some((message, frame)) = reader.next_message().unwrap() {
@@ -298,7 +316,7 @@
         let mut bytes = encode(&message);
         let at = at.index(bytes.len());
         bytes[at] ^= by;
-        let mut reader = Reader::default();
+        let mut reader = FrameDecoder::default();
         reader.push(&bytes);
         // A longer length waits for bytes that never come; everything else is an error.
         prop_assert!(!matches!(reader.next_message(), Ok(Some(_))));
@@ -306,7 +324,7 @@
 
     #[test]
     fn noise_never_panics(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
-        let mut reader = Reader::default();
+        let mut reader = FrameDecoder::default();
         reader.push(&bytes);
         while let Ok(Some(_)) = reader.next_message() {}
     }
@@ -314,20 +332,23 @@
 
 #[test]
 fn limits_hold() {
-    let mut reader = Reader::default();
+    let mut reader = FrameDecoder::default();
     reader.push(&[0, 1, 0, 1, VERSION, 4, 0, 0]);
-    assert_eq!(reader.next_message().unwrap_err(), FrameError::Long(65_537));
-    let mut reader = Reader::default();
+    assert_eq!(
+        reader.next_message().unwrap_err(),
+        FrameError::BodyTooLong(65_537)
+    );
+    let mut reader = FrameDecoder::default();
     reader.push(&[0, 0, 0, 8, 9, 4, 0, 0]);
     assert_eq!(
         reader.next_message().unwrap_err(),
-        FrameError::ConfigVersion(9)
+        FrameError::UnsupportedVersion(9)
     );
     let long = Message::Hello {
         placer: "ä".repeat(MAX_NAME),
-        life: 1,
+        incarnation: 1,
         link: 1,
-        acts: None,
+        version_info: None,
     };
     let Message::Hello { placer, .. } = decode(&encode(&long)).unwrap() else {
         panic!("no hello")
@@ -339,7 +360,7 @@
 fn the_bytes_of_a_frame_stay_as_documented() {
     let stop = Message::Stop {
         attempt: AttemptId {
-            life: 1,
+            incarnation: 1,
             request: 2,
             number: 3,
         },
@@ -420,16 +441,16 @@
     ]
     .concat();
     let record = AcceptorReport {
-        force: version,
-        list: 9,
-        floor_ms: 256,
-        linked: 3,
-        behind: 1,
-        stuck: true,
+        committed: version,
+        list_revision: 9,
+        floor_age_ms: 256,
+        connected_placers: 3,
+        lagging_placers: 1,
+        cannot_persist: true,
         ..AcceptorReport::default()
     };
     let deltas = AcceptorReport {
-        deltas: true,
+        reads_deltas: true,
         ..record
     };
     assert_eq!(
@@ -459,10 +480,10 @@
     );
     let welcome = |record| Message::Welcome {
         node: "n".into(),
-        life: 1,
+        incarnation: 1,
         up_ms: 2,
         can_suspend: false,
-        record,
+        acceptor_report: record,
     };
     let bytes = encode(&welcome(Some(deltas)));
     assert_eq!((bytes[4], bytes[6]), (2, 2));
@@ -482,23 +503,23 @@
 /// The body of a record, field by field as documented.
 fn former_body(record: &AcceptorReport) -> Vec<u8> {
     let mut body = Vec::new();
-    body.extend(record.force.number.to_be_bytes());
-    body.extend(record.force.digest.0);
-    body.push(u8::from(record.next.is_some()));
-    if let Some(next) = &record.next {
+    body.extend(record.committed.number.to_be_bytes());
+    body.extend(record.committed.digest.0);
+    body.push(u8::from(record.accepted.is_some()));
+    if let Some(next) = &record.accepted {
         body.extend(next.ballot.round.to_be_bytes());
-        body.extend(next.ballot.by.to_be_bytes());
+        body.extend(next.ballot.proposer.to_be_bytes());
         body.extend(next.version.number.to_be_bytes());
         body.extend(next.version.digest.0);
         body.push(u8::from(next.joint));
     }
     body.extend(record.promised.round.to_be_bytes());
-    body.extend(record.promised.by.to_be_bytes());
-    body.extend(record.list.to_be_bytes());
-    body.extend(record.floor_ms.to_be_bytes());
-    body.extend(record.linked.to_be_bytes());
-    body.extend(record.behind.to_be_bytes());
-    body.push(u8::from(record.stuck));
+    body.extend(record.promised.proposer.to_be_bytes());
+    body.extend(record.list_revision.to_be_bytes());
+    body.extend(record.floor_age_ms.to_be_bytes());
+    body.extend(record.connected_placers.to_be_bytes());
+    body.extend(record.lagging_placers.to_be_bytes());
+    body.push(u8::from(record.cannot_persist));
     body
 }
 
@@ -513,12 +534,12 @@
         joint: true,
     });
     AcceptorReport {
-        next,
-        floor_ms: 5,
-        linked: 3,
-        behind: 1,
-        stuck: true,
-        learns: true,
+        accepted: next,
+        floor_age_ms: 5,
+        connected_placers: 3,
+        lagging_placers: 1,
+        cannot_persist: true,
+        is_learner: true,
         ..AcceptorReport::default()
     }
 }
@@ -526,7 +547,7 @@
 #[test]
 fn a_record_of_the_former_version_is_read_as_a_voters() {
     let record = AcceptorReport {
-        learns: false,
+        is_learner: false,
         ..learner_record()
     };
     let bytes = former_frame(72, &former_body(&record));
--- a/crates/node-protocol/tests/golden.rs
+++ b/crates/node-protocol/tests/golden.rs
@@ -55,26 +55,26 @@
 
 fn attempt(request: u64) -> AttemptId {
     AttemptId {
-        life: 0x0102_0304_0506_0708,
+        incarnation: 0x0102_0304_0506_0708,
         request,
         number: 0x0a0b,
     }
 }
 
-fn task(repeat: Repeat, group: Group) -> Task {
+fn task(repeat: Idempotency, group: DeduplicationScope) -> Task {
     Task {
         session: "sitzung-1".into(),
         job: "j.17".into(),
         class: "küche".into(),
         tenant: "tenant".into(),
         service: "".into(),
-        repeat,
-        group,
-        window_ms: 60_000,
-        key: 0xfeed_face_cafe_beef,
+        idempotency: repeat,
+        deduplication_scope: group,
+        deduplication_window_ms: 60_000,
+        idempotency_key: 0xfeed_face_cafe_beef,
         cores: 1.5,
         memory: 0.015_625,
-        life_ms: 86_400_000,
+        expected_duration_ms: 86_400_000,
         payload: b"{\"command\":\"sleep\",\"args\":[\"1\"]}".to_vec(),
     }
 }
@@ -89,7 +89,7 @@
 fn ballot() -> Ballot {
     Ballot {
         round: 3,
-        by: 0x0102_0304_0506_0708,
+        proposer: 0x0102_0304_0506_0708,
     }
 }
 
@@ -97,23 +97,23 @@
     VersionStamp {
         version: version(7),
         joint,
-        list: 41,
+        list_revision: 41,
         build: 0xdead_beef,
     }
 }
 
 fn record() -> AcceptorReport {
     AcceptorReport {
-        force: version(6),
-        next: None,
+        committed: version(6),
+        accepted: None,
         promised: ballot(),
-        list: 41,
-        floor_ms: 12_345,
-        linked: 3,
-        behind: 1,
-        stuck: false,
-        learns: false,
-        deltas: false,
+        list_revision: 41,
+        floor_age_ms: 12_345,
+        connected_placers: 3,
+        lagging_placers: 1,
+        cannot_persist: false,
+        is_learner: false,
+        reads_deltas: false,
     }
 }
 
@@ -124,19 +124,19 @@
         joint,
     };
     AcceptorReport {
-        next: Some(next),
-        stuck: joint,
-        deltas: true,
+        accepted: Some(next),
+        cannot_persist: joint,
+        reads_deltas: true,
         ..record()
     }
 }
 
 fn learner() -> AcceptorReport {
     AcceptorReport {
-        force: ConfigVersion::default(),
-        stuck: true,
-        learns: true,
-        deltas: true,
+        committed: ConfigVersion::default(),
+        cannot_persist: true,
+        is_learner: true,
+        reads_deltas: true,
         ..introduced(true)
     }
 }
@@ -173,23 +173,23 @@
     }
 }
 
-fn ends() -> [(&'static str, End); 8] {
+fn ends() -> [(&'static str, TaskEnd); 8] {
     [
-        ("exited", End::Exited(3)),
-        ("signaled", End::Signaled(9)),
-        ("evicted", End::Evicted),
-        ("pushed-out", End::PushedOut),
-        ("sent-away", End::SentAway),
-        ("stopped", End::Stopped),
-        ("error", End::Error("kein Platz: größer".to_owned())),
-        ("unknown", End::Unknown),
+        ("exited", TaskEnd::Exited(3)),
+        ("signaled", TaskEnd::Signaled(9)),
+        ("evicted", TaskEnd::Evicted),
+        ("pushed-out", TaskEnd::Preempted),
+        ("sent-away", TaskEnd::Drained),
+        ("stopped", TaskEnd::Stopped),
+        ("error", TaskEnd::Error("kein Platz: größer".to_owned())),
+        ("unknown", TaskEnd::Unknown),
     ]
 }
 
-fn held(request: u64, state: HeldState) -> Held {
-    Held {
+fn held(request: u64, state: InFlightState) -> InFlightTask {
+    InFlightTask {
         attempt: attempt(request),
-        task: task(Repeat::Keyed, Group::Hall),
+        task: task(Idempotency::IdempotentByKey, DeduplicationScope::Zone),
         state,
     }
 }
@@ -198,16 +198,16 @@
 fn link_messages() -> Vec<(String, Message)> {
     let hello = |acts| Message::Hello {
         placer: "placer-1".into(),
-        life: 77,
+        incarnation: 77,
         link: 5,
-        acts,
+        version_info: acts,
     };
     let welcome = |can_suspend, record| Message::Welcome {
         node: "knoten-ü".into(),
-        life: 78,
+        incarnation: 78,
         up_ms: 9_000,
         can_suspend,
-        record,
+        acceptor_report: record,
     };
     let record_with =
         |name: &str, record| (format!("record-{name}"), Message::AcceptorReport(record));
@@ -215,11 +215,17 @@
         ("hello".into(), hello(None)),
         (
             "hello-stamped".into(),
-            hello(Some((stamp(false), "0.2.0".to_owned()))),
+            hello(Some(VersionInfo {
+                stamp: stamp(false),
+                build: "0.2.0".to_owned(),
+            })),
         ),
         (
             "hello-stamped-joint".into(),
-            hello(Some((stamp(true), "".to_owned()))),
+            hello(Some(VersionInfo {
+                stamp: stamp(true),
+                build: "".to_owned(),
+            })),
         ),
         ("welcome".into(), welcome(true, None)),
         ("welcome-record".into(), welcome(false, Some(record()))),
@@ -239,7 +245,7 @@
         record_with(
             "learner-former",
             AcceptorReport {
-                deltas: false,
+                reads_deltas: false,
                 ..learner()
             },
         ),
@@ -250,14 +256,14 @@
 fn task_messages() -> Vec<(String, Message)> {
     let mut all = Vec::new();
     for (repeat_name, repeat) in [
-        ("safe", Repeat::Safe),
-        ("keyed", Repeat::Keyed),
-        ("unsafe", Repeat::Unsafe),
+        ("safe", Idempotency::Idempotent),
+        ("keyed", Idempotency::IdempotentByKey),
+        ("unsafe", Idempotency::NonIdempotent),
     ] {
         for (group_name, group) in [
-            ("all", Group::All),
-            ("hall", Group::Hall),
-            ("rack", Group::Rack),
+            ("all", DeduplicationScope::All),
+            ("hall", DeduplicationScope::Zone),
+            ("rack", DeduplicationScope::Rack),
         ] {
             let task = Box::new(task(repeat, group));
             let offer = Message::Offer {
@@ -314,32 +320,29 @@
 fn node_messages() -> Vec<(String, Message)> {
     let mut all = Vec::new();
     let states = [
-        HeldState::Waiting,
-        HeldState::Accepted,
-        HeldState::Running,
-        HeldState::Suspended,
+        InFlightState::Queued,
+        InFlightState::Accepted,
+        InFlightState::Running,
+        InFlightState::Suspended,
     ];
-    let mut tasks: Vec<Held> = (10..)
+    let mut tasks: Vec<InFlightTask> = (10..)
         .zip(states)
         .map(|(request, state)| held(request, state))
         .collect();
     for (request, (_, end)) in (20..).zip(ends()) {
         let ran = request % 2 == 0;
-        tasks.push(held(request, HeldState::Ended { end, ran }));
+        tasks.push(held(request, InFlightState::Ended { end, ran }));
     }
     all.push((
         "holds-none".into(),
-        Message::Holds {
-            held: Vec::new(),
+        Message::InFlight {
+            tasks: Vec::new(),
             last: true,
         },
     ));
     all.push((
         "holds-each-state".into(),
-        Message::Holds {
-            held: tasks,
-            last: false,
-        },
+        Message::InFlight { tasks, last: false },
     ));
     all.push((
         "accepted".into(),
@@ -349,18 +352,18 @@
         },
     ));
     let reasons = [
-        ("untold", Reason::Untold),
-        ("no-cores", Reason::NoCores),
-        ("no-memory", Reason::NoMemory),
-        ("crowded", Reason::Crowded),
-        ("draining", Reason::Draining),
-        ("copy-stands", Reason::CopyStands),
-        ("too-late", Reason::TooLate),
-        ("not-here", Reason::NotHere),
-        ("superseded", Reason::Superseded),
+        ("untold", RejectionReason::Unspecified),
+        ("no-cores", RejectionReason::NoCores),
+        ("no-memory", RejectionReason::NoMemory),
+        ("crowded", RejectionReason::QueueFull),
+        ("draining", RejectionReason::Draining),
+        ("copy-stands", RejectionReason::DuplicateActive),
+        ("too-late", RejectionReason::DeadlineExceeded),
+        ("not-here", RejectionReason::Unsupported),
+        ("superseded", RejectionReason::Superseded),
     ];
     for (name, reason) in reasons {
-        let refused = Message::Refused {
+        let refused = Message::Rejected {
             attempt: attempt(31),
             reason,
             text: "weil’s so ist".into(),
@@ -369,20 +372,20 @@
         all.push((format!("refused-{name}"), refused));
     }
     let topics = [
-        ("runs", Topic::Runs),
-        ("cores", Topic::Cores),
-        ("memory", Topic::Memory),
-        ("served", Topic::Served),
-        ("pressure", Topic::Pressure),
-        ("suspended", Topic::Suspended),
-        ("resumed", Topic::Resumed),
+        ("runs", TaskSignalKind::Running),
+        ("cores", TaskSignalKind::CoresUsed),
+        ("memory", TaskSignalKind::MemoryUsed),
+        ("served", TaskSignalKind::ServiceFraction),
+        ("pressure", TaskSignalKind::MemoryPressure),
+        ("suspended", TaskSignalKind::Suspended),
+        ("resumed", TaskSignalKind::Resumed),
     ];
     for (name, topic) in topics {
         all.push((
             format!("note-{name}"),
-            Message::Note {
+            Message::TaskSignal {
                 attempt: attempt(32),
-                topic,
+                kind: topic,
                 amount: 0.75,
             },
         ));
--- a/crates/node-simulator/src/groups.rs
+++ b/crates/node-simulator/src/groups.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use reedring_node_protocol::{AttemptId, Group, Task};
+use reedring_node_protocol::{AttemptId, DeduplicationScope, Task};
 
 /// Keyed tasks that stand, or stood within their window, by group and key. Nodes of one process share one.
 #[derive(Debug, Default)]
@@ -19,12 +19,12 @@
 }
 
 fn name(task: &Task, hall: &str, rack: &str) -> (String, u64) {
-    let group = match task.group {
-        Group::All => String::new(),
-        Group::Hall => hall.to_owned(),
-        Group::Rack => format!("{hall}\n{rack}"),
+    let group = match task.deduplication_scope {
+        DeduplicationScope::All => String::new(),
+        DeduplicationScope::Zone => hall.to_owned(),
+        DeduplicationScope::Rack => format!("{hall}\n{rack}"),
     };
-    (group, task.key)
+    (group, task.idempotency_key)
 }
 
 impl Groups {
@@ -76,7 +76,7 @@
             return;
         };
         if to_its_end {
-            copy.until_us = Some(copy.first_us + u64::from(task.window_ms) * 1_000);
+            copy.until_us = Some(copy.first_us + u64::from(task.deduplication_window_ms) * 1_000);
         } else {
             self.copies.remove(&name);
         }
--- a/crates/node-simulator/src/model/jobs.rs
+++ b/crates/node-simulator/src/model/jobs.rs
@@ -1,6 +1,6 @@
 //! Jobs: starts, lives, ends, eviction, stops, drains.
 
-use reedring_node_protocol::{AttemptId, End, Message, Repeat, Task, Topic};
+use reedring_node_protocol::{AttemptId, Idempotency, Message, Task, TaskEnd, TaskSignalKind};
 
 use super::Node;
 use super::types::State;
@@ -65,9 +65,9 @@
                 report: self.report(),
             }
         } else {
-            Message::Note {
+            Message::TaskSignal {
                 attempt,
-                topic: Topic::Runs,
+                kind: TaskSignalKind::Running,
                 amount: 0.0,
             }
         };
@@ -89,11 +89,11 @@
             else {
                 break;
             };
-            self.end(attempt, End::Evicted, true, groups);
+            self.end(attempt, TaskEnd::Evicted, true, groups);
         }
     }
 
-    pub(super) fn end(&mut self, attempt: AttemptId, end: End, ran: bool, groups: &mut Groups) {
+    pub(super) fn end(&mut self, attempt: AttemptId, end: TaskEnd, ran: bool, groups: &mut Groups) {
         let Some(job) = self.jobs.remove(&attempt) else {
             return;
         };
@@ -114,8 +114,8 @@
             self.used -= job.uses;
             self.starting -= usize::from(job.state == State::Starting);
         }
-        if job.task.repeat == Repeat::Keyed {
-            let to_its_end = matches!(end, End::Exited(_) | End::Signaled(_));
+        if job.task.idempotency == Idempotency::IdempotentByKey {
+            let to_its_end = matches!(end, TaskEnd::Exited(_) | TaskEnd::Signaled(_));
             groups.gone(
                 attempt,
                 &job.task,
@@ -132,7 +132,7 @@
         placer: &str,
         attempt: AttemptId,
         task: Task,
-        end: End,
+        end: TaskEnd,
         ran: bool,
     ) {
         if let Some(placer) = self.placers.get_mut(placer) {
@@ -162,12 +162,12 @@
             .iter()
             .position(|waiting| waiting.attempt == attempt);
         if let Some(waiting) = waits.and_then(|at| self.line.remove(at)) {
-            return self.tell_end(placer, attempt, waiting.task, End::Stopped, false);
+            return self.tell_end(placer, attempt, waiting.task, TaskEnd::Stopped, false);
         }
         match self.jobs.get(&attempt) {
             Some(job) => {
                 let ran = job.state != State::Queued;
-                self.end(attempt, End::Stopped, ran, groups);
+                self.end(attempt, TaskEnd::Stopped, ran, groups);
                 self.start_next(now_us);
             }
             None => {
@@ -176,7 +176,7 @@
                     .placers
                     .get(placer)
                     .and_then(|placer| placer.ends.get(&attempt).cloned());
-                let (end, ran) = told.map_or((End::Unknown, false), |(_, end, ran)| (end, ran));
+                let (end, ran) = told.map_or((TaskEnd::Unknown, false), |(_, end, ran)| (end, ran));
                 let report = self.report();
                 self.tell(
                     placer,
@@ -201,21 +201,21 @@
                 job.state = State::Suspended {
                     left_us: job.until_us.saturating_sub(now_us),
                 };
-                Topic::Suspended
+                TaskSignalKind::Suspended
             }
             (State::Suspended { left_us }, false) => {
                 (job.until_us, job.state) = (now_us + left_us, State::Running);
                 self.due.insert((job.until_us, attempt));
-                Topic::Resumed
+                TaskSignalKind::Resumed
             }
             _ => return,
         };
         let placer = job.placer.clone();
         self.tell(
             &placer,
-            Message::Note {
+            Message::TaskSignal {
                 attempt,
-                topic,
+                kind: topic,
                 amount: 0.0,
             },
         );
@@ -231,7 +231,7 @@
                 .map(|(attempt, job)| (*attempt, job.state != State::Queued))
                 .collect();
             for (attempt, ran) in all {
-                self.end(attempt, End::SentAway, ran, groups);
+                self.end(attempt, TaskEnd::Drained, ran, groups);
             }
         }
     }
@@ -239,7 +239,7 @@
     /// It dies: its tasks die with it, and its group lets new copies stand.
     pub fn die(&mut self, groups: &mut Groups) {
         for (attempt, job) in std::mem::take(&mut self.jobs) {
-            if job.task.repeat == Repeat::Keyed {
+            if job.task.idempotency == Idempotency::IdempotentByKey {
                 groups.gone(
                     attempt,
                     &job.task,
--- a/crates/node-simulator/src/model/links.rs
+++ b/crates/node-simulator/src/model/links.rs
@@ -1,6 +1,6 @@
 //! Links: greetings, what a placer is told that is held for it, and which link may speak.
 
-use reedring_node_protocol::{Held, HeldState, Message, VersionStamp};
+use reedring_node_protocol::{InFlightState, InFlightTask, Message, VersionStamp};
 
 use super::types::{Effect, LinkId, State};
 use super::{Node, PAGE};
@@ -26,12 +26,12 @@
         }
         if let Message::Hello {
             placer,
-            life,
+            incarnation,
             link: number,
-            acts,
+            version_info,
         } = message
         {
-            if acts.is_some() && !self.config.plans {
+            if version_info.is_some() && !self.config.plans {
                 // It speaks version 1 alone.
                 return self.effects.push(Effect::Close(link));
             }
@@ -39,8 +39,8 @@
                 now_us,
                 link,
                 &placer,
-                (life, number),
-                acts.map(|(stamp, _)| stamp),
+                (incarnation, number),
+                version_info.map(|info| info.stamp),
             );
         }
         if matches!(message, Message::ConfigRequest(_)) && !self.config.plans {
@@ -112,34 +112,34 @@
         let record = stamp.is_some().then(|| self.record(now_us));
         let welcome = Message::Welcome {
             node: self.config.name.clone(),
-            life: self.life,
+            incarnation: self.life,
             up_ms,
             can_suspend: self.config.can_suspend,
-            record,
+            acceptor_report: record,
         };
         self.effects.push(Effect::Send(link, welcome));
-        let mut held: Vec<Held> = Vec::new();
+        let mut held: Vec<InFlightTask> = Vec::new();
         let waiting = self.line.iter().filter(|waiting| waiting.placer == name);
-        held.extend(waiting.map(|waiting| Held {
+        held.extend(waiting.map(|waiting| InFlightTask {
             attempt: waiting.attempt,
             task: waiting.task.clone(),
-            state: HeldState::Waiting,
+            state: InFlightState::Queued,
         }));
         let jobs = self.jobs.iter().filter(|(_, job)| job.placer == name);
-        held.extend(jobs.map(|(attempt, job)| Held {
+        held.extend(jobs.map(|(attempt, job)| InFlightTask {
             attempt: *attempt,
             task: job.task.clone(),
             state: match job.state {
-                State::Queued | State::Starting => HeldState::Accepted,
-                State::Running => HeldState::Running,
-                State::Suspended { .. } => HeldState::Suspended,
+                State::Queued | State::Starting => InFlightState::Accepted,
+                State::Running => InFlightState::Running,
+                State::Suspended { .. } => InFlightState::Suspended,
             },
         }));
         let ends = &self.placers[name].ends;
-        held.extend(ends.iter().map(|(attempt, (task, end, ran))| Held {
+        held.extend(ends.iter().map(|(attempt, (task, end, ran))| InFlightTask {
             attempt: *attempt,
             task: task.clone(),
-            state: HeldState::Ended {
+            state: InFlightState::Ended {
                 end: end.clone(),
                 ran: *ran,
             },
@@ -151,15 +151,20 @@
             page.push(one);
             if size > PAGE {
                 let held = std::mem::take(&mut page);
-                self.effects
-                    .push(Effect::Send(link, Message::Holds { held, last: false }));
+                self.effects.push(Effect::Send(
+                    link,
+                    Message::InFlight {
+                        tasks: held,
+                        last: false,
+                    },
+                ));
                 size = 0;
             }
         }
         self.effects.push(Effect::Send(
             link,
-            Message::Holds {
-                held: page,
+            Message::InFlight {
+                tasks: page,
                 last: true,
             },
         ));
--- a/crates/node-simulator/src/model/offers.rs
+++ b/crates/node-simulator/src/model/offers.rs
@@ -2,7 +2,9 @@
 
 use rand_core::Rng;
 use reedring_drmaa::JobSpec;
-use reedring_node_protocol::{AttemptId, End, Message, Reason, Repeat, Task, VersionStamp};
+use reedring_node_protocol::{
+    AttemptId, Idempotency, Message, RejectionReason, Task, TaskEnd, VersionStamp,
+};
 
 use super::Node;
 use super::types::{Effect, Job, State, Waiting};
@@ -53,7 +55,7 @@
             return;
         }
         if self.line.len() >= self.config.line {
-            return self.refuse(&placer, attempt, Reason::Crowded);
+            return self.refuse(&placer, attempt, RejectionReason::QueueFull);
         }
         let too_late_us = match within_ms {
             0 => u64::MAX,
@@ -76,11 +78,11 @@
         now_us < self.started_us + self.config.warm_ms * 1_000
     }
 
-    pub(super) fn refuse(&mut self, placer: &str, attempt: AttemptId, reason: Reason) {
+    pub(super) fn refuse(&mut self, placer: &str, attempt: AttemptId, reason: RejectionReason) {
         let (text, report) = (String::new(), self.report());
         self.tell(
             placer,
-            Message::Refused {
+            Message::Rejected {
                 attempt,
                 reason,
                 text,
@@ -105,36 +107,36 @@
             // The floor rose while it was in line.
             superseded
         } else if too_late_us <= now_us {
-            Some(Reason::TooLate)
+            Some(RejectionReason::DeadlineExceeded)
         } else if self.drains {
-            Some(Reason::Draining)
+            Some(RejectionReason::Draining)
         } else if self.fault.throttles.contains(&task.tenant) {
-            Some(Reason::Untold)
-        } else if task.repeat == Repeat::Keyed
+            Some(RejectionReason::Unspecified)
+        } else if task.idempotency == Idempotency::IdempotentByKey
             && groups.stands(now_us, attempt, &task, &hall, &rack)
         {
-            Some(Reason::CopyStands)
+            Some(RejectionReason::DuplicateActive)
         } else if !room(
             cores,
             task.cores,
             self.config.cores,
             self.config.accepts_cores,
         ) {
-            Some(Reason::NoCores)
+            Some(RejectionReason::NoCores)
         } else if !room(
             memory,
             task.memory,
             self.config.memory,
             self.config.accepts_memory,
         ) {
-            Some(Reason::NoMemory)
+            Some(RejectionReason::NoMemory)
         } else {
             None
         };
         if let Some(reason) = refusal {
             return self.refuse(&placer, attempt, reason);
         }
-        if task.repeat == Repeat::Keyed {
+        if task.idempotency == Idempotency::IdempotentByKey {
             groups.taken(now_us, attempt, &task, &hall, &rack);
         }
         let (life_us, end) = self.run_of(&task);
@@ -166,25 +168,25 @@
     }
 
     /// How long a task runs and how it ends, by its command or its life.
-    pub(super) fn run_of(&self, task: &Task) -> (u64, End) {
+    pub(super) fn run_of(&self, task: &Task) -> (u64, TaskEnd) {
         let spec: JobSpec = serde_json::from_slice(&task.payload).unwrap_or_default();
         let word = spec.command.rsplit('/').next().unwrap_or_default();
         let first = spec.args.first().map(String::as_str).unwrap_or_default();
-        let told = if task.life_ms > 0 {
-            task.life_ms
+        let told = if task.expected_duration_ms > 0 {
+            task.expected_duration_ms
         } else {
             self.config.life_ms
         };
         match (word, first.parse::<f64>()) {
             ("sleep", Ok(seconds)) if (0.0..1e9).contains(&seconds) => {
-                ((seconds * 1e6) as u64, End::Exited(0))
+                ((seconds * 1e6) as u64, TaskEnd::Exited(0))
             }
-            ("true", _) => (0, End::Exited(0)),
-            ("false", _) => (0, End::Exited(1)),
+            ("true", _) => (0, TaskEnd::Exited(0)),
+            ("false", _) => (0, TaskEnd::Exited(1)),
             ("exit", Ok(status)) if (0.0..256.0).contains(&status) => {
-                (0, End::Exited(status as u8))
+                (0, TaskEnd::Exited(status as u8))
             }
-            _ => (told * 1_000, End::Exited(0)),
+            _ => (told * 1_000, TaskEnd::Exited(0)),
         }
     }
 }
--- a/crates/node-simulator/src/model/plans.rs
+++ b/crates/node-simulator/src/model/plans.rs
@@ -4,7 +4,9 @@
 use std::io;
 
 use reedring::names::machine_id;
-use reedring_node_protocol::{AcceptorReport, ConfigRequest, Message, Reason, VersionStamp};
+use reedring_node_protocol::{
+    AcceptorReport, ConfigRequest, Message, RejectionReason, VersionStamp,
+};
 use reedring_plan::{
     AcceptorState, ConfigDocument, ConfigVersion, Delta, DeltaStep, LearnerState, OfferRejection,
     PlacerSighting, RequestRejection, delta,
@@ -117,15 +119,15 @@
             behind += u16::from(stamp.level() < floor);
         }
         let floor_ms = now_us.saturating_sub(self.plans.floor_us) / 1_000;
-        let stuck = kept.stuck
+        let stuck = kept.cannot_persist
             || self.plans.stuck
             || self.plans.acts.installed_by_catch_up && !self.has_settled(now_us);
         AcceptorReport {
-            floor_ms,
-            linked,
-            behind,
-            stuck,
-            deltas: true,
+            floor_age_ms: floor_ms,
+            connected_placers: linked,
+            lagging_placers: behind,
+            cannot_persist: stuck,
+            reads_deltas: true,
             ..kept
         }
     }
@@ -271,7 +273,7 @@
                 let stamp = VersionStamp {
                     version: *version,
                     joint: true,
-                    list: *list,
+                    list_revision: *list,
                     build: 0,
                 };
                 self.learn(now_us, &stamp);
@@ -284,7 +286,7 @@
                 let stamp = VersionStamp {
                     version: delta.target,
                     joint: true,
-                    list: *list,
+                    list_revision: *list,
                     build: 0,
                 };
                 self.learn(now_us, &stamp);
@@ -317,16 +319,16 @@
         now_us: u64,
         placer: &str,
         stamp: Option<&VersionStamp>,
-    ) -> Option<Reason> {
+    ) -> Option<RejectionReason> {
         if !self.config.plans || self.admits(stamp).is_ok() {
             return None;
         }
         if stamp.is_none() {
             // Who knows no plans knows no such reason.
-            return Some(Reason::NotHere);
+            return Some(RejectionReason::Unsupported);
         }
         let record = self.record(now_us);
         self.tell(placer, Message::AcceptorReport(record));
-        Some(Reason::Superseded)
+        Some(RejectionReason::Superseded)
     }
 }
--- a/crates/node-simulator/src/model/types.rs
+++ b/crates/node-simulator/src/model/types.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use reedring_node_protocol::{AttemptId, End, Message, Task, VersionStamp};
+use reedring_node_protocol::{AttemptId, Message, Task, TaskEnd, VersionStamp};
 
 /// A link, as the shell numbers it.
 pub type LinkId = u64;
@@ -50,7 +50,7 @@
     /// When its start or its life is over.
     pub(super) until_us: u64,
     pub(super) life_us: u64,
-    pub(super) end: End,
+    pub(super) end: TaskEnd,
     pub(super) uses: f64,
     pub(super) order: u64,
 }
@@ -72,5 +72,5 @@
     /// Lives and link numbers only go up; what is older is not read any more.
     pub(super) newest: (u64, u64),
     /// Ends that it has not acknowledged.
-    pub(super) ends: BTreeMap<AttemptId, (Task, End, bool)>,
+    pub(super) ends: BTreeMap<AttemptId, (Task, TaskEnd, bool)>,
 }
--- a/crates/node-simulator/src/serve.rs
+++ b/crates/node-simulator/src/serve.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use reedring_audit::{Event, Recorder};
-use reedring_node_protocol::{Message, PeerTraffic, Reader, Traffic, encode};
+use reedring_node_protocol::{FrameDecoder, Message, PeerTraffic, Traffic, encode};
 use reedring_plan::AcceptorState;
 use reedring_state::Disk;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -373,13 +373,13 @@
             self.traffic.get_or_init(|| peers.of(placer));
         }
         if let Some(traffic) = self.traffic.get() {
-            traffic.read(message, bytes);
+            traffic.record_read(message, bytes);
         }
     }
 
     fn count_written(&self, message: &Message, bytes: usize) {
         if let Some(traffic) = self.traffic.get() {
-            traffic.wrote(message, bytes);
+            traffic.record_written(message, bytes);
         }
     }
 
@@ -396,7 +396,7 @@
 }
 
 async fn reads(side: Side, mut read: OwnedReadHalf, came: mpsc::Sender<Came>) {
-    let (mut reader, mut buffer) = (Reader::default(), vec![0; 64 * 1024]);
+    let (mut reader, mut buffer) = (FrameDecoder::default(), vec![0; 64 * 1024]);
     'link: while let Ok(count) = read.read(&mut buffer).await {
         if count == 0 {
             break;
--- a/crates/node-simulator/tests/golden.rs
+++ b/crates/node-simulator/tests/golden.rs
@@ -31,7 +31,10 @@
             build: 0xdead_beef,
         },
     );
-    let ballot = Ballot { round: 3, by: 9 };
+    let ballot = Ballot {
+        round: 3,
+        proposer: 9,
+    };
     let (follows, version, text) = (one.version(), two.version(), two.text().to_owned());
     let accept = ConfigRequest::Accept {
         follows,
--- a/crates/node-simulator/tests/greetings.rs
+++ b/crates/node-simulator/tests/greetings.rs
@@ -1,6 +1,8 @@
 //! A crowd at one node.
 
-use reedring_node_protocol::{ConfigDigest, ConfigRequest, ConfigVersion, Message, VersionStamp};
+use reedring_node_protocol::{
+    ConfigDigest, ConfigRequest, ConfigVersion, Message, VersionInfo, VersionStamp,
+};
 use reedring_node_simulator::{Config, Effect, Groups, Node};
 use reedring_plan::ConfigDocument;
 
@@ -11,7 +13,7 @@
             digest: ConfigDigest([number as u8; 16]),
         },
         joint: false,
-        list: 1,
+        list_revision: 1,
         build: 9,
     }
 }
@@ -22,12 +24,15 @@
 fn hundreds_of_placers_on_three_versions_are_greeted_at_once() {
     let (mut node, mut groups) = (Node::new(Config::named("n"), 1, 1, 0), Groups::default());
     let hello = |n: u64| {
-        let acts = Some((stamp(1 + n % 3), "build".to_owned()));
+        let version_info = VersionInfo {
+            stamp: stamp(1 + n % 3),
+            build: "build".to_owned(),
+        };
         Message::Hello {
             placer: format!("placer-{n}"),
-            life: 1,
+            incarnation: 1,
             link: 1,
-            acts,
+            version_info: Some(version_info),
         }
     };
     node.message(0, 0, hello(2), &mut groups);
@@ -57,9 +62,12 @@
         );
     }
     let record = node.record(3);
-    assert_eq!((record.force, record.linked), (kept.version(), 350));
     assert_eq!(
-        usize::from(record.behind),
+        (record.committed, record.connected_placers),
+        (kept.version(), 350)
+    );
+    assert_eq!(
+        usize::from(record.lagging_placers),
         (0..350).filter(|n| n % 3 < 2).count()
     );
 }
--- a/crates/node-simulator/tests/learners.rs
+++ b/crates/node-simulator/tests/learners.rs
@@ -1,8 +1,8 @@
 //! Nodes that do not vote on plans: what they learn, what they refuse, and whom they tell.
 
 use reedring_node_protocol::{
-    AcceptorReport, AttemptId, Ballot, ConfigRequest, ConfigVersion, Group, Message, Reason,
-    Repeat, Task, VersionStamp, version_level,
+    AcceptorReport, AttemptId, Ballot, ConfigRequest, ConfigVersion, DeduplicationScope,
+    Idempotency, Message, RejectionReason, Task, VersionInfo, VersionStamp, version_level,
 };
 use reedring_node_simulator::{Config, Effect, Fleet, Groups, Node};
 use reedring_plan::ConfigDocument;
@@ -35,13 +35,13 @@
         class: "c".into(),
         tenant: "t".into(),
         service: "s".into(),
-        repeat: Repeat::Safe,
-        group: Group::All,
-        window_ms: 0,
-        key: 0,
+        idempotency: Idempotency::Idempotent,
+        deduplication_scope: DeduplicationScope::All,
+        deduplication_window_ms: 0,
+        idempotency_key: 0,
         cores: 0.01,
         memory: 0.01,
-        life_ms: 1,
+        expected_duration_ms: 1,
         payload: Vec::new(),
     }
 }
@@ -68,17 +68,22 @@
     }
 
     fn greet(&mut self, link: u64, stamp: Option<VersionStamp>) -> Option<AcceptorReport> {
-        let acts = stamp.map(|stamp| (stamp, "build".to_owned()));
+        let version_info = stamp.map(|stamp| VersionInfo {
+            stamp,
+            build: "build".to_owned(),
+        });
         let hello = Message::Hello {
             placer: format!("placer-{link}"),
-            life: 1,
+            incarnation: 1,
             link,
-            acts,
+            version_info,
         };
         self.send(link, hello)
             .into_iter()
             .find_map(|(_, message)| match message {
-                Message::Welcome { record, .. } => record,
+                Message::Welcome {
+                    acceptor_report, ..
+                } => acceptor_report,
                 _ => None,
             })
     }
@@ -106,10 +111,10 @@
         &mut self,
         link: u64,
         stamp: Option<VersionStamp>,
-    ) -> (Result<(), Reason>, Option<u64>) {
+    ) -> (Result<(), RejectionReason>, Option<u64>) {
         self.offers += 1;
         let attempt = AttemptId {
-            life: 1,
+            incarnation: 1,
             request: self.offers,
             number: 0,
         };
@@ -133,7 +138,7 @@
         });
         let answer = sent.iter().find_map(|(_, message)| match message {
             Message::Accepted { .. } => Some(Ok(())),
-            Message::Refused { reason, .. } => Some(Err(*reason)),
+            Message::Rejected { reason, .. } => Some(Err(*reason)),
             _ => None,
         });
         (answer.expect("an answer"), floor)
@@ -160,7 +165,7 @@
     );
     assert_eq!(
         site.offer(1, Some(stamp(1, false))),
-        (Err(Reason::Superseded), Some(3))
+        (Err(RejectionReason::Superseded), Some(3))
     );
     assert_eq!(site.offer(1, Some(stamp(2, true))), (Ok(()), None));
     let rival = VersionStamp {
@@ -169,7 +174,7 @@
     };
     assert_eq!(
         site.offer(1, Some(rival)),
-        (Err(Reason::Superseded), Some(3)),
+        (Err(RejectionReason::Superseded), Some(3)),
         "one plan of a number"
     );
     assert_eq!(site.node.record(site.now_us).floor(), 3);
@@ -187,7 +192,7 @@
     assert_eq!(site.offer(1, Some(stamp(1, false))), (Ok(()), None));
     assert_eq!(
         site.offer(3, None),
-        (Err(Reason::NotHere), None),
+        (Err(RejectionReason::Unsupported), None),
         "who knows no plans knows no such reason"
     );
 }
@@ -197,7 +202,10 @@
 fn greetings_and_heartbeats_raise_no_floor() {
     let mut site = Site::new();
     let told = site.greet(4, Some(stamp(9, false))).unwrap();
-    assert_eq!((told.learns, told.stuck, told.floor()), (true, true, 0));
+    assert_eq!(
+        (told.is_learner, told.cannot_persist, told.floor()),
+        (true, true, 0)
+    );
     assert_eq!(
         site.order(
             1,
@@ -214,7 +222,14 @@
 #[test]
 fn ballots_are_not_voted_on_and_what_is_decided_raises_the_floor() {
     let mut site = Site::new();
-    let (follows, ballot, list) = (ConfigVersion::default(), Ballot { round: 1, by: 1 }, 0);
+    let (follows, ballot, list) = (
+        ConfigVersion::default(),
+        Ballot {
+            round: 1,
+            proposer: 1,
+        },
+        0,
+    );
     let (version, text) = (plan(1).version(), plan(1).text().to_owned());
     let record = site.order(
         1,
@@ -235,7 +250,7 @@
             list,
         },
     );
-    assert_eq!((record.next, record.floor()), (None, 0));
+    assert_eq!((record.accepted, record.floor()), (None, 0));
     // From a placer of the former version, which takes it for one that keeps plans.
     let record = site.order(
         1,
@@ -256,7 +271,7 @@
         },
     );
     assert_eq!(
-        (record.floor(), record.force),
+        (record.floor(), record.committed),
         (1, ConfigVersion::default())
     );
     let sent = site.send(
@@ -289,7 +304,7 @@
             stamp: stamp(2, true),
         },
     );
-    assert_eq!((record.floor(), record.floor_ms), (3, 0));
+    assert_eq!((record.floor(), record.floor_age_ms), (3, 0));
     site.now_us += 500_000;
     let record = site.order(
         2,
@@ -299,7 +314,7 @@
     );
     assert_eq!(record.floor(), 3);
     assert!(
-        (500..510).contains(&record.floor_ms),
+        (500..510).contains(&record.floor_age_ms),
         "it rose when the first one said so: {record:?}"
     );
     assert_eq!(
@@ -330,7 +345,7 @@
     }
     let offer = |request, stamp| {
         let attempt = AttemptId {
-            life: 1,
+            incarnation: 1,
             request,
             number: 0,
         };
@@ -351,8 +366,8 @@
             effect,
             Effect::Send(
                 1,
-                Message::Refused {
-                    reason: Reason::Superseded,
+                Message::Rejected {
+                    reason: RejectionReason::Superseded,
                     ..
                 }
             )
--- a/crates/placer/src/links/connection.rs
+++ b/crates/placer/src/links/connection.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use reedring_core::Input;
-use reedring_node_protocol::{FrameError, Message, Reader, Traffic, encode};
+use reedring_node_protocol::{FrameDecoder, FrameError, Message, Traffic, encode};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
@@ -43,7 +43,7 @@
 
     fn count_read(&self, message: &Message, frame: &[u8]) {
         if let Some(traffic) = &self.traffic {
-            traffic.read(message, frame.len());
+            traffic.record_read(message, frame.len());
         }
     }
 
@@ -52,7 +52,7 @@
             .trace
             .node_frame_written(&self.node, self.link, frame);
         if let Some(traffic) = &self.traffic {
-            traffic.wrote(message, frame.len());
+            traffic.record_written(message, frame.len());
         }
     }
 }
@@ -60,7 +60,7 @@
 /// The reading half of a connection.
 struct FrameReader {
     stream: OwnedReadHalf,
-    frames: Reader,
+    frames: FrameDecoder,
     buffer: Vec<u8>,
 }
 
@@ -113,7 +113,7 @@
         let (read, write) = stream.into_split();
         let reader = FrameReader {
             stream: read,
-            frames: Reader::default(),
+            frames: FrameDecoder::default(),
             buffer: vec![0; HANDSHAKE_BUFFER],
         };
         Ok(Self {
--- a/crates/placer/src/links/handshake.rs
+++ b/crates/placer/src/links/handshake.rs
@@ -1,6 +1,6 @@
 //! The handshake on a new connection: the placer's hello, the node's welcome, and a version probe where it is needed.
 
-use reedring_node_protocol::{ConfigRequest, Message};
+use reedring_node_protocol::{ConfigRequest, Message, VersionInfo};
 
 use super::connection::Connection;
 use super::error::ConnectError;
@@ -17,7 +17,13 @@
 ) -> Result<NodeWelcome, ConnectError> {
     let in_version_1 = versions.uses_version_1();
     let hello = hello(connection, in_version_1);
-    let is_version_2 = matches!(hello, Message::Hello { acts: Some(_), .. });
+    let is_version_2 = matches!(
+        hello,
+        Message::Hello {
+            version_info: Some(_),
+            ..
+        }
+    );
     connection
         .write_message(hello)
         .await
@@ -45,19 +51,22 @@
     };
     Message::Hello {
         placer: context.name.clone(),
-        life: context.incarnation,
+        incarnation: context.incarnation,
         link: connection.link().get(),
-        acts: active_config.map(|stamp| (stamp, reedring_core::BUILD.to_owned())),
+        version_info: active_config.map(|stamp| VersionInfo {
+            stamp,
+            build: reedring_core::BUILD.to_owned(),
+        }),
     }
 }
 
 fn welcome(message: Message) -> Result<NodeWelcome, ConnectError> {
     let Message::Welcome {
         node: name,
-        life: incarnation,
+        incarnation,
         up_ms,
         can_suspend,
-        record,
+        acceptor_report: record,
     } = message
     else {
         return Err(ConnectError::NoWelcome);
--- a/crates/placer/src/links/tests.rs
+++ b/crates/placer/src/links/tests.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use reedring_node_protocol::{AttemptId, Reader, encode};
+use reedring_node_protocol::{AttemptId, FrameDecoder, encode};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinHandle;
@@ -32,10 +32,10 @@
 async fn send_welcome(node: &mut TcpStream) {
     let welcome = Message::Welcome {
         node: "n".into(),
-        life: 1,
+        incarnation: 1,
         up_ms: 0,
         can_suspend: false,
-        record: None,
+        acceptor_report: None,
     };
     node.write_all(&encode(&welcome)).await.unwrap();
 }
@@ -50,7 +50,7 @@
 
 /// The first messages that a node reads.
 async fn read_messages(node: &mut TcpStream, count: usize) -> Vec<Message> {
-    let (mut reader, mut buffer, mut messages) = (Reader::default(), [0; 256], Vec::new());
+    let (mut reader, mut buffer, mut messages) = (FrameDecoder::default(), [0; 256], Vec::new());
     while messages.len() < count {
         let read = node.read(&mut buffer).await.unwrap();
         assert!(read > 0, "{messages:?}");
@@ -113,7 +113,7 @@
         let task = task_of(&listener, inbound);
         let (out, messages) = mpsc::channel(8);
         let attempt = AttemptId {
-            life: 1,
+            incarnation: 1,
             request: 1,
             number: 0,
         };
--- a/crates/placer/src/log_events.rs
+++ b/crates/placer/src/log_events.rs
@@ -7,7 +7,7 @@
     let (event, node, zone, job) = (logged.name(), logged.node(), logged.zone(), logged.job());
     let attempt = logged
         .attempt()
-        .map(|id| format!("{}.{}.{}", id.life, id.request, id.number));
+        .map(|id| format!("{}.{}.{}", id.incarnation, id.request, id.number));
     let attempt = attempt.as_deref();
     let config_version = logged.config_version().map(|version| version.to_string());
     let config_version = config_version.as_deref();
--- a/crates/plan/src/acceptor.rs
+++ b/crates/plan/src/acceptor.rs
@@ -83,10 +83,10 @@
             joint: accepted.joint,
         };
         AcceptorReport {
-            force: self.committed_version(),
-            next: self.accepted.as_ref().map(accepted),
+            committed: self.committed_version(),
+            accepted: self.accepted.as_ref().map(accepted),
             promised: self.promised,
-            list: self.list_revision,
+            list_revision: self.list_revision,
             ..AcceptorReport::default()
         }
     }
--- a/crates/plan/src/acceptor/storage.rs
+++ b/crates/plan/src/acceptor/storage.rs
@@ -160,7 +160,7 @@
 
 fn put_ballot(out: &mut Vec<u8>, ballot: Ballot) {
     out.extend(ballot.round.to_be_bytes());
-    out.extend(ballot.by.to_be_bytes());
+    out.extend(ballot.proposer.to_be_bytes());
 }
 
 fn put_document(out: &mut Vec<u8>, document: &ConfigDocument) {
--- a/crates/plan/src/acceptor/storage/reader.rs
+++ b/crates/plan/src/acceptor/storage/reader.rs
@@ -59,7 +59,7 @@
     pub(super) fn ballot(&mut self) -> Result<Ballot, CorruptState> {
         Ok(Ballot {
             round: self.u64("a ballot")?,
-            by: self.u64("a ballot")?,
+            proposer: self.u64("a ballot")?,
         })
     }
 
--- a/crates/plan/src/acceptor/storage/tests.rs
+++ b/crates/plan/src/acceptor/storage/tests.rs
@@ -12,11 +12,17 @@
     AcceptorState {
         committed: Some(document(1, "one")),
         accepted: Some(AcceptedConfig {
-            ballot: Ballot { round: 3, by: 9 },
+            ballot: Ballot {
+                round: 3,
+                proposer: 9,
+            },
             document: document(2, "two"),
             joint: true,
         }),
-        promised: Ballot { round: 4, by: 8 },
+        promised: Ballot {
+            round: 4,
+            proposer: 8,
+        },
         list_revision: 12,
         replaced_configs: 3,
         installed_by_catch_up: true,
--- a/crates/plan/src/acceptor/tests.rs
+++ b/crates/plan/src/acceptor/tests.rs
@@ -7,7 +7,7 @@
 }
 
 fn ballot(round: u64) -> Ballot {
-    Ballot { round, by: 7 }
+    Ballot { round, proposer: 7 }
 }
 
 fn prepare(follows: ConfigVersion, round: u64) -> ConfigRequest {
--- a/crates/plan/src/cluster.rs
+++ b/crates/plan/src/cluster.rs
@@ -76,7 +76,7 @@
             .nodes
             .iter()
             .filter_map(|(node, peer)| Some((*node, peer.report()?)));
-        reports.filter(|(_, report)| !report.learns)
+        reports.filter(|(_, report)| !report.is_learner)
     }
 
     /// The reports of the voters that persist configurations.
@@ -95,15 +95,15 @@
     /// The newest configuration that any acceptor reports as committed. One report proves it, as only a placer that had
     /// counted a majority sends a commit.
     pub fn committed(&self) -> ConfigVersion {
-        let committed = self.acceptors().map(|(_, report)| report.force);
+        let committed = self.acceptors().map(|(_, report)| report.committed);
         committed.max().unwrap_or_default()
     }
 
     /// The newest configuration that learners know of. Some placer acted by it, so it was chosen.
     pub fn newest_learned(&self) -> ConfigVersion {
         let reports = self.nodes.values().filter_map(PeerState::report);
-        let learned = reports.filter(|report| report.learns);
-        let versions = learned.filter_map(|report| Some(report.next?.version));
+        let learned = reports.filter(|report| report.is_learner);
+        let versions = learned.filter_map(|report| Some(report.accepted?.version));
         versions.max().unwrap_or_default()
     }
 
@@ -121,15 +121,15 @@
         let mut votes: BTreeMap<(Ballot, ConfigVersion), usize> = BTreeMap::new();
         let reports = self
             .acceptors()
-            .filter(|(_, report)| report.force == follows);
+            .filter(|(_, report)| report.committed == follows);
         for (node, report) in reports {
-            let Some(accepted) = report.next else {
+            let Some(accepted) = report.accepted else {
                 continue;
             };
             if accepted.joint {
                 return Some(accepted.version);
             }
-            let is_vote = self.is_voter(node) && !report.stuck;
+            let is_vote = self.is_voter(node) && !report.cannot_persist;
             *votes
                 .entry((accepted.ballot, accepted.version))
                 .or_default() += usize::from(is_vote);
@@ -143,19 +143,19 @@
     /// one.
     pub fn joint_count(&self, version: ConfigVersion) -> usize {
         let is_joint = |report: &AcceptorReport| {
-            let accepted = report.next;
+            let accepted = report.accepted;
             accepted.is_some_and(|accepted| accepted.joint && accepted.version == version)
-                || report.force.number >= version.number
+                || report.committed.number >= version.number
         };
         self.voting_acceptors()
-            .filter(|(_, report)| !report.stuck && is_joint(report))
+            .filter(|(_, report)| !report.cannot_persist && is_joint(report))
             .count()
     }
 
     /// The most placers that any one node reports as connected to it.
     pub fn connected_placers(&self) -> u32 {
         let reports = self.nodes.values().filter_map(PeerState::report);
-        let connected = reports.map(|report| u32::from(report.linked));
+        let connected = reports.map(|report| u32::from(report.connected_placers));
         connected.max().unwrap_or(0)
     }
 }
--- a/crates/plan/src/cluster/tests.rs
+++ b/crates/plan/src/cluster/tests.rs
@@ -47,15 +47,15 @@
     let next = accepted.map(|accepted| AcceptedVersion {
         ballot: Ballot {
             round: accepted.round,
-            by: 1,
+            proposer: 1,
         },
         version: version(2, accepted.digest),
         joint: accepted.joint,
     });
     AcceptorReport {
-        force: version(1, 1),
-        next,
-        stuck: accepted.is_some_and(|accepted| accepted.stuck),
+        committed: version(1, 1),
+        accepted: next,
+        cannot_persist: accepted.is_some_and(|accepted| accepted.stuck),
         ..AcceptorReport::default()
     }
 }
@@ -98,7 +98,7 @@
     let mut cluster = cluster_of(&reports);
     assert_eq!(cluster.joint_count(version(2, 7)), 2);
     let later = AcceptorReport {
-        force: version(3, 3),
+        committed: version(3, 3),
         ..AcceptorReport::default()
     };
     cluster.nodes.insert(4, PeerState::Reported(later));
@@ -171,8 +171,8 @@
         joint: true,
     };
     let learner = AcceptorReport {
-        next: Some(learned),
-        learns: true,
+        accepted: Some(learned),
+        is_learner: true,
         ..AcceptorReport::default()
     };
     for node in 1..5 {
--- a/crates/plan/src/dispatch_block.rs
+++ b/crates/plan/src/dispatch_block.rs
@@ -60,7 +60,7 @@
 
     /// Whether a request to raise its floor lifts this block: the node is a learner whose floor has not risen yet.
     pub fn is_lifted_by_raising_floor(self, peer: &PeerState) -> bool {
-        let is_learner = peer.report().is_some_and(|report| report.learns);
+        let is_learner = peer.report().is_some_and(|report| report.is_learner);
         self == Self::ConfigNotInstalled && is_learner
     }
 }
@@ -114,7 +114,9 @@
     match peer {
         PeerState::Unknown => Some(DispatchBlock::NoReport),
         PeerState::Legacy => None,
-        PeerState::Reported(report) if report.learns => learner_block(active, report, slow_start),
+        PeerState::Reported(report) if report.is_learner => {
+            learner_block(active, report, slow_start)
+        }
         PeerState::Reported(report) => acceptor_block(active, report, slow_start),
     }
 }
@@ -166,5 +168,5 @@
     if active.local_ahead.is_some() {
         return Some(DispatchBlock::LocalConfigAhead);
     }
-    (report.floor_ms < slow_start.window_ms).then_some(DispatchBlock::FloorSettling)
+    (report.floor_age_ms < slow_start.window_ms).then_some(DispatchBlock::FloorSettling)
 }
--- a/crates/plan/src/dispatch_block/tests.rs
+++ b/crates/plan/src/dispatch_block/tests.rs
@@ -20,7 +20,10 @@
 
 fn joint_version(number: u64) -> AcceptedVersion {
     AcceptedVersion {
-        ballot: Ballot { round: 1, by: 1 },
+        ballot: Ballot {
+            round: 1,
+            proposer: 1,
+        },
         version: version(number),
         joint: true,
     }
@@ -33,9 +36,9 @@
         number => version(number),
     };
     PeerState::Reported(AcceptorReport {
-        force,
-        next: joint.map(joint_version),
-        floor_ms,
+        committed: force,
+        accepted: joint.map(joint_version),
+        floor_age_ms: floor_ms,
         ..AcceptorReport::default()
     })
 }
@@ -43,10 +46,10 @@
 /// A learner whose floor is the joint level of this configuration; 0 is none.
 fn learner(number: u64, floor_ms: u64) -> PeerState {
     PeerState::Reported(AcceptorReport {
-        next: (number > 0).then(|| joint_version(number)),
-        floor_ms,
-        learns: true,
-        stuck: true,
+        accepted: (number > 0).then(|| joint_version(number)),
+        floor_age_ms: floor_ms,
+        is_learner: true,
+        cannot_persist: true,
         ..AcceptorReport::default()
     })
 }
--- a/crates/plan/src/joint.rs
+++ b/crates/plan/src/joint.rs
@@ -8,7 +8,7 @@
 
 use std::collections::BTreeMap;
 
-use reedring_node_protocol::{Group, Repeat};
+use reedring_node_protocol::{DeduplicationScope, Idempotency};
 
 pub use bounds::{
     ClassBounds, ConfigBounds, ReschedulePolicy, Resources, SpreadDomain, SpreadLimit,
@@ -145,15 +145,15 @@
     }
 }
 
-fn repeat_strictness(repeat: Repeat) -> u8 {
+fn repeat_strictness(repeat: Idempotency) -> u8 {
     match repeat {
-        Repeat::Safe => 0,
-        Repeat::Keyed => 1,
-        Repeat::Unsafe => 2,
+        Idempotency::Idempotent => 0,
+        Idempotency::IdempotentByKey => 1,
+        Idempotency::NonIdempotent => 2,
     }
 }
 
-fn stricter_repeat(old: Repeat, new: Repeat) -> Repeat {
+fn stricter_repeat(old: Idempotency, new: Idempotency) -> Idempotency {
     if repeat_strictness(old) > repeat_strictness(new) {
         old
     } else {
@@ -161,15 +161,15 @@
     }
 }
 
-fn group_width(group: Group) -> u8 {
+fn group_width(group: DeduplicationScope) -> u8 {
     match group {
-        Group::Rack => 0,
-        Group::Hall => 1,
-        Group::All => 2,
+        DeduplicationScope::Rack => 0,
+        DeduplicationScope::Zone => 1,
+        DeduplicationScope::All => 2,
     }
 }
 
-fn narrower_group(old: Group, new: Group) -> Group {
+fn narrower_group(old: DeduplicationScope, new: DeduplicationScope) -> DeduplicationScope {
     if group_width(old) < group_width(new) {
         old
     } else {
@@ -177,7 +177,7 @@
     }
 }
 
-fn wider_group(old: Group, new: Group) -> Group {
+fn wider_group(old: DeduplicationScope, new: DeduplicationScope) -> DeduplicationScope {
     if group_width(old) > group_width(new) {
         old
     } else {
--- a/crates/plan/src/joint/bounds.rs
+++ b/crates/plan/src/joint/bounds.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use reedring_node_protocol::{Group, Repeat};
+use reedring_node_protocol::{DeduplicationScope, Idempotency};
 
 /// When a task that was placed and then lost is scheduled again, from the most to the least permissive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -58,11 +58,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassBounds {
     /// What a second start of the same task may do.
-    pub repeat: Repeat,
+    pub repeat: Idempotency,
     /// Where a task that is idempotent by key may be retried: within this group of its first attempt.
-    pub retry_group: Group,
+    pub retry_group: DeduplicationScope,
     /// Which nodes deduplicate attempts of a task that is idempotent by key.
-    pub deduplication_group: Group,
+    pub deduplication_group: DeduplicationScope,
     /// For how long they do, in microseconds; `None` where the class is not idempotent by key.
     pub deduplication_window_us: Option<u64>,
     /// The only kind of machine that may run it.
--- a/crates/plan/src/joint/tests.rs
+++ b/crates/plan/src/joint/tests.rs
@@ -2,9 +2,9 @@
 
 fn class() -> ClassBounds {
     ClassBounds {
-        repeat: Repeat::Safe,
-        retry_group: Group::All,
-        deduplication_group: Group::All,
+        repeat: Idempotency::Idempotent,
+        retry_group: DeduplicationScope::All,
+        deduplication_group: DeduplicationScope::All,
         deduplication_window_us: None,
         machine_kind: None,
         spread: None,
@@ -53,8 +53,16 @@
         ReschedulePolicy::Never,
     ];
     let mut classes = Vec::new();
-    for repeat in [Repeat::Safe, Repeat::Keyed, Repeat::Unsafe] {
-        for group in [Group::Rack, Group::Hall, Group::All] {
+    for repeat in [
+        Idempotency::Idempotent,
+        Idempotency::IdempotentByKey,
+        Idempotency::NonIdempotent,
+    ] {
+        for group in [
+            DeduplicationScope::Rack,
+            DeduplicationScope::Zone,
+            DeduplicationScope::All,
+        ] {
             for rescheduling in policies {
                 for deduplication_window_us in [None, Some(3), Some(9)] {
                     for spread in spreads {
--- a/crates/plan/src/learner.rs
+++ b/crates/plan/src/learner.rs
@@ -75,9 +75,9 @@
             joint: true,
         };
         AcceptorReport {
-            next: (self.newest.number > 0).then_some(newest),
-            stuck: true,
-            learns: true,
+            accepted: (self.newest.number > 0).then_some(newest),
+            cannot_persist: true,
+            is_learner: true,
             ..AcceptorReport::default()
         }
     }
--- a/crates/plan/src/learner/tests.rs
+++ b/crates/plan/src/learner/tests.rs
@@ -85,16 +85,21 @@
 fn the_report_of_a_learner_has_its_floor_and_says_that_it_does_not_vote() {
     let none = LearnerState::default().report();
     assert_eq!(
-        (none.floor(), none.learns, none.stuck, none.next),
+        (
+            none.floor(),
+            none.is_learner,
+            none.cannot_persist,
+            none.accepted
+        ),
         (0, true, true, None)
     );
     let report = learner_of(3).report();
     assert_eq!(
-        (report.floor(), report.learns, report.stuck),
+        (report.floor(), report.is_learner, report.cannot_persist),
         (5, true, true)
     );
     assert_eq!(
-        report.force,
+        report.committed,
         ConfigVersion::default(),
         "it knows of no committed configuration"
     );
--- a/crates/plan/src/lease/tests.rs
+++ b/crates/plan/src/lease/tests.rs
@@ -14,15 +14,18 @@
 
 /// Three nodes that all report the same.
 fn cluster_of(committed: ConfigVersion, next: Option<ConfigVersion>, joint: bool) -> ClusterView {
-    let ballot = Ballot { round: 1, by: 1 };
+    let ballot = Ballot {
+        round: 1,
+        proposer: 1,
+    };
     let next = next.map(|version| AcceptedVersion {
         ballot,
         version,
         joint,
     });
     let report = AcceptorReport {
-        force: committed,
-        next,
+        committed,
+        accepted: next,
         ..AcceptorReport::default()
     };
     ClusterView {
--- a/crates/plan/src/proposer/ballot.rs
+++ b/crates/plan/src/proposer/ballot.rs
@@ -49,7 +49,7 @@
     fn start_ballot(&mut self, round: &Round<'_>, number: u64) -> Vec<NodeRequest> {
         let ballot = Ballot {
             round: number,
-            by: self.incarnation.0,
+            proposer: self.incarnation.0,
         };
         self.ballot = Some(BallotInProgress {
             follows: round.committed,
@@ -74,7 +74,7 @@
     if promised.len() < round.cluster.quorum_size() {
         return None;
     }
-    let accepted = promised.iter().filter_map(|voter| voter.report.next);
+    let accepted = promised.iter().filter_map(|voter| voter.report.accepted);
     let newest = accepted.max_by_key(|accepted| accepted.ballot);
     newest
         .map(|accepted| accepted.version)
@@ -109,7 +109,7 @@
         list: round.cluster.list_revision,
     };
     let has_voted = |voter: &NodeReport| {
-        let accepted = voter.report.next;
+        let accepted = voter.report.accepted;
         accepted.is_some_and(|accepted| accepted.ballot == ballot)
     };
     let voters = round.current_voters().filter(|voter| !has_voted(voter));
--- a/crates/plan/src/proposer/compaction.rs
+++ b/crates/plan/src/proposer/compaction.rs
@@ -36,11 +36,11 @@
         report: &AcceptorReport,
         base: Option<&ConfigDocument>,
     ) -> ConfigRequest {
-        if !report.deltas {
+        if !report.reads_deltas {
             return request;
         }
         let has_accepted = |version: ConfigVersion| {
-            let accepted = report.next;
+            let accepted = report.accepted;
             accepted.is_some_and(|accepted| accepted.version == version)
         };
         match request {
@@ -71,7 +71,7 @@
                     list,
                 }
             }
-            request => match base.filter(|base| base.version() == report.force) {
+            request => match base.filter(|base| base.version() == report.committed) {
                 Some(base) => self.by_delta(base, &request).unwrap_or(request),
                 None => request,
             },
--- a/crates/plan/src/proposer/joint_phase.rs
+++ b/crates/plan/src/proposer/joint_phase.rs
@@ -24,7 +24,7 @@
             list: self.cluster.list_revision,
         };
         let is_joint = |acceptor: &NodeReport| {
-            let accepted = acceptor.report.next;
+            let accepted = acceptor.report.accepted;
             accepted.is_some_and(|accepted| accepted.joint && accepted.version == chosen)
         };
         let may_commit = self.cluster.joint_count(chosen) >= self.cluster.quorum_size();
--- a/crates/plan/src/proposer/proposal_backoff.rs
+++ b/crates/plan/src/proposer/proposal_backoff.rs
@@ -166,7 +166,7 @@
         let follows = cluster.committed();
         let current = cluster
             .voting_acceptors()
-            .filter(|(_, report)| report.force == follows);
+            .filter(|(_, report)| report.committed == follows);
         let ballot = current.map(|(_, report)| report.promised).max();
         let ballot = ballot.unwrap_or_default();
         // Ballots start again after each configuration: one that was greater then says nothing now.
@@ -184,9 +184,9 @@
         let since_us = self.chosen.update(observed, now_us);
         let is_own_ballot = cluster
             .voting_acceptors()
-            .filter_map(|(_, report)| report.next)
+            .filter_map(|(_, report)| report.accepted)
             .filter(|accepted| Some(accepted.version) == chosen)
-            .any(|accepted| accepted.ballot.by == self.incarnation.0);
+            .any(|accepted| accepted.ballot.proposer == self.incarnation.0);
         is_own_ballot || now_us >= since_us + self.preempt_delay_us()
     }
 
--- a/crates/plan/src/proposer/proposal_backoff/tests.rs
+++ b/crates/plan/src/proposer/proposal_backoff/tests.rs
@@ -55,7 +55,7 @@
         ..ConfigVersion::default()
     };
     let report = AcceptorReport {
-        force,
+        committed: force,
         promised,
         ..AcceptorReport::default()
     };
@@ -67,7 +67,7 @@
 
 #[test]
 fn a_ballot_after_another_configuration_has_a_time_of_its_own() {
-    let cluster = |number, round| cluster_of(number, Ballot { round, by: 9 });
+    let cluster = |number, round| cluster_of(number, Ballot { round, proposer: 9 });
     let mut backoff = backoff(1);
     backoff.may_preempt(0, &cluster(1, 7));
     assert!(
@@ -78,7 +78,15 @@
 
 #[test]
 fn a_ballot_is_left_alone_and_two_placers_do_not_wait_for_the_same_time() {
-    let cluster = |round, by| cluster_of(0, Ballot { round, by });
+    let cluster = |round, by| {
+        cluster_of(
+            0,
+            Ballot {
+                round,
+                proposer: by,
+            },
+        )
+    };
     let first_preemption_ms = |incarnation| {
         let mut backoff = backoff(incarnation);
         assert!(backoff.may_preempt(0, &cluster(0, 0)), "nothing to preempt");
--- a/crates/plan/src/proposer/round.rs
+++ b/crates/plan/src/proposer/round.rs
@@ -24,7 +24,7 @@
 
     /// Whether the acceptor has accepted this configuration.
     pub(super) fn has_accepted(&self, version: ConfigVersion) -> bool {
-        let accepted = self.report.next;
+        let accepted = self.report.accepted;
         accepted.is_some_and(|accepted| accepted.version == version)
     }
 }
@@ -57,7 +57,7 @@
     /// The acceptors that have committed the newest committed configuration.
     pub(super) fn current_acceptors(&self) -> impl Iterator<Item = &NodeReport> {
         let acceptors = self.acceptors.iter();
-        acceptors.filter(|acceptor| acceptor.report.force == self.committed)
+        acceptors.filter(|acceptor| acceptor.report.committed == self.committed)
     }
 
     /// Those among them that vote.
@@ -75,7 +75,7 @@
     /// Whether a voter has accepted a configuration.
     pub(super) fn is_any_accepted(&self) -> bool {
         self.current_voters()
-            .any(|voter| voter.report.next.is_some())
+            .any(|voter| voter.report.accepted.is_some())
     }
 
     /// Whether this configuration may be proposed: its number is the one after the committed one, or any where none is
@@ -118,7 +118,7 @@
         let behind = self
             .acceptors
             .iter()
-            .filter(|acceptor| acceptor.report.force.number < version.number);
+            .filter(|acceptor| acceptor.report.committed.number < version.number);
         let commit = ConfigRequest::Commit {
             version,
             text: text.to_owned(),
--- a/crates/plan/src/proposer/tests.rs
+++ b/crates/plan/src/proposer/tests.rs
@@ -7,7 +7,10 @@
 /// The incarnation of the placer under test.
 const OWN: Incarnation = Incarnation(9);
 /// The ballot with which it begins among nodes that have promised none.
-const FIRST: Ballot = Ballot { round: 1, by: 9 };
+const FIRST: Ballot = Ballot {
+    round: 1,
+    proposer: 9,
+};
 
 fn config(number: u64, text: &str) -> ConfigDocument {
     ConfigDocument::new(number, text).unwrap()
@@ -24,7 +27,7 @@
 /// A vote of another placer's ballot.
 fn vote(round: u64, document: &ConfigDocument) -> Option<AcceptedVersion> {
     Some(AcceptedVersion {
-        ballot: Ballot { round, by: 5 },
+        ballot: Ballot { round, proposer: 5 },
         version: document.version(),
         joint: false,
     })
@@ -41,9 +44,9 @@
 /// A node that has committed configuration 1.
 fn report(promised: Ballot, next: Option<AcceptedVersion>) -> AcceptorReport {
     AcceptorReport {
-        force: config(1, "one").version(),
+        committed: config(1, "one").version(),
         promised,
-        next,
+        accepted: next,
         ..AcceptorReport::default()
     }
 }
@@ -184,10 +187,13 @@
 #[test]
 fn a_chosen_configuration_is_committed_once_a_majority_has_persisted_its_joint_phase() {
     let a = config(2, "a");
-    let ballot = Ballot { round: 1, by: 5 };
+    let ballot = Ballot {
+        round: 1,
+        proposer: 5,
+    };
     let (voted, joint) = (report(ballot, vote(1, &a)), report(ballot, joint(1, &a)));
     let stuck = AcceptorReport {
-        stuck: true,
+        cannot_persist: true,
         ..joint
     };
     for (reports, enter_joint, commit) in [
@@ -237,7 +243,10 @@
 #[test]
 fn a_change_whose_proposer_failed_is_completed_by_another() {
     let (a, b) = (config(2, "a"), config(2, "b"));
-    let other = Ballot { round: 4, by: 5 };
+    let other = Ballot {
+        round: 4,
+        proposer: 5,
+    };
     let reports = [
         report(other, vote(4, &a)),
         report(other, None),
@@ -248,7 +257,10 @@
     let progress = advance(&mut proposer, &cluster, Some(&b));
     assert_eq!(progress.requests, []);
     let progress = advance_with(&mut proposer, &cluster, Some(&b), &documents(), true);
-    let own = Ballot { round: 5, by: 9 };
+    let own = Ballot {
+        round: 5,
+        proposer: 9,
+    };
     check_all_prepare(&progress, own);
     let promised = [
         report(own, vote(4, &a)),
@@ -264,8 +276,8 @@
 fn ballots_are_for_voters_and_what_is_chosen_is_told_to_all_acceptors() {
     let (a, b) = (config(2, "a"), config(2, "b"));
     let learner = AcceptorReport {
-        learns: true,
-        stuck: true,
+        is_learner: true,
+        cannot_persist: true,
         ..AcceptorReport::default()
     };
     let mut proposer = Proposer::new(OWN);
--- a/crates/plan/tests/compaction.rs
+++ b/crates/plan/tests/compaction.rs
@@ -5,7 +5,10 @@
     ConfigVersion, DeltaStep, Edit, RequestCompactor, RequestRejection, delta,
 };
 
-const BALLOT: Ballot = Ballot { round: 3, by: 9 };
+const BALLOT: Ballot = Ballot {
+    round: 3,
+    proposer: 9,
+};
 
 fn config(number: u64, tenants: &[&str]) -> ConfigDocument {
     let mut text =
@@ -69,9 +72,9 @@
         joint: false,
     };
     AcceptorReport {
-        force: one().version(),
-        next: next.map(accepted),
-        deltas: true,
+        committed: one().version(),
+        accepted: next.map(accepted),
+        reads_deltas: true,
         ..AcceptorReport::default()
     }
 }
@@ -92,7 +95,7 @@
     let has_two = report(Some(&two));
     let has_rival = report(Some(&rival));
     let elsewhere = AcceptorReport {
-        force: rival.version(),
+        committed: rival.version(),
         ..without_next
     };
     let (next, third) = (two.version(), three.version());
@@ -161,7 +164,7 @@
         );
         // One that reads no deltas is asked as it always was.
         let without_deltas = AcceptorReport {
-            deltas: false,
+            reads_deltas: false,
             ..report
         };
         assert_eq!(
@@ -173,7 +176,7 @@
         if matches!(
             request,
             ConfigRequest::Fetch { .. } | ConfigRequest::Accept { .. }
-        ) || report.next.is_none()
+        ) || report.accepted.is_none()
         {
             assert_eq!(without_base, request);
         }
@@ -190,7 +193,7 @@
         .unwrap();
     let prepare = |round| ConfigRequest::Prepare {
         follows: one.version(),
-        ballot: Ballot { round, by: 9 },
+        ballot: Ballot { round, proposer: 9 },
         list: 4,
     };
     let promised = start.apply(&prepare(3), true).unwrap();
--- a/crates/plan/tests/delta.rs
+++ b/crates/plan/tests/delta.rs
@@ -1,7 +1,7 @@
 //! Deltas between configurations: what they make, what they reject, and their bytes.
 
 use proptest::prelude::*;
-use reedring_node_protocol::{Message, Reader, decode, encode};
+use reedring_node_protocol::{FrameDecoder, Message, decode, encode};
 use reedring_plan::delta::{DeltaError, SectionError, apply, between};
 use reedring_plan::{
     ConfigDigest, ConfigDocument, ConfigVersion, Delta, DocumentError, Edit, MAX_PLAN, SectionKey,
@@ -567,7 +567,7 @@
     let frame = encode(&Message::ConfigDelta(between(&base, &target).unwrap()));
     for cut in 0..frame.len() {
         assert!(decode(&frame[..cut]).is_err(), "cut at {cut}");
-        let mut reader = Reader::default();
+        let mut reader = FrameDecoder::default();
         reader.push(&frame[..cut]);
         assert!(matches!(reader.next_message(), Ok(None)), "cut at {cut}");
     }
--- a/crates/plan/tests/golden.rs
+++ b/crates/plan/tests/golden.rs
@@ -12,7 +12,7 @@
 fn ballot(round: u64) -> Ballot {
     Ballot {
         round,
-        by: 0x0102_0304_0506_0708,
+        proposer: 0x0102_0304_0506_0708,
     }
 }
 
--- a/crates/plan/tests/learners.rs
+++ b/crates/plan/tests/learners.rs
@@ -252,7 +252,7 @@
         };
         let LearnerFloor { state, rose_at } = reported[learner];
         let mut report = state.report();
-        report.floor_ms = u64::from(world.tick - rose_at) * WINDOW_MS;
+        report.floor_age_ms = u64::from(world.tick - rose_at) * WINDOW_MS;
         let peer = PeerState::Reported(report);
         let slow_start = SlowStart {
             is_warming_up: learner == WARMING_UP && self.waits_for_floor,
@@ -310,7 +310,10 @@
         let two = config(2, "a");
         let accept = ConfigRequest::Accept {
             follows: one.version(),
-            ballot: Ballot { round: 1, by: 1 },
+            ballot: Ballot {
+                round: 1,
+                proposer: 1,
+            },
             version: two.version(),
             text: two.text().to_owned(),
             list: 0,
@@ -426,7 +429,7 @@
         vec![
             Property::always(ONE_COMMITTED, |_, world: &World| {
                 let voters = world.voters.iter();
-                let committed = voters.map(|voter| voter.report().force);
+                let committed = voters.map(|voter| voter.report().committed);
                 let mut all: Vec<ConfigVersion> = committed.collect();
                 all.sort();
                 all.dedup();
--- a/crates/plan/tests/model.rs
+++ b/crates/plan/tests/model.rs
@@ -254,13 +254,13 @@
             Property::always(
                 "at most one configuration of a number is committed",
                 |_, world: &World| {
-                    let all = versions(world, |report| Some(report.force));
+                    let all = versions(world, |report| Some(report.committed));
                     all.windows(2).all(|two| two[0].number != two[1].number)
                 },
             ),
             Property::always("at most one is chosen", |_, world: &World| {
                 let joint = |report: &AcceptorReport| {
-                    let accepted = report.next.filter(|accepted| accepted.joint)?;
+                    let accepted = report.accepted.filter(|accepted| accepted.joint)?;
                     Some(accepted.version)
                 };
                 versions(world, joint).len() <= 1
@@ -275,7 +275,7 @@
             }),
             Property::sometimes(COMMITTED, |_, world: &World| {
                 let mut nodes = world.nodes.iter();
-                nodes.any(|node| node.report().force.number == 2)
+                nodes.any(|node| node.report().committed.number == 2)
             }),
         ]
     }
--- a/crates/settings/src/settings/plan.rs
+++ b/crates/settings/src/settings/plan.rs
@@ -189,9 +189,9 @@
                 .and_then(|kind| self.kinds.get(usize::from(kind)));
             let bounds = ClassBounds {
                 repeat: match class.effect {
-                    Effect::Safe => wire::Repeat::Safe,
-                    Effect::Keyed => wire::Repeat::Keyed,
-                    Effect::Unsafe => wire::Repeat::Unsafe,
+                    Effect::Safe => wire::Idempotency::Idempotent,
+                    Effect::Keyed => wire::Idempotency::IdempotentByKey,
+                    Effect::Unsafe => wire::Idempotency::NonIdempotent,
                 },
                 retry_group: group(class.group),
                 deduplication_group: group(class.drops),
@@ -254,9 +254,9 @@
                 continue;
             };
             class.effect = match bound.repeat {
-                wire::Repeat::Safe => Effect::Safe,
-                wire::Repeat::Keyed => Effect::Keyed,
-                wire::Repeat::Unsafe => Effect::Unsafe,
+                wire::Idempotency::Idempotent => Effect::Safe,
+                wire::Idempotency::IdempotentByKey => Effect::Keyed,
+                wire::Idempotency::NonIdempotent => Effect::Unsafe,
             };
             (class.group, class.drops) = (
                 ungroup(bound.retry_group),
@@ -392,19 +392,19 @@
     line("memory", format!("{:?}", class.memory));
 }
 
-fn group(group: Group) -> wire::Group {
+fn group(group: Group) -> wire::DeduplicationScope {
     match group {
-        Group::All => wire::Group::All,
-        Group::Zone => wire::Group::Hall,
-        Group::Cell => wire::Group::Rack,
+        Group::All => wire::DeduplicationScope::All,
+        Group::Zone => wire::DeduplicationScope::Zone,
+        Group::Cell => wire::DeduplicationScope::Rack,
     }
 }
 
-fn ungroup(group: wire::Group) -> Group {
+fn ungroup(group: wire::DeduplicationScope) -> Group {
     match group {
-        wire::Group::All => Group::All,
-        wire::Group::Hall => Group::Zone,
-        wire::Group::Rack => Group::Cell,
+        wire::DeduplicationScope::All => Group::All,
+        wire::DeduplicationScope::Zone => Group::Zone,
+        wire::DeduplicationScope::Rack => Group::Cell,
     }
 }
 
--- a/crates/system-tests/src/scale/counts.rs
+++ b/crates/system-tests/src/scale/counts.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use reedring_node_protocol::{Count, Counts, MessageKind, PeerTraffic};
+use reedring_node_protocol::{Count, Counts, MessageKind, PeerTraffic, TrafficCounts};
 
 /// How the line of a look begins.
 pub const COUNTS: &str = "counts ";
@@ -114,8 +114,12 @@
 
     /// What an end counted with peers whose names are wanted, added up under one name.
     pub fn add_peers(&mut self, name: &str, traffic: &PeerTraffic, wanted: impl Fn(&str) -> bool) {
-        for (_, peer) in traffic.peers().iter().filter(|(peer, _)| wanted(peer)) {
-            let [written, read] = peer.counts();
+        for counters in traffic
+            .peers()
+            .iter()
+            .filter(|counters| wanted(&counters.peer))
+        {
+            let TrafficCounts { written, read } = counters.traffic.counts();
             let sum = self.of(name).plus(&LinkCounts { written, read });
             self.0.insert(name.to_owned(), sum);
         }
--- a/crates/system-tests/src/scale/counts/tests.rs
+++ b/crates/system-tests/src/scale/counts/tests.rs
@@ -5,15 +5,17 @@
     let (traffic, mut all) = (PeerTraffic::default(), PlacerCounts::default());
     traffic
         .of("hollow-1")
-        .wrote(&Message::Probe { nonce: 1 }, 20);
-    traffic.of("hollow-2").read(
+        .record_written(&Message::Probe { nonce: 1 }, 20);
+    traffic.of("hollow-2").record_read(
         &Message::Report {
             nonce: 1,
             report: Vec::new(),
         },
         30,
     );
-    traffic.of("real-1").wrote(&Message::Probe { nonce: 2 }, 40);
+    traffic
+        .of("real-1")
+        .record_written(&Message::Probe { nonce: 2 }, 40);
     all.add_peers("placer-1", &traffic, |peer| peer.starts_with("hollow-"));
     all
 }
--- a/crates/system-tests/src/scale/hollow.rs
+++ b/crates/system-tests/src/scale/hollow.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-use reedring_node_protocol::PeerTraffic;
+use reedring_node_protocol::{PeerCounters, PeerTraffic};
 use reedring_node_simulator::{Config, Fleet, Groups, Handle, serve_counted};
 use reedring_placer::{FileNodeSource, Placer, PlacerOptions};
 use reedring_settings::Settings;
@@ -73,7 +73,7 @@
 
     fn counts(&self) -> PlacerCounts {
         let mut counts = PlacerCounts::default();
-        for (placer, _) in self.traffic.peers() {
+        for PeerCounters { peer: placer, .. } in self.traffic.peers() {
             counts.add_peers(&placer, &self.traffic, |peer| peer == placer);
         }
         counts
--- a/crates/system-tests/src/scale/player.rs
+++ b/crates/system-tests/src/scale/player.rs
@@ -171,7 +171,7 @@
             } else {
                 cluster.counts()?
             };
-            Ok(counts.of(&name).read[MessageKind::PlanAsk as usize].messages)
+            Ok(counts.of(&name).read[MessageKind::ConfigQuery as usize].messages)
         };
         let nodes = if control > 0 { control } else { hollow } as u64;
         let until = Instant::now() + PATIENCE;
--- a/crates/system-tests/tests/scale.rs
+++ b/crates/system-tests/tests/scale.rs
@@ -208,7 +208,11 @@
         if ["idle", "plan-change"].contains(&result.phase.name()) {
             assert!(control.control_messages > 0.0, "{result:?}");
             // The placer that brings the change starts again, and greets.
-            let of_greeting = [MessageKind::Hello, MessageKind::Welcome, MessageKind::Holds];
+            let of_greeting = [
+                MessageKind::Hello,
+                MessageKind::Welcome,
+                MessageKind::InFlight,
+            ];
             assert!(
                 result
                     .node_kinds
--- a/fuzz/fuzz_targets/frames.rs
+++ b/fuzz/fuzz_targets/frames.rs
@@ -3,10 +3,10 @@
 
 use libfuzzer_sys::fuzz_target;
 use reedring_drmaa::framing;
-use reedring_node_protocol::{Reader, decode, encode};
+use reedring_node_protocol::{FrameDecoder, decode, encode};
 
 fuzz_target!(|bytes: &[u8]| {
-    let mut reader = Reader::default();
+    let mut reader = FrameDecoder::default();
     reader.push(bytes);
     while let Ok(Some((message, _))) = reader.next_message() {
         assert_eq!(decode(&encode(&message)).as_ref(), Ok(&message));
