--- a/crates/core/src/nodes/announcements.rs
+++ b/crates/core/src/nodes/announcements.rs
@@ -105,19 +105,19 @@
                 ..known.clone()
             });
         // The ledger's count of offers to nodes that are warming up is exact; the file's may be older.
-        let cold_offers = std::mem::take(&mut kept.belief.cold_offers);
+        let slow_start_offers = std::mem::take(&mut kept.belief.slow_start_offers);
         kept.incarnation = known.incarnation;
         kept.belief = known.belief;
-        if !cold_offers.is_empty() {
-            kept.belief.cold_offers = cold_offers;
+        if !slow_start_offers.is_empty() {
+            kept.belief.slow_start_offers = slow_start_offers;
         }
     }
 
     /// Keeps when a former incarnation made offers to a node that was warming up.
-    pub fn restore_slow_start_offers(&mut self, node: &str, cold_offers: Vec<Micros>) {
+    pub fn restore_slow_start_offers(&mut self, node: &str, slow_start_offers: Vec<Micros>) {
         let belief = Belief {
             machine: machine_id(node),
-            cold_offers,
+            slow_start_offers,
             ..Belief::default()
         };
         let known = NodeBeliefs {
@@ -145,7 +145,7 @@
         } else {
             Belief {
                 machine: node.machine,
-                cold_offers: known.belief.cold_offers,
+                slow_start_offers: known.belief.slow_start_offers,
                 ..Belief::default()
             }
         };
--- a/crates/platform-protocol/tests/golden.rs
+++ b/crates/platform-protocol/tests/golden.rs
@@ -423,7 +423,7 @@
         (Some(250_000), Some(60_000_000))
     );
     assert_eq!(
-        (rules.overload_us, rules.cold_offers),
+        (rules.slow_start_window_us, rules.slow_start_offers),
         (Some(2_000_000), Some(8.5))
     );
     assert_eq!(rules.must_ask_us, Some(10_000_000));
--- a/crates/settings/src/settings/module.rs
+++ b/crates/settings/src/settings/module.rs
@@ -57,8 +57,8 @@
                 may_probe: site.may_probe,
                 connect_timeout_us: Some(self.links.connect_us),
                 warm_after_us: site.warm_after_us,
-                overload_us: site.cold_window_us.map(|window| window + jitter),
-                cold_offers: site.cold_offers,
+                slow_start_window_us: site.cold_window_us.map(|window| window + jitter),
+                slow_start_offers: site.cold_offers,
                 must_ask_us: None,
             },
             prices: module::Prices {
--- a/crates/state/src/beliefs/aging.rs
+++ b/crates/state/src/beliefs/aging.rs
@@ -187,7 +187,7 @@
             rejecting: rejecting.collect(),
             consecutive_failures: (f64::from(belief.consecutive_failures) * failure_weight) as u32,
             backoff_us: belief.backoff_us.saturating_sub(self.age),
-            cold_offers: self.warm_up_offers(&belief.cold_offers),
+            slow_start_offers: self.warm_up_offers(&belief.slow_start_offers),
         };
         NodeBeliefs {
             node: node.node.clone(),
--- a/crates/state/src/beliefs/tests.rs
+++ b/crates/state/src/beliefs/tests.rs
@@ -20,7 +20,7 @@
         rejecting: vec![(0, 1, 12 * SECOND)],
         consecutive_failures: 4,
         backoff_us: 2 * SECOND,
-        cold_offers: vec![SECOND],
+        slow_start_offers: vec![SECOND],
         ..Belief::default()
     }
 }
@@ -92,7 +92,7 @@
         future
             .nodes
             .iter()
-            .all(|node| node.belief.cold_offers == [0] && node.belief.asked.is_none())
+            .all(|node| node.belief.slow_start_offers == [0] && node.belief.asked.is_none())
     );
 }
 
--- a/src/api/beliefs.rs
+++ b/src/api/beliefs.rs
@@ -26,7 +26,8 @@
     #[serde(rename = "barred_us")]
     pub backoff_us: Micros,
     /// When own offers were sent there while it was warming up.
-    pub cold_offers: Vec<Micros>,
+    #[serde(rename = "cold_offers")]
+    pub slow_start_offers: Vec<Micros>,
 }
 
 /// What a scheduler has learned, for the process that takes its place after a restart.
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -49,9 +49,9 @@
     /// A machine is warm this long after its start, at the latest.
     pub warm_after_us: Option<Micros>,
     /// The slow start window, in which offers to a machine that is warming up are counted.
-    pub overload_us: Option<Micros>,
+    pub slow_start_window_us: Option<Micros>,
     /// Offers in that window, by all schedulers, that a machine survives while it is warming up.
-    pub cold_offers: Option<f64>,
+    pub slow_start_offers: Option<f64>,
     /// The longest time without an answer after which the watch on the list must be requested
     /// again.
     pub must_ask_us: Option<Micros>,
--- a/src/logic/placer/beliefs.rs
+++ b/src/logic/placer/beliefs.rs
@@ -71,7 +71,7 @@
             .collect(),
         consecutive_failures: state.consecutive_failures,
         backoff_us: state.backoff_until.saturating_sub(now),
-        cold_offers: state.slow_start_offers.iter().map(|at| ago(*at)).collect(),
+        slow_start_offers: state.slow_start_offers.iter().map(|at| ago(*at)).collect(),
     }
 }
 
@@ -115,6 +115,6 @@
         .max(now + belief.backoff_us.min(longest_backoff));
     state
         .slow_start_offers
-        .extend(belief.cold_offers.iter().map(|ago| at(*ago)));
+        .extend(belief.slow_start_offers.iter().map(|ago| at(*ago)));
     state.slow_start_offers.sort_unstable();
 }
--- a/src/logic/slow_start.rs
+++ b/src/logic/slow_start.rs
@@ -48,8 +48,8 @@
     /// The budget at this machine; `None` where it is warm or the settings set no limit.
     fn new(state: &MachineState, now: Micros, settings: &Settings) -> Option<Self> {
         let rules = &settings.rules;
-        let offers = rules.cold_offers?;
-        let window = rules.overload_us?;
+        let offers = rules.slow_start_offers?;
+        let window = rules.slow_start_window_us?;
         let machine_started_at = state.machine.ready_at?;
         if !state.is_warming_up(now, rules) {
             return None;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -310,8 +310,8 @@
             may_probe: limits.probing == Some(true),
             connect_timeout_us: limits.connect_timeout_us,
             warm_after_us: rules.warm_after_us,
-            overload_us: rules.overload_for_us,
-            cold_offers: self.specifics.young_limit,
+            slow_start_window_us: rules.overload_for_us,
+            slow_start_offers: self.specifics.young_limit,
             must_ask_us: rules.must_ask_in_us,
         }
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -42,8 +42,8 @@
             max_attempts: Some(3),
             may_stop: true,
             warm_after_us: Some(10 * SECOND),
-            overload_us: Some(2 * SECOND),
-            cold_offers: Some(8.0),
+            slow_start_window_us: Some(2 * SECOND),
+            slow_start_offers: Some(8.0),
             must_ask_us: Some(8 * SECOND),
             connect_timeout_us: Some(SECOND / 10),
             ..Rules::default()
--- a/tests/edge_cases.rs
+++ b/tests/edge_cases.rs
@@ -40,7 +40,7 @@
     for offers_told in [None, Some(0.0), Some(f64::NAN), Some(-1.0)] {
         for warm in [None, Some(0), Some(20 * SECOND)] {
             let mut told = settings();
-            (told.rules.cold_offers, told.rules.warm_after_us) = (offers_told, warm);
+            (told.rules.slow_start_offers, told.rules.warm_after_us) = (offers_told, warm);
             let mut bed = Bed::new(told, fleet());
             let sent = offers(&bed.step(&[arrived(1, 0), arrived(2, 0), arrived(3, 0)]));
             assert_eq!(sent.len(), 3);
--- a/tests/restored_beliefs.rs
+++ b/tests/restored_beliefs.rs
@@ -14,7 +14,10 @@
         belief.refused = belief
             .refused
             .map(|(ago, cores, memory)| (ago + later, cores, memory));
-        belief.cold_offers.iter_mut().for_each(|ago| *ago += later);
+        belief
+            .slow_start_offers
+            .iter_mut()
+            .for_each(|ago| *ago += later);
         belief.backoff_us = belief.backoff_us.saturating_sub(later);
     }
     bed.step(&[Event::BeliefsRestored(beliefs)]);
@@ -58,7 +61,7 @@
         ..machine(1, 0)
     };
     let rules = Rules {
-        cold_offers: Some(8.0),
+        slow_start_offers: Some(8.0),
         ..settings().rules
     };
     let told = Settings {
@@ -91,7 +94,7 @@
         rejecting: vec![(0, 1, SECOND)],
         consecutive_failures: 2,
         backoff_us: SECOND,
-        cold_offers: vec![9, 8],
+        slow_start_offers: vec![9, 8],
     };
     let beliefs = Beliefs {
         machines: vec![belief],
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -324,7 +324,7 @@
 #[test]
 fn the_offers_of_hundreds_of_schedulers_to_a_cold_machine_stay_under_the_told_ones() {
     let mut told = settings();
-    (told.schedulers, told.rules.cold_offers) = (400, Some(24.0));
+    (told.schedulers, told.rules.slow_start_offers) = (400, Some(24.0));
     let start = 100 * SECOND;
     let cold: Vec<Machine> = (1..4)
         .map(|id| Machine {
--- a/tests/settings_changed.rs
+++ b/tests/settings_changed.rs
@@ -9,8 +9,8 @@
     let mut told = settings();
     told.schedulers = schedulers;
     told.rules.warm_after_us = Some(60 * SECOND);
-    told.rules.overload_us = Some(2 * SECOND);
-    told.rules.cold_offers = Some(offers);
+    told.rules.slow_start_window_us = Some(2 * SECOND);
+    told.rules.slow_start_offers = Some(offers);
     told.kinds[0] = Kind {
         cores: Some(100.0),
         memory: Some(400.0),
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -63,8 +63,8 @@
 
 fn told(schedulers: u32, offers: f64) -> Settings {
     let mut told = settings();
-    (told.schedulers, told.rules.cold_offers) = (schedulers, Some(offers));
-    (told.rules.overload_us, told.rules.warm_after_us) = (Some(WINDOW), Some(WARM));
+    (told.schedulers, told.rules.slow_start_offers) = (schedulers, Some(offers));
+    (told.rules.slow_start_window_us, told.rules.warm_after_us) = (Some(WINDOW), Some(WARM));
     told.kinds[0] = Kind {
         cores: Some(1e6),
         memory: Some(1e6),
@@ -260,7 +260,10 @@
         (f64::INFINITY, WINDOW, 6),
     ] {
         let mut told = settings();
-        (told.rules.cold_offers, told.rules.overload_us) = (Some(budget), Some(window));
+        (
+            told.rules.slow_start_offers,
+            told.rules.slow_start_window_us,
+        ) = (Some(budget), Some(window));
         let mut bed = Bed::new(told, Vec::new());
         bed.now += SECOND;
         let cold = Machine {
