--- a/crates/core/src/configuration/agreement/step.rs
+++ b/crates/core/src/configuration/agreement/step.rs
@@ -47,7 +47,7 @@
         self.changed = false;
         let view = self.peers.view(effects.nodes);
         let list = effects.nodes.list_revision();
-        let contact = self.peers.lease.quorum_contact(now, &view);
+        let contact = self.peers.lease.update_quorum_contact(now, &view);
         self.learn_committed(&view);
         let before = self.stamp(list);
         self.lease_state = self.evaluate_lease(&view, contact);
--- a/crates/placer/src/lib.rs
+++ b/crates/placer/src/lib.rs
@@ -46,8 +46,15 @@
 //! | `log_events` | nothing: records the core's events | |
 //! | `tasks` | cancellation and joining | |
 //!
-//! Each task has one owner, a `TaskGroup`, which cancels it at an await point and joins it. Tasks talk to the loop by
-//! bounded queues and to nobody else. A failing node or client ends its own task's connection and nothing else.
+//! Each task has one owner, a `TaskGroup`, which cancels it at an await point and joins it; a single link is cancelled by
+//! its `CancelHandle`, and its successor waits for its end. Tasks send to the loop by bounded queues; link tasks share the
+//! reconnect scheduler besides, the ledger's thread has an unbounded queue of commands, and settings go out by a `watch`
+//! channel. A failing node or client ends its own task's connection and nothing else.
+//!
+//! When a link fails, the batch that it was writing is lost without a report; offers that were still queued are reported
+//! as unwritten. The queue of a link task that is replaced or cancelled is dropped. The core doesn't rely on any of this:
+//! after the next handshake the node reports every task that it runs, and the core's reconciliation
+//! (`crates/core/src/lifecycle/reconciliation.rs`) settles each attempt by that.
 //!
 //! # Shutdown
 //!
@@ -57,7 +64,8 @@
 //! # Log records
 //!
 //! Each has a field `event` with a stable name, and `placer`. `log_events` records those of the core,
-//! [`reedring_core::event::Event`]; these are the shell's own:
+//! [`reedring_core::event::Event`]: for who decides one, search the core for its variant (`node_disconnected` is
+//! `Event::NodeDisconnected`). These are the shell's own:
 //!
 //! | event | level | written by |
 //! | --- | --- | --- |
--- a/crates/placer/src/links/task.rs
+++ b/crates/placer/src/links/task.rs
@@ -38,7 +38,7 @@
 }
 
 impl LinkTask {
-    /// Runs until the placer shuts down.
+    /// Keeps a link to the node, one after another, until it is cancelled or the placer shuts down.
     pub async fn run(mut self, mut messages: MessageQueue) {
         loop {
             self.link = self.link.next_link();
--- a/crates/plan/src/lease.rs
+++ b/crates/plan/src/lease.rs
@@ -66,7 +66,7 @@
     }
 
     /// When a majority of the voters last answered, as of now.
-    pub fn quorum_contact(&mut self, now_us: u64, cluster: &ClusterView) -> QuorumContact {
+    pub fn update_quorum_contact(&mut self, now_us: u64, cluster: &ClusterView) -> QuorumContact {
         let answered_recently = |node: NodeNumber| {
             let answered = self.last_answer(node);
             answered.is_some_and(|at| now_us < at.saturating_add(self.duration_us))
--- a/crates/plan/src/lease/suspend_reason.rs
+++ b/crates/plan/src/lease/suspend_reason.rs
@@ -27,7 +27,8 @@
         }
     }
 
-    /// Whether the placer is fenced: the suspension does not end before an operator acts.
+    /// Whether the placer is fenced: while a majority answers, the suspension does not end before an operator acts. Without
+    /// a majority the reason is [`SuspendReason::NoQuorum`] meanwhile.
     pub const fn is_fenced(self) -> bool {
         matches!(self, Self::Pinned | Self::Unusable)
     }
--- a/crates/plan/src/lease/tests.rs
+++ b/crates/plan/src/lease/tests.rs
@@ -245,15 +245,18 @@
         let mut lease = lease_with_answers(&answers);
         assert_eq!(lease.expires_at(&cluster), expires_at, "{answers:?}");
         let Some(expires_at) = expires_at else {
-            assert_eq!(lease.quorum_contact(50, &cluster), QuorumContact::Never);
+            assert_eq!(
+                lease.update_quorum_contact(50, &cluster),
+                QuorumContact::Never
+            );
             continue;
         };
         assert_eq!(
-            lease.quorum_contact(expires_at - 1, &cluster),
+            lease.update_quorum_contact(expires_at - 1, &cluster),
             QuorumContact::Recent
         );
         assert_eq!(
-            lease.quorum_contact(expires_at, &cluster),
+            lease.update_quorum_contact(expires_at, &cluster),
             QuorumContact::Expired
         );
     }
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -36,7 +36,8 @@
 //!
 //! # Why it is safe
 //!
-//! 1. A majority is one of all listed voters, not of the reachable ones, so two majorities of one list share a voter.
+//! 1. A majority is one of all voters of the node list but those listed as gone, not of the reachable ones, so two
+//!    majorities of one list share a voter.
 //! 2. A voter persists a promise or a vote before it answers, and answers no smaller ballot after it.
 //! 3. So a placer whose ballot a majority promised sees any configuration that was chosen with a smaller ballot, and
 //!    proposes that one. A ballot proposes one configuration. Hence at most one of each number is chosen (Paxos).
@@ -44,15 +45,22 @@
 //!    one is committed. So the fleet commits the numbers in order, one configuration of each.
 //! 5. No acceptor goes back: committed numbers and floors only rise, and so do promised ballots until the next commit
 //!    ([`AcceptorState::apply`]).
-//! 6. A node admits its floor and one level above, so only neighbours meet there: *n* alone and *n* + 1 joint, or
+//! 6. A voter admits its floor and one level above, so only neighbours meet there: *n* alone and *n* + 1 joint, or
 //!    *n* + 1 joint and *n* + 1 alone. The joint bounds are as strict as both, so neither pair exceeds either's.
+//!    A learner admits any newer level, raises its floor with it, and warms up for a window (8).
 //! 7. The lease bounds for how long a placer acts by a configuration that it can't know to be replaced. What it sends
 //!    later than that, or what was delayed on its way, the floors reject: no clock has to be right for that.
 //! 8. A node that is warming up may have admitted offers by both neighbours; [`dispatch_block`](dispatch_block()) makes
 //!    placers wait for a window after its floor rose.
-//! 9. A voter that lost its state reports that it can't vote until every change that it may have voted for is over.
+//! 9. A voter that lost its state and was told the committed configuration votes again only after it has settled, a time
+//!    that its caller measures, in which a change that it may have voted for is over.
 //! 10. Reports of learners prove that a configuration was chosen, and are counted for no majority.
 //!
+//! What this rests on, and what it does not cover: the lists that placers use meanwhile differ by less than half of the
+//! voters (a voter rejects a request by an older revision, once it has seen a newer one); a voter that loses its disk
+//! before the *first* configuration is committed anywhere votes at once, so for that one configuration disks must last;
+//! where most nodes speak a former protocol ([`LeaseState::Unmanaged`]) nothing here protects them.
+//!
 //! `tests/model.rs` and `tests/learners.rs` explore every interleaving of small clusters. They also check that the same
 //! models fail without the rules on majorities, promises, floors and the slow-start window.
 //!
@@ -67,7 +75,8 @@
 //! - I. Rae and others, "Online, Asynchronous Schema Evolution in F1" (2013), for the rule that only neighbouring
 //!   versions are in use at a time.
 //! - C. Gray, D. Cheriton, "Leases" (1989), for the read lease. Here no server grants it and no change waits until it
-//!   expires: a placer counts the time from answers of a majority, by its own clock, and the floors protect the nodes.
+//!   expires: a placer counts the time from the receipt of a majority's answers, by its own clock, so the lease bounds how
+//!   outdated its view may be, and the floors protect the nodes.
 //!
 //! # Modules
 //!
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -13,7 +13,9 @@
 //!
 //! # The run loop
 //!
-//! A response that tells a client of a promise must not leave before the promise is durable. The core numbers its
+//! A response that tells a client of a promise must not leave before the promise is durable, where the placer has a state
+//! folder that can be written; without one, or after a write error, the core sends it with a warning or rejects the call
+//! (`crates/core/src/persistence`). The core numbers its
 //! batches and passes each output through a [`DurabilityBarrier`] together with the batch on which it depends; a thread
 //! owns the writer and reports how far the ledger is durable. Both sides, without the channel between them:
 //!
@@ -62,7 +64,7 @@
 //! | after a commit, before the barrier advances | the batch, of which nobody was told: a repeated call finds its response |
 //! | during a migration | the older format, complete, and it is migrated again: a migration is one transaction |
 //! | after a failed sync | the marker says that rows may be missing. The failed file is not written any more, as a later sync may report success for pages that were dropped |
-//! | while the failed ledger is replaced, before the rename is synced | the failed ledger with its marker, or the replacement with all rows. The marker is cleared only after the rename is durable |
+//! | while the failed ledger is replaced, before the rename is synced | the failed ledger with its marker, or the replacement with all rows. The marker is cleared only after the rename is durable. Where the marker itself could not be written, the core offers idempotent tasks alone meanwhile |
 //! | while the belief file is replaced | one of the two files, complete: the new one is synced before any rename, and the one before is renamed, not removed |
 //!
 //! `tests/power.rs` cuts the power at every one of these operations.
