--- a/crates/platform/src/attempts.rs
+++ b/crates/platform/src/attempts.rs
@@ -41,13 +41,15 @@
     ) {
         let max_attempts = self.settings.module.rules.max_attempts;
         let Some(entry) = self.requests.get_mut(request) else {
-            // Its client departed in this very batch; the module's number for the attempt is the next one.
+            // A guard: the decision module is told of all that closes a request before the step in which it could
+            // offer it again.
             return;
         };
         let number = entry.attempts;
         entry.attempts += 1;
         let is_spent = max_attempts.is_some_and(|most| u32::from(number) >= most);
-        // An attempt beside one that is in flight could start the task twice.
+        // A guard, as the decision module checks the same before it offers: an attempt beside one that is in flight
+        // could start the task twice.
         let may_start =
             entry.phase == Phase::Open && entry.in_flight.is_none() && entry.deadline > now;
         if is_spent || !may_start {
@@ -86,7 +88,7 @@
             let result = Outcome::Unconnected.into();
             return self.attempt_ended(request, attempt.number, attempt.machine, result);
         };
-        let (id, wanted) = (entry.id(), &entry.placement_request);
+        let (id, wanted) = (entry.wire_id(), &entry.placement_request);
         let message = ToHost::PlacementRequest {
             id,
             class: wanted.class.clone(),
@@ -142,7 +144,7 @@
         let Some(attempt) = entry.in_flight.take() else {
             return;
         };
-        let (id, is_closed) = (entry.id(), entry.phase == Phase::Closed);
+        let (id, is_closed) = (entry.wire_id(), entry.phase == Phase::Closed);
         if let Some(link) = self.hosts.link_mut(attempt.link) {
             link.in_flight.remove(&id);
         }
@@ -158,7 +160,7 @@
         let Some(entry) = self.requests.get(request) else {
             return;
         };
-        let (id, Some(attempt)) = (entry.id(), entry.in_flight) else {
+        let (id, Some(attempt)) = (entry.wire_id(), entry.in_flight) else {
             return;
         };
         let was_unsent = self.unqueue(attempt.link, id);
--- a/crates/platform/src/clients/departures.rs
+++ b/crates/platform/src/clients/departures.rs
@@ -1,4 +1,9 @@
 //! Clients that depart, or give up one request: what is done with it.
+//!
+//! Nothing here stops an attempt that was sent. [`Event::Withdrawn`] tells the decision module, which answers with
+//! `Action::Stop` where the settings let attempts be stopped; `Engine::give_up` then releases the attempt at its host.
+//! Without that the attempt ends as any other, and `Engine::task_accepted` stops a task that its host accepts after the
+//! request was closed.
 
 use reedring::{Event, Micros, Outcome, RequestId};
 use reedring_platform_protocol::CANCELLED;
@@ -63,7 +68,7 @@
         let Some(entry) = self.requests.get(request) else {
             return;
         };
-        let (id, Some(attempt)) = (entry.id(), entry.in_flight) else {
+        let (id, Some(attempt)) = (entry.wire_id(), entry.in_flight) else {
             return;
         };
         if self.unqueue(attempt.link, id) {
@@ -80,7 +85,7 @@
             self.submit(now, request, true);
         } else if !entry.client_departed {
             entry.client_departed = true;
-            self.events.push(Event::Last(request));
+            self.events.push(Event::NoFurtherAttempts(request));
         }
     }
 }
--- a/crates/platform/src/decide/attempts.rs
+++ b/crates/platform/src/decide/attempts.rs
@@ -3,13 +3,16 @@
 /// How a link ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkEnd {
-    /// The host refused the connection: proof that nothing ran.
+    /// The host refused the connection: proof that nothing was sent on this link.
     Refused,
     /// The connection timed out or could not be made at all.
     ConnectFailed,
-    /// It was established, and the host closed it in good order, as one that is idle.
+    /// It was established and ended without an error: the host closed its sending side (end of file), whether the link
+    /// was idle or had attempts in flight. A link that the placer closed ends so too, once all is written; the engine
+    /// has forgotten it by then.
     Closed,
-    /// It was established, and was reset.
+    /// It was established, and an error ended it, or nothing could be written to it for too long. Links to a host that
+    /// left the endpoint list are ended so by the placer.
     Reset,
     /// It was established, and the host sent what can't be read.
     Unreadable,
@@ -20,7 +23,7 @@
 pub enum Execution {
     /// No byte of it was written: it may be sent on another link as the same attempt.
     Unsent,
-    /// It could not be sent, and the machine does not answer.
+    /// Its link was refused or could not be made, so it never ran. It is not sent again.
     NeverRan,
     /// Some of it was written, so it may have run.
     MayHaveRun,
--- a/crates/platform/src/decide/clients.rs
+++ b/crates/platform/src/decide/clients.rs
@@ -43,7 +43,9 @@
     RecallAndAnswer,
     /// Let its attempt finish and deliver the answer; no other attempt follows.
     FinishAttempt,
-    /// Owe no answer; give its attempt up, also on the wire if it was sent.
+    /// Owe no answer. An attempt that waits for its link is taken back; one that was sent is left to the decision
+    /// module, which is told that the request was withdrawn. It may stop the attempt, where the settings let it;
+    /// otherwise the attempt ends as any other, and a task that its host accepts by then is stopped.
     Abandon,
     /// Stop its task at its host.
     StopTask,
--- a/crates/platform/src/engine/actions.rs
+++ b/crates/platform/src/engine/actions.rs
@@ -59,7 +59,7 @@
         let Phase::Running(_) = entry.phase else {
             return;
         };
-        let (id, conn) = (entry.id(), entry.conn);
+        let (id, conn) = (entry.wire_id(), entry.conn);
         self.stop_task(now, request, CANCELLED);
         if let Some(conn) = self.notification_connection(conn) {
             self.send_to_client(conn, ToClient::Moved(id));
@@ -76,7 +76,7 @@
         };
         placement.since = now;
         entry.phase = Phase::Stopping(placement);
-        let id = entry.id();
+        let id = entry.wire_id();
         if let Some(link) = self.any_link(now, placement.machine) {
             self.send_to_host(link, ToHost::Release { id, cause });
         }
--- a/crates/platform/src/engine/shutdown.rs
+++ b/crates/platform/src/engine/shutdown.rs
@@ -1,5 +1,17 @@
 //! Shutdown: requests are taken for a while, all that was taken is answered, and running tasks keep the placer for as
 //! long as a client may wait for their end.
+//!
+//! | after the signal | what happens | where |
+//! | --- | --- | --- |
+//! | at once | SIGTERM becomes `Input::Terminate`; the time is kept and logged; health checks of clients fail from now on | `run/control.rs`, [`Engine::terminate`], `clients/mod.rs` |
+//! | 0.7 s | [`Output::StopListening`]: connections that wait in the queue are accepted, then the listener is closed; requests on open connections are still taken | [`Engine::advance_shutdown`], `run/shell.rs`, `sockets/client.rs` |
+//! | 1 s, or while tasks run the longest wait of a client (3 s at most) and 0.4 s if that is more | [`Output::MayExit`], once no request is open | [`Engine::advance_shutdown`] |
+//! | then | if no input waits, what is left in the write buffers is written for 0.3 s at most, and the loop ends | `run/event_loop.rs`, `Shell::write_all` |
+//!
+//! Input that comes after [`Output::MayExit`] is handled first, and the output comes again at the next flush.
+//!
+//! No timer is set for these times: they are checked in each [`Engine::flush`]. The periodic sweep timer (250 ms) makes
+//! sure that one comes, so a step may be that much later.
 
 use reedring::Micros;
 
@@ -35,7 +47,7 @@
         }
     }
 
-    /// Stops listening, and reports that the placer may exit once nothing is owed and nothing more comes.
+    /// Takes the steps whose time has come: stops listening, and reports that the placer may exit.
     pub(super) fn advance_shutdown(&mut self, now: Micros) {
         let Some(requested_at) = self.shutdown.requested_at else {
             return;
@@ -56,7 +68,7 @@
         let has_open_requests = has(|request| request.phase == Phase::Open);
         if now >= requested_at + stay_us && !has_open_requests && !self.shutdown.is_finished {
             self.shutdown.is_finished = true;
-            self.outputs.push_back(Output::Finished);
+            self.outputs.push_back(Output::MayExit);
         }
     }
 }
--- a/crates/platform/src/hosts/endpoints.rs
+++ b/crates/platform/src/hosts/endpoints.rs
@@ -45,7 +45,7 @@
         self.events.push(Event::Listed(Listing::Failed));
     }
 
-    /// The number_of of the last discovery event that was applied.
+    /// The number of the last discovery event that was applied.
     pub fn discovery_revision(&self) -> u64 {
         self.discovery_revision
     }
--- a/crates/platform/src/hosts/links.rs
+++ b/crates/platform/src/hosts/links.rs
@@ -79,7 +79,11 @@
         let is_wanted =
             entry.phase == Phase::Open && !entry.client_departed && now < attempt.deadline;
         let number = attempt.number;
-        if !is_wanted || !self.placer.may_leave(now, AttemptId { request, number }) {
+        if !is_wanted
+            || !self
+                .placer
+                .claim_late_send(now, AttemptId { request, number })
+        {
             return self.take_back(request, Outcome::Unsent.into());
         }
         *left_ms = remaining_ms(now, attempt.deadline);
@@ -151,7 +155,10 @@
             .iter()
             .filter_map(|(_, request)| self.requests.get(*request));
         let stopping = running.filter(|request| matches!(request.phase, Phase::Stopping(_)));
-        for id in stopping.map(|request| request.id()).collect::<Vec<u64>>() {
+        for id in stopping
+            .map(|request| request.wire_id())
+            .collect::<Vec<u64>>()
+        {
             self.send_to_host(
                 link,
                 ToHost::Release {
--- a/crates/platform/src/hosts/tasks.rs
+++ b/crates/platform/src/hosts/tasks.rs
@@ -54,7 +54,7 @@
         let Some(entry) = self.requests.get(request) else {
             return;
         };
-        let (machine, id, conn) = (in_flight.machine, entry.id(), entry.conn);
+        let (machine, id, conn) = (in_flight.machine, entry.wire_id(), entry.conn);
         if entry.phase != Phase::Open {
             // Nobody waits for it any more: it is stopped, and its end belongs to the attempt.
             self.send_to_host(
@@ -107,7 +107,7 @@
         let end = TaskEnd {
             at: now,
             requested_on: entry.conn,
-            id: entry.id(),
+            id: entry.wire_id(),
             cause,
         };
         if let Some(host) = self.hosts.host_mut(placement.machine) {
--- a/crates/platform/src/io.rs
+++ b/crates/platform/src/io.rs
@@ -71,9 +71,9 @@
     CloseLink(LinkId),
     /// Accept no new connections any more.
     StopListening,
-    /// All that was taken in is answered: the placer may exit if no further input waits. Otherwise this output comes
-    /// again.
-    Finished,
+    /// No request is open, and the time for which the placer stays is over: it may exit if no further input waits. If
+    /// some does, this output comes again after it.
+    MayExit,
     /// An event for the operators' log.
     Log(LogEvent),
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -27,7 +27,7 @@
 //! engine                               inputs to events, actions to outputs
 //! clients, hosts, health_checks        methods of `Engine`, one concern each
 //! attempts                             methods of `Engine` that send and end attempts
-//! state                                tables with private fields, and `Engine` that holds them
+//! state                                tables and records, and `Engine` that holds them
 //! bounds, io                           limits; inputs and outputs
 //! log_event                            events for the operators' log
 //! errors                               what can be wrong with input
@@ -35,7 +35,18 @@
 //! ```
 //!
 //! `clients`, `hosts` and `health_checks` import nothing of each other: where one needs another, it calls a method of
-//! [`Engine`].
+//! [`Engine`]. The tables of hosts and links, requests, health checks and task ends have private fields; their records,
+//! and the fields of [`Engine`], are open to the whole crate.
+//!
+//! Where to look:
+//!
+//! | what happened | files, in the order in which it goes through them |
+//! | --- | --- |
+//! | a client is gone | `sockets/client.rs`, `clients/connections.rs`, `decide/clients.rs` (the table), `clients/departures.rs`, `attempts.rs`; ends of its tasks: `clients/task_ends.rs` |
+//! | a link is gone | `sockets/host.rs`, `hosts/links.rs` (`link_down`), `decide/attempts.rs`, `attempts.rs`, `hosts/failure.rs` |
+//! | a host is lost | `hosts/links.rs`, `hosts/sweep.rs` or `hosts/endpoints.rs`, `hosts/failure.rs`, `decide/hosts.rs`, `hosts/tasks.rs` (`task_ended`), `clients/task_ends.rs` |
+//! | discovery answered or failed | `discovery.rs`, `run/event_loop.rs`, `hosts/endpoints.rs`, `hosts/failure.rs` |
+//! | SIGTERM | `run/control.rs`, `engine/shutdown.rs` (the steps and their times), `run/event_loop.rs`, `run/shell.rs` |
 #![forbid(unsafe_code)]
 
 mod attempts;
--- a/crates/platform/src/log_event.rs
+++ b/crates/platform/src/log_event.rs
@@ -7,7 +7,7 @@
 use crate::errors::{ClientReadError, DiscoveryError, Rejection};
 use crate::ids::{ConnId, LinkId};
 
-/// Something that operators may want to know. Events about input of other programs are rate limited when written.
+/// Something that operators may want to know. All of them share one rate limit when they are written (`run::log`).
 #[derive(Clone, Debug)]
 pub enum LogEvent {
     /// The decision module reports something.
--- a/crates/platform/src/message_log.rs
+++ b/crates/platform/src/message_log.rs
@@ -99,7 +99,7 @@
         Output::ToHost(link, message) => format!("to link {link}: {}", to_host(message)),
         Output::CloseLink(link) => format!("close link {link}"),
         Output::StopListening => "stop listening".to_owned(),
-        Output::Finished => "finished".to_owned(),
+        Output::MayExit => "finished".to_owned(),
         Output::Log(_) => return None,
     })
 }
--- a/crates/platform/src/run/event_loop.rs
+++ b/crates/platform/src/run/event_loop.rs
@@ -136,7 +136,7 @@
             self.engine.flush(self.clock.now());
             while let Some(output) = self.engine.poll() {
                 // Input that came before the exit is answered, however far behind the loop is.
-                if matches!(output, Output::Finished) && self.incoming.is_empty() {
+                if matches!(output, Output::MayExit) && self.incoming.is_empty() {
                     return self.shell.write_all().await;
                 }
                 self.shell.carry_out(self.clock.now(), output);
--- a/crates/platform/src/run/log.rs
+++ b/crates/platform/src/run/log.rs
@@ -6,15 +6,19 @@
 
 use super::RunError;
 
-/// Events written in a second at most.
+/// Events of all kinds that are written in one second of the clock at most.
 const MAX_EVENTS_PER_SECOND: u32 = 50;
 
 /// Writes a bounded number of events: a flood of invalid input does not flood the log.
+///
+/// All kinds of [`LogEvent`] share the limit of [`MAX_EVENTS_PER_SECOND`], so a flood of one kind also hides the others
+/// until the second is over. What is over the limit is dropped: no record and no counter tells how many events were.
+/// [`configuration_reloaded`] and [`configuration_rejected`] are written past the limit.
 #[derive(Default)]
 pub(super) struct RateLimitedLog {
-    /// The second in which an event was written last.
+    /// The second of the last event, since 1970.
     second: u64,
-    /// How many there were in it.
+    /// How many events there were in it, dropped ones included.
     count: u32,
 }
 
--- a/crates/platform/src/run/shell.rs
+++ b/crates/platform/src/run/shell.rs
@@ -134,7 +134,7 @@
             }
             Output::StopListening => drop(self.stop_listening.take()),
             Output::Log(event) => self.log.write(now, &event),
-            Output::Finished => {}
+            Output::MayExit => {}
         }
     }
 
--- a/crates/platform/src/state/host.rs
+++ b/crates/platform/src/state/host.rs
@@ -110,7 +110,9 @@
     pub is_suspect: bool,
     /// It was made to check on the host.
     pub is_check: bool,
-    /// When it was last used; for one that is still being made, its number.
+    /// When it was established, an attempt was last sent on it (or queued for it) or a message of its host last came.
+    /// Until the first of these it holds the link's id in place of a time: the order in which links were created,
+    /// before any time of the clock.
     pub last_used: Micros,
     /// Since when it is established.
     pub up_since: Micros,
--- a/crates/platform/src/state/mod.rs
+++ b/crates/platform/src/state/mod.rs
@@ -1,5 +1,7 @@
-//! What the engine keeps: the types that clients, hosts and attempts share. Each table has private fields and keeps its
-//! own counts; nothing here decides or sends.
+//! What the engine keeps: the types that clients, hosts and attempts share. The tables of
+//! hosts and links, requests, health checks and task ends have private fields and keep their own counts. Their records
+//! and the fields of [`Engine`], the map of clients among them, are open to the whole crate. Nothing here decides or
+//! sends.
 
 mod client;
 mod health_check;
--- a/crates/platform/src/state/request.rs
+++ b/crates/platform/src/state/request.rs
@@ -87,14 +87,16 @@
         self.phase == Phase::Open && !self.is_submitted
     }
 
-    /// The id of the request on the wire.
-    pub fn id(&self) -> u64 {
+    /// The id that its client gave it. Both protocols carry it; the decision module knows the request by its
+    /// [`RequestId`].
+    pub fn wire_id(&self) -> u64 {
         self.placement_request.id
     }
 }
 
 /// A request that was found by its id on the wire.
 pub(crate) struct FoundRequest<'a> {
+    /// Its number for the decision module.
     pub id: RequestId,
     pub request: &'a Request,
 }
@@ -187,8 +189,8 @@
             return;
         };
         self.pending_bytes -= removed.pending_bytes;
-        if self.by_wire_id.get(&removed.id()) == Some(&id) {
-            self.by_wire_id.remove(&removed.id());
+        if self.by_wire_id.get(&removed.wire_id()) == Some(&id) {
+            self.by_wire_id.remove(&removed.wire_id());
         }
     }
 
@@ -201,7 +203,7 @@
         request.phase = Phase::Closed;
         let closed = ClosedRequest {
             conn: request.conn,
-            id: request.id(),
+            id: request.wire_id(),
         };
         if request.in_flight.is_none() {
             self.remove(id);
--- a/crates/platform/tests/world/mod.rs
+++ b/crates/platform/tests/world/mod.rs
@@ -404,7 +404,7 @@
             }
             Output::CloseLink(link) => digest.add("close link", now, &link.to_be_bytes()),
             Output::StopListening => digest.add("stop listening", now, &[]),
-            Output::Finished => digest.add("finished", now, &[]),
+            Output::MayExit => digest.add("finished", now, &[]),
             Output::Log(_) => {}
         }
     }
@@ -452,7 +452,7 @@
                 self.live.retain(|_, live| live.link != link);
                 self.links.remove(&link);
             }
-            Output::Finished => self.finished = true,
+            Output::MayExit => self.finished = true,
             Output::StopListening | Output::Log(_) => {}
         }
     }
--- a/src/api/actions.rs
+++ b/src/api/actions.rs
@@ -1,4 +1,8 @@
 //! Actions: what a placer tells the caller to do.
+//!
+//! Today's algorithm never returns [`Action::Move`], [`Action::CloseIdle`], [`Action::Tell`],
+//! [`Action::Fetch`] or `Action::Watch(false)`, and a refusal's `stay_away_us` is always `None`.
+//! They are part of the interface that callers carry out.
 
 use super::ids::{AttemptId, MachineId, Micros, RequestId};
 
@@ -25,22 +29,22 @@
     },
     /// Final answer: failed; the task may have run.
     Fail(RequestId),
-    /// Stop a placed task, so that its client submits it again.
+    /// Stop a placed task, so that its client submits it again. Never returned today.
     Move(RequestId),
     /// Send a health check to a machine, whose answer holds its load report.
     Probe(MachineId),
-    /// Close idle connections to a machine.
+    /// Close idle connections to a machine. Never returned today.
     CloseIdle(MachineId),
-    /// Send a message to one scheduler, or to all.
+    /// Send a message to one scheduler, or to all. Never returned today.
     Tell {
         /// The number of the receiver; `None` for all.
         to: Option<u32>,
         /// The message.
         body: Vec<u8>,
     },
-    /// Watch the machine list, or stop.
+    /// Watch the machine list, or stop; only `true` is returned today.
     Watch(bool),
-    /// Request a snapshot of the machine list.
+    /// Request a snapshot of the machine list. Never returned today.
     Fetch,
     /// Set a timer.
     Timer {
--- a/src/api/events.rs
+++ b/src/api/events.rs
@@ -65,7 +65,7 @@
     Withdrawn(RequestId),
     /// The client disconnected or will send nothing more: no attempt begins from now on. One in
     /// flight may still place the task; without one the final answer comes at once.
-    Last(RequestId),
+    NoFurtherAttempts(RequestId),
     /// The timer with this token came due.
     Woken(u64),
     /// A health check came back.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,6 +6,15 @@
 //! draws its random numbers from the seed it was given, so equal events give
 //! equal actions.
 //!
+//! | module | what it holds |
+//! | --- | --- |
+//! | [`api`] | the interface: settings and events in, actions out |
+//! | [`logic`] | the decisions; begin at `logic/placer/mod.rs`, where [`Placer::step`] shows a whole step |
+//! | [`settings`] | reads a deployment's settings from JSON |
+//! | [`names`] | names to the numbers of machines, services and tasks |
+//! | [`timers`] | a queue of timers, for the programs that drive a [`Placer`] |
+//! | `load` | arithmetic on pairs of cores and memory |
+//!
 //! ```
 //! use reedring::{Action, Class, Effect, Event, Health, Listing, Machine, MachineId};
 //! use reedring::{Group, Kind, Placer, RequestId, Rules, ServiceId, Settings, Task, TaskKey};
--- a/src/logic/machine_state.rs
+++ b/src/logic/machine_state.rs
@@ -269,7 +269,7 @@
             is_doubtful: !is_observed
                 || self.consecutive_failures > 0
                 || self.is_warming_up(now, &settings.rules),
-            has_slow_start_budget: self.may_send(now, settings, scheduler),
+            has_slow_start_budget: self.has_slow_start_budget(now, settings, scheduler),
             is_backing_off: self.backoff_until > now,
             is_rejecting: self.rejecting.values().any(|until| *until > now),
         }
--- a/src/logic/placer/events.rs
+++ b/src/logic/placer/events.rs
@@ -33,7 +33,7 @@
                 self.attempt_ended(now, end);
             }
             Event::Withdrawn(request) => self.withdraw_request(*request, actions),
-            Event::Last(request) => self.expire_request(now, *request),
+            Event::NoFurtherAttempts(request) => self.expire_request(now, *request),
             Event::Woken(POLL_TIMER) => self.poll(now, actions),
             Event::Woken(LIST_WATCH_TIMER) => {
                 self.list_watch
--- a/src/logic/placer/legality.rs
+++ b/src/logic/placer/legality.rs
@@ -1,5 +1,14 @@
-//! Which offers are legal by rules 2 to 5. Every send passes [`Placer::may_offer`], and one that
-//! had to wait for its connection also [`Placer::may_leave`].
+//! Which offers are legal by rules 2 to 5, and when that is checked.
+//!
+//! - Each [`Action::Offer`](crate::api::Action::Offer) passes [`Placer::may_offer`], in the step
+//!   that returns it.
+//! - An attempt that had to wait for its connection also passes [`Placer::claim_late_send`], which
+//!   the platform (`crates/platform`) calls once the connection is established. It checks again
+//!   only the health of the machine, the slow start budget and the deduplication window: neither
+//!   the spread nor the constraint.
+//! - The platform sends an attempt again, under the same number, if its connection ended before any
+//!   byte of it was written. On a connection that is already established that send passes neither
+//!   check; on one that is still being made it passes `claim_late_send`.
 
 use std::collections::BTreeMap;
 
@@ -31,9 +40,11 @@
             && view.has_slow_start_budget
     }
 
-    /// Whether an offer that waited for its connection may leave now, by rules 2 to 4. What it
-    /// spends of the slow start budget counts from now on.
-    pub fn may_leave(&mut self, now: Micros, attempt: AttemptId) -> bool {
+    /// Claims the send of an attempt that waited for its connection: whether it may be sent now, by
+    /// rules 2 to 4. What it had spent of the slow start budget is returned, and spent anew if it
+    /// may be sent, so that it counts from now on. A second claim of the same attempt finds
+    /// nothing to return and spends nothing.
+    pub fn claim_late_send(&mut self, now: Micros, attempt: AttemptId) -> bool {
         let Some(request) = self.requests.get(&attempt.request) else {
             return false;
         };
@@ -57,7 +68,7 @@
         if let Some(position) = budgeted {
             state.slow_start_offers.remove(position);
         }
-        let machine_takes_it = state.may_send(now, &self.settings, self.scheduler)
+        let machine_takes_it = state.has_slow_start_budget(now, &self.settings, self.scheduler)
             && state.machine.health == Health::Ready;
         if machine_takes_it && budgeted.is_some() {
             state.slow_start_offers.push(now);
--- a/src/logic/placer/reports.rs
+++ b/src/logic/placer/reports.rs
@@ -61,8 +61,8 @@
         }
     }
 
-    /// A health check came back after `answer_time` microseconds, or failed. Requests that waited
-    /// for its report are due.
+    /// A health check came back after `answer_time` microseconds, or failed (`None`). All queued
+    /// requests are due, whatever they wait for.
     pub(super) fn health_check_ended(
         &mut self,
         now: Micros,
--- a/src/logic/requests.rs
+++ b/src/logic/requests.rs
@@ -1,5 +1,18 @@
 //! Requests without a final answer, their attempts, and which final answer is legal. It places no
 //! task.
+//!
+//! No field holds the state of a request; it follows from where its id and its attempts stand in
+//! the [`Placer`](super::Placer):
+//!
+//! | state | what shows it | moved there by |
+//! | --- | --- | --- |
+//! | due | id in `Placer::due` | `add_request`, `restrict_request`, `attempt_ended`, `expire_request`; from queued: `poll`, `health_check_ended` |
+//! | queued | id in `Placer::queued` | `place`, where no machine may take it or reports are awaited |
+//! | in flight | [`PendingRequest::is_in_flight`] | `place`, by `send_offer` |
+//! | answered | not in `Placer::requests` any more | `give_up`, `attempt_placed`, `withdraw_request`, and `attempt_ended` where the request is closed |
+//!
+//! An id may stand in `due` or `queued` though its request is in flight or answered, and in both at
+//! once: `place` ignores what is not to be placed.
 
 use crate::api::{AttemptId, Class, Effect, Group, MachineId, Micros, ServiceId, Task};
 use crate::load::Load;
@@ -92,7 +105,8 @@
             .map(|attempt| attempt.machine)
     }
 
-    /// The first attempt that may have run.
+    /// The first attempt that is not proven never to have run: also one that is in flight or was
+    /// asked to stop.
     pub fn first_may_have_run(&self) -> Option<&Attempt> {
         self.attempts
             .iter()
--- a/src/logic/slow_start.rs
+++ b/src/logic/slow_start.rs
@@ -124,8 +124,13 @@
 }
 
 impl MachineState {
-    /// Whether the slow start lets one more offer leave now.
-    pub fn may_send(&self, now: Micros, settings: &Settings, scheduler: SchedulerIdentity) -> bool {
+    /// Whether the slow start budget has room for one more offer now. It spends nothing.
+    pub fn has_slow_start_budget(
+        &self,
+        now: Micros,
+        settings: &Settings,
+        scheduler: SchedulerIdentity,
+    ) -> bool {
         let Some(budget) = SlowStartBudget::new(self, now, settings) else {
             return true;
         };
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -227,7 +227,7 @@
         "8 offers over 4 placers"
     );
     bed.now += 3 * SECOND / 2;
-    assert!((0..2).all(|request| bed.placer.may_leave(bed.now, attempt(request, 0))));
+    assert!((0..2).all(|request| bed.placer.claim_late_send(bed.now, attempt(request, 0))));
     assert!(
         offers(&bed.after(SECOND, &[arrived(2, 0)])).is_empty(),
         "a window from when they left"
@@ -237,14 +237,14 @@
         1
     );
     assert!(
-        !bed.placer.may_leave(bed.now, attempt(9, 0)),
+        !bed.placer.claim_late_send(bed.now, attempt(9, 0)),
         "nobody knows of it"
     );
     // It drains before the connection stands.
     bed.step(&[Event::Listed(Listing::Changes(vec![cold(
         Health::Draining,
     )]))]);
-    assert!(!bed.placer.may_leave(bed.now, attempt(2, 0)));
+    assert!(!bed.placer.claim_late_send(bed.now, attempt(2, 0)));
 }
 
 /// A budget that is no number, negative or without bound, and a window of nothing: the safest reading.
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -175,7 +175,7 @@
             Event::EligibilityChanged { .. }
             | Event::BeliefsRestored(_)
             | Event::SettingsChanged(_)
-            | Event::Last(_) => {
+            | Event::NoFurtherAttempts(_) => {
                 unreachable!("the simulator neither opens, recalls nor tells a last word")
             }
         }
