--- a/crates/platform-protocol/src/host/mod.rs
+++ b/crates/platform-protocol/src/host/mod.rs
@@ -1,4 +1,5 @@
-//! Messages between placers and hosts: one JSON object a line.
+//! Messages between placers and hosts: one JSON object a line. Its member `type` tells which message it is; the word
+//! stands beside each variant.
 
 mod decode;
 mod encode;
@@ -18,14 +19,14 @@
 /// A message of a host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FromHost {
-    /// The task runs.
+    /// `answer`: the task runs.
     Answer {
         /// The request.
         id: u64,
         /// To be passed on unchanged.
         description: String,
     },
-    /// The attempt ended before its answer, or the task after it.
+    /// `release`: the attempt ended before its answer, or the task after it.
     Release {
         /// The task.
         id: u64,
@@ -36,14 +37,14 @@
         /// Figures that may be a load report, by name.
         figures: Figures,
     },
-    /// A signal about a running task.
+    /// `note`: a signal about a running task.
     TaskSignal {
         /// The task.
         id: u64,
         /// The signal.
         note: Note,
     },
-    /// The result of a health check.
+    /// `pong`: the result of a health check.
     HealthCheckResult {
         /// As the health check had it.
         id: u64,
@@ -52,14 +53,14 @@
         /// Figures that may be a load report, by name.
         figures: Figures,
     },
-    /// A message without meaning for a placer.
+    /// `progress`, `released`, `ping`, `move`, or a `note` of an unknown name: without meaning for a placer.
     Ignored,
 }
 
 /// A message to a host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ToHost {
-    /// A task is offered.
+    /// `setup`: a task is offered.
     PlacementRequest {
         /// The client's id.
         id: u64,
@@ -74,14 +75,14 @@
         /// As the client gave it.
         description: String,
     },
-    /// An attempt is given up, or a running task is to be stopped.
+    /// `release`: an attempt is given up, or a running task is to be stopped.
     Release {
         /// The task.
         id: u64,
         /// Why.
         cause: u8,
     },
-    /// A health check.
+    /// `ping`: a health check.
     HealthCheck {
         /// Comes back with the result.
         id: u64,
