--- a/crates/audit/src/checker/slow_start.rs
+++ b/crates/audit/src/checker/slow_start.rs
@@ -1,4 +1,14 @@
 //! Rule 4: no node that is warming up gets more offers than its budget, by all placers together.
+//!
+//! One rule with three names: a node that is *warming up* is *cold* in the settings (`cold_offers`, `cold_window`), in
+//! the rule ([`Rule::ColdNodes`]) and in the report; *slow start* is what placers do for it.
+//!
+//! The budget here is N, the settings' `cold_offers`, in any window, with no allowance. The decision module's own bound
+//! is wider: N + 2 sqrt N + 1 for placers that each have a number (`docs/design.md`, "Slow start"). The placers that are
+//! audited have none: with M placers each sends floor(N / M) in a window, which sums up to N at most, and if N < M their
+//! turns fall by chance, with three standard deviations kept in hand. So if N < M this check can report a breach by
+//! chance, without a fault. So can delays: the module allows for offers that come 0.1 s nearer to each other on their way
+//! than they were sent, and no more.
 
 use super::observed::ReadOffer;
 use super::settings::SlowStartWindow;
