--- a/crates/core/src/dispatch_blocks.rs
+++ b/crates/core/src/dispatch_blocks.rs
@@ -167,3 +167,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/health_checks.rs
+++ b/crates/core/src/health_checks.rs
@@ -92,3 +92,6 @@
         });
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/ledger/tests.rs
+++ b/crates/core/src/ledger/tests.rs
@@ -21,3 +21,62 @@
         assert_eq!(JobName::parse(odd), None, "{odd}");
     }
 }
+
+fn attempt(job: JobNumber, wire: wire::AttemptId) -> Attempt {
+    Attempt {
+        job,
+        node: NodeNumber(0),
+        machine: reedring::names::machine_id("node-0"),
+        wire,
+        sent: 0,
+        state: AttemptState::Accepted,
+        accepted: true,
+        announced: true,
+        node_incarnation: None,
+        topics: Arc::default(),
+    }
+}
+
+#[test]
+fn an_attempt_is_found_by_its_name_on_the_wire_until_it_is_closed() {
+    let mut ledger = Ledger::new(2);
+    let own = AttemptId {
+        request: ledger.new_request(),
+        number: 0,
+    };
+    let adopted = AttemptId {
+        request: ledger.new_request(),
+        number: 0,
+    };
+    let foreign = wire::AttemptId {
+        incarnation: 1,
+        request: own.request.0,
+        number: 0,
+    };
+    ledger.open(own, attempt(JobNumber(1), ledger.wire_id(own)));
+    ledger.open(adopted, attempt(JobNumber(2), foreign));
+    assert_eq!(ledger.find(ledger.wire_id(own)), Some(own));
+    assert_eq!(
+        ledger.find(foreign),
+        Some(adopted),
+        "the same request of another incarnation"
+    );
+    assert!(!ledger.is_known(foreign));
+    ledger.close(adopted, "ended");
+    assert_eq!(ledger.find(foreign), None);
+    assert!(
+        ledger.is_known(foreign),
+        "a report that comes once more is not adopted"
+    );
+}
+
+#[test]
+fn each_attempt_at_an_open_request_has_its_own_number() {
+    let mut ledger = Ledger::new(1);
+    let request = ledger.new_request();
+    ledger.open_request(request, JobNumber(7));
+    let numbers = [(); 2].map(|()| ledger.next_attempt(request).map(|(_, id)| id.number));
+    assert_eq!(numbers, [Some(0), Some(1)]);
+    assert_eq!(ledger.close_request(request), Some(JobNumber(7)));
+    assert!(ledger.next_attempt(request).is_none());
+}
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -77,6 +77,8 @@
 mod requirements;
 mod restore;
 mod sessions;
+#[cfg(test)]
+mod test_support;
 mod timers;
 
 pub use crate::core::Core;
--- a/crates/core/src/nodes/mod.rs
+++ b/crates/core/src/nodes/mod.rs
@@ -7,6 +7,8 @@
 mod connections;
 mod list;
 mod node;
+#[cfg(test)]
+mod tests;
 
 use std::collections::BTreeMap;
 
--- a/crates/core/src/persistence/mod.rs
+++ b/crates/core/src/persistence/mod.rs
@@ -9,6 +9,8 @@
 
 mod batches;
 mod rows;
+#[cfg(test)]
+mod tests;
 
 use std::collections::{BTreeSet, VecDeque};
 
--- a/crates/core/src/sessions/mod.rs
+++ b/crates/core/src/sessions/mod.rs
@@ -4,6 +4,8 @@
 
 mod call_record;
 mod session;
+#[cfg(test)]
+mod tests;
 mod waiter;
 
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/core/tests/reconnect.rs
+++ b/crates/core/tests/reconnect.rs
@@ -35,8 +35,8 @@
         let mut zone_of = BTreeMap::new();
         for (zone, size) in zones.iter().enumerate() {
             for _ in 0..*size {
-                let id = pacing.wanted(&format!("zone-{zone}"));
-                pacing.stood(0, id);
+                let id = pacing.add(&format!("zone-{zone}"));
+                pacing.connected(0, id);
                 zone_of.insert(id, zone);
             }
         }
@@ -69,7 +69,7 @@
         for id in ids {
             self.up.remove(id);
             if self.standing.remove(id) {
-                self.pacing.ended(self.now, *id);
+                self.pacing.disconnected(self.now, *id);
             }
         }
     }
@@ -95,9 +95,9 @@
             self.ends.pop_first();
             if self.up.contains(&id) {
                 self.standing.insert(id);
-                self.pacing.stood(self.now, id);
+                self.pacing.connected(self.now, id);
             } else {
-                self.pacing.failed(self.now, id, Failure::Silent);
+                self.pacing.attempt_failed(self.now, id, Failure::Silent);
             }
         }
         for id in self.pacing.due(self.now) {
@@ -328,7 +328,7 @@
     while fleet.now < from + 300 * SECOND {
         fleet.step(from + 300 * SECOND);
         if fleet.standing.remove(&flapping) {
-            fleet.pacing.ended(fleet.now, flapping);
+            fleet.pacing.disconnected(fleet.now, flapping);
         }
     }
     let tries = (fleet.tries.len() - before) as u64;
@@ -435,14 +435,14 @@
 #[test]
 fn a_node_that_closes_on_greetings_is_tried_by_its_own_backoff_at_first() {
     let mut pacing = ReconnectPacing::new(1);
-    let ids: Vec<LinkId> = (0..168).map(|_| pacing.wanted("zone")).collect();
+    let ids: Vec<LinkId> = (0..168).map(|_| pacing.add("zone")).collect();
     let (mut now, mut tries) = (SECOND, 0);
     ids.iter()
-        .for_each(|id| pacing.failed(now, *id, Failure::Closed));
+        .for_each(|id| pacing.attempt_failed(now, *id, Failure::Closed));
     while now < 2 * SECOND {
         for id in pacing.due(now) {
             tries += 1;
-            pacing.failed(now, id, Failure::Closed);
+            pacing.attempt_failed(now, id, Failure::Closed);
         }
         now += MS;
     }
@@ -455,44 +455,40 @@
 fn what_is_told_twice_or_late_or_of_nodes_that_left_changes_nothing() {
     let told = |twice: bool| {
         let mut pacing = ReconnectPacing::new(1);
-        let (one, other, gone) = (
-            pacing.wanted("zone"),
-            pacing.wanted("zone"),
-            pacing.wanted("zone"),
-        );
-        pacing.left(gone);
+        let (one, other, gone) = (pacing.add("zone"), pacing.add("zone"), pacing.add("zone"));
+        pacing.remove(gone);
         let mut tries = Vec::new();
         for round in 0..400_u64 {
             let now = round * 10 * MS;
             for _ in 0..if twice { 2 } else { 1 } {
                 match round {
-                    0 => pacing.failed(now, one, Failure::Silent),
-                    1 => pacing.stood(now, other),
-                    200 => pacing.ended(now, other),
+                    0 => pacing.attempt_failed(now, one, Failure::Silent),
+                    1 => pacing.connected(now, other),
+                    200 => pacing.disconnected(now, other),
                     _ => {}
                 }
                 if twice {
-                    pacing.left(gone);
-                    pacing.failed(now, gone, Failure::Silent);
-                    pacing.stood(now, gone);
-                    pacing.ended(now, gone);
-                    pacing.moved_zone(gone, "another");
-                    pacing.ended(now, one);
-                    pacing.moved_zone(other, "zone");
+                    pacing.remove(gone);
+                    pacing.attempt_failed(now, gone, Failure::Silent);
+                    pacing.connected(now, gone);
+                    pacing.disconnected(now, gone);
+                    pacing.change_zone(gone, "another");
+                    pacing.disconnected(now, one);
+                    pacing.change_zone(other, "zone");
                 }
             }
             for id in pacing.due(now) {
                 assert_ne!(id, gone);
                 tries.push((now, id));
-                pacing.failed(now, id, Failure::Silent);
+                pacing.attempt_failed(now, id, Failure::Silent);
                 if twice {
-                    pacing.failed(now, id, Failure::Silent);
-                    pacing.stood(now, id);
+                    pacing.attempt_failed(now, id, Failure::Silent);
+                    pacing.connected(now, id);
                 }
             }
         }
-        pacing.left(one);
-        pacing.left(other);
+        pacing.remove(one);
+        pacing.remove(other);
         assert_eq!(pacing.next_wake(), None, "nobody is left to be tried");
         tries
     };
@@ -507,15 +503,15 @@
     fleet.run(600 * SECOND);
     // Another address: the wish is a new one, its first try at once, the next after the first wait.
     let moved = fleet.ids(0)[0];
-    fleet.pacing.left(moved);
-    let anew = fleet.pacing.wanted("zone-1");
+    fleet.pacing.remove(moved);
+    let anew = fleet.pacing.add("zone-1");
     let now = fleet.now;
-    fleet.pacing.failed(now, anew, Failure::Silent);
+    fleet.pacing.attempt_failed(now, anew, Failure::Silent);
     let at = fleet.pacing.next_wake().unwrap();
     assert!(at <= now + FIRST_WAIT, "{} us", at - now);
     // Another zone: it is silent no less, and swept with that one.
     let (rezoned, witness) = (fleet.ids(0)[9], fleet.ids(1)[0]);
-    fleet.pacing.moved_zone(rezoned, "zone-1");
+    fleet.pacing.change_zone(rezoned, "zone-1");
     fleet.zone_of.insert(anew, 1);
     fleet.zone_of.insert(rezoned, 1);
     fleet.down(&[witness]);
@@ -603,7 +599,7 @@
         }
         for id in &flapping {
             if fleet.standing.remove(id) {
-                fleet.pacing.ended(fleet.now, *id);
+                fleet.pacing.disconnected(fleet.now, *id);
             }
         }
     }
--- a/crates/placer/src/reconnect.rs
+++ b/crates/placer/src/reconnect.rs
@@ -52,7 +52,7 @@
     pub fn add_link(self: &Arc<Self>, zone: &str) -> ReconnectPermit {
         let granted = Arc::new(Notify::new());
         let mut state = self.state();
-        let id = state.pacing.wanted(zone);
+        let id = state.pacing.add(zone);
         state.granted.insert(id, Arc::clone(&granted));
         ReconnectPermit {
             id,
@@ -65,12 +65,12 @@
     pub fn remove_link(&self, id: LinkId) {
         let mut state = self.state();
         state.granted.remove(&id);
-        state.pacing.left(id);
+        state.pacing.remove(id);
     }
 
     /// The node of this link is in another zone.
     pub fn change_zone(&self, id: LinkId, zone: &str) {
-        self.state().pacing.moved_zone(id, zone);
+        self.state().pacing.change_zone(id, zone);
     }
 
     /// Grants permits when they are due, for as long as the placer runs.
@@ -118,21 +118,24 @@
     /// The link is established.
     pub fn link_established(&self) {
         let now = self.scheduler.now_us();
-        self.scheduler.state().pacing.stood(now, self.id);
+        self.scheduler.state().pacing.connected(now, self.id);
         self.scheduler.changed.notify_one();
     }
 
     /// An established link has ended; returns when the next attempt may begin.
     pub async fn wait_after_disconnect(&self) {
         let now = self.scheduler.now_us();
-        self.scheduler.state().pacing.ended(now, self.id);
+        self.scheduler.state().pacing.disconnected(now, self.id);
         self.wait().await;
     }
 
     /// An attempt has failed; returns when the next may begin.
     pub async fn wait_after_failure(&self, failure: Failure) {
         let now = self.scheduler.now_us();
-        self.scheduler.state().pacing.failed(now, self.id, failure);
+        self.scheduler
+            .state()
+            .pacing
+            .attempt_failed(now, self.id, failure);
         self.wait().await;
     }
 
