--- a/src/api/actions.rs
+++ b/src/api/actions.rs
@@ -48,7 +48,7 @@
     Fetch,
     /// Set a timer.
     Timer {
-        /// Comes back in [`Event::Woken`].
+        /// Comes back in [`Event::Woken`](super::Event::Woken).
         token: u64,
         /// When it is due, from now.
         after_us: Micros,
