--- a/crates/core/src/configuration/file.rs
+++ b/crates/core/src/configuration/file.rs
@@ -44,6 +44,7 @@
 /// The settings file.
 pub(super) struct SettingsFile {
     current: FileConfiguration,
+    /// As at the start: the `[plan]` table's own keys are read then alone.
     is_pinned: bool,
     lease_us: Micros,
     /// Later configurations of the file, in the order of their numbers.
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -12,12 +12,12 @@
 use crate::context::Context;
 use crate::dispatch_blocks::DispatchBlocks;
 use crate::event::Event;
-use crate::handshake::{self, NodeHello};
 use crate::health_checks::HealthChecks;
 use crate::io::{Input, Output, Start};
 use crate::ledger::Ledger;
 use crate::lifecycle::JobLifecycle;
 use crate::module::DecisionModule;
+use crate::node_links::{self, NodeHello};
 use crate::nodes::NodeRegistry;
 use crate::persistence::{RowSources, WriteAheadQueue};
 use crate::requests::{CallContext, Caller, ClientRequests};
@@ -134,7 +134,7 @@
                 self.requests.client_disconnected(conn);
             }
             Input::NodeListChanged(list) => {
-                if handshake::node_list_changed(&mut lifecycle, now, list) {
+                if node_links::node_list_changed(&mut lifecycle, now, list) {
                     configuration.nodes_changed();
                 }
             }
@@ -158,7 +158,7 @@
             }
             Input::Message { node, message } => self.node_message(now, &node, message),
             Input::LinkDown { node, reason } => {
-                handshake::link_down(&mut lifecycle, now, &node, &reason);
+                node_links::link_down(&mut lifecycle, now, &node, &reason);
             }
             Input::OffersUnwritten(attempts) => lifecycle.offers_unwritten(now, &attempts),
             Input::Durable(seq) => lifecycle.batch_durable(now, seq),
@@ -221,7 +221,7 @@
     }
 
     /// Has the beliefs of the decision module persisted, as for a placer that ends in order.
-    pub fn farewell(&mut self, now: Micros) {
+    pub fn output_beliefs(&mut self, now: Micros) {
         if !self.queue.is_enabled() {
             return;
         }
@@ -246,7 +246,7 @@
             configuration,
             ..
         } = self.parts();
-        if let Some(number) = handshake::link_up(&mut lifecycle, now, hello) {
+        if let Some(number) = node_links::link_up(&mut lifecycle, now, hello) {
             configuration.node_connected(now, number, report, lifecycle.cx);
             lifecycle.nodes.announce(number, now, lifecycle.cx);
         }
--- a/crates/core/src/core/dispatch.rs
+++ b/crates/core/src/core/dispatch.rs
@@ -6,9 +6,9 @@
 
 use super::{Core, Parts};
 use crate::event::Event;
-use crate::handshake;
 use crate::ids::NodeNumber;
 use crate::lifecycle::{JobLifecycle, OfferDecision};
+use crate::node_links;
 use crate::requests::wait_timed_out;
 use crate::timers::Timer;
 
@@ -28,7 +28,7 @@
         match message {
             Message::InFlight { tasks: held, last } => {
                 let is_reconciled =
-                    handshake::holdings_reported(&mut lifecycle, now, node, held, last);
+                    node_links::holdings_reported(&mut lifecycle, now, node, held, last);
                 if is_reconciled {
                     self.reconciliation_done(now);
                 }
@@ -151,7 +151,7 @@
         {
             self.cx.set_timer(now + every, Timer::PersistBeliefs);
         }
-        self.farewell(now);
+        self.output_beliefs(now);
     }
 }
 
@@ -189,7 +189,22 @@
         } => {
             lifecycle.end_reported(now, node, attempt, end, ran, report);
         }
-        // The rest is what placers send; the shell reads handshakes itself.
-        _ => {}
+        // The shell reads the answer to its handshake itself.
+        Message::Welcome { .. } => {}
+        // What placers send, and nodes have no reason to.
+        Message::Hello { .. }
+        | Message::Offer { .. }
+        | Message::ConfigRequest(_)
+        | Message::Stop { .. }
+        | Message::Probe { .. }
+        | Message::Suspend { .. }
+        | Message::Resume { .. }
+        | Message::Ack { .. } => {}
+        // Taken by `node_message`.
+        Message::InFlight { .. }
+        | Message::Report { .. }
+        | Message::AcceptorReport(_)
+        | Message::ConfigText { .. }
+        | Message::ConfigDelta(_) => {}
     }
 }
--- a/crates/core/src/decide.rs
+++ b/crates/core/src/decide.rs
@@ -121,7 +121,7 @@
     NeverRan,
     /// It ended, by its node's report or because its node restarted without it.
     Ended,
-    /// Its node is gone from the list and does not answer; it may run still.
+    /// Its node does not answer, listed or not, or did not say what became of it in time; it may run still.
     Unknown,
 }
 
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -63,7 +63,8 @@
         address: SocketAddr,
         reported: String,
     },
-    /// The connection to a node was lost, or could not be made. Cause: the reason in the event; a restart, a
+    /// The connection to a node was lost, or could not be made. Not reported for a node that is drained or not
+    /// listed, nor again while it stays down; decided by `node_links`. Cause: the reason in the event; a restart, a
     /// crash or the network. First action: check the node's process, then the network to it.
     NodeDisconnected { node: String, reason: String },
     /// A node gets no new tasks. Cause: an operator drains it. First action: none.
@@ -146,8 +147,9 @@
         reason: SuspendReason,
         file: FileStatus,
     },
-    /// The placer accepts and dispatches nothing until an operator acts. Cause: its file is pinned to another
-    /// configuration, or it can't use the committed one. First action: unpin or update the file, or the build.
+    /// The placer accepts and dispatches nothing until an operator acts. While no majority answers it reports
+    /// `dispatch_suspended` instead, and accepts. Cause: its file is pinned to another configuration, or it can't
+    /// use the committed one. First action: unpin or update the file, or update the build, and restart the placer.
     PlacerFenced {
         reason: SuspendReason,
         committed: ConfigVersion,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -10,7 +10,7 @@
 //!
 //! | component | module |
 //! | --- | --- |
-//! | nodes, their connections, and what the decision module knows of them | `nodes`, `handshake` |
+//! | nodes, their connections, and what the decision module knows of them | `nodes`, `node_links` |
 //! | jobs, attempts and requests to the decision module | `ledger` |
 //! | every transition of a job or an attempt | `lifecycle` |
 //! | sessions, waiting calls, recorded answers | `sessions` |
@@ -24,6 +24,12 @@
 //! | when a lost connection is tried again, for the shell | [`reconnect`] |
 //! | what operators are told | [`event`] |
 //!
+//! What becomes of an attempt when its node's connection drops, restarts or returns: `node_links`, then
+//! `lifecycle::reconciliation` by the table of [`decide::reconcile`]. A new message kind of nodes goes into
+//! `crates/node-protocol` (its page has the steps), then into `core/dispatch.rs` and the component that it concerns, then
+//! into `tests/world/network.rs` and the node simulator. Three things are called ledger: jobs and attempts in memory
+//! (`ledger` here), their rows on disk (`reedring_state`), and the thread that writes these (`ledger` in the placer).
+//!
 //! A component changes its own state and nothing else; what else is to happen it pushes to the `context` as a typed
 //! effect, in order.
 //!
@@ -63,13 +69,13 @@
 pub mod decide;
 mod dispatch_blocks;
 pub mod event;
-mod handshake;
 mod health_checks;
 mod ids;
 mod io;
 mod ledger;
 mod lifecycle;
 mod module;
+mod node_links;
 mod nodes;
 mod persistence;
 pub mod reconnect;
--- a/crates/core/src/persistence/batches.rs
+++ b/crates/core/src/persistence/batches.rs
@@ -61,7 +61,7 @@
 
     fn pass(&mut self, pending: PendingOutput, needs: u64, now: Micros, cx: &mut Context) {
         if let Some((_, output)) =
-            self.gate
+            self.barrier
                 .admit(pending.to, BatchSequence(needs), (now, pending.output))
         {
             cx.output(output);
--- a/crates/core/src/persistence/mod.rs
+++ b/crates/core/src/persistence/mod.rs
@@ -91,7 +91,7 @@
     /// Changes for the next batch that are not rows of sessions or jobs.
     changes: Vec<Change>,
     pending: Vec<PendingOutput>,
-    gate: DurabilityBarrier<Destination, (Micros, Output)>,
+    barrier: DurabilityBarrier<Destination, (Micros, Output)>,
     /// Calls whose requirements are persisted.
     recorded_calls: BTreeSet<(SessionNumber, u64)>,
     /// Acknowledgements that wait until what they acknowledge is durable.
@@ -220,13 +220,13 @@
     /// A connection to a node ended or began: what waits for it is void.
     pub fn connection_changed(&mut self, node: NodeNumber) {
         let to = Destination::Node(node);
-        self.gate.remove_destination(&to);
+        self.barrier.remove_destination(&to);
         self.pending
             .retain(|pending| pending.to != to || !matches!(pending.output, Output::Send { .. }));
     }
 
     pub fn client_disconnected(&mut self, conn: ConnectionId) {
-        self.gate.remove_destination(&Destination::Client(conn));
+        self.barrier.remove_destination(&Destination::Client(conn));
     }
 
     /// Takes an offer back that has not left; whether there was one.
@@ -236,7 +236,7 @@
         }
         let is_wanted = |output: &Output| offered_attempt(output) == Some(attempt);
         if self
-            .gate
+            .barrier
             .remove_first(&Destination::Node(node), |(_, output)| is_wanted(output))
             .is_some()
         {
@@ -251,7 +251,7 @@
 
     /// Takes out whatever matches among the outputs that wait for a batch.
     pub fn take_waiting(&mut self, wanted: impl Fn(&Output) -> bool) -> Vec<ReleasedOutput> {
-        released(self.gate.remove_matching(|(_, output)| wanted(output)))
+        released(self.barrier.remove_matching(|(_, output)| wanted(output)))
     }
 
     // ---- What the disk reports ----
@@ -266,7 +266,7 @@
         for (_, made) in self.in_flight.drain(..done) {
             cx.note_lag(now, now.saturating_sub(made));
         }
-        released(self.gate.advance(BatchSequence(seq)))
+        released(self.barrier.advance(BatchSequence(seq)))
     }
 
     /// Acknowledgements that waited until batch `seq` was durable.
--- a/crates/core/src/requests/mod.rs
+++ b/crates/core/src/requests/mod.rs
@@ -22,11 +22,11 @@
 use reedring_drmaa::{Error, ErrorCode, Result, VERSION};
 
 use crate::configuration::Configuration;
-use crate::handshake;
 use crate::ids::{JobNumber, SessionNumber};
 use crate::io::ConnectionId;
 use crate::ledger::JobName;
 use crate::lifecycle::JobLifecycle;
+use crate::node_links;
 use crate::sessions::CallRecord;
 use submission::{Submission, submitted};
 use waiting::Wait;
@@ -234,7 +234,7 @@
             lifecycle,
             cx.configuration,
         ))),
-        Call::Drain { node, drain } => handshake::set_drained(lifecycle, now, &node, drain),
+        Call::Drain { node, drain } => node_links::set_drained(lifecycle, now, &node, drain),
         Call::Explain { text } => queries::explain(lifecycle, &text),
         Call::Stats {} => Ok(queries::stats(lifecycle, cx.module_ns)),
         _ => Err(error(
--- a/crates/placer/src/event_loop.rs
+++ b/crates/placer/src/event_loop.rs
@@ -183,7 +183,7 @@
     async fn shut_down(mut self, mode: ShutdownMode) {
         match mode {
             ShutdownMode::Stop => {
-                self.core.farewell(self.clock.now_us());
+                self.core.output_beliefs(self.clock.now_us());
                 self.core.flush(self.clock.now_us());
                 self.carry_out_all();
             }
