--- a/crates/platform/src/bounds.rs
+++ b/crates/platform/src/bounds.rs
@@ -33,7 +33,7 @@
     /// Derives the limits from the configured file descriptors and memory. By the protocol, clients use up to a third
     /// of the descriptors. This share is reserved for them, and a sixteenth more for connections that are being opened
     /// or closed. Clients that exceed their share get what links leave, up to half of the descriptors.
-    pub fn of(limits: &Limits) -> Self {
+    pub fn from_limits(limits: &Limits) -> Self {
         let sockets = limits.sockets;
         let pending = limits.memory_mb as usize * 1024 * 1024 / PENDING_MEMORY_DIVISOR;
         Self {
--- a/crates/platform/src/engine/mod.rs
+++ b/crates/platform/src/engine/mod.rs
@@ -23,7 +23,7 @@
 
 /// The parameters of [`Engine::new`].
 #[derive(Clone, Debug)]
-pub struct Start {
+pub struct EngineParameters {
     /// The current time, in microseconds since 1970, on a clock that never goes back.
     pub now: Micros,
     /// Seed of the decision module's random numbers.
@@ -59,11 +59,11 @@
 
 impl Engine {
     /// Creates an engine that knows the settings and the endpoint list of its configuration.
-    pub fn new(start: Start) -> Self {
-        let placer = Placer::new(start.settings.module.clone(), start.seed);
+    pub fn new(parameters: EngineParameters) -> Self {
+        let placer = Placer::new(parameters.settings.module.clone(), parameters.seed);
         let mut engine = Self {
-            settings: start.settings,
-            bounds: start.bounds,
+            settings: parameters.settings,
+            bounds: parameters.bounds,
             clients: BTreeMap::new(),
             hosts: HostTable::default(),
             requests: RequestTable::default(),
@@ -78,10 +78,10 @@
             placer,
             shutdown: Shutdown::default(),
         };
-        engine.load_endpoints(start.now, start.known);
+        engine.load_endpoints(parameters.now, parameters.known);
         engine
             .timers
-            .set(start.now + SWEEP_INTERVAL_US, Timer::Sweep);
+            .set(parameters.now + SWEEP_INTERVAL_US, Timer::Sweep);
         engine
     }
 
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -68,7 +68,7 @@
 mod write_buffer;
 
 pub use bounds::Bounds;
-pub use engine::{Sizes, Start};
+pub use engine::{EngineParameters, Sizes};
 pub use errors::{ClientReadError, DiscoveryError, Rejection};
 pub use ids::{ConnId, LinkId};
 pub use io::{Input, Output};
--- a/crates/platform/src/message_log.rs
+++ b/crates/platform/src/message_log.rs
@@ -20,7 +20,7 @@
 }
 
 /// The line for an input; `None` if the input is not logged.
-pub(crate) fn input(input: &Input) -> Option<String> {
+pub(crate) fn input_line(input: &Input) -> Option<String> {
     Some(match input {
         Input::ClientConnected(conn) => format!("client {conn} connected"),
         Input::ClientInputRead { .. } => return None,
@@ -91,7 +91,7 @@
 }
 
 /// The line for an output; `None` if the output is not logged.
-pub(crate) fn output(output: &Output) -> Option<String> {
+pub(crate) fn output_line(output: &Output) -> Option<String> {
     Some(match output {
         Output::ToClient(conn, message) => format!("to client {conn}: {}", to_client(message)),
         Output::CloseClient(conn) => format!("close client {conn}"),
--- a/crates/platform/src/run/event_loop.rs
+++ b/crates/platform/src/run/event_loop.rs
@@ -11,7 +11,7 @@
 
 use crate::bounds::Bounds;
 use crate::discovery;
-use crate::engine::Start;
+use crate::engine::EngineParameters;
 use crate::io::{Input, Output};
 use crate::sockets::{self, ConnectionPermits, Incoming};
 use crate::state::{Engine, connect_timeout_us};
@@ -90,7 +90,7 @@
     ) -> Self {
         let clock = Clock::new();
         let (names, revision) = (Names::from(&config.settings), config.known.revision);
-        let bounds = Bounds::of(&config.limits);
+        let bounds = Bounds::from_limits(&config.limits);
         let (sender, incoming) = mpsc::channel(INPUT_QUEUE);
         let (updates, discovery) = mpsc::channel(DISCOVERY_QUEUE);
         let (discovery_address, addresses) = watch::channel(config.discovery);
@@ -114,7 +114,7 @@
             stop_listening: stop,
             incoming: sender,
         });
-        let engine = Engine::new(Start {
+        let engine = Engine::new(EngineParameters {
             now: clock.started_unix_us,
             seed: config.seed,
             settings: config.settings,
--- a/crates/platform/src/run/shell.rs
+++ b/crates/platform/src/run/shell.rs
@@ -99,12 +99,12 @@
             Input::LinkDown { link, .. } => drop(self.links.remove(link)),
             _ => {}
         }
-        message_log::write(|| message_log::input(&input));
+        message_log::write(|| message_log::input_line(&input));
         engine.handle(now, input);
     }
 
     pub(super) fn carry_out(&mut self, now: u64, output: Output) {
-        message_log::write(|| message_log::output(&output));
+        message_log::write(|| message_log::output_line(&output));
         match output {
             Output::ToClient(conn, message) => {
                 if let Some(writer) = self.clients.get(&conn) {
--- a/crates/platform/src/run/tests.rs
+++ b/crates/platform/src/run/tests.rs
@@ -53,7 +53,7 @@
     let (stop_listening, _stopped) = oneshot::channel();
     let mut shell = Shell::new(ShellSettings {
         connect_timeout: Duration::from_secs(1),
-        permits: ConnectionPermits::new(&Bounds::of(&limits)),
+        permits: ConnectionPermits::new(&Bounds::from_limits(&limits)),
         budget: WriteBudget::default(),
         max_pending_bytes: 1 << 20,
         stop_listening,
--- a/crates/platform/src/sockets/tests.rs
+++ b/crates/platform/src/sockets/tests.rs
@@ -14,7 +14,7 @@
 use crate::write_buffer::{WriteBudget, WriteBuffer};
 
 fn bounds() -> Bounds {
-    Bounds::of(&Limits {
+    Bounds::from_limits(&Limits {
         cores: 1.0,
         memory_mb: 32,
         sockets: 64,
--- a/crates/platform/tests/world/mod.rs
+++ b/crates/platform/tests/world/mod.rs
@@ -9,7 +9,7 @@
 use rand_pcg::Pcg32;
 use reedring::settings::Deployment;
 use reedring_platform::decide::LinkEnd;
-use reedring_platform::{Bounds, ConnId, Engine, Input, LinkId, Output, Start};
+use reedring_platform::{Bounds, ConnId, Engine, EngineParameters, Input, LinkId, Output};
 use reedring_platform_protocol::client::{FromClient, PlacementRequest, ToClient};
 use reedring_platform_protocol::discovery::{Names, WatchResponse};
 use reedring_platform_protocol::host::{FromHost, ToHost};
@@ -159,7 +159,7 @@
         };
         let now = 1_700_000_000 * SECOND;
         let known = told(1, true, hosts);
-        let engine = Engine::new(Start {
+        let engine = Engine::new(EngineParameters {
             now,
             seed,
             settings,
