--- a/crates/platform/src/decide/clients.rs
+++ b/crates/platform/src/decide/clients.rs
@@ -54,7 +54,7 @@
 
 /// What is done with a request whose client departs. No attempt begins later than the grace period after the departure.
 ///
-/// | request | end of stream | grace over | reset | cancelled |
+/// | request | end of stream | grace expired | reset | cancelled |
 /// | --- | --- | --- | --- | --- |
 /// | received | allow grace | answer | abandon | abandon |
 /// | queued, or between attempts | answer | answer | abandon | abandon |
--- a/crates/platform/src/decide/links.rs
+++ b/crates/platform/src/decide/links.rs
@@ -62,7 +62,7 @@
     pub is_liveness_check: bool,
     /// Whether its host runs tasks and no other link to that host is established.
     pub is_only_link: bool,
-    /// When the link was last used, in microseconds.
+    /// When the link was last used, in microseconds; the link's id before its first use, which is less than any time.
     pub last_used: u64,
     /// When the link was established, in microseconds.
     pub up_since: u64,
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,8 +1,8 @@
 //! A placer on the platform: it receives binary messages from clients, sends JSON lines to hosts and polls discovery.
 //!
 //! [`Engine`] holds the requests and their attempts, the links to hosts, and the task ends that clients are to be
-//! notified of. It passes events to [`reedring::Placer`], which alone decides where a task is placed. The engine does
-//! no I/O and reads no clock; the loop around it is
+//! notified of. It passes events to [`reedring::Placer`], the *decision module*, which alone decides where a task is
+//! placed. The engine does no I/O and reads no clock; the *shell* is the loop around it:
 //!
 //! ```text
 //! loop {
@@ -13,7 +13,7 @@
 //! }
 //! ```
 //!
-//! [`run()`] runs this loop on sockets, in one thread.
+//! [`run()`] runs the shell on sockets, in one thread.
 //!
 //! A *link* is a connection to a host. An *attempt* is one message that asks a host to start a task; a request has at
 //! most one in flight.
