--- a/crates/core/src/configuration/agreement.rs
+++ b/crates/core/src/configuration/agreement.rs
@@ -1,4 +1,4 @@
-//! One placer's part in the agreement: the ballot that it runs, the lease that it holds, and what follows.
+//! One placer's state in the agreement on the configuration: the ballot that it runs and the lease that it holds.
 
 mod step;
 
@@ -12,42 +12,45 @@
 use reedring_settings::Settings;
 
 use super::catalog::Catalog;
-use super::file::{FileConfiguration, FileError, SettingsFile};
+use super::file::{FileChangeError, FileConfiguration, SettingsFile};
 use super::peers::Peers;
 use crate::context::Context;
 use crate::event::Event;
 use crate::ids::NodeNumber;
 use crate::timers::Timer;
 
-/// Microseconds between two steps while a change is under way, or a node's floor settles.
+/// Microseconds between two steps while a configuration change is in progress or a node's floor is settling.
 const BUSY_INTERVAL_US: Micros = 100_000;
-/// One placer's part in the agreement on the configuration.
+
+/// One placer's state in the agreement on the configuration.
 pub(super) struct Agreement {
     file: SettingsFile,
     catalog: Catalog,
     peers: Peers,
+    /// The build number of this program, which is part of the version stamp.
     build: u32,
     proposer: Proposer,
     backoff: ProposalBackoff,
     compactor: RequestCompactor,
-    /// The newest committed configuration whose text is here: what requests and answers may leave out.
-    base: Option<ConfigDocument>,
-    /// A configuration of which a wrong delta came: it is fetched whole.
+    /// The newest committed configuration whose text is known. Requests and answers may be deltas to it.
+    delta_base: Option<ConfigDocument>,
+    /// A configuration whose last delta could not be applied, so that its text is fetched in full.
     fetch_in_full: Option<ConfigVersion>,
-    /// The newest committed configuration that this incarnation knows of, whatever nodes have forgotten.
+    /// The newest committed configuration that this incarnation has seen, even if no node reports it any more.
     committed: ConfigVersion,
     lease_state: LeaseState,
-    /// What operators were told last.
+    /// The last status that was reported to operators.
     last_status: Option<Event>,
-    /// Something was reported since the last step: there is one step a flush.
-    changed: bool,
-    /// When the next step is due.
-    due: Micros,
-    last_heartbeat: Micros,
+    /// An input changed since the last step. The next flush runs one step for all changes.
+    inputs_changed: bool,
+    /// When the next step is due if no input changes.
+    next_step_at: Micros,
+    /// When the voters were last queried; 0 if they never were.
+    last_heartbeat_at: Micros,
 }
 
 impl Agreement {
-    /// Of a placer that starts with these settings; `None` where they have no `[plan]` table.
+    /// Creates the state of a placer that starts with these settings; `None` if they have no `[plan]` table.
     pub fn new(settings: &Settings, incarnation: u64) -> Option<Self> {
         let file = SettingsFile::new(settings)?;
         let lease_us = file.lease_us();
@@ -61,18 +64,18 @@
             proposer: Proposer::new(Incarnation(incarnation)),
             backoff: ProposalBackoff::new(Incarnation(incarnation)),
             compactor: RequestCompactor::default(),
-            base: None,
+            delta_base: None,
             fetch_in_full: None,
             committed: ConfigVersion::default(),
             lease_state: LeaseState::Suspended(SuspendReason::NoQuorum),
             last_status: None,
-            changed: false,
-            due: 0,
-            last_heartbeat: 0,
+            inputs_changed: false,
+            next_step_at: 0,
+            last_heartbeat_at: 0,
         })
     }
 
-    // ---- Reading ----
+    // ---- Queries ----
 
     pub(super) const fn lease_state(&self) -> &LeaseState {
         &self.lease_state
@@ -90,21 +93,21 @@
         &self.peers
     }
 
-    /// The configuration of the settings file.
+    /// The version of the settings file's configuration.
     pub(super) fn own_version(&self) -> ConfigVersion {
         self.file.document().version()
     }
 
-    /// Why nothing is accepted, where that does not end by itself.
-    pub fn fenced(&self) -> Option<&'static str> {
+    /// Why the placer is fenced: it accepts no jobs until an operator acts. `None` if it is not fenced.
+    pub fn fence_reason(&self) -> Option<&'static str> {
         match self.lease_state {
-            LeaseState::Suspended(why) if why.is_fenced() => Some(why.description()),
+            LeaseState::Suspended(reason) if reason.is_fenced() => Some(reason.description()),
             _ => None,
         }
     }
 
-    /// By what it decides now, for a node that reads it.
-    fn stamp(&self, list: u64) -> VersionStamp {
+    /// The version stamp of this placer's decisions now. While none is active, it names that of the settings file.
+    fn stamp(&self, list_revision: u64) -> VersionStamp {
         let ActiveVersion { version, joint } = match &self.lease_state {
             LeaseState::Active(active) => active.version(),
             _ => ActiveVersion {
@@ -115,95 +118,101 @@
         VersionStamp {
             version,
             joint,
-            list_revision: list,
+            list_revision,
             build: self.build,
         }
     }
 
-    /// By what an offer to this node is decided, where the node can read it.
-    pub fn stamp_for(&self, node: NodeNumber, list: u64) -> Option<VersionStamp> {
-        let is_old = self
+    /// The version stamp for offers to this node. `None` if the node has not reported or speaks version 1 of the protocol,
+    /// or if the placer acts by its settings file without agreement.
+    pub fn stamp_for(&self, node: NodeNumber, list_revision: u64) -> Option<VersionStamp> {
+        let is_legacy_or_unknown = self
             .peers
             .state(node)
             .is_none_or(|state| *state == PeerState::Legacy);
-        (self.lease_state != LeaseState::Unmanaged && !is_old).then(|| self.stamp(list))
+        (self.lease_state != LeaseState::Unmanaged && !is_legacy_or_unknown)
+            .then(|| self.stamp(list_revision))
     }
 
-    /// Whether a step is due, or something was reported.
+    /// Whether a step is due by time or because an input changed.
     pub fn is_due(&self, now: Micros) -> bool {
-        self.changed || self.due <= now
+        self.inputs_changed || self.next_step_at <= now
     }
 
-    // ---- What comes in ----
+    // ---- Inputs ----
 
+    /// Records that an input changed, so that the next flush runs a step.
     pub fn mark_changed(&mut self) {
-        self.changed = true;
+        self.inputs_changed = true;
     }
 
-    /// The handshake with a node is done: what it stores, or none where it speaks version 1 of the protocol.
+    /// Handles a completed handshake with a node. `report` is `None` if the node speaks version 1 of the protocol, in which
+    /// nodes store no configurations.
     pub fn node_connected(
         &mut self,
         now: Micros,
         node: NodeNumber,
-        record: Option<AcceptorReport>,
+        report: Option<AcceptorReport>,
         cx: &mut Context,
     ) {
         self.backoff.reset_node(node.0);
-        match record {
-            Some(record) => self.report_received(now, node, record, cx),
+        match report {
+            Some(report) => self.report_received(now, node, report, cx),
             None => {
-                self.peers.stores_nothing(now, node);
-                self.changed = true;
+                self.peers.record_legacy_node(now, node);
+                self.inputs_changed = true;
             }
         }
     }
 
-    /// What a node stores has changed, or was asked for.
+    /// Handles a node's report of the configurations that it stores, sent after a change or in answer to a query.
     pub fn report_received(
         &mut self,
         now: Micros,
         node: NodeNumber,
-        record: AcceptorReport,
+        report: AcceptorReport,
         cx: &mut Context,
     ) {
-        self.changed |= self.peers.reported(now, node, record);
-        // It may complete a majority again, which is evaluated soon, and once for all that are heard until then.
+        self.inputs_changed |= self.peers.record_report(now, node, report);
+        // While the placer is suspended, the report may complete a majority, even if nothing in it changed. A step is run
+        // soon, and evaluates all reports that arrive until then.
         let soon = now + BUSY_INTERVAL_US;
-        if matches!(self.lease_state, LeaseState::Suspended(_)) && self.due > soon {
-            self.due = soon;
+        if matches!(self.lease_state, LeaseState::Suspended(_)) && self.next_step_at > soon {
+            self.next_step_at = soon;
             cx.set_timer(soon, Timer::Configuration);
         }
     }
 
-    /// Adds the text of a configuration.
+    /// Adds the text of a configuration; an empty text is ignored.
     ///
     /// # Errors
-    /// Where it does not match its version.
+    /// If the text does not match its version.
     pub fn add_text(&mut self, version: ConfigVersion, text: &str) -> Result<(), DocumentError> {
         if !text.is_empty() {
             self.catalog
-                .texts
+                .documents
                 .insert(&ConfigDocument::verify(version, text)?);
-            self.changed = true;
+            self.inputs_changed = true;
         }
         Ok(())
     }
 
-    /// Adds a configuration by what changed to one that is known.
+    /// Adds a configuration that a delta yields from its base. The delta is ignored if its result is known already or its
+    /// base is not known.
     ///
     /// # Errors
-    /// Where it does not yield its version; the text is fetched whole then.
+    /// If the delta does not yield the configuration that it names, whose text is then fetched in full.
     pub fn add_delta(&mut self, delta: &Delta) -> Result<(), DeltaError> {
-        if self.catalog.texts.text(delta.target).is_some() {
+        if self.catalog.documents.text(delta.target).is_some() {
             return Ok(());
         }
-        let Some(base) = self.catalog.texts.document(delta.base) else {
+        let Some(base) = self.catalog.documents.document(delta.base) else {
             return Ok(());
         };
-        self.changed = true;
+        self.inputs_changed = true;
         match delta::apply(&base, delta) {
             Ok(document) => {
-                self.catalog.texts.insert(&document);
+                self.catalog.documents.insert(&document);
                 Ok(())
             }
             Err(error) => {
@@ -213,22 +222,22 @@
         }
     }
 
-    /// The settings file has changed.
+    /// Handles a change of the settings file: its configuration is proposed next, or queued.
     ///
     /// # Errors
-    /// Why that can't be applied.
-    pub fn file_changed(&mut self, settings: &Settings) -> Result<(), FileError> {
-        if let Some(configuration) = self.file.changed(settings, self.committed.number)? {
-            self.bring_in(configuration);
+    /// Why the change can't be applied.
+    pub fn file_changed(&mut self, settings: &Settings) -> Result<(), FileChangeError> {
+        if let Some(configuration) = self.file.apply_change(settings, self.committed.number)? {
+            self.set_own_configuration(configuration);
         }
         Ok(())
     }
 
-    /// Brings a configuration of the settings file in, in place of the one before.
-    fn bring_in(&mut self, configuration: FileConfiguration) {
+    /// Makes this configuration of the settings file the one that is proposed.
+    fn set_own_configuration(&mut self, configuration: FileConfiguration) {
         self.catalog
             .add_own(&configuration.document, &configuration.settings);
         self.file.replace(configuration);
-        self.changed = true;
+        self.inputs_changed = true;
     }
 }
--- a/crates/core/src/configuration/agreement/step.rs
+++ b/crates/core/src/configuration/agreement/step.rs
@@ -1,4 +1,4 @@
-//! One step of the agreement: all that is known is evaluated, and what follows is done.
+//! One step of the agreement: evaluates the reports of the nodes and the settings file, and applies the result.
 
 use reedring::{Event as ModuleEvent, Micros};
 use reedring_node_protocol::{ConfigRequest, Message, VersionStamp};
@@ -18,38 +18,39 @@
 use crate::persistence::Requires;
 use crate::timers::Timer;
 
-/// Microseconds between two queries to control machines while no majority of them is heard.
+/// Microseconds between two queries to the control machines while no majority of them has answered within the lease.
 const QUORUM_RETRY_US: Micros = 500_000;
-/// How often all voters are queried within a lease: the heartbeat.
+/// How often a heartbeat queries all voters within one lease.
 const HEARTBEATS_PER_LEASE: u64 = 3;
 
-/// What is blocked by the configuration.
+/// What follows from the nodes that the configuration blocks.
 #[derive(Debug, Default)]
 struct BlockedNodes {
-    /// Some node is, for a reason that may end without any message.
-    ends_by_time: bool,
-    /// Learners that are warming up and are to be told by what this placer acts.
-    to_raise: Vec<NodeNumber>,
+    /// Whether some node is blocked for a reason that may end without a message from a node.
+    needs_polling: bool,
+    /// Learners that are warming up and are unblocked once a request has raised their floor.
+    learners_to_raise: Vec<NodeNumber>,
 }
 
-/// By what this placer acts after a step, for the voters.
+/// What the voters are sent after a step: the configuration by which this placer acts now.
 struct Heartbeat {
     stamp: VersionStamp,
-    /// It acts by another configuration than before the step.
+    /// Whether this placer acts by another configuration than before the step.
     is_changed: bool,
     /// Microseconds after which the voters are queried again.
     interval: Micros,
 }
 
 impl Agreement {
-    /// Evaluates all that is known, and does what follows.
+    /// Runs one step: evaluates the lease, applies the settings, advances the ballot, updates the blocked nodes, and sends
+    /// the requests that are due.
     pub fn advance(&mut self, now: Micros, effects: &mut AgreementEffects<'_>) {
-        self.changed = false;
+        self.inputs_changed = false;
         let view = self.peers.view(effects.nodes);
-        let list = effects.nodes.list_revision();
+        let list_revision = effects.nodes.list_revision();
         let contact = self.peers.lease.update_quorum_contact(now, &view);
-        self.learn_committed(&view);
-        let before = self.stamp(list);
+        self.update_committed(&view);
+        let before = self.stamp(list_revision);
         self.lease_state = self.evaluate_lease(&view, contact);
         self.apply_settings(&view, effects);
         let proposal = self.proposal(&view);
@@ -62,31 +63,31 @@
         let ChangeProgress {
             phase,
             mut requests,
-        } = self.next_ballot(now, &view, contact, proposal.as_ref());
-        let stamp = self.stamp(list);
+        } = self.advance_ballot(now, &view, contact, proposal.as_ref());
+        let stamp = self.stamp(list_revision);
         let heartbeat = Heartbeat {
             stamp,
             is_changed: (stamp.version, stamp.joint) != (before.version, before.joint),
             interval: self.heartbeat_interval(&view, contact),
         };
-        requests.extend(self.heartbeat(now, &heartbeat, &view, effects));
-        let blocked = self.block_nodes(now, effects);
+        requests.extend(self.heartbeat_requests(now, &heartbeat, &view, effects));
+        let blocked = self.update_blocked_nodes(now, effects);
         let request = ConfigRequest::RaiseFloor { stamp };
         let raise = |node: &NodeNumber| NodeRequest {
             node: node.0,
             request: request.clone(),
         };
-        requests.extend(blocked.to_raise.iter().map(raise));
+        requests.extend(blocked.learners_to_raise.iter().map(raise));
         let requests = self.due_requests(now, requests);
         let is_waiting = matches!(self.lease_state, LeaseState::Suspended(_))
             && contact == QuorumContact::Recent;
-        let is_busy = phase != ChangePhase::Idle || blocked.ends_by_time || is_waiting;
+        let is_busy = phase != ChangePhase::Idle || blocked.needs_polling || is_waiting;
         let interval = if is_busy {
             BUSY_INTERVAL_US
         } else {
             heartbeat.interval
         };
-        self.schedule(now, &view, interval, effects.cx);
+        self.schedule_next_step(now, &view, interval, effects.cx);
         for NodeRequest { node, request } in requests {
             effects.queue.send(
                 NodeNumber(node),
@@ -97,16 +98,17 @@
         }
     }
 
-    /// Learns which configuration is committed and which one is chosen to follow.
-    fn learn_committed(&mut self, view: &ClusterView) {
+    /// Updates the committed configuration, takes the next queued one of the settings file if that is possible now, and
+    /// parses the committed and the chosen configuration into settings.
+    fn update_committed(&mut self, view: &ClusterView) {
         self.committed = self.committed.max(view.committed());
-        if let Some(next) = self.file.next_queued(self.committed.number) {
-            self.bring_in(next);
+        if let Some(next) = self.file.take_next_queued(self.committed.number) {
+            self.set_own_configuration(next);
         }
         let file = self.file.settings();
-        self.catalog.read(self.committed, file);
+        self.catalog.parse_settings(self.committed, file);
         if let Some(chosen) = view.chosen(self.committed) {
-            self.catalog.read(chosen, file);
+            self.catalog.parse_settings(chosen, file);
         }
     }
 
@@ -114,7 +116,7 @@
         let committed = self.committed;
         let usability = |version| self.catalog.usability(version, committed);
         let inputs = LeaseInputs {
-            local: self.file.own(),
+            local: self.file.local_config(),
             cluster: view,
             known_committed: committed,
             contact,
@@ -122,15 +124,15 @@
         lease_state(&inputs, usability)
     }
 
-    /// Uses the settings of the active configuration from now on.
+    /// Applies the settings of the active configuration if they differ from those in use.
     fn apply_settings(&self, view: &ClusterView, effects: &mut AgreementEffects<'_>) {
-        let LeaseState::Active(acts) = &self.lease_state else {
+        let LeaseState::Active(active) = &self.lease_state else {
             return;
         };
         let AgreementEffects { cx, nodes, .. } = effects;
         let settings = self
             .catalog
-            .settings_for(acts, view.connected_placers(), cx.settings());
+            .settings_for(active, view.connected_placers(), cx.settings());
         let Some(settings) = settings.filter(|settings| settings != cx.settings()) else {
             return;
         };
@@ -149,13 +151,14 @@
         cx.output(Output::Settings(Box::new(settings)));
     }
 
-    /// The configuration of the settings file, where it may be proposed now.
+    /// The configuration of the settings file if it may be proposed now. `None` if its number is not above that of the
+    /// committed one.
     ///
     /// # Errors
-    /// Why it can't be, where operators have to act.
+    /// Why it can't be proposed although its number is higher; an operator has to act.
     fn proposal(&self, view: &ClusterView) -> Result<Option<ConfigDocument>, ProposalError> {
         let (own, committed) = (self.own_version(), self.committed);
-        let (linked, learned) = (view.connected_placers(), view.newest_learned());
+        let (connected, learned) = (view.connected_placers(), view.newest_learned());
         if own.number <= committed.number {
             return Ok(None);
         }
@@ -166,14 +169,17 @@
             return Err(ProposalError::NotNext { committed, own });
         }
         let placers = self.file.settings().site.placers;
-        if placers < linked {
+        if placers < connected {
             return Err(ProposalError::TooFewPlacers {
                 own,
                 placers,
-                linked,
+                connected,
             });
         }
-        match self.catalog.has_joint_form(committed, self.file.settings()) {
+        match self
+            .catalog
+            .check_joint_form(committed, self.file.settings())
+        {
             Ok(()) => Ok(Some(self.file.document().clone())),
             Err(conflicts) => Err(ProposalError::NoJointForm {
                 committed,
@@ -183,18 +189,18 @@
         }
     }
 
-    /// Reports the configuration in use, each time that it is another.
+    /// Logs the status of the configuration when it differs from the last one that was logged.
     fn report_status(&mut self, rejected: Option<String>, cx: &mut Context) {
         let status = self.status(rejected);
         if self.last_status.as_ref() != Some(&status) {
             self.last_status = Some(status.clone());
-            cx.output(Output::Fenced(self.fenced().is_some()));
+            cx.output(Output::Fenced(self.fence_reason().is_some()));
             cx.log(status);
         }
     }
 
-    /// The requests by which the ballot goes on.
-    fn next_ballot(
+    /// Advances the ballot; returns its phase and the requests for it. Without a recent answer of a majority it stays idle.
+    fn advance_ballot(
         &mut self,
         now: Micros,
         view: &ClusterView,
@@ -213,7 +219,7 @@
             cluster: view,
             known_committed: self.committed,
             proposal,
-            documents: &self.catalog.texts,
+            documents: &self.catalog.documents,
             may_preempt,
         });
         if !may_complete {
@@ -228,17 +234,18 @@
     }
 
     fn heartbeat_interval(&self, view: &ClusterView, contact: QuorumContact) -> Micros {
-        // Control machines are few: without a majority of them they are queried until one is heard.
-        let few_voters = view.membership != Membership::AllNodes;
-        if contact != QuorumContact::Recent && few_voters {
+        // Control machines are few, so they can be queried more often while no majority of them has answered recently.
+        let has_control_machines = view.membership != Membership::AllNodes;
+        if contact != QuorumContact::Recent && has_control_machines {
             QUORUM_RETRY_US
         } else {
             self.file.lease_us() / HEARTBEATS_PER_LEASE
         }
     }
 
-    /// Tells the voters by what this placer acts now, and so hears that they are there.
-    fn heartbeat(
+    /// The heartbeat, if it is due: queries that carry the current version stamp to all voters; the answers renew the lease.
+    /// A changed stamp is persisted and sent at once.
+    fn heartbeat_requests(
         &mut self,
         now: Micros,
         heartbeat: &Heartbeat,
@@ -250,8 +257,8 @@
             is_changed,
             interval,
         } = *heartbeat;
-        let is_first = self.last_heartbeat == 0;
-        let is_due = is_changed || is_first || now >= self.last_heartbeat + interval;
+        let is_first = self.last_heartbeat_at == 0;
+        let is_due = is_changed || is_first || now >= self.last_heartbeat_at + interval;
         if is_changed || is_first {
             effects
                 .queue
@@ -265,7 +272,7 @@
         if !is_due {
             return Vec::new();
         }
-        self.last_heartbeat = now;
+        self.last_heartbeat_at = now;
         effects.cx.output(Output::ActiveConfiguration(stamp));
         let query = |(node, _)| NodeRequest {
             node,
@@ -274,22 +281,26 @@
         view.voters().map(query).collect()
     }
 
-    /// Blocks the nodes to which nothing may be dispatched by the active configuration.
-    fn block_nodes(&self, now: Micros, effects: &mut AgreementEffects<'_>) -> BlockedNodes {
+    /// Updates which nodes are blocked: those to which the lease or the configuration allows no dispatch.
+    fn update_blocked_nodes(
+        &self,
+        now: Micros,
+        effects: &mut AgreementEffects<'_>,
+    ) -> BlockedNodes {
         let settings = effects.cx.settings();
-        let window = settings.site.cold_window_us.unwrap_or(0) + settings.jitter_us();
+        let window_us = settings.site.cold_window_us.unwrap_or(0) + settings.jitter_us();
         let mut blocked = BlockedNodes::default();
         for (number, node) in effects.nodes.iter() {
             let state = self.peers.aged_state(now, number);
             let is_warming_up = effects.nodes.is_warming_up(number, now, &settings.site);
             let slow_start = SlowStart {
                 is_warming_up,
-                window_ms: window / 1_000,
+                window_ms: window_us / 1_000,
             };
             let reason = dispatch_block(&self.lease_state, &state, slow_start);
-            blocked.ends_by_time |= reason.is_some_and(DispatchBlock::needs_polling);
+            blocked.needs_polling |= reason.is_some_and(DispatchBlock::needs_polling);
             if reason.is_some_and(|block| block.is_lifted_by_raising_floor(&state)) {
-                blocked.to_raise.push(number);
+                blocked.learners_to_raise.push(number);
             }
             effects
                 .blocks
@@ -298,17 +309,19 @@
         blocked
     }
 
-    /// The requests that are to be sent now, without what their nodes have already.
+    /// The requests that are due now, shortened by what their nodes have already. A request is dropped if its node has sent
+    /// no report.
     fn due_requests(&mut self, now: Micros, requests: Vec<NodeRequest>) -> Vec<NodeRequest> {
-        if self.base.as_ref().map(ConfigDocument::version) != Some(self.committed)
-            && let Some(committed) = self.catalog.texts.document(self.committed)
+        if self.delta_base.as_ref().map(ConfigDocument::version) != Some(self.committed)
+            && let Some(committed) = self.catalog.documents.document(self.committed)
         {
-            self.base = Some(committed);
+            self.delta_base = Some(committed);
         }
-        let (base, peers, fetch_in_full) = (self.base.as_ref(), &self.peers, self.fetch_in_full);
+        let (base, peers, fetch_in_full) =
+            (self.delta_base.as_ref(), &self.peers, self.fetch_in_full);
         let compact = |NodeRequest { node, request }: NodeRequest| {
             let in_full = matches!(request, ConfigRequest::Fetch { version, .. } if Some(version) == fetch_in_full);
-            let report = peers.record(NodeNumber(node)).filter(|_| !in_full);
+            let report = peers.report(NodeNumber(node)).filter(|_| !in_full);
             let request = match report {
                 Some(report) => self.compactor.compact(request, report, base),
                 None => request,
@@ -317,22 +330,28 @@
         };
         let requests = requests.into_iter().map(compact).collect();
         let due = self.backoff.due_requests(now, requests).into_iter();
-        due.filter(|request| self.peers.record(NodeNumber(request.node)).is_some())
+        due.filter(|request| self.peers.report(NodeNumber(request.node)).is_some())
             .collect()
     }
 
-    /// Schedules the next step, and forgets what it will not need.
-    fn schedule(&mut self, now: Micros, view: &ClusterView, interval: Micros, cx: &mut Context) {
-        self.due = now + interval;
-        // The lease lapses on time, whenever the next step would have been.
-        let lapse = self.peers.lease.expires_at(view).filter(|at| *at > now);
-        self.due = lapse.map_or(self.due, |at| self.due.min(at));
+    /// Schedules the next step, and removes configurations that are no longer needed.
+    fn schedule_next_step(
+        &mut self,
+        now: Micros,
+        view: &ClusterView,
+        interval: Micros,
+        cx: &mut Context,
+    ) {
+        self.next_step_at = now + interval;
+        // A step runs when the lease expires, so that the placer is suspended on time.
+        let expiry = self.peers.lease.expires_at(view).filter(|at| *at > now);
+        self.next_step_at = expiry.map_or(self.next_step_at, |at| self.next_step_at.min(at));
         let base = self
-            .base
+            .delta_base
             .as_ref()
             .map_or(self.committed, ConfigDocument::version);
         self.catalog
-            .forget_before(self.committed, base, self.file.document().version());
-        cx.set_timer(self.due, Timer::Configuration);
+            .remove_obsolete(self.committed, base, self.file.document().version());
+        cx.set_timer(self.next_step_at, Timer::Configuration);
     }
 }
--- a/crates/core/src/configuration/catalog.rs
+++ b/crates/core/src/configuration/catalog.rs
@@ -1,4 +1,4 @@
-//! The configurations whose texts are known: their documents, and the settings that each makes.
+//! The configurations whose texts are known: their documents, and the settings parsed from each.
 
 use std::collections::BTreeMap;
 
@@ -8,62 +8,67 @@
 };
 use reedring_settings::{Problems, Settings};
 
-/// Known configurations.
+/// The known configurations.
 #[derive(Default)]
 pub(super) struct Catalog {
-    pub texts: DocumentCache,
-    /// The settings of each configuration, or why it can't be used.
+    /// The texts of the known configurations.
+    pub documents: DocumentCache,
+    /// The settings parsed from each configuration, or why this placer can't use it.
     settings: BTreeMap<ConfigVersion, Result<Settings, Problems>>,
 }
 
 impl Catalog {
-    /// Adds the configuration of the settings file.
+    /// Adds the configuration of the settings file, with the settings of that file.
     pub fn add_own(&mut self, document: &ConfigDocument, settings: &Settings) {
-        self.texts.insert(document);
+        self.documents.insert(document);
         self.settings
             .insert(document.version(), Ok(settings.clone()));
     }
 
-    /// Reads a configuration's text as settings of this file, once.
-    pub fn read(&mut self, version: ConfigVersion, file: &Settings) {
-        let unread = self
-            .texts
+    /// Parses the text of a configuration into settings, unless the text is missing or was parsed before. The tables that
+    /// are the placer's own come from `file`.
+    pub fn parse_settings(&mut self, version: ConfigVersion, file: &Settings) {
+        let unparsed = self
+            .documents
             .text(version)
             .filter(|_| !self.settings.contains_key(&version));
-        if let Some(text) = unread {
-            let read = file.with_plan(text, &format!("plan {version}"));
-            self.settings.insert(version, read);
+        if let Some(text) = unparsed {
+            let parsed = file.with_plan(text, &format!("plan {version}"));
+            self.settings.insert(version, parsed);
         }
     }
 
-    /// Forgets what is older than the committed configuration, but for the file's own.
-    pub fn forget_before(
+    /// Removes the settings of configurations older than the committed one, except those of the settings file (`own`), and
+    /// the texts of those older than both the committed one and `base`, which deltas refer to.
+    pub fn remove_obsolete(
         &mut self,
         committed: ConfigVersion,
         base: ConfigVersion,
         own: ConfigVersion,
     ) {
-        self.texts.remove_before(committed.number.min(base.number));
+        self.documents
+            .remove_before(committed.number.min(base.number));
         self.settings
             .retain(|version, _| version.number >= committed.number || *version == own);
     }
 
-    /// Why a configuration can't be used.
+    /// Why a configuration can't be used; `None` if it can be used or is not known.
     pub fn problems(&self, version: ConfigVersion) -> Option<&Problems> {
         self.settings.get(&version)?.as_ref().err()
     }
 
-    fn usable(&self, version: ConfigVersion) -> Option<&Settings> {
+    fn usable_settings(&self, version: ConfigVersion) -> Option<&Settings> {
         self.settings.get(&version)?.as_ref().ok()
     }
 
-    /// What can be done with a configuration, after the committed one or by itself.
+    /// Whether this placer can act by a configuration. One that is not the committed one must also have a joint form with
+    /// it, as the placer acts by both until the new one is committed.
     pub fn usability(&self, version: ConfigVersion, committed: ConfigVersion) -> Usability {
         match self.settings.get(&version) {
             None => Usability::Missing,
             Some(Err(_)) => Usability::Unusable,
             Some(Ok(new)) if version != committed && committed.number > 0 => {
-                match self.has_joint_form(committed, new) {
+                match self.check_joint_form(committed, new) {
                     Ok(()) => Usability::Usable,
                     Err(_) => Usability::Unusable,
                 }
@@ -72,46 +77,60 @@
         }
     }
 
-    /// Whether settings may follow a configuration, as far as that is known.
+    /// Checks that new settings have a joint form with an old configuration: bounds that satisfy both. The check passes if
+    /// the old configuration is not known or not usable.
     ///
     /// # Errors
-    /// What has no joint form.
-    pub fn has_joint_form(&self, old: ConfigVersion, new: &Settings) -> Result<(), JointConflicts> {
-        match self.usable(old) {
+    /// The keys on which the two conflict.
+    pub fn check_joint_form(
+        &self,
+        old: ConfigVersion,
+        new: &Settings,
+    ) -> Result<(), JointConflicts> {
+        match self.usable_settings(old) {
             Some(old) => joint_bounds(&old.bounds(), &new.bounds()).map(drop),
             None => Ok(()),
         }
     }
 
-    /// The settings by which to act, in the numbers of those in use.
+    /// The settings by which to act. Entries that `current` has keep the index numbers that they have there. `None` if the
+    /// active configuration is not usable or has no joint form.
     pub fn settings_for(
         &self,
-        acts: &ActiveConfig,
-        linked: u32,
-        used: &Settings,
+        active: &ActiveConfig,
+        connected_placers: u32,
+        current: &Settings,
     ) -> Option<Settings> {
-        let base = self.usable(acts.next.unwrap_or(acts.committed))?;
+        let base = self.usable_settings(active.next.unwrap_or(active.committed))?;
         let mut bounds = base.bounds();
-        if let Some(old) = acts.next.and_then(|_| self.usable(acts.committed)) {
+        if let Some(old) = active
+            .next
+            .and_then(|_| self.usable_settings(active.committed))
+        {
             bounds = joint_bounds(&old.bounds(), &bounds).ok()?;
         }
-        let ahead = acts.local_ahead.and_then(|version| self.usable(version));
+        let ahead = active
+            .local_ahead
+            .and_then(|version| self.usable_settings(version));
         if let Some(stricter) = ahead.and_then(|own| joint_bounds(&bounds, &own.bounds()).ok()) {
-            // Classes that only the own file has are not open yet, and none is closed for its sake.
-            let open: BTreeMap<String, bool> = bounds
+            // A later configuration of the settings file restricts the bounds before it is chosen. It neither adds classes nor
+            // changes which classes accept new tasks.
+            let accepts_new_tasks_by_class: BTreeMap<String, bool> = bounds
                 .classes
                 .iter()
                 .map(|(name, class)| (name.clone(), class.accepts_new_tasks))
                 .collect();
             bounds = stricter;
-            bounds.classes.retain(|name, _| open.contains_key(name));
             bounds
                 .classes
-                .iter_mut()
-                .for_each(|(name, class)| class.accepts_new_tasks = open[name]);
+                .retain(|name, _| accepts_new_tasks_by_class.contains_key(name));
+            bounds.classes.iter_mut().for_each(|(name, class)| {
+                class.accepts_new_tasks = accepts_new_tasks_by_class[name]
+            });
         }
-        // A configuration that names fewer placers than nodes hear is no leave to act for fewer.
-        bounds.placers = bounds.placers.max(linked);
-        Some(base.bound_by(&bounds).in_numbers_of(used))
+        // If more placers are connected than the configuration allows for, the decision module accounts for the connected
+        // number.
+        bounds.placers = bounds.placers.max(connected_placers);
+        Some(base.bound_by(&bounds).in_numbers_of(current))
     }
 }
--- a/crates/core/src/configuration/file.rs
+++ b/crates/core/src/configuration/file.rs
@@ -1,4 +1,5 @@
-//! The configuration of the settings file, and those of its changes that wait for the one before to be committed.
+//! The configuration of the settings file, and later ones from its changes that are queued until the previous one is
+//! committed.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -7,52 +8,58 @@
 use reedring_plan::{ConfigDocument, LocalConfig};
 use reedring_settings::{Problems, Settings};
 
-/// Changes of the settings file that wait at most.
+/// The most configurations of the settings file that are queued.
 const MAX_QUEUED: usize = 64;
 
 /// Why a change of the settings file is not applied.
 #[derive(Debug)]
-pub(super) enum FileError {
+pub(super) enum FileChangeError {
+    /// The file's text is not valid.
     Invalid(Problems),
     /// The `[plan]` table is missing.
-    NoTable,
-    /// Too many changes wait; the number of the configuration that does not fit.
+    MissingPlanTable,
+    /// The queue is full; holds the number of the configuration that was not queued.
     QueueFull(u64),
 }
 
-impl fmt::Display for FileError {
+impl fmt::Display for FileChangeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Invalid(problems) => write!(f, "{problems}"),
-            Self::NoTable => f.write_str("plan: the table is missing; remove it by a restart"),
+            Self::MissingPlanTable => f.write_str(
+                "plan: the settings file has no [plan] table; removing the table needs a restart",
+            ),
             Self::QueueFull(number) => {
                 write!(
                     f,
-                    "plan.number: {MAX_QUEUED} plans of the file wait, plan {number} does not fit"
+                    "plan.number: {MAX_QUEUED} plans of the settings file are queued, the most \
+                     allowed; plan {number} is dropped"
                 )
             }
         }
     }
 }
 
-/// A configuration of the settings file, and the settings with it.
+/// A configuration of the settings file, and the settings of the file with it.
 pub(super) struct FileConfiguration {
     pub document: ConfigDocument,
     pub settings: Settings,
 }
 
-/// The settings file.
+/// The configurations of the settings file that this placer proposes, one after the other.
 pub(super) struct SettingsFile {
+    /// The configuration that is proposed now, or is committed.
     current: FileConfiguration,
-    /// As at the start: the `[plan]` table's own keys are read then alone.
+    /// Whether the placer may act by no other configuration (`plan.pinned`), as read when the placer started.
     is_pinned: bool,
+    /// How long a majority's answer allows dispatching (`plan.lease`), as read when the placer started.
     lease_us: Micros,
-    /// Later configurations of the file, in the order of their numbers.
+    /// Later configurations of the file that are not proposed yet, in the order of their numbers.
     queued: VecDeque<FileConfiguration>,
 }
 
 impl SettingsFile {
-    /// The file of a placer that starts with these settings; `None` where it has no `[plan]` table.
+    /// The file of a placer that starts with these settings; `None` if it has no `[plan]` table.
     pub fn new(settings: &Settings) -> Option<Self> {
         let plan = settings.plan.as_ref()?;
         let document = settings.plan().ok().flatten()?;
@@ -67,7 +74,7 @@
         })
     }
 
-    /// The configuration that the file is to bring in.
+    /// The configuration that is proposed now, or is committed.
     pub const fn document(&self) -> &ConfigDocument {
         &self.current.document
     }
@@ -76,48 +83,51 @@
         &self.current.settings
     }
 
-    /// For how long a majority of the voters counts as heard.
+    /// For how many microseconds after a majority of the voters answered this placer may dispatch.
     pub const fn lease_us(&self) -> Micros {
         self.lease_us
     }
 
-    /// As the rules of the agreement need it.
-    pub fn own(&self) -> LocalConfig {
+    /// The version of the file's configuration and whether it is pinned, as `lease_state` takes them.
+    pub fn local_config(&self) -> LocalConfig {
         LocalConfig {
             version: self.document().version(),
             pinned: self.is_pinned,
         }
     }
 
-    /// Brings this configuration in from now on, in place of the one before.
+    /// Makes this configuration the one that is proposed.
     pub fn replace(&mut self, configuration: FileConfiguration) {
         self.current = configuration;
     }
 
-    /// The file has changed; the configuration that is to be brought in at once, if it is another.
+    /// Takes the configuration of the changed file. Returns it if it is to be proposed at once.
     ///
-    /// | its configuration | is |
+    /// Queued configurations of the same or a higher number are dropped. The new one is then compared with the last of
+    /// the queue, or with the current one if the queue is empty:
+    ///
+    /// | new configuration | result |
     /// | --- | --- |
-    /// | the one that was taken in last | ignored: nothing changed |
-    /// | the one after it, which is not committed yet | queued, so that neither is lost |
-    /// | else | returned; those of its number and over it that wait are dropped |
+    /// | is the same | ignored: nothing changed |
+    /// | has the next number, and the last one is not committed yet | queued, so that neither is lost |
+    /// | any other | returned, and the whole queue is dropped |
     ///
     /// # Errors
-    /// Why it can't be applied.
-    pub fn changed(
+    /// Why the change can't be applied.
+    pub fn apply_change(
         &mut self,
         settings: &Settings,
         committed: u64,
-    ) -> Result<Option<FileConfiguration>, FileError> {
+    ) -> Result<Option<FileConfiguration>, FileChangeError> {
         let document = settings
             .plan()
-            .map_err(FileError::Invalid)?
-            .ok_or(FileError::NoTable)?;
-        // Its own tables are those of the start.
+            .map_err(FileChangeError::Invalid)?
+            .ok_or(FileChangeError::MissingPlanTable)?;
+        // The placer's own tables stay as they were when the placer started.
         let settings = self
             .settings()
             .with_plan(document.text(), "the settings file");
-        let settings = settings.map_err(FileError::Invalid)?;
+        let settings = settings.map_err(FileChangeError::Invalid)?;
         let version = document.version();
         let number = version.number;
         self.queued
@@ -133,7 +143,7 @@
         let configuration = FileConfiguration { document, settings };
         let must_wait = last.number > committed && number == last.number + 1;
         match (must_wait, self.queued.len()) {
-            (true, MAX_QUEUED) => Err(FileError::QueueFull(number)),
+            (true, MAX_QUEUED) => Err(FileChangeError::QueueFull(number)),
             (true, _) => {
                 self.queued.push_back(configuration);
                 Ok(None)
@@ -145,8 +155,8 @@
         }
     }
 
-    /// The next configuration that waits, once the one before is committed or another one is.
-    pub fn next_queued(&mut self, committed: u64) -> Option<FileConfiguration> {
+    /// Takes the next configuration from the queue once one with the current number or a higher one is committed.
+    pub fn take_next_queued(&mut self, committed: u64) -> Option<FileConfiguration> {
         let is_settled = self.document().version().number <= committed;
         if is_settled {
             self.queued.pop_front()
--- a/crates/core/src/configuration/mod.rs
+++ b/crates/core/src/configuration/mod.rs
@@ -1,16 +1,16 @@
-//! Agreement on the configuration: by which one this placer acts.
+//! This placer's part in the agreement on the configuration, which determines the configuration it acts by.
 //!
-//! What nodes report goes to `reedring_plan`, which decides; what follows becomes settings for the decision module,
-//! blocked nodes, requests to nodes, and events for operators.
+//! The reports of the nodes are passed to `reedring_plan`, which decides. The result is applied here: as settings for the
+//! decision module, as blocked nodes, as requests to nodes, and as events for operators.
 //!
-//! | state | file |
+//! | state | module |
 //! | --- | --- |
-//! | what nodes reported, and when | `peers` |
-//! | the settings file, and its configurations that wait | `file` |
-//! | the texts that are known, as settings | `catalog` |
+//! | the last report of each node, and when it arrived | `peers` |
+//! | the configuration of the settings file, and later ones that are queued | `file` |
+//! | the known configurations: their texts and the settings parsed from them | `catalog` |
 //! | the ballot and the lease | `agreement` |
 //!
-//! `agreement::step` evaluates all of it, and `status` says it to operators.
+//! `agreement::step` evaluates this state, and `status` describes the result for operators.
 
 mod agreement;
 mod catalog;
@@ -31,7 +31,7 @@
 use crate::persistence::WriteAheadQueue;
 use agreement::Agreement;
 
-/// What a step of the agreement may change beside its own state.
+/// The other parts of the core that a step of the agreement may change.
 pub(crate) struct AgreementEffects<'a> {
     pub cx: &'a mut Context,
     pub nodes: &'a mut NodeRegistry,
@@ -39,69 +39,70 @@
     pub queue: &'a mut WriteAheadQueue,
 }
 
-/// The configuration of this placer, and its part in the agreement on it.
+/// This placer's part in the agreement on the configuration. Without a `[plan]` table in the settings file it does nothing.
 pub(crate) struct Configuration {
-    /// None where the settings file has no `[plan]` table.
+    /// `None` if the settings file had no `[plan]` table when the placer started.
     agreement: Option<Agreement>,
-    /// Tables of the settings file that need a restart to apply, as operators were told last.
-    restart_tables: Vec<&'static str>,
+    /// The changed tables of the settings file that apply only after a restart, as last reported to operators.
+    reported_restart_tables: Vec<&'static str>,
 }
 
 impl Configuration {
-    /// Of a placer that starts with these settings.
+    /// Creates the state of a placer that starts with these settings.
     pub fn new(settings: &Settings, incarnation: u64) -> Self {
         Self {
             agreement: Agreement::new(settings, incarnation),
-            restart_tables: Vec::new(),
+            reported_restart_tables: Vec::new(),
         }
     }
 
-    // ---- Reading ----
+    // ---- Queries ----
 
-    /// Why nothing is accepted, where that does not end by itself.
+    /// Why the placer is fenced: it accepts no jobs until an operator acts. `None` if it is not fenced.
     pub fn fenced(&self) -> Option<&'static str> {
-        self.agreement.as_ref().and_then(Agreement::fenced)
+        self.agreement.as_ref().and_then(Agreement::fence_reason)
     }
 
-    /// By what an offer to this node is decided, where the node can read it.
+    /// The version stamp for offers to this node. `None` if the node can't read stamps or configurations are not in use.
     pub fn stamp_for(&self, node: NodeNumber, list_revision: u64) -> Option<VersionStamp> {
         self.agreement.as_ref()?.stamp_for(node, list_revision)
     }
 
-    /// What operators see of the configuration that a node stores.
+    /// Describes for operators the configuration that a node stores. `None` if the node has not reported yet.
     pub fn describe_node(&self, node: NodeNumber, nodes: &NodeRegistry) -> Option<String> {
         self.agreement.as_ref()?.describe_node(node, nodes)
     }
 
-    // ---- What comes in ----
+    // ---- Inputs ----
 
-    /// The handshake with a node is done: what it stores, or none where it speaks version 1 of the protocol.
+    /// Handles a completed handshake with a node. `report` is `None` if the node speaks version 1 of the protocol, in which
+    /// nodes store no configurations.
     pub fn node_connected(
         &mut self,
         now: Micros,
         node: NodeNumber,
-        record: Option<AcceptorReport>,
+        report: Option<AcceptorReport>,
         cx: &mut Context,
     ) {
         if let Some(agreement) = &mut self.agreement {
-            agreement.node_connected(now, node, record, cx);
+            agreement.node_connected(now, node, report, cx);
         }
     }
 
-    /// What a node stores has changed, or was asked for.
+    /// Handles a node's report of the configurations that it stores, sent after a change or in answer to a query.
     pub fn report_received(
         &mut self,
         now: Micros,
         node: NodeNumber,
-        record: AcceptorReport,
+        report: AcceptorReport,
         cx: &mut Context,
     ) {
         if let Some(agreement) = &mut self.agreement {
-            agreement.report_received(now, node, record, cx);
+            agreement.report_received(now, node, report, cx);
         }
     }
 
-    /// A node sent the text of a configuration.
+    /// Handles the text of a configuration that a node sent. A text that does not match its version is logged and dropped.
     pub fn text_received(
         &mut self,
         node: NodeNumber,
@@ -119,7 +120,8 @@
         }
     }
 
-    /// A node sent what changed to a configuration that was asked for.
+    /// Handles a delta that a node sent in place of a requested text. A delta that can't be applied is logged, and the
+    /// text is then fetched in full.
     pub fn delta_received(
         &mut self,
         node: NodeNumber,
@@ -136,11 +138,11 @@
         }
     }
 
-    /// The settings file has changed.
+    /// Handles a change of the settings file.
     pub fn file_changed(&mut self, settings: &Settings, cx: &mut Context) {
         let mut tables = cx.settings().own_changes(settings);
-        if tables != self.restart_tables {
-            self.restart_tables.clone_from(&tables);
+        if tables != self.reported_restart_tables {
+            self.reported_restart_tables.clone_from(&tables);
             if self.agreement.is_none() {
                 tables.retain(|name| *name != "plan");
             }
@@ -157,12 +159,12 @@
         }
     }
 
-    /// Something that the agreement goes by has changed: the node list.
+    /// Handles a change of the node list: the agreement is evaluated again in this flush.
     pub fn nodes_changed(&mut self) {
         self.agreement.iter_mut().for_each(Agreement::mark_changed);
     }
 
-    /// Advances the agreement, where that is due or something was reported.
+    /// Runs a step of the agreement if one is due or an input has changed.
     pub fn advance_if_due(&mut self, now: Micros, effects: &mut AgreementEffects<'_>) {
         if let Some(agreement) = self
             .agreement
--- a/crates/core/src/configuration/proposal_error.rs
+++ b/crates/core/src/configuration/proposal_error.rs
@@ -1,4 +1,4 @@
-//! Why the configuration of the settings file is not proposed.
+//! Reasons why the configuration of the settings file can't be proposed, for operators.
 
 use reedring_node_protocol::ConfigVersion;
 use reedring_plan::JointConflicts;
@@ -6,23 +6,23 @@
 /// Why the configuration of the settings file can't be proposed.
 #[derive(Debug)]
 pub(super) enum ProposalError {
-    /// Learners know a later configuration, which no voter stores.
+    /// No voter stores a committed configuration, but learners know one with this number or a higher one.
     NotFirst {
         learned: ConfigVersion,
         own: ConfigVersion,
     },
-    /// Its number is not the one after the committed one's.
+    /// Its number is not one more than that of the committed configuration.
     NotNext {
         committed: ConfigVersion,
         own: ConfigVersion,
     },
-    /// It is for fewer placers than nodes hear.
+    /// Its `site.placers` is lower than the number of placers that are connected to a node.
     TooFewPlacers {
         own: ConfigVersion,
         placers: u32,
-        linked: u32,
+        connected: u32,
     },
-    /// It has no joint form with the committed one.
+    /// The placers could not act within its bounds and those of the committed configuration at once.
     NoJointForm {
         committed: ConfigVersion,
         own: ConfigVersion,
@@ -35,22 +35,23 @@
         match self {
             Self::NotFirst { learned, own } => write!(
                 f,
-                "plan.number: learners know of plan {learned}, and no voter keeps it; plan {own} of the file is not \
-                 the first one"
+                "plan.number: learners know of plan {learned}, but no voter stores it; plan {own} of the settings file \
+                 can't be the first one"
             ),
             Self::NotNext { committed, own } => write!(
                 f,
-                "plan.number: plan {own} of the file does not follow plan {committed}: it waits for plan {next}, or \
-                 is to be numbered so",
+                "plan.number: plan {own} of the settings file does not follow plan {committed}: it waits for \
+                 plan {next}, or is to be numbered so",
                 next = committed.number + 1
             ),
             Self::TooFewPlacers {
                 own,
                 placers,
-                linked,
+                connected,
             } => write!(
                 f,
-                "site.placers: plan {own} of the file is for {placers} placers, nodes hear {linked}"
+                "site.placers: plan {own} of the settings file allows {placers} placers, but \
+                 {connected} are connected to a node"
             ),
             Self::NoJointForm {
                 committed,
@@ -58,7 +59,7 @@
                 conflicts,
             } => write!(
                 f,
-                "plan {own} of the file can't follow plan {committed}: {conflicts}"
+                "plan {own} of the settings file can't follow plan {committed}: {conflicts}"
             ),
         }
     }
--- a/crates/core/src/configuration/status.rs
+++ b/crates/core/src/configuration/status.rs
@@ -1,4 +1,4 @@
-//! What operators are told of the configuration.
+//! Descriptions of the configuration for operators.
 
 use reedring_node_protocol::AcceptorReport;
 use reedring_plan::{ActiveConfig, LeaseState, PeerState};
@@ -9,11 +9,11 @@
 use crate::nodes::NodeRegistry;
 
 impl Agreement {
-    /// The configuration in use, as operators are told it.
+    /// The event that describes the configuration in use. `rejected` is why that of the settings file can't be proposed.
     pub(super) fn status(&self, rejected: Option<String>) -> Event {
         let (own, committed) = (self.own_version(), self.committed());
         let is_behind = committed.number > 0 && own != committed && own.number <= committed.number;
-        let superseded = (is_behind && self.fenced().is_none()).then_some(own);
+        let superseded = (is_behind && self.fence_reason().is_none()).then_some(own);
         let file = FileStatus {
             superseded,
             rejected,
@@ -52,50 +52,50 @@
         }
     }
 
-    /// What operators see of the configuration that a node stores.
+    /// Describes for operators the configuration that a node stores. `None` if the node has not reported yet.
     pub fn describe_node(&self, number: NodeNumber, nodes: &NodeRegistry) -> Option<String> {
-        let record = match self.peers().state(number)? {
+        let report = match self.peers().state(number)? {
             PeerState::Unknown => return None,
             PeerState::Legacy => return Some("keeps none".to_owned()),
-            PeerState::Reported(record) => record,
+            PeerState::Reported(report) => report,
         };
-        let votes = nodes.get(number).is_some_and(|node| node.entry().control);
-        Some(if record.is_learner {
-            describe_learner(record, votes)
+        let is_listed_as_voter = nodes.get(number).is_some_and(|node| node.entry().control);
+        Some(if report.is_learner {
+            describe_learner(report, is_listed_as_voter)
         } else {
-            describe_acceptor(record, votes)
+            describe_acceptor(report, is_listed_as_voter)
         })
     }
 }
 
-fn describe_learner(record: &AcceptorReport, votes: bool) -> String {
-    let floor = record.accepted.map_or("no plan yet".to_owned(), |next| {
+fn describe_learner(report: &AcceptorReport, is_listed_as_voter: bool) -> String {
+    let floor = report.accepted.map_or("no plan yet".to_owned(), |next| {
         format!("plan {}", next.version)
     });
-    let wrong = if votes {
+    let voter_warning = if is_listed_as_voter {
         ", listed as control and votes for nothing"
     } else {
         ""
     };
-    format!("learner, from {floor} on{wrong}")
+    format!("learner, from {floor} on{voter_warning}")
 }
 
-fn describe_acceptor(record: &AcceptorReport, votes: bool) -> String {
-    let mut line = record.committed.to_string();
-    if votes {
+fn describe_acceptor(report: &AcceptorReport, is_listed_as_voter: bool) -> String {
+    let mut line = report.committed.to_string();
+    if is_listed_as_voter {
         line.push_str(", voter");
     }
-    if let Some(next) = &record.accepted {
+    if let Some(next) = &report.accepted {
         let word = if next.joint { "joint with" } else { "offered" };
         line = format!("{line}, {word} {}", next.version);
     }
-    if record.cannot_persist {
+    if report.cannot_persist {
         line.push_str(", can't keep more");
     }
-    if record.lagging_placers > 0 {
+    if report.lagging_placers > 0 {
         line = format!(
             "{line}, {} of {} placers behind",
-            record.lagging_placers, record.connected_placers
+            report.lagging_placers, report.connected_placers
         );
     }
     line
