--- a/crates/core/benches/plans.rs
+++ b/crates/core/benches/plans.rs
@@ -1,5 +1,7 @@
-//! What plans cost: an offer that names its version beside one that does not, and a change from its offer until every
-//! placer acts by it, in simulated time: `cargo bench -p reedring-core --bench plans`.
+//! The cost of plans (versioned configurations), run by `cargo bench -p reedring-core --bench plans`:
+//!
+//! - wall-clock time for each job, with and without a version stamp on its offers;
+//! - simulated time from the proposal of a plan until every placer acts by it, with the messages and node writes it takes.
 
 #[path = "../tests/plans/mod.rs"]
 mod plans;
@@ -12,43 +14,48 @@
 use reedring_drmaa::rpc::{Call, CallKey, Range};
 use reedring_node_protocol::{Message, encode};
 
-fn change(placers: usize, nodes: usize) {
+/// Measures a change of the plan with this many placers and nodes, and prints one line.
+fn measure_plan_change(placers: usize, nodes: usize) {
     let began = Instant::now();
     let mut world = World::new(placers, nodes);
     world
         .until_all(1, 60_000_000)
-        .expect("the first plan comes in force");
-    let quiet = world.now + 2_000_000;
-    while world.now < quiet {
+        .expect("every placer acts by the first plan within a minute");
+    // Two simulated seconds let the messages about the first plan finish.
+    let settled_at = world.now + 2_000_000;
+    while world.now < settled_at {
         world.until_all(9, 100 * MS);
     }
-    let (messages, writes) = (world.messages, world.nodes[0].plan_writes());
-    // One placer comes back with the next plan.
-    let from = world.now;
+    let (messages_before, writes_before) = (world.messages, world.nodes[0].plan_writes());
+    // One placer restarts with the next plan in its settings file.
+    let started_at = world.now;
     world.start(0, settings(2, placers + 1), 2);
-    let Some(done) = world.until_all(2, 60_000_000) else {
-        println!("{placers:>4} placers x {nodes} nodes: the change is not in force after a minute");
+    let Some(done_at) = world.until_all(2, 60_000_000) else {
+        println!(
+            "{placers:>4} placers x {nodes} nodes: some placer does not act by the new plan after a minute"
+        );
         return;
     };
-    let after = world.nodes[0].plan_writes();
+    let writes_after = world.nodes[0].plan_writes();
     println!(
-        "{placers:>4} placers x {nodes} nodes: a change in force everywhere after {} ms, {:.1} messages a link, \
-         {} writes and {} bytes at a node; {:.1} s to work out",
-        (done - from) / MS,
-        (world.messages - messages) as f64 / (placers * nodes) as f64,
-        after.0 - writes.0,
-        after.1 - writes.1,
+        "{placers:>4} placers x {nodes} nodes: every placer acts by the new plan after {} ms, {:.1} messages per link, \
+         {} writes and {} bytes at one node; computed in {:.1} s",
+        (done_at - started_at) / MS,
+        (world.messages - messages_before) as f64 / (placers * nodes) as f64,
+        writes_after.0 - writes_before.0,
+        writes_after.1 - writes_before.1,
         began.elapsed().as_secs_f64()
     );
 }
 
-/// Microseconds a job through core, frames and a node, placed and over.
-fn path(plan: u64) -> f64 {
+/// Wall-clock microseconds per job, from its submission through the core, the message encoding and a node until it
+/// has ended. `plan` is the number of the plan; 0 runs without plans, so that offers carry no version stamp.
+fn job_time_us(plan: u64) -> f64 {
     const JOBS: u64 = 6_000;
     let mut world = World::new(0, 8);
     world.acts = vec![(0, 0)];
     world.start(0, settings(plan, 1), 1);
-    // Until the plan is in force, where there is one, and all is quiet.
+    // Two simulated seconds let the placer act by its plan, if it has one, and all messages about it finish.
     world.until_all(9, 2_000_000);
     let init = Call::Init {
         session: "s".to_owned(),
@@ -62,7 +69,7 @@
         },
     );
     let began = Instant::now();
-    let (mut bytes, mut made) = (0, 0);
+    let (mut bytes, mut decoded_offers) = (0, 0);
     for call in 1..=JOBS / 10 {
         let key = CallKey {
             session: "s".to_owned(),
@@ -94,39 +101,39 @@
             if let Due::AtNode(_, _, message @ Message::Offer { .. }) = due {
                 let frame = encode(message);
                 bytes += frame.len();
-                made += usize::from(reedring_node_protocol::decode(&frame).is_ok());
+                decoded_offers += usize::from(reedring_node_protocol::decode(&frame).is_ok());
             }
         }
         world.until_all(9, 4 * MS);
     }
     assert!(
-        made as u64 >= JOBS * 9 / 10,
-        "{made} offers of {JOBS} jobs, plan {plan}"
+        decoded_offers as u64 >= JOBS * 9 / 10,
+        "{decoded_offers} offers for {JOBS} jobs with plan {plan}, expected at least nine tenths as many as jobs"
     );
-    assert!(bytes > 0);
+    assert!(bytes > 0, "no offer was encoded");
     began.elapsed().as_secs_f64() * 1e6 / JOBS as f64
 }
 
 fn main() {
     let mut ratios: Vec<f64> = Vec::new();
-    let (mut with, mut without) = (Vec::new(), Vec::new());
+    let (mut stamped, mut unstamped) = (Vec::new(), Vec::new());
     for _ in 0..15 {
-        let (on, off) = (path(1), path(0));
-        ratios.push(on / off);
-        with.push(on);
-        without.push(off);
+        let (with_stamp, without_stamp) = (job_time_us(1), job_time_us(0));
+        ratios.push(with_stamp / without_stamp);
+        stamped.push(with_stamp);
+        unstamped.push(without_stamp);
     }
     let median = |all: &mut Vec<f64>| {
         all.sort_by(f64::total_cmp);
         all[all.len() / 2]
     };
     println!(
-        "a job's path: {:.1} us with its version told, {:.1} us without, ratio {:.3} (medians of 15 pairs)",
-        median(&mut with),
-        median(&mut without),
+        "one job: {:.1} us with a version stamp on its offers, {:.1} us without, ratio {:.3} (medians of 15 pairs)",
+        median(&mut stamped),
+        median(&mut unstamped),
         median(&mut ratios)
     );
     for placers in [10, 100, 350] {
-        change(placers, 400);
+        measure_plan_change(placers, 400);
     }
 }
--- a/crates/core/src/node_links.rs
+++ b/crates/core/src/node_links.rs
@@ -1,4 +1,4 @@
-//! The node list and the connections to nodes: what a change of either means for the registry and for attempts.
+//! Changes of the node list and of connections to nodes, applied to the registry and to the attempts at the nodes.
 
 use reedring::Micros;
 use reedring_drmaa::rpc::Answer;
@@ -14,20 +14,21 @@
 use crate::nodes::{LinkChange, ListChanges, Node};
 use crate::timers::Timer;
 
-/// What a node says of itself in its handshake.
+/// The contents of a node's handshake, and the name of the node that was connected to.
 pub(crate) struct NodeHello {
-    /// The name under which it is listed.
+    /// The name in the node list of the node that was connected to.
     pub listed_as: String,
-    /// Its own name, which must be the same.
+    /// The name that the node reports, which must be the same.
     pub reported_name: String,
-    /// Its incarnation.
+    /// The node's own incarnation.
     pub incarnation: u64,
-    /// Milliseconds since its start.
+    /// Milliseconds since the node started.
     pub up_ms: u64,
+    /// Whether the node can suspend tasks.
     pub can_suspend: bool,
 }
 
-/// Takes a whole node list in; whether it was newer than the known one.
+/// Applies a complete node list. Returns whether it was applied: its revision must not be lower than that of the current one.
 pub(crate) fn node_list_changed(
     lifecycle: &mut JobLifecycle<'_>,
     now: Micros,
@@ -62,7 +63,7 @@
     match link {
         LinkChange::Connect(number) => lifecycle.nodes.connect(number, lifecycle.cx),
         LinkChange::Reconnect(number) => {
-            link_lost(lifecycle, now, number, "it moved to another address");
+            link_lost(lifecycle, now, number, "its listed address changed");
             lifecycle.nodes.connect(number, lifecycle.cx);
         }
         LinkChange::ChangeZone(number) => lifecycle.nodes.change_zone(number, lifecycle.cx),
@@ -70,7 +71,8 @@
     }
 }
 
-/// A node is no longer listed: what it holds is awaited on its connection, and given up where there is none.
+/// Handles a node that is no longer listed. Its attempts are awaited on its connection; if it is not connected, they are
+/// given up.
 fn node_unlisted(lifecycle: &mut JobLifecycle<'_>, now: Micros, number: NodeNumber) {
     let Some(node) = lifecycle.nodes.get(number) else {
         return;
@@ -82,7 +84,8 @@
     }
 }
 
-/// The handshake with a node is done; the node, if it is the right one. It reports next what it holds.
+/// Handles a completed handshake. Returns the node's number, or `None` if the node is unknown or reports another name than
+/// the listed one. The node reports the tasks that it holds next.
 pub(crate) fn link_up(
     lifecycle: &mut JobLifecycle<'_>,
     now: Micros,
@@ -117,7 +120,7 @@
     Some(number)
 }
 
-/// Takes in a part of what a node holds; whether that was the last part.
+/// Handles a page of the tasks that a node holds. Returns whether it was the last page.
 pub(crate) fn holdings_reported(
     lifecycle: &mut JobLifecycle<'_>,
     now: Micros,
@@ -133,7 +136,7 @@
     true
 }
 
-/// The connection to a node was lost, or could not be made.
+/// Handles a connection to a node that was lost or could not be made.
 pub(crate) fn link_down(lifecycle: &mut JobLifecycle<'_>, now: Micros, name: &str, reason: &str) {
     if let Some(number) = lifecycle.nodes.number(name) {
         link_lost(lifecycle, now, number, reason);
@@ -166,7 +169,10 @@
     lifecycle.nodes.announce(node, now, lifecycle.cx);
 }
 
-/// An operator drains a node, or no longer does.
+/// Drains a node, or ends its drain, at an operator's request. The change is persisted.
+///
+/// # Errors
+/// If there is no node of this name.
 pub(crate) fn set_drained(
     lifecycle: &mut JobLifecycle<'_>,
     now: Micros,
@@ -174,7 +180,7 @@
     drained: bool,
 ) -> Result<Answer> {
     let Some(number) = lifecycle.nodes.set_drained(name, drained) else {
-        return Err(unknown_node(lifecycle, name));
+        return Err(unknown_node_error(lifecycle, name));
     };
     lifecycle.queue.record(Change::Drain {
         node: name.to_owned(),
@@ -191,17 +197,17 @@
     Ok(Answer::Done)
 }
 
-fn unknown_node(lifecycle: &JobLifecycle<'_>, name: &str) -> Error {
+fn unknown_node_error(lifecycle: &JobLifecycle<'_>, name: &str) -> Error {
     let known: Vec<&str> = lifecycle
         .nodes
         .iter()
         .map(|(_, node)| node.name())
         .collect();
-    let near = nearest(name, &known)
+    let suggestion = nearest(name, &known)
         .map(|near| format!("; did you mean `{near}`?"))
         .unwrap_or_default();
     Error::new(
         ErrorCode::InvalidArgument,
-        format!("the list has no node `{name}`{near}"),
+        format!("the list has no node `{name}`{suggestion}"),
     )
 }
--- a/crates/core/src/nodes/announcements.rs
+++ b/crates/core/src/nodes/announcements.rs
@@ -1,4 +1,4 @@
-//! What the decision module knows of nodes: their state, and what a former incarnation of the placer learned of them.
+//! Announcements to the decision module: the state of each node, and the beliefs of a former incarnation about it.
 
 use reedring::names::machine_id;
 use reedring::{self as module, Belief, Beliefs, Event as ModuleEvent, Listing, Micros};
@@ -12,12 +12,12 @@
 use crate::ids::NodeNumber;
 
 impl NodeRegistry {
-    /// Announces every node of which the decision module does not know what is so.
+    /// Announces every node whose state differs from the last announcement, and passes on its restored beliefs.
     pub fn announce_all(&mut self, now: Micros, cx: &mut Context) {
         let numbers: Vec<NodeNumber> = self.nodes.keys().copied().collect();
         let mut changed = Vec::new();
         for number in numbers {
-            if let Some(machine) = self.unannounced(number, now, &cx.settings().site) {
+            if let Some(machine) = self.pending_announcement(number, now, &cx.settings().site) {
                 changed.push((number, machine));
             }
         }
@@ -26,21 +26,23 @@
             cx.notify_module(ModuleEvent::Listed(Listing::Changes(machines)));
             numbers
                 .into_iter()
-                .for_each(|number| self.hand_over_beliefs(number, cx));
+                .for_each(|number| self.send_restored_beliefs(number, cx));
         }
     }
 
-    /// Announces a node, if the decision module does not know what is so.
+    /// Announces a node if its state differs from the last announcement, and passes on its restored beliefs.
     pub fn announce(&mut self, number: NodeNumber, now: Micros, cx: &mut Context) {
-        if let Some(machine) = self.unannounced(number, now, &cx.settings().site) {
+        if let Some(machine) = self.pending_announcement(number, now, &cx.settings().site) {
             cx.notify_module(ModuleEvent::Listed(Listing::Changes(vec![machine])));
         }
-        self.hand_over_beliefs(number, cx);
+        self.send_restored_beliefs(number, cx);
     }
 
-    /// What the decision module is to know of a node and does not know yet. A node is announced once it has connected
-    /// or failed to once: before, the module could only spend attempts on it. A control machine never is.
-    fn unannounced(
+    /// The announcement of a node that is due, if its state differs from the last one, which is updated.
+    ///
+    /// A node is first announced once a connection to it was established or failed: before that, the module could only waste
+    /// attempts on it. A node that is a control machine from the start is never announced.
+    fn pending_announcement(
         &mut self,
         number: NodeNumber,
         now: Micros,
@@ -48,8 +50,8 @@
     ) -> Option<module::Machine> {
         let startup = self.startup;
         let node = self.nodes.get_mut(&number)?;
-        let not_met = matches!(node.link, Link::NeverConnected | Link::Reconciling(_));
-        if (not_met || node.entry.control) && node.announced.is_none() {
+        let not_contacted_yet = matches!(node.link, Link::NeverConnected | Link::Reconciling(_));
+        if (not_contacted_yet || node.entry.control) && node.announced.is_none() {
             return None;
         }
         let warming_until = node
@@ -68,7 +70,8 @@
         }
         let health = match node.health() {
             Health::Gone => module::Health::Gone,
-            // A control machine that had tasks: they run to their end, and nothing new comes.
+            // The node became a control machine after it was announced: its tasks run to their end, and it gets no new
+            // ones.
             _ if node.entry.control => module::Health::Draining,
             Health::Ready => module::Health::Ready,
             Health::Draining => module::Health::Draining,
@@ -81,7 +84,7 @@
                 .racks
                 .number(&format!("{}\n{}", node.entry.hall, node.entry.rack)),
             health,
-            // Only a young node's start matters, and only where the site says what young means.
+            // The start time matters only for slow start, which the site enables by `warm_after`.
             ready_at: node.started_at.filter(|_| site.warm_after_us.is_some()),
             free_cores: node.entry.free_cores,
             free_memory: node.entry.free_memory,
@@ -92,7 +95,7 @@
         })
     }
 
-    /// Keeps what a former incarnation learned of a node, until the node is known.
+    /// Stores the beliefs of a former incarnation about a node until they can be passed to the decision module.
     pub fn restore_beliefs(&mut self, known: NodeBeliefs) {
         let kept = self
             .restored_beliefs
@@ -104,7 +107,8 @@
                 },
                 ..known.clone()
             });
-        // The ledger's count of offers to nodes that are warming up is exact; the file's may be older.
+        // The ledger's record of offers to nodes that are warming up is exact, and takes precedence; the belief file may be
+        // older.
         let slow_start_offers = std::mem::take(&mut kept.belief.slow_start_offers);
         kept.incarnation = known.incarnation;
         kept.belief = known.belief;
@@ -113,7 +117,7 @@
         }
     }
 
-    /// Keeps when a former incarnation made offers to a node that was warming up.
+    /// Stores the times at which a former incarnation made offers to a node that was warming up, as the ledger has them.
     pub fn restore_slow_start_offers(&mut self, node: &str, slow_start_offers: Vec<Micros>) {
         let belief = Belief {
             machine: machine_id(node),
@@ -128,9 +132,9 @@
         self.restored_beliefs.insert(node.to_owned(), known);
     }
 
-    /// Hands over what a former incarnation learned of a node, once the node's own incarnation is known and the
-    /// decision module knows the node.
-    fn hand_over_beliefs(&mut self, number: NodeNumber, cx: &mut Context) {
+    /// Passes the beliefs of a former incarnation about a node to the decision module, once the node has been announced and
+    /// its own incarnation is known.
+    fn send_restored_beliefs(&mut self, number: NodeNumber, cx: &mut Context) {
         let is_known = |node: &&Node| node.announced.is_some() && node.incarnation.is_some();
         let Some(node) = self.nodes.get(&number).filter(is_known) else {
             return;
@@ -138,8 +142,8 @@
         let Some(known) = self.restored_beliefs.remove(&node.name) else {
             return;
         };
-        // What was learned of another incarnation of the node is void, but for the spent budget: it was another start
-        // of the node that spent it, and to count it again does no harm.
+        // Beliefs about another incarnation of the node no longer hold. Its slow-start offers are kept all the same: an
+        // earlier start of the node used them up, and counting them for this one too does no harm.
         let belief = if known.incarnation.is_none() || known.incarnation == node.incarnation {
             known.belief
         } else {
--- a/crates/core/src/nodes/connections.rs
+++ b/crates/core/src/nodes/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to nodes, and the handshakes on them.
+//! The connections to nodes: connect, handshake, the report of held tasks, and disconnect.
 
 use reedring::Micros;
 use reedring_node_protocol::InFlightTask;
@@ -11,9 +11,10 @@
 use crate::io::Output;
 
 impl NodeRegistry {
-    /// Has the shell connect to a node.
+    /// Asks the shell to connect to a node, unless there is a connection already.
     pub fn connect(&mut self, number: NodeNumber, cx: &mut Context) {
-        // A node that was unlisted with tasks kept its connection; another would void what is sent on it now.
+        // A node that was unlisted while it had attempts kept its connection. A second connection would void the messages
+        // that are in flight on the first.
         let is_down = |node: &&Node| matches!(node.link, Link::NeverConnected | Link::Down);
         if let Some(node) = self.get(number).filter(is_down) {
             let (node, address, zone) = (node.name.clone(), node.address, node.entry.hall.clone());
@@ -25,7 +26,7 @@
         }
     }
 
-    /// Has the shell end the connection to a node; nothing may be sent on it any more.
+    /// Asks the shell to close the connection to a node; no more messages may be sent on it.
     pub fn disconnect(&mut self, number: NodeNumber, cx: &mut Context) {
         if let Some(node) = self.nodes.get_mut(&number) {
             node.link = Link::Down;
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Tells the shell of another zone of a node.
+    /// Notifies the shell that a node is in another zone.
     pub fn change_zone(&mut self, number: NodeNumber, cx: &mut Context) {
         if let Some(node) = self.get(number) {
             let (node, zone) = (node.name.clone(), node.entry.hall.clone());
@@ -43,7 +44,8 @@
         }
     }
 
-    /// The handshake with a node is done; whether it is still the incarnation that was known before.
+    /// Records a completed handshake. `up_ms` is the number of milliseconds since the node started. Returns whether the node
+    /// is still the incarnation that was known before.
     pub fn handshake_done(
         &mut self,
         number: NodeNumber,
@@ -61,7 +63,7 @@
         node.confirm_incarnation(now, incarnation, up_ms)
     }
 
-    /// Takes in a part of what a node holds; all of it, once it was the last part.
+    /// Adds a page of the tasks that a node holds. Returns all of them with the last page, after which the node is up.
     pub fn holdings_page(
         &mut self,
         number: NodeNumber,
@@ -82,7 +84,7 @@
         Some(held)
     }
 
-    /// The connection to a node was lost, or could not be made.
+    /// Records that the connection to a node was lost or could not be made. Returns its state before.
     pub fn connection_lost(&mut self, number: NodeNumber) -> Option<LostLink> {
         let node = self.nodes.get_mut(&number)?;
         let was_up = !matches!(node.link, Link::NeverConnected | Link::Down);
--- a/crates/core/src/nodes/list.rs
+++ b/crates/core/src/nodes/list.rs
@@ -1,4 +1,4 @@
-//! The node list: which nodes there are, and where.
+//! The node list: adds, changes and unlists nodes.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,19 +10,20 @@
 use crate::ids::NodeNumber;
 
 impl NodeRegistry {
-    /// The names of kinds, where the settings have others now.
+    /// Replaces the names of the node kinds after a change of the settings.
     pub fn set_kinds(&mut self, kinds: Vec<String>) {
         self.kinds = kinds;
     }
 
-    /// The number of a zone.
+    /// The number of a zone; an unknown zone gets the next free one.
     pub fn zone_number(&mut self, zone: &str) -> u16 {
         self.zones.number(zone)
     }
 
-    /// The number of a node that a former incarnation knew. It counts as listed until a list says otherwise.
+    /// The number of a node that the ledger of a former incarnation names; a new node is added with a placeholder address,
+    /// and counts as listed until a node list is applied.
     pub fn restore(&mut self, name: &str) -> NodeNumber {
-        if let Some(number) = self.numbers.get(name) {
+        if let Some(number) = self.numbers_by_name.get(name) {
             return *number;
         }
         let entry = NodeEntry::at(name, SocketAddr::from(([127, 0, 0, 1], 0)));
@@ -34,16 +35,16 @@
 
     fn add(&mut self, node: Node) -> NodeNumber {
         let number = NodeNumber(self.nodes.len() as u32);
-        self.numbers.insert(node.name.clone(), number);
-        self.machines.insert(node.machine, number);
+        self.numbers_by_name.insert(node.name.clone(), number);
+        self.numbers_by_machine.insert(node.machine, number);
         self.nodes.insert(number, node);
         number
     }
 
-    /// Takes a whole node list in; what it changes, or the known revision where the list is older.
+    /// Applies a complete node list. Returns what it changes.
     ///
     /// # Errors
-    /// The revision known before, where that of the list is lower.
+    /// The current revision, if that of the list is lower; nothing is changed then.
     pub fn apply_list(&mut self, list: NodeList) -> Result<ListChanges, u64> {
         if list.revision < self.list_revision {
             return Err(self.list_revision);
@@ -65,7 +66,10 @@
 
     fn apply_entry(&mut self, entry: NodeEntry, changes: &mut ListChanges) {
         let Some(number) = self.number(&entry.name) else {
-            if self.machines.contains_key(&machine_id(&entry.name)) {
+            if self
+                .numbers_by_machine
+                .contains_key(&machine_id(&entry.name))
+            {
                 return changes.collisions.push(entry.name);
             }
             let number = self.add(Node::new(entry));
@@ -92,7 +96,7 @@
         }
     }
 
-    /// An operator drains a node, or no longer does; its number, if there is one of this name.
+    /// Sets whether an operator drains the node with this name. Returns its number, or `None` if there is no such node.
     pub fn set_drained(&mut self, name: &str, drained: bool) -> Option<NodeNumber> {
         let number = self.number(name)?;
         self.nodes.get_mut(&number)?.drained = drained;
--- a/crates/core/src/nodes/mod.rs
+++ b/crates/core/src/nodes/mod.rs
@@ -1,7 +1,8 @@
-//! The registry of nodes: which there are, how each is connected, and what the decision module knows of them.
+//! The registry of nodes: the entry of each in the node list, its connection, and its state as last announced to the
+//! decision module.
 //!
-//! It owns every [`Node`]; nobody else changes one. It decides when a node is announced to the decision module, and
-//! hands over what a former incarnation of the placer learned of it.
+//! The registry owns every [`Node`], and only this module changes one. It decides when a node is announced to the decision
+//! module, and passes on the beliefs that a former incarnation of the placer stored about it.
 
 mod announcements;
 mod connections;
@@ -21,69 +22,73 @@
 use crate::ids::NodeNumber;
 pub(crate) use node::{Node, NodeLoad};
 
-/// Numbers for racks and zones, in the order in which they are first named.
+/// Assigns numbers to the names of racks or zones, from 0 in the order in which they are first used.
 #[derive(Debug, Default)]
-struct PlaceNumbers(BTreeMap<String, u16>);
+struct LocationNumbers(BTreeMap<String, u16>);
 
-impl PlaceNumbers {
+impl LocationNumbers {
+    /// The number of a name; an unknown name gets the next free one.
     fn number(&mut self, name: &str) -> u16 {
         let next = self.0.len() as u16;
         *self.0.entry(name.to_owned()).or_insert(next)
     }
 }
 
-/// What the placer's own start means for nodes that are warming up.
+/// The startup of the placer, on which announcements of nodes and answers to submissions depend.
 #[derive(Clone, Copy, Debug, Default)]
 struct StartupState {
+    /// When this incarnation of the placer started.
     started_at: Micros,
-    /// Every offer of the former incarnation to a node that is warming up is known.
+    /// Whether every offer of the former incarnation to a node that is warming up is known from the ledger.
     slow_start_budgets_restored: bool,
-    /// Until when nodes are waited for to report what they hold.
+    /// The time until which the placer waits for the nodes to report the tasks that they hold.
     reconcile_until: Micros,
 }
 
-/// What a new node list means for the connection to one node.
+/// What a new node list changes for the connection to one node.
 pub(crate) enum LinkChange {
+    /// The node is new in the list, or listed again.
     Connect(NodeNumber),
-    /// It moved to another address.
+    /// The node has another address.
     Reconnect(NodeNumber),
-    /// It is in another zone, at the same address.
+    /// The node is in another zone, at the same address.
     ChangeZone(NodeNumber),
-    /// It is no longer listed.
+    /// The node is no longer listed.
     Unlisted(NodeNumber),
 }
 
-/// What a new node list changes.
+/// The changes that a new node list brings.
 #[derive(Default)]
 pub(crate) struct ListChanges {
     pub links: Vec<LinkChange>,
-    /// Nodes whose names can't be told apart from others' by their machine ids.
+    /// Names of new nodes that are ignored because another node's name has the same machine id.
     pub collisions: Vec<String>,
 }
 
-/// What a connection that was lost, or could not be made, was before.
+/// The state of a connection before it was lost or could not be made.
 pub(crate) struct LostLink {
+    /// The number of handshakes with the node so far, which identifies its last connection.
     pub connection: u64,
-    /// The handshake was done on it.
+    /// Whether the handshake was completed on it.
     pub was_up: bool,
-    /// Operators know already that the node can't be reached, or need not know.
+    /// Whether no event is logged: the connection was down already, or the node's health is not ready.
     pub is_expected: bool,
 }
 
-/// All nodes that were ever listed in this incarnation.
+/// All nodes that were listed in this incarnation or restored from the ledger. None is ever removed.
 #[derive(Debug, Default)]
 pub(crate) struct NodeRegistry {
     nodes: BTreeMap<NodeNumber, Node>,
-    numbers: BTreeMap<String, NodeNumber>,
-    machines: BTreeMap<MachineId, NodeNumber>,
-    zones: PlaceNumbers,
-    racks: PlaceNumbers,
-    /// Names of the settings' kinds.
+    numbers_by_name: BTreeMap<String, NodeNumber>,
+    numbers_by_machine: BTreeMap<MachineId, NodeNumber>,
+    zones: LocationNumbers,
+    racks: LocationNumbers,
+    /// The names of the node kinds in the settings, by kind number.
     kinds: Vec<String>,
     startup: StartupState,
-    /// Revision of the node list; 0 where it has none.
+    /// The revision of the node list; 0 before the first list.
     list_revision: u64,
-    /// What a former incarnation learned of nodes that have not connected yet.
+    /// The beliefs of a former incarnation about nodes, by node name, until they are passed to the decision module.
     restored_beliefs: BTreeMap<String, NodeBeliefs>,
 }
 
@@ -101,31 +106,31 @@
         }
     }
 
-    /// Every offer of the former incarnation to a node that is warming up is known, or not.
+    /// Sets whether every offer of the former incarnation to a node that is warming up is known from the ledger.
     pub fn set_budgets_restored(&mut self, restored: bool) {
         self.startup.slow_start_budgets_restored = restored;
     }
 
-    // ---- Reading ----
+    // ---- Queries ----
 
     pub fn get(&self, number: NodeNumber) -> Option<&Node> {
         self.nodes.get(&number)
     }
 
-    /// All nodes, by their numbers.
+    /// All nodes, in the order of their numbers.
     pub fn iter(&self) -> impl Iterator<Item = (NodeNumber, &Node)> {
         self.nodes.iter().map(|(number, node)| (*number, node))
     }
 
     pub fn number(&self, name: &str) -> Option<NodeNumber> {
-        self.numbers.get(name).copied()
+        self.numbers_by_name.get(name).copied()
     }
 
     pub fn by_machine(&self, machine: MachineId) -> Option<NodeNumber> {
-        self.machines.get(&machine).copied()
+        self.numbers_by_machine.get(&machine).copied()
     }
 
-    /// The name of a node, as far as it is known.
+    /// The name of a node; empty if there is no node of this number.
     pub fn name(&self, number: NodeNumber) -> String {
         self.get(number)
             .map(|node| node.name.clone())
@@ -140,21 +145,23 @@
         self.get(number).is_some_and(Node::is_up)
     }
 
-    /// Whether this connection to a node is its last one, and is down.
+    /// Whether this connection was the last one to the node, and the node is not connected now.
     pub fn is_still_down(&self, number: NodeNumber, connection: u64) -> bool {
         self.get(number)
             .is_some_and(|node| node.connections == connection && !node.is_up())
     }
 
-    /// The node's own incarnation, once known.
+    /// The node's own incarnation; `None` until its handshake or the ledger names it.
     pub fn incarnation(&self, number: NodeNumber) -> Option<u64> {
         self.get(number).and_then(Node::incarnation)
     }
 
+    /// The health of the node with this name; `None` if there is no such node.
     pub fn health_of(&self, name: &str) -> Option<Health> {
         self.get(self.number(name)?).map(Node::health)
     }
 
+    /// The name of a node kind; empty if the settings have no such kind.
     pub fn kind_name(&self, kind: u16) -> &str {
         self.kinds.get(usize::from(kind)).map_or("", String::as_str)
     }
@@ -163,12 +170,12 @@
         self.list_revision
     }
 
-    /// Until when nodes are waited for to report what they hold.
+    /// The time until which the placer waits for the nodes to report the tasks that they hold.
     pub const fn reconcile_until(&self) -> Micros {
         self.startup.reconcile_until
     }
 
-    /// Every listed node has reported what it holds since this placer started.
+    /// Whether every listed node has reported the tasks that it holds since this placer started.
     pub fn all_reconciled(&self) -> bool {
         self.nodes
             .values()
@@ -176,7 +183,8 @@
             .all(|node| node.reconciled)
     }
 
-    /// It has started lately, and bears little.
+    /// Whether the node is in its slow start: it started less than `site.warm_after_us` ago. A node whose start is not known
+    /// counts as warm.
     pub fn is_warming_up(&self, number: NodeNumber, now: Micros, site: &Site) -> bool {
         let started_at = self.get(number).and_then(|node| node.started_at);
         started_at
@@ -184,7 +192,7 @@
             .is_some_and(|(at, warm)| now < at.saturating_add(warm))
     }
 
-    // ---- What is at a node ----
+    // ---- Attempts ----
 
     pub fn add_attempt(&mut self, number: NodeNumber, id: AttemptId) {
         if let Some(node) = self.nodes.get_mut(&number) {
@@ -192,16 +200,17 @@
         }
     }
 
-    /// An attempt of a former incarnation was at this incarnation of a node, or at an older one.
+    /// Restores an attempt of a former incarnation of the placer. `incarnation` is that of the node at the time, if known.
     pub fn restore_attempt(&mut self, number: NodeNumber, id: AttemptId, incarnation: Option<u64>) {
         if let Some(node) = self.nodes.get_mut(&number) {
             node.attempts.insert(id);
-            // A node that restarted since holds nothing of what it was given.
+            // The newest incarnation is kept: a node whose handshake names another one has restarted, and holds none of
+            // these attempts.
             node.incarnation = node.incarnation.max(incarnation);
         }
     }
 
-    /// An attempt is closed. An unlisted node is disconnected with its last one.
+    /// Removes a closed attempt. An unlisted node is disconnected once it has no attempts left.
     pub fn remove_attempt(&mut self, number: NodeNumber, id: AttemptId, cx: &mut Context) {
         if let Some(node) = self.nodes.get_mut(&number) {
             node.attempts.remove(&id);
@@ -211,13 +220,14 @@
         }
     }
 
+    /// Counts an offer that the node rejected.
     pub fn count_rejection(&mut self, number: NodeNumber, reason: RejectionReason) {
         if let Some(node) = self.nodes.get_mut(&number) {
             *node.rejections.entry(reason).or_default() += 1;
         }
     }
 
-    /// A node that is warming up answered late, which counts until then.
+    /// Sets until when late answers of a node that is warming up count against it.
     pub fn set_overdue_until(&mut self, number: NodeNumber, until: Micros) {
         if let Some(node) = self.nodes.get_mut(&number) {
             node.overdue_until = until;
--- a/crates/core/src/nodes/node.rs
+++ b/crates/core/src/nodes/node.rs
@@ -1,4 +1,4 @@
-//! One node: its entry in the node list, what operators asked for, and its connection.
+//! One node: its entry in the node list, whether an operator drains it, its connection, and its attempts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,26 +9,30 @@
 use reedring_node_protocol::{InFlightTask, RejectionReason};
 use reedring_settings::{Health, NodeEntry};
 
-/// The connection to a node.
+/// The state of the connection to a node.
 #[derive(Debug, Default)]
 pub(super) enum Link {
-    /// Never made, and no attempt to connect has failed yet.
+    /// No connection was made yet, and no attempt to connect has failed yet.
     #[default]
     NeverConnected,
+    /// The connection was lost, closed, or could not be made.
     Down,
-    /// The handshake is done; the node reports what it holds, and this much of it has come.
+    /// The handshake is done, and the node is reporting the tasks that it holds; these have arrived so far.
     Reconciling(Vec<InFlightTask>),
+    /// The node has reported all tasks that it holds, and messages can be sent.
     Up,
 }
 
-/// What is told to operators of the tasks at a node.
+/// The tasks at a node, for operators.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct NodeLoad {
-    /// Offers that are unanswered.
+    /// Offers that the node has not answered.
     pub waiting: usize,
-    /// Tasks that it accepted, and what they reserve.
+    /// Tasks that the node accepted.
     pub held: usize,
+    /// Cores that the accepted tasks reserve.
     pub cores: f64,
+    /// Memory that the accepted tasks reserve, in the unit of the settings file.
     pub memory: f64,
 }
 
@@ -39,28 +43,31 @@
     pub(super) machine: MachineId,
     pub(super) address: SocketAddr,
     pub(super) entry: NodeEntry,
-    /// The node list holds it.
+    /// Whether the node list has the node.
     pub(super) listed: bool,
-    /// An operator drains it.
+    /// Whether an operator drains the node.
     pub(super) drained: bool,
     pub(super) link: Link,
-    /// Counts connections, so that a timer knows its own.
+    /// The number of handshakes so far. It identifies a connection, so that a timer of an older one is ignored.
     pub(super) connections: u64,
-    /// The node's own incarnation and its start, once known.
+    /// The node's own incarnation; `None` until its handshake or the ledger names it.
     pub(super) incarnation: Option<u64>,
+    /// When this incarnation of the node started, on the placer's clock; `None` before its first handshake.
     pub(super) started_at: Option<Micros>,
+    /// Whether the node can suspend tasks, by its last handshake.
     pub(super) can_suspend: bool,
-    /// It has reported what it holds since this placer started.
+    /// Whether the node has reported the tasks that it holds since this placer started.
     pub(super) reconciled: bool,
-    /// The placer's attempts at it.
+    /// The placer's open attempts at the node.
     pub(super) attempts: BTreeSet<AttemptId>,
-    /// Offers that it rejected, by reason.
+    /// How many offers the node rejected, by reason.
     pub(super) rejections: BTreeMap<RejectionReason, u64>,
-    /// Until when offers that it answered late count against it while it is warming up.
+    /// Until when late answers count against the node while it is warming up.
     pub(super) overdue_until: Micros,
-    /// Only a former incarnation's ledger names it so far: where it is the node list will say.
+    /// Whether only the ledger of a former incarnation names the node so far. Its address is not known before a node list
+    /// has it.
     pub(super) restored: bool,
-    /// What the decision module was told of it last.
+    /// The last announcement of the node to the decision module; `None` if there was none.
     pub(super) announced: Option<module::Machine>,
 }
 
@@ -99,7 +106,7 @@
         self.address
     }
 
-    /// Its entry in the node list.
+    /// The node's entry in the node list; the last one if it is no longer listed.
     pub const fn entry(&self) -> &NodeEntry {
         &self.entry
     }
@@ -112,12 +119,12 @@
         self.drained
     }
 
-    /// Only a former incarnation's ledger names it so far.
+    /// Whether only the ledger of a former incarnation names the node so far.
     pub const fn is_restored(&self) -> bool {
         self.restored
     }
 
-    /// Messages can be sent to it: it has reported what it holds on this connection.
+    /// Whether messages can be sent to the node: it has reported the tasks that it holds on this connection.
     pub const fn is_up(&self) -> bool {
         matches!(self.link, Link::Up)
     }
@@ -130,12 +137,12 @@
         self.can_suspend
     }
 
-    /// Until when offers that it answered late count against it while it is warming up.
+    /// Until when late answers count against the node while it is warming up.
     pub const fn overdue_until(&self) -> Micros {
         self.overdue_until
     }
 
-    /// The placer's attempts at it, in order.
+    /// The placer's open attempts at the node, in the order of their ids.
     pub fn attempts(&self) -> impl Iterator<Item = AttemptId> + '_ {
         self.attempts.iter().copied()
     }
@@ -144,7 +151,8 @@
         !self.attempts.is_empty()
     }
 
-    /// Ready, draining or gone, by the node list and the operator.
+    /// The node's health by the node list and the operator: an unlisted node is gone, and a ready one that an operator drains
+    /// is draining.
     pub fn health(&self) -> Health {
         match self.entry.health {
             _ if !self.listed => Health::Gone,
@@ -153,7 +161,7 @@
         }
     }
 
-    /// Its handshake names this incarnation; whether that is the one known before.
+    /// Records the incarnation that the node's handshake names. Returns whether it is the one that was known before.
     pub(super) fn confirm_incarnation(
         &mut self,
         now: Micros,
@@ -161,7 +169,7 @@
         up_ms: u64,
     ) -> bool {
         let same = self.incarnation == Some(incarnation);
-        // An incarnation that only the ledger names has no start yet.
+        // If the incarnation is known from the ledger only, the start of the node is not known yet.
         if !same || self.started_at.is_none() {
             self.incarnation = Some(incarnation);
             self.started_at = Some(now.saturating_sub(up_ms.saturating_mul(1_000)));
@@ -169,7 +177,7 @@
         same
     }
 
-    /// What operators see of it.
+    /// The node's line in the list for operators. `plan` describes the configuration that the node stores.
     pub fn line(&self, load: NodeLoad, kind: &str, plan: Option<String>) -> NodeLine {
         let rejection =
             |(reason, count): (&RejectionReason, &u64)| (reason.word().to_owned(), *count);
--- a/crates/core/src/nodes/tests.rs
+++ b/crates/core/src/nodes/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn each_change_of_an_entry_has_its_own_meaning_for_the_connection() {
+fn each_kind_of_list_change_yields_its_link_change() {
     let mut nodes = registry(&["node-0", "node-1", "node-2"]);
     let mut moved = entry("node-0");
     moved.address = ([127, 0, 0, 1], 7_001).into();
@@ -42,14 +42,18 @@
 fn a_node_is_announced_once_it_is_connected_and_again_when_it_changes() {
     let (mut nodes, mut cx) = (registry(&["node-0"]), context());
     nodes.announce_all(START, &mut cx);
-    assert_eq!(cx.take_module_events().len(), 0, "it was never connected");
+    assert_eq!(
+        cx.take_module_events().len(),
+        0,
+        "the node was never connected"
+    );
     connect(&mut nodes, NODE);
     nodes.announce_all(START, &mut cx);
     nodes.announce(NODE, START, &mut cx);
     assert_eq!(
         cx.take_module_events().len(),
         1,
-        "the second time says nothing new"
+        "the second announcement has no change and is not sent"
     );
     assert_eq!(nodes.set_drained("node-0", true), Some(NODE));
     nodes.announce(NODE, START, &mut cx);
@@ -72,7 +76,7 @@
 }
 
 #[test]
-fn a_timer_of_an_older_connection_does_not_apply() {
+fn a_timer_of_an_older_connection_is_ignored() {
     let mut nodes = registry(&["node-0"]);
     connect(&mut nodes, NODE);
     let lost = nodes.connection_lost(NODE).unwrap();
--- a/crates/core/src/reconnect.rs
+++ b/crates/core/src/reconnect.rs
@@ -1,21 +1,23 @@
-//! When a node to which a link broke, or could not be made, is tried again: each node backs off by itself, and the
-//! nodes of a zone (the `hall` of the list) share a rate, so that a zone that is cut off costs little for as long as
-//! it is.
+//! When to retry a node whose connection ended or could not be made. Each node has its own backoff, and the nodes of a zone
+//! (the `hall` of the node list) share a rate limit, so that a zone that is cut off costs little however long that lasts.
+//!
+//! A node is silent from the end of its connection, or its first failed attempt, until its next handshake. A sweep tries
+//! once all silent nodes of a zone that wait for a token.
 //!
 //! | attempt | when |
 //! | --- | --- |
-//! | the first to a listed, returned or moved node | at once |
-//! | after a connection has ended | 50 ms later, then 100, 200, ... up to 2 s apart: the backoff of the node |
-//! | after the node was reached and did not answer the handshake | by its backoff, the first four times; then like the next row |
-//! | after no answer (refused, timed out, no handshake) | by its backoff, and by a token of its zone and one of the placer |
-//! | once a silent node of the zone answers | all silent nodes of the zone within a second: a sweep |
+//! | the first to a node that is new, listed again, or at another address | at once |
+//! | after a connection ended | 50 ms later, then 100, 200, ... up to 2 s apart: the backoff of the node |
+//! | after the node closed the connection during the handshake | by its backoff the first four times, then like the next row |
+//! | after no answer (refused, timed out, no handshake) | by its backoff, and once its zone and the placer have a token for it |
+//! | after a silent node of the zone connected | within a second, for all silent nodes of the zone: a sweep |
 //!
-//! A zone's bucket of limited attempts holds 64 tokens and gets 6 a second, so 12 silent nodes of a zone are tried every 2 s
-//! for ever. The placer's holds 256 and gets 200 a second, shared by zones in turn. Every second token of a zone goes to
-//! a node that has been silent for few attempts, so that one that restarts needn't wait for all that are dead; the other
-//! goes to the node that is due for longest. So the longest wait between two attempts of a node, beside the connect
-//! timeout and a jitter of a quarter, is the greatest of its backoff, 2 attempts of each node in its zone, and its part of the
-//! placer's rate:
+//! The token bucket of a zone holds 64 tokens and is refilled by 6 a second, so that 12 silent nodes of a zone can be tried
+//! every 2 s indefinitely. The bucket of the placer holds 256, is refilled by 200 a second, and serves the zones in turn.
+//! Every second token of a zone goes to a node with few failed attempts, so that a node that restarts needn't wait for all
+//! nodes that stay down; the other tokens go to the node that has been due for longest. So the longest time between two
+//! attempts for a node, apart from the connect timeout and a jitter of a quarter, is the greatest of its backoff, the time
+//! for 2 attempts for each node of its zone, and the time that its share of the placer's rate takes:
 //!
 //! | silent nodes in the zone | silent zones | each node is tried at least every |
 //! | --- | --- | --- |
@@ -26,11 +28,12 @@
 //! | 650 | 8 | 217 s |
 //! | 1,024 | 1 | 342 s |
 //!
-//! A zone that returns is not waited for that long: any one of its nodes that answers brings the sweep, and one of them is
-//! tried every 170 ms while no more than 33 zones are silent. An attempt of a sweep that fails costs its zone's allowance, which
-//! holds one for each node and gets 4 a second: a node that comes and goes among dead ones brings few sweeps.
+//! A zone that becomes reachable again is found sooner: the first of its nodes that connects starts a sweep, and one of them
+//! is tried every 170 ms while at most 33 zones are silent. The failed attempts of sweeps have a bucket of their own in each
+//! zone, which holds one token for each node and is refilled by 4 a second. So a node that connects and disconnects
+//! repeatedly, while others stay down, starts few sweeps.
 //!
-//! Nothing here reads a clock or draws a number: the time is passed in, and jitter comes from the seed.
+//! This module reads no clock and no random numbers: the time is passed in, and jitter is computed from the seed.
 
 mod backoff;
 mod selection;
@@ -49,113 +52,129 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// The wait after a connection has ended, in microseconds: a node that restarts is met within moments.
+/// The backoff after a connection ended, in microseconds. It is short so that a node that restarts is reconnected quickly.
 pub const FIRST_WAIT: Micros = 50_000;
-/// The longest backoff of a node, in microseconds: one that returns is met within it while few of its zone are silent.
+/// The longest backoff of a node, in microseconds. While few nodes of its zone are silent, a node that is reachable again is
+/// tried within this time.
 pub const LAST_WAIT: Micros = 2 * SECOND;
-/// Limited attempts a second and zone. A returned zone of any size is met within a sixth of a second, and each silent node of
-/// a zone of 168 is tried once a minute, the time after which what it accepted counts as lost (`links.lost_after`).
+/// Rate-limited attempts per second in each zone. A zone of any size that is reachable again is found within a sixth of a
+/// second. Each silent node of a zone of 168 is tried once a minute, the time after which the tasks that it accepted count as
+/// lost (`links.lost_after`).
 pub const ZONE_RATE: u64 = 6;
-/// Limited attempts that a zone may make at once: eight nodes that restart together go through all their short waits.
+/// Rate-limited attempts that a zone may make at once. It suffices for eight nodes that restart together to be retried by
+/// their backoff alone until that has reached its maximum.
 pub const ZONE_BURST: u64 = 64;
-/// Limited attempts a second of the whole placer. A failed attempt costs about 25 us of a core, so this is 0.5% of one, of a
-/// budget of 1.7%.
+/// Rate-limited attempts per second of the whole placer. A failed attempt costs about 25 us of a core, so these take 0.5% of a
+/// core, of a budget of 1.7%.
 pub const PLACER_RATE: u64 = 200;
-/// Limited attempts that a placer may make at once: four zones that fall together.
+/// Rate-limited attempts that a placer may make at once: the bursts of four zones that fail together.
 pub const PLACER_BURST: u64 = 256;
-/// The time over which a sweep spreads the attempts of its zone, in microseconds.
+/// The time over which a sweep spreads its attempts, in microseconds.
 pub const SWEEP_TIME: Micros = SECOND;
-/// Attempts a second of all sweeps: 5,200 nodes return within 6 s, and no second costs more than 2.5% of a core.
+/// Attempts per second of all sweeps together: 5,200 nodes are reconnected within 6 s, and in no second do the attempts take
+/// more than 2.5% of a core.
 pub const SWEEP_RATE: u64 = 1_000;
-/// Attempts that sweeps may make at once.
+/// Attempts that all sweeps together may make at once.
 pub const SWEEP_BURST: u64 = 32;
-/// Attempts of a zone's sweeps that may fail, a second, once its allowance is spent.
+/// Failed sweep attempts per second that a zone may have on average once its bucket for them is empty.
 pub const SWEEP_WASTE_RATE: u64 = 4;
-/// Attempts after which a silent node is one among the dead: as many as its short waits.
+/// A silent node with more failed attempts than this gets no preference any more. By then its backoff has reached
+/// [`LAST_WAIT`].
 const FRESH_ATTEMPTS: u32 = 7;
-/// Attempts of a node that was reached and did not answer the handshake which nothing paces: the version of the protocol that it speaks
-/// is found out so.
+/// Attempts that no token bucket limits, for a node that closes the connection during the handshake: the node may speak
+/// another version of the protocol, which these attempts find out.
 const HANDSHAKE_ATTEMPTS: u32 = 4;
-/// A zone is retried slowly while more nodes than this are silent, and no longer once half as many are.
-const FEW_SILENT: usize = 12;
+/// Operators are notified that a zone is rate-limited if more nodes than this are silent, and that it no longer is once at
+/// most half as many are.
+const REPORT_SILENT_ABOVE: usize = 12;
 
-/// One wish for a link: a node that is moved, or wanted anew, has another.
+/// Identifies a link to a node. A node that gets another address, or is listed again, gets a new link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LinkId(u64);
 
-/// Why a connection was not made.
+/// Why an attempt to connect failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Nobody answered: refused, timed out, or connected without a handshake.
+    /// There was no answer: the connection was refused or timed out, or no handshake followed.
     Silent,
-    /// The node read the handshake and closed the link.
+    /// The node read the handshake and closed the connection.
     Closed,
 }
 
-/// Which of its zone's queues a waiting node is in.
+/// The queue of its zone that a waiting node is in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Queue {
-    /// Nothing but its own backoff is waited for.
-    Unpaced,
-    /// It fell silent a moment ago.
+    /// The node waits for its own backoff only.
+    Unlimited,
+    /// The node waits for a token, and has at most [`FRESH_ATTEMPTS`] failed attempts.
     Fresh,
-    /// It has been silent for longer.
+    /// The node waits for a token, and has more failed attempts.
     Stale,
 }
 
+/// The state of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// It is being tried; `in_sweep` where a sweep's allowance was spent on it.
+    /// An attempt is in progress; `in_sweep` if it is part of a sweep.
     Connecting { in_sweep: bool },
-    /// It is connected.
+    /// The link is connected.
     Connected,
-    /// It is tried again, not before this time.
+    /// The next attempt begins at `due` or later, once the limits of its queue allow it.
     Waiting { due: Micros, queue: Queue },
 }
 
+/// A node to which a link is kept.
 #[derive(Debug)]
 struct Node {
     zone: Arc<str>,
     state: State,
-    /// Attempts since it was last connected that failed.
+    /// Failed attempts since the link was last connected; the end of a connection counts as one.
     failed_attempts: u32,
 }
 
 impl Node {
+    /// Whether the node has not connected since its connection ended or its first attempt failed.
     fn is_silent(&self) -> bool {
         self.failed_attempts > 0 && self.state != State::Connected
     }
 }
 
-/// When each node is tried. The shell tells what became of each attempt, and asks which are due.
+/// Determines when each node is tried. The shell reports the result of each attempt, and polls for the attempts that are due.
 #[derive(Debug)]
 pub struct ReconnectPacing {
+    /// The seed of the jitter and of the order of sweeps.
     seed: u64,
+    /// The number of the last link that was added.
     last_id: u64,
-    served: u64,
+    /// Rate-limited attempts so far, over all zones.
+    limited_attempts: u64,
     nodes: BTreeMap<LinkId, Node>,
     zones: BTreeMap<Arc<str>, Zone>,
-    limited: TokenBucket,
-    sweeps: TokenBucket,
+    /// Limits the attempts of all zones to [`PLACER_RATE`].
+    attempt_tokens: TokenBucket,
+    /// Limits the attempts of all sweeps to [`SWEEP_RATE`].
+    sweep_tokens: TokenBucket,
+    /// Events for operators that the shell has not taken yet.
     events: VecDeque<Event>,
 }
 
 impl ReconnectPacing {
-    /// For one incarnation of a placer, whose number is a good seed: no two placers attempt in step.
+    /// Creates the state for one incarnation of a placer. Its number serves as the seed, so that no two placers make their
+    /// attempts at the same times.
     pub fn new(seed: u64) -> Self {
         Self {
             seed,
             last_id: 0,
-            served: 0,
+            limited_attempts: 0,
             nodes: BTreeMap::new(),
             zones: BTreeMap::new(),
-            limited: TokenBucket::per_second(PLACER_RATE),
-            sweeps: TokenBucket::per_second(SWEEP_RATE),
+            attempt_tokens: TokenBucket::per_second(PLACER_RATE),
+            sweep_tokens: TokenBucket::per_second(SWEEP_RATE),
             events: VecDeque::new(),
         }
     }
 
-    /// A link is wanted to a node of this zone, and its first attempt begins.
+    /// Adds a link to a node of this zone. Its first attempt begins at once.
     pub fn add(&mut self, zone: &str) -> LinkId {
         self.last_id += 1;
         let id = LinkId(self.last_id);
@@ -178,23 +197,23 @@
         id
     }
 
-    /// The link is wanted no more.
+    /// Removes a link, which gets no more attempts.
     pub fn remove(&mut self, id: LinkId) {
-        let Some(node) = self.take_node(id) else {
+        let Some(node) = self.remove_node(id) else {
             return;
         };
-        self.resume(&node.zone);
+        self.report_if_restored(&node.zone);
     }
 
-    /// The list names another zone for the node. What it waits for goes on there.
+    /// Moves a link to another zone. Its state, backoff and queue stay the same there.
     pub fn change_zone(&mut self, id: LinkId, zone: &str) {
         if self.nodes.get(&id).is_none_or(|node| &*node.zone == zone) {
             return;
         }
-        let Some(mut node) = self.take_node(id) else {
+        let Some(mut node) = self.remove_node(id) else {
             return;
         };
-        self.resume(&node.zone);
+        self.report_if_restored(&node.zone);
         node.zone = zone.into();
         let entry = self
             .zones
@@ -209,10 +228,10 @@
         self.nodes.insert(id, node);
     }
 
-    /// An attempt failed.
+    /// Records a failed attempt. It is ignored unless an attempt is in progress.
     pub fn attempt_failed(&mut self, now: Micros, id: LinkId, failure: Failure) {
-        let tried = |node: &&mut Node| matches!(node.state, State::Connecting { .. });
-        let Some(node) = self.nodes.get_mut(&id).filter(tried) else {
+        let is_attempted = |node: &&mut Node| matches!(node.state, State::Connecting { .. });
+        let Some(node) = self.nodes.get_mut(&id).filter(is_attempted) else {
             return;
         };
         let Some(zone) = self.zones.get_mut(&node.zone) else {
@@ -221,43 +240,44 @@
         zone.silent += usize::from(node.failed_attempts == 0);
         node.failed_attempts = node.failed_attempts.saturating_add(1);
         let queue = match failure {
-            Failure::Closed if node.failed_attempts <= HANDSHAKE_ATTEMPTS => Queue::Unpaced,
+            Failure::Closed if node.failed_attempts <= HANDSHAKE_ATTEMPTS => Queue::Unlimited,
             _ if node.failed_attempts <= FRESH_ATTEMPTS => Queue::Fresh,
             _ => Queue::Stale,
         };
-        // A link that never stood has had its first attempt: that one failed, and the wait after it is the first.
+        // The first failure of a link that was never connected is followed by the shortest backoff.
         let due = now + backoff(self.seed, id, node.failed_attempts - 1);
         node.state = State::Waiting { due, queue };
         zone.queue(queue).insert((due, id));
     }
 
-    /// The handshake with the node is done, and its zone answers.
+    /// Records a completed handshake, unless no attempt is in progress. If the node was silent, or is the only connected one
+    /// of its zone, a sweep of the zone begins.
     pub fn connected(&mut self, now: Micros, id: LinkId) {
-        let tried = |node: &&mut Node| matches!(node.state, State::Connecting { .. });
-        let Some(node) = self.nodes.get_mut(&id).filter(tried) else {
+        let is_attempted = |node: &&mut Node| matches!(node.state, State::Connecting { .. });
+        let Some(node) = self.nodes.get_mut(&id).filter(is_attempted) else {
             return;
         };
         let Some(zone) = self.zones.get_mut(&node.zone) else {
             return;
         };
         if node.state == (State::Connecting { in_sweep: true }) {
-            zone.waste.return_token();
+            zone.sweep_failures.return_token();
         }
-        let returned = node.failed_attempts > 0 || zone.connected == 0;
+        let starts_sweep = node.failed_attempts > 0 || zone.connected == 0;
         zone.silent -= usize::from(node.failed_attempts > 0);
         zone.connected += 1;
         (node.state, node.failed_attempts) = (State::Connected, 0);
         let zone = node.zone.clone();
-        self.resume(&zone);
-        if returned {
-            self.sweep(now, &zone);
+        self.report_if_restored(&zone);
+        if starts_sweep {
+            self.begin_sweep(now, &zone);
         }
     }
 
-    /// A connection has ended.
+    /// Records that a connection ended. It is ignored unless the link is connected.
     pub fn disconnected(&mut self, now: Micros, id: LinkId) {
-        let stands = |node: &&mut Node| node.state == State::Connected;
-        let Some(node) = self.nodes.get_mut(&id).filter(stands) else {
+        let is_connected = |node: &&mut Node| node.state == State::Connected;
+        let Some(node) = self.nodes.get_mut(&id).filter(is_connected) else {
             return;
         };
         let Some(zone) = self.zones.get_mut(&node.zone) else {
@@ -274,38 +294,38 @@
         zone.fresh.insert((due, id));
     }
 
-    /// The nodes that are tried now.
+    /// Begins the attempts that are due now, and returns their links.
     pub fn due(&mut self, now: Micros) -> Vec<LinkId> {
         let mut due = Vec::new();
-        self.due_unpaced(now, &mut due);
-        while let Some(id) = self.next_of_sweeps(now) {
-            self.begin(now, id, true, &mut due);
+        self.begin_unlimited(now, &mut due);
+        while let Some(id) = self.take_next_of_sweeps(now) {
+            self.begin_attempt(now, id, true, &mut due);
         }
-        while let Some(id) = self.next_limited(now) {
-            self.begin(now, id, false, &mut due);
+        while let Some(id) = self.take_next_limited(now) {
+            self.begin_attempt(now, id, false, &mut due);
         }
         due
     }
 
-    /// When [`ReconnectPacing::due`] is to be asked next, if nothing is told before.
+    /// When [`ReconnectPacing::due`] is to be called next if no result is reported before. `None` if no link waits.
     pub fn next_wake(&self) -> Option<Micros> {
-        let of_zone = |zone: &Zone| {
-            let unpaced = zone.unpaced.first().map(|(at, _)| *at);
-            let swept = zone
-                .sweep
-                .front()
-                .map(|_| zone.sweep_at.max(self.sweeps.ready_at(SWEEP_BURST)));
+        let next_attempt = |zone: &Zone| {
+            let unlimited = zone.unlimited.first().map(|(at, _)| *at);
+            let swept = zone.sweep.front().map(|_| {
+                zone.next_sweep_attempt_at
+                    .max(self.sweep_tokens.ready_at(SWEEP_BURST))
+            });
             let token = zone
-                .limited
+                .attempt_tokens
                 .ready_at(ZONE_BURST)
-                .max(self.limited.ready_at(PLACER_BURST));
+                .max(self.attempt_tokens.ready_at(PLACER_BURST));
             let limited = zone.first_due().map(|(at, _)| at.max(token));
-            [unpaced, swept, limited].into_iter().flatten().min()
+            [unlimited, swept, limited].into_iter().flatten().min()
         };
-        self.zones.values().filter_map(of_zone).min()
+        self.zones.values().filter_map(next_attempt).min()
     }
 
-    /// The next event for operators. A zone whose attempts are limited is told once, and once where they are not.
+    /// Takes the next event for operators: one when a zone becomes rate-limited, and one when it no longer is.
     pub fn next_event(&mut self) -> Option<Event> {
         self.events.pop_front()
     }
--- a/crates/core/src/reconnect/backoff.rs
+++ b/crates/core/src/reconnect/backoff.rs
@@ -1,17 +1,20 @@
-//! The wait of a node before its next attempt, and the order of a sweep.
+//! The backoff of a node, and the hash that its jitter and the order of a sweep come from.
 
 use reedring::Micros;
 
 use super::{FIRST_WAIT, LAST_WAIT, LinkId};
 
-/// The wait before the next attempt: doubled with each one, up to a quarter shorter, by the seed.
-pub(super) fn backoff(seed: u64, id: LinkId, waits: u32) -> Micros {
-    let whole = FIRST_WAIT.saturating_mul(1 << waits.min(16)).min(LAST_WAIT);
-    let jitter = mix(seed ^ mix(id.0) ^ u64::from(waits)) % (whole / 4);
+/// The time in microseconds before the next attempt. It doubles with each earlier wait, up to [`LAST_WAIT`]; a jitter from
+/// the seed shortens it by up to a quarter.
+pub(super) fn backoff(seed: u64, id: LinkId, earlier_waits: u32) -> Micros {
+    let whole = FIRST_WAIT
+        .saturating_mul(1 << earlier_waits.min(16))
+        .min(LAST_WAIT);
+    let jitter = mix(seed ^ mix(id.0) ^ u64::from(earlier_waits)) % (whole / 4);
     whole - jitter
 }
 
-/// Spreads the bits of a number (the finalizer of SplitMix64).
+/// Hashes a number (the finalizer of SplitMix64).
 pub(super) fn mix(number: u64) -> u64 {
     let mut mixed = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/core/src/reconnect/zone.rs
+++ b/crates/core/src/reconnect/zone.rs
@@ -1,4 +1,4 @@
-//! The nodes of one zone, which share a rate of attempts.
+//! The nodes of one zone, whose attempts share a rate limit.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -7,57 +7,70 @@
 use super::token_bucket::TokenBucket;
 use super::{LinkId, Queue, SWEEP_WASTE_RATE, ZONE_RATE};
 
-/// The nodes of one zone.
+/// The nodes of one zone, and the limits on attempts to connect to them.
 #[derive(Debug)]
 pub(super) struct Zone {
-    /// Nodes that are wanted, that are connected, and that are silent.
+    /// All nodes to which a link is kept.
     pub nodes: usize,
+    /// Those that are connected.
     pub connected: usize,
+    /// Those that are silent.
     pub silent: usize,
-    pub unpaced: BTreeSet<(Micros, LinkId)>,
+    /// Nodes in [`Queue::Unlimited`], by the time at which they are due.
+    pub unlimited: BTreeSet<(Micros, LinkId)>,
+    /// Nodes in [`Queue::Fresh`], by the time at which they are due.
     pub fresh: BTreeSet<(Micros, LinkId)>,
+    /// Nodes in [`Queue::Stale`], by the time at which they are due.
     pub stale: BTreeSet<(Micros, LinkId)>,
-    pub limited: TokenBucket,
-    /// The next token goes to the longest due of all.
+    /// Limits the attempts for fresh and stale nodes to [`ZONE_RATE`].
+    pub attempt_tokens: TokenBucket,
+    /// Whether the next token goes to the node that has been due for longest, fresh or stale, in place of a fresh one.
     pub oldest_next: bool,
-    /// The last limited attempt, counted over all zones.
-    pub served: u64,
+    /// The number of the zone's last rate-limited attempt, counted over all zones. The zone with the lowest is served next.
+    pub last_limited_attempt: u64,
+    /// Nodes that the sweep in progress has not tried yet; empty if there is none.
     pub sweep: VecDeque<LinkId>,
-    pub sweep_at: Micros,
-    pub sweep_gap: Micros,
-    pub waste: TokenBucket,
-    pub slow: bool,
+    /// When the next attempt of the sweep is due.
+    pub next_sweep_attempt_at: Micros,
+    /// Microseconds between two attempts of the sweep.
+    pub sweep_interval_us: Micros,
+    /// Limits failed attempts of sweeps to [`SWEEP_WASTE_RATE`]: each attempt takes a token, and each success returns it.
+    pub sweep_failures: TokenBucket,
+    /// Whether operators were last notified that the zone is rate-limited.
+    pub limit_reported: bool,
 }
 
 impl Zone {
+    /// A zone without nodes.
     pub fn new() -> Self {
         Self {
             nodes: 0,
             connected: 0,
             silent: 0,
-            unpaced: BTreeSet::new(),
+            unlimited: BTreeSet::new(),
             fresh: BTreeSet::new(),
             stale: BTreeSet::new(),
-            limited: TokenBucket::per_second(ZONE_RATE),
+            attempt_tokens: TokenBucket::per_second(ZONE_RATE),
             oldest_next: false,
-            served: 0,
+            last_limited_attempt: 0,
             sweep: VecDeque::new(),
-            sweep_at: 0,
-            sweep_gap: 0,
-            waste: TokenBucket::per_second(SWEEP_WASTE_RATE),
-            slow: false,
+            next_sweep_attempt_at: 0,
+            sweep_interval_us: 0,
+            sweep_failures: TokenBucket::per_second(SWEEP_WASTE_RATE),
+            limit_reported: false,
         }
     }
 
+    /// The nodes in this queue, by the time at which they are due.
     pub fn queue(&mut self, queue: Queue) -> &mut BTreeSet<(Micros, LinkId)> {
         match queue {
-            Queue::Unpaced => &mut self.unpaced,
+            Queue::Unlimited => &mut self.unlimited,
             Queue::Fresh => &mut self.fresh,
             Queue::Stale => &mut self.stale,
         }
     }
 
-    /// The node that waits for longest for a token.
+    /// The node that waits for a token and is due first, and when it is due.
     pub fn first_due(&self) -> Option<(Micros, LinkId)> {
         self.fresh
             .first()
@@ -67,14 +80,15 @@
             .copied()
     }
 
-    /// The node to which the next token goes, if one is due.
+    /// The node to which the next token goes; `None` if no node is due.
     pub fn next_due(&self, now: Micros) -> Option<LinkId> {
         let fresh = self.fresh.first().filter(|_| !self.oldest_next).copied();
         let due = fresh.filter(|(at, _)| *at <= now).or(self.first_due())?;
         (due.0 <= now).then_some(due.1)
     }
 
+    /// Whether the zone may make another attempt of a sweep: it has a token for a failure.
     pub fn may_sweep(&self, now: Micros) -> bool {
-        self.waste.ready_at(self.nodes as u64) <= now
+        self.sweep_failures.ready_at(self.nodes as u64) <= now
     }
 }
