--- a/crates/core/src/configuration/agreement.rs
+++ b/crates/core/src/configuration/agreement.rs
@@ -19,7 +19,8 @@
 use crate::ids::NodeNumber;
 use crate::timers::Timer;
 
-/// Microseconds between two steps while a configuration change is in progress or a node's floor is settling.
+/// Microseconds between two steps while a configuration change is in progress, while a node's block may end without a
+/// message, or while the placer is suspended although a majority answers.
 const BUSY_INTERVAL_US: Micros = 100_000;
 
 /// One placer's state in the agreement on the configuration.
--- a/crates/core/src/configuration/mod.rs
+++ b/crates/core/src/configuration/mod.rs
@@ -39,7 +39,7 @@
     pub queue: &'a mut WriteAheadQueue,
 }
 
-/// This placer's part in the agreement on the configuration. Without a `[plan]` table in the settings file it does nothing.
+/// This placer's part in the agreement on the configuration, if its settings file has a `[plan]` table.
 pub(crate) struct Configuration {
     /// `None` if the settings file had no `[plan]` table when the placer started.
     agreement: Option<Agreement>,
--- a/crates/core/src/configuration/proposal_error.rs
+++ b/crates/core/src/configuration/proposal_error.rs
@@ -6,7 +6,7 @@
 /// Why the configuration of the settings file can't be proposed.
 #[derive(Debug)]
 pub(super) enum ProposalError {
-    /// No voter stores a committed configuration, but learners know one with this number or a higher one.
+    /// No voter stores a committed configuration, but learners know another one of the same or a higher number.
     NotFirst {
         learned: ConfigVersion,
         own: ConfigVersion,
@@ -40,8 +40,8 @@
             ),
             Self::NotNext { committed, own } => write!(
                 f,
-                "plan.number: plan {own} of the settings file does not follow plan {committed}: it waits for \
-                 plan {next}, or is to be numbered so",
+                "plan.number: plan {own} of the settings file does not follow plan {committed}: the next \
+                 number is {next}; change the number, or commit the plans between first",
                 next = committed.number + 1
             ),
             Self::TooFewPlacers {
--- a/crates/core/tests/changes.rs
+++ b/crates/core/tests/changes.rs
@@ -258,7 +258,11 @@
         (1, 0, "is not the committed one"),
         (2, 70, "is not the committed one"),
         (4, 4, "does not follow plan 2"),
-        (9, 4, "it waits for plan 3, or is to be numbered so"),
+        (
+            9,
+            4,
+            "the next number is 3; change the number, or commit the plans between first",
+        ),
     ] {
         world.change_file(0, settings_of_teams(number, PLACERS, &teams(teams_of)));
         world.until_all(99, 2 * SECOND);
