--- a/crates/core/src/configuration/mod.rs
+++ b/crates/core/src/configuration/mod.rs
@@ -59,7 +59,7 @@
     // ---- Queries ----
 
     /// Why the placer is fenced: it accepts no jobs until an operator acts. `None` if it is not fenced.
-    pub fn fenced(&self) -> Option<&'static str> {
+    pub fn fence_reason(&self) -> Option<&'static str> {
         self.agreement.as_ref().and_then(Agreement::fence_reason)
     }
 
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -17,7 +17,7 @@
 use crate::ledger::Ledger;
 use crate::lifecycle::JobLifecycle;
 use crate::module::DecisionModule;
-use crate::node_links::{self, NodeHello};
+use crate::node_links::{self, NodeHandshake};
 use crate::nodes::NodeRegistry;
 use crate::persistence::{RowSources, WriteAheadQueue};
 use crate::requests::{CallContext, Caller, ClientRequests};
@@ -147,14 +147,14 @@
                 can_suspend,
                 report,
             } => {
-                let hello = NodeHello {
+                let handshake = NodeHandshake {
                     listed_as: node,
                     reported_name,
                     incarnation,
                     up_ms,
                     can_suspend,
                 };
-                self.link_up(now, hello, report);
+                self.link_up(now, handshake, report);
             }
             Input::Message { node, message } => self.node_message(now, &node, message),
             Input::LinkDown { node, reason } => {
@@ -240,13 +240,13 @@
     // ---- Steps of the loop ----
 
     /// The handshake with a node is done.
-    fn link_up(&mut self, now: Micros, hello: NodeHello, report: Option<AcceptorReport>) {
+    fn link_up(&mut self, now: Micros, handshake: NodeHandshake, report: Option<AcceptorReport>) {
         let Parts {
             mut lifecycle,
             configuration,
             ..
         } = self.parts();
-        if let Some(number) = node_links::link_up(&mut lifecycle, now, hello) {
+        if let Some(number) = node_links::link_up(&mut lifecycle, now, handshake) {
             configuration.node_connected(now, number, report, lifecycle.cx);
             lifecycle.nodes.announce(number, now, lifecycle.cx);
         }
--- a/crates/core/src/node_links.rs
+++ b/crates/core/src/node_links.rs
@@ -15,7 +15,7 @@
 use crate::timers::Timer;
 
 /// The contents of a node's handshake, and the name of the node that was connected to.
-pub(crate) struct NodeHello {
+pub(crate) struct NodeHandshake {
     /// The name in the node list of the node that was connected to.
     pub listed_as: String,
     /// The name that the node reports, which must be the same.
@@ -89,12 +89,12 @@
 pub(crate) fn link_up(
     lifecycle: &mut JobLifecycle<'_>,
     now: Micros,
-    hello: NodeHello,
+    handshake: NodeHandshake,
 ) -> Option<NodeNumber> {
-    let number = lifecycle.nodes.number(&hello.listed_as)?;
-    if hello.reported_name != hello.listed_as {
+    let number = lifecycle.nodes.number(&handshake.listed_as)?;
+    if handshake.reported_name != handshake.listed_as {
         let address = lifecycle.nodes.get(number).map(Node::address)?;
-        let (node, reported) = (hello.listed_as, hello.reported_name);
+        let (node, reported) = (handshake.listed_as, handshake.reported_name);
         lifecycle.cx.log(Event::NodeNameMismatch {
             node,
             address,
@@ -105,12 +105,12 @@
         return None;
     }
     lifecycle.queue.connection_changed(number);
-    let NodeHello {
+    let NodeHandshake {
         incarnation,
         up_ms,
         can_suspend,
         ..
-    } = hello;
+    } = handshake;
     if !lifecycle
         .nodes
         .handshake_done(number, now, incarnation, up_ms, can_suspend)
@@ -128,7 +128,7 @@
     page: Vec<InFlightTask>,
     last: bool,
 ) -> bool {
-    let Some(held) = lifecycle.nodes.holdings_page(number, page, last) else {
+    let Some(held) = lifecycle.nodes.add_held_tasks_page(number, page, last) else {
         return false;
     };
     lifecycle.node_reconciled(now, number, held);
--- a/crates/core/src/nodes/connections.rs
+++ b/crates/core/src/nodes/connections.rs
@@ -64,7 +64,7 @@
     }
 
     /// Adds a page of the tasks that a node holds. Returns all of them with the last page, after which the node is up.
-    pub fn holdings_page(
+    pub fn add_held_tasks_page(
         &mut self,
         number: NodeNumber,
         page: Vec<InFlightTask>,
--- a/crates/core/src/reconnect.rs
+++ b/crates/core/src/reconnect.rs
@@ -53,10 +53,10 @@
 const SECOND: Micros = 1_000_000;
 
 /// The backoff after a connection ended, in microseconds. It is short so that a node that restarts is reconnected quickly.
-pub const FIRST_WAIT: Micros = 50_000;
+pub const INITIAL_BACKOFF: Micros = 50_000;
 /// The longest backoff of a node, in microseconds. While few nodes of its zone are silent, a node that is reachable again is
 /// tried within this time.
-pub const LAST_WAIT: Micros = 2 * SECOND;
+pub const MAX_BACKOFF: Micros = 2 * SECOND;
 /// Rate-limited attempts per second in each zone. A zone of any size that is reachable again is found within a sixth of a
 /// second. Each silent node of a zone of 168 is tried once a minute, the time after which the tasks that it accepted count as
 /// lost (`links.lost_after`).
@@ -77,9 +77,9 @@
 /// Attempts that all sweeps together may make at once.
 pub const SWEEP_BURST: u64 = 32;
 /// Failed sweep attempts per second that a zone may have on average once its bucket for them is empty.
-pub const SWEEP_WASTE_RATE: u64 = 4;
+pub const SWEEP_FAILURE_RATE: u64 = 4;
 /// A silent node with more failed attempts than this gets no preference any more. By then its backoff has reached
-/// [`LAST_WAIT`].
+/// [`MAX_BACKOFF`].
 const FRESH_ATTEMPTS: u32 = 7;
 /// Attempts that no token bucket limits, for a node that closes the connection during the handshake: the node may speak
 /// another version of the protocol, which these attempts find out.
@@ -94,11 +94,11 @@
 
 /// Why an attempt to connect failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Failure {
+pub enum ConnectFailure {
     /// There was no answer: the connection was refused or timed out, or no handshake followed.
-    Silent,
+    NoAnswer,
     /// The node read the handshake and closed the connection.
-    Closed,
+    ClosedByNode,
 }
 
 /// The queue of its zone that a waiting node is in.
@@ -229,7 +229,7 @@
     }
 
     /// Records a failed attempt. It is ignored unless an attempt is in progress.
-    pub fn attempt_failed(&mut self, now: Micros, id: LinkId, failure: Failure) {
+    pub fn attempt_failed(&mut self, now: Micros, id: LinkId, failure: ConnectFailure) {
         let is_attempted = |node: &&mut Node| matches!(node.state, State::Connecting { .. });
         let Some(node) = self.nodes.get_mut(&id).filter(is_attempted) else {
             return;
@@ -240,7 +240,9 @@
         zone.silent += usize::from(node.failed_attempts == 0);
         node.failed_attempts = node.failed_attempts.saturating_add(1);
         let queue = match failure {
-            Failure::Closed if node.failed_attempts <= HANDSHAKE_ATTEMPTS => Queue::Unlimited,
+            ConnectFailure::ClosedByNode if node.failed_attempts <= HANDSHAKE_ATTEMPTS => {
+                Queue::Unlimited
+            }
             _ if node.failed_attempts <= FRESH_ATTEMPTS => Queue::Fresh,
             _ => Queue::Stale,
         };
--- a/crates/core/src/reconnect/backoff.rs
+++ b/crates/core/src/reconnect/backoff.rs
@@ -2,14 +2,14 @@
 
 use reedring::Micros;
 
-use super::{FIRST_WAIT, LAST_WAIT, LinkId};
+use super::{INITIAL_BACKOFF, LinkId, MAX_BACKOFF};
 
-/// The time in microseconds before the next attempt. It doubles with each earlier wait, up to [`LAST_WAIT`]; a jitter from
+/// The time in microseconds before the next attempt. It doubles with each earlier wait, up to [`MAX_BACKOFF`]; a jitter from
 /// the seed shortens it by up to a quarter.
 pub(super) fn backoff(seed: u64, id: LinkId, earlier_waits: u32) -> Micros {
-    let whole = FIRST_WAIT
+    let whole = INITIAL_BACKOFF
         .saturating_mul(1 << earlier_waits.min(16))
-        .min(LAST_WAIT);
+        .min(MAX_BACKOFF);
     let jitter = mix(seed ^ mix(id.0) ^ u64::from(earlier_waits)) % (whole / 4);
     whole - jitter
 }
--- a/crates/core/src/reconnect/zone.rs
+++ b/crates/core/src/reconnect/zone.rs
@@ -5,7 +5,7 @@
 use reedring::Micros;
 
 use super::token_bucket::TokenBucket;
-use super::{LinkId, Queue, SWEEP_WASTE_RATE, ZONE_RATE};
+use super::{LinkId, Queue, SWEEP_FAILURE_RATE, ZONE_RATE};
 
 /// The nodes of one zone, and the limits on attempts to connect to them.
 #[derive(Debug)]
@@ -34,7 +34,7 @@
     pub next_sweep_attempt_at: Micros,
     /// Microseconds between two attempts of the sweep.
     pub sweep_interval_us: Micros,
-    /// Limits failed attempts of sweeps to [`SWEEP_WASTE_RATE`]: each attempt takes a token, and each success returns it.
+    /// Limits failed attempts of sweeps to [`SWEEP_FAILURE_RATE`]: each attempt takes a token, and each success returns it.
     pub sweep_failures: TokenBucket,
     /// Whether operators were last notified that the zone is rate-limited.
     pub limit_reported: bool,
@@ -56,7 +56,7 @@
             sweep: VecDeque::new(),
             next_sweep_attempt_at: 0,
             sweep_interval_us: 0,
-            sweep_failures: TokenBucket::per_second(SWEEP_WASTE_RATE),
+            sweep_failures: TokenBucket::per_second(SWEEP_FAILURE_RATE),
             limit_reported: false,
         }
     }
--- a/crates/core/src/requests/submission.rs
+++ b/crates/core/src/requests/submission.rs
@@ -142,7 +142,7 @@
     let class = lifecycle.cx.class(requirements.class);
     let name = &class.name;
     let later = |text: String| Err::<(), Error>(error(ErrorCode::TryLater, text));
-    if let Some(why) = cx.configuration.fenced() {
+    if let Some(why) = cx.configuration.fence_reason() {
         return later(format!("this placer takes nothing new: {why}; ask another"));
     }
     if class.closed {
--- a/crates/core/src/test_support.rs
+++ b/crates/core/src/test_support.rs
@@ -49,7 +49,7 @@
 pub(crate) fn connect(nodes: &mut NodeRegistry, number: NodeNumber) {
     nodes.handshake_done(number, START, 1, 0, true);
     assert_eq!(
-        nodes.holdings_page(number, Vec::new(), true),
+        nodes.add_held_tasks_page(number, Vec::new(), true),
         Some(Vec::new())
     );
 }
--- a/crates/core/tests/reconnect.rs
+++ b/crates/core/tests/reconnect.rs
@@ -4,8 +4,8 @@
 
 use reedring_core::event::Event;
 use reedring_core::reconnect::{
-    FIRST_WAIT, Failure, LAST_WAIT, LinkId, PLACER_BURST, PLACER_RATE, ReconnectPacing,
-    SWEEP_BURST, SWEEP_RATE, SWEEP_WASTE_RATE, ZONE_BURST, ZONE_RATE,
+    ConnectFailure, INITIAL_BACKOFF, LinkId, MAX_BACKOFF, PLACER_BURST, PLACER_RATE,
+    ReconnectPacing, SWEEP_BURST, SWEEP_FAILURE_RATE, SWEEP_RATE, ZONE_BURST, ZONE_RATE,
 };
 
 const MS: u64 = 1_000;
@@ -97,7 +97,8 @@
                 self.standing.insert(id);
                 self.pacing.connected(self.now, id);
             } else {
-                self.pacing.attempt_failed(self.now, id, Failure::Silent);
+                self.pacing
+                    .attempt_failed(self.now, id, ConnectFailure::NoAnswer);
             }
         }
         for id in self.pacing.due(self.now) {
@@ -181,7 +182,7 @@
     let mut before = from;
     let tries = fleet.tries_of(id);
     for (n, at) in tries.iter().enumerate() {
-        let whole = (FIRST_WAIT << n.min(16)).min(LAST_WAIT);
+        let whole = (INITIAL_BACKOFF << n.min(16)).min(MAX_BACKOFF);
         // A try takes a millisecond.
         let took = if n == 0 { 0 } else { MS };
         assert!(
@@ -193,7 +194,7 @@
     }
     assert!(tries.len() >= 9, "{tries:?}");
     fleet.up.insert(id);
-    assert!(fleet.until_heard(3 * SECOND).unwrap() <= LAST_WAIT + 2 * MS);
+    assert!(fleet.until_heard(3 * SECOND).unwrap() <= MAX_BACKOFF + 2 * MS);
     assert_eq!(fleet.events, []);
     // It begins anew.
     let from = fleet.now;
@@ -201,7 +202,7 @@
     fleet.run(60 * MS);
     assert!(within_a_quarter(
         fleet.tries_of(id).last().unwrap() - from,
-        FIRST_WAIT
+        INITIAL_BACKOFF
     ));
 }
 
@@ -224,7 +225,7 @@
     fleet.down(&ids);
     fleet.run(3 * SECOND);
     for id in &ids {
-        let within: u64 = 7 * MS + FIRST_WAIT * ((1 << 5) - 1);
+        let within: u64 = 7 * MS + INITIAL_BACKOFF * ((1 << 5) - 1);
         assert!(
             fleet
                 .tries_of(*id)
@@ -333,7 +334,7 @@
     }
     let tries = (fleet.tries.len() - before) as u64;
     assert!(
-        tries <= 168 + 300 * (ZONE_RATE + SWEEP_WASTE_RATE) + ZONE_BURST,
+        tries <= 168 + 300 * (ZONE_RATE + SWEEP_FAILURE_RATE) + ZONE_BURST,
         "{tries}"
     );
     for id in fleet.ids(0) {
@@ -429,7 +430,10 @@
     fleet.down(&[ids[167]]);
     fleet.run(SECOND);
     let first = fleet.tries_of(ids[167])[0] - from;
-    assert!(first <= FIRST_WAIT + 2 * SECOND / ZONE_RATE, "{first} us");
+    assert!(
+        first <= INITIAL_BACKOFF + 2 * SECOND / ZONE_RATE,
+        "{first} us"
+    );
 }
 
 #[test]
@@ -438,11 +442,11 @@
     let ids: Vec<LinkId> = (0..168).map(|_| pacing.add("zone")).collect();
     let (mut now, mut tries) = (SECOND, 0);
     ids.iter()
-        .for_each(|id| pacing.attempt_failed(now, *id, Failure::Closed));
+        .for_each(|id| pacing.attempt_failed(now, *id, ConnectFailure::ClosedByNode));
     while now < 2 * SECOND {
         for id in pacing.due(now) {
             tries += 1;
-            pacing.attempt_failed(now, id, Failure::Closed);
+            pacing.attempt_failed(now, id, ConnectFailure::ClosedByNode);
         }
         now += MS;
     }
@@ -462,14 +466,14 @@
             let now = round * 10 * MS;
             for _ in 0..if twice { 2 } else { 1 } {
                 match round {
-                    0 => pacing.attempt_failed(now, one, Failure::Silent),
+                    0 => pacing.attempt_failed(now, one, ConnectFailure::NoAnswer),
                     1 => pacing.connected(now, other),
                     200 => pacing.disconnected(now, other),
                     _ => {}
                 }
                 if twice {
                     pacing.remove(gone);
-                    pacing.attempt_failed(now, gone, Failure::Silent);
+                    pacing.attempt_failed(now, gone, ConnectFailure::NoAnswer);
                     pacing.connected(now, gone);
                     pacing.disconnected(now, gone);
                     pacing.change_zone(gone, "another");
@@ -480,9 +484,9 @@
             for id in pacing.due(now) {
                 assert_ne!(id, gone);
                 tries.push((now, id));
-                pacing.attempt_failed(now, id, Failure::Silent);
+                pacing.attempt_failed(now, id, ConnectFailure::NoAnswer);
                 if twice {
-                    pacing.attempt_failed(now, id, Failure::Silent);
+                    pacing.attempt_failed(now, id, ConnectFailure::NoAnswer);
                     pacing.connected(now, id);
                 }
             }
@@ -506,9 +510,11 @@
     fleet.pacing.remove(moved);
     let anew = fleet.pacing.add("zone-1");
     let now = fleet.now;
-    fleet.pacing.attempt_failed(now, anew, Failure::Silent);
+    fleet
+        .pacing
+        .attempt_failed(now, anew, ConnectFailure::NoAnswer);
     let at = fleet.pacing.next_wake().unwrap();
-    assert!(at <= now + FIRST_WAIT, "{} us", at - now);
+    assert!(at <= now + INITIAL_BACKOFF, "{} us", at - now);
     // Another zone: it is silent no less, and swept with that one.
     let (rezoned, witness) = (fleet.ids(0)[9], fleet.ids(1)[0]);
     fleet.pacing.change_zone(rezoned, "zone-1");
@@ -610,7 +616,7 @@
         .count() as u64
         / 100;
     assert!(
-        failed <= PLACER_RATE + 31 * SWEEP_WASTE_RATE,
+        failed <= PLACER_RATE + 31 * SWEEP_FAILURE_RATE,
         "{failed} a second"
     );
     // At about 25 us each, that and what they succeed at is 1% of a core.
--- a/crates/placer/src/links/error.rs
+++ b/crates/placer/src/links/error.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::net::SocketAddr;
 
-use reedring_core::reconnect::Failure;
+use reedring_core::reconnect::ConnectFailure;
 use reedring_node_protocol::FrameError;
 
 /// Why a link to a node could not be established.
@@ -57,10 +57,12 @@
 
 impl ConnectError {
     /// How the failure counts for the next attempt.
-    pub fn failure(&self) -> Failure {
+    pub fn failure(&self) -> ConnectFailure {
         match self {
-            Self::HelloRejected | Self::SpeaksVersion1 | Self::SpeaksVersion2 => Failure::Closed,
-            _ => Failure::Silent,
+            Self::HelloRejected | Self::SpeaksVersion1 | Self::SpeaksVersion2 => {
+                ConnectFailure::ClosedByNode
+            }
+            _ => ConnectFailure::NoAnswer,
         }
     }
 }
--- a/crates/placer/src/reconnect.rs
+++ b/crates/placer/src/reconnect.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-use reedring_core::reconnect::{Failure, LinkId, ReconnectPacing};
+use reedring_core::reconnect::{ConnectFailure, LinkId, ReconnectPacing};
 use tokio::sync::Notify;
 
 use crate::log_events;
@@ -130,7 +130,7 @@
     }
 
     /// An attempt has failed; returns when the next may begin.
-    pub async fn wait_after_failure(&self, failure: Failure) {
+    pub async fn wait_after_failure(&self, failure: ConnectFailure) {
         let now = self.scheduler.now_us();
         self.scheduler
             .state()
