--- a/src/logic/machine_state.rs
+++ b/src/logic/machine_state.rs
@@ -1,4 +1,5 @@
-//! What this scheduler knows of one machine, and how long each piece of that knowledge counts.
+//! What this scheduler knows about one machine: its list entry, load, own attempts and health, and
+//! how long each of these stays valid.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -8,20 +9,21 @@
 use crate::api::{AttemptId, Health, Machine, Micros, Rules, ServiceId, Settings};
 use crate::load::{Load, UNSCALED};
 
-/// Microseconds by which entries of the machine list lag; younger own offers are added to what they
-/// say.
+/// Microseconds by which an entry of the machine list may lag behind the machine. Own offers and
+/// ends of the last such period before the entry arrived, and all later ones, are added to its load.
 const LIST_LAG_US: Micros = 2_500_000;
-/// Microseconds by which load reports lag; they come straight from the machine.
+/// Microseconds by which a load report may lag behind the machine: less than the list, as the
+/// report comes directly from the machine.
 const REPORT_LAG_US: Micros = 500_000;
-/// Microseconds for which a rejection counts without a newer report: a little over the slowest
-/// report.
+/// Microseconds for which a rejection for lack of capacity is valid without a newer report: a little
+/// longer than the slowest report takes.
 pub const REJECTION_VALID_US: Micros = 3_000_000;
 /// Microseconds of the first backoff after a failure where the settings have no connect time-out.
 pub const DEFAULT_BACKOFF_US: Micros = 250_000;
-/// Doublings of the backoff at most: 2^5 connect time-outs is as long as most faults last.
+/// Maximum number of doublings of the backoff: 2^5 connect time-outs cover most faults.
 pub const MAX_BACKOFF_DOUBLINGS: u32 = 5;
-/// Fraction of its memory that a machine may use: tasks grow after their start, and a full machine
-/// evicts.
+/// Fraction of its memory up to which a machine gets tasks: tasks grow after their start, and a
+/// machine whose memory is full evicts.
 const MEMORY_SOFT_LIMIT: f64 = 0.85;
 
 /// The first backoff after a failure: the connect time-out, or a default where none is set.
@@ -29,7 +31,8 @@
     rules.connect_timeout_us.unwrap_or(DEFAULT_BACKOFF_US)
 }
 
-/// The multiples of its size up to which a machine accepts requests, by the settings.
+/// The multiples of its cores and memory up to which a machine accepts requests, from the settings;
+/// 1 where they are unset, not positive or not finite.
 pub fn accepted_multiples(settings: &Settings) -> Load {
     let multiple = |x: Option<f64>| x.filter(|x| x.is_finite() && *x > 0.0).unwrap_or(1.0);
     Load {
@@ -38,66 +41,68 @@
     }
 }
 
-/// A load, and when it was learned or changed.
+/// A load, and when it was learned or changed, on the caller's clock.
 #[derive(Clone, Copy)]
 pub struct DatedLoad {
     pub at: Micros,
     pub load: Load,
 }
 
-/// What this scheduler knows of one machine.
+/// What this scheduler knows about one machine. "Own" offers, attempts and tasks are those of this
+/// scheduler.
 #[derive(Default)]
 pub struct MachineState {
     /// Its latest entry in the machine list.
     pub machine: Machine,
     /// Its cores and memory; 0 where unknown.
     pub size: Load,
-    /// Its size times the multiples that a machine accepts.
+    /// The sum of requests up to which it accepts tasks: its size times the accepted multiples.
     pub accept_limit: Load,
-    /// Its size, up to where service starts to fade or memory gets short.
+    /// The use above which service degrades or memory gets short.
     pub soft_limit: Load,
     /// Its capacity, in tasks of mean size.
     pub capacity_in_tasks: f64,
-    /// What all tasks there request, as last learned.
+    /// What the tasks of all schedulers request there, as last learned from the list or a report.
     pub requested: Option<DatedLoad>,
-    /// What all tasks there use, as last reported.
+    /// What the tasks of all schedulers use there, as last reported.
     pub used: Option<DatedLoad>,
-    /// Own offers, and ends as negative loads, that are young enough to be missing from reports.
+    /// Own offers, and ended attempts as negative loads, that reports may not include yet.
     recent_changes: VecDeque<DatedLoad>,
-    /// What own tasks request.
+    /// What own attempts request, from the offer until the end.
     own_load: Load,
-    /// The last request that it rejected for lack of capacity.
+    /// The last rejection for lack of capacity, and the least load that it rules out.
     pub rejected: Option<DatedLoad>,
-    /// Own tasks by service, attempts in flight too.
+    /// The number of own tasks by service, including attempts in flight.
     pub own_tasks: BTreeMap<ServiceId, u32>,
     /// When own offers were sent while it was warming up, the oldest first.
     pub slow_start_offers: Vec<Micros>,
     /// Own offers without an answer, and when each was sent.
     unanswered: BTreeMap<AttemptId, Micros>,
-    /// Own tasks that are offered or accepted and not known to run.
+    /// Own attempts that are offered or accepted, and not known to run.
     pub starting: BTreeSet<AttemptId>,
-    /// Failures without an answer; each answer halves the count.
+    /// Count of failures, each of which doubles the backoff; an answer to an offer halves it.
     pub consecutive_failures: u32,
     /// Until when it gets no offers after failures.
     pub backoff_until: Micros,
-    /// When the latest offer or health check that it answered was sent.
+    /// The latest time at which an offer or health check was sent that it has answered.
     latest_answered_send: Micros,
-    /// When it last answered anything.
+    /// When its last answer to an offer or health check arrived.
     last_answer_at: Micros,
     /// When it was last sent a health check.
     pub last_health_check_at: Option<Micros>,
-    /// A health check for its load report has no answer yet.
+    /// Whether a health check that was sent for its load report has no answer yet.
     pub health_check_pending: bool,
-    /// Tenants and classes whose tasks it rejects without naming a shortage, and until when they
-    /// avoid it. A time that has passed is a suspicion, which a second event confirms.
+    /// Tenants and classes whose tasks it rejects without naming a shortage, and until when such
+    /// tasks are not offered to it. An entry whose time has passed is a suspicion, which one more
+    /// rejection or unanswered offer confirms.
     pub rejecting: BTreeMap<TenantClass, Micros>,
-    /// Since when the list says that it is gone.
+    /// Since when the list has had it as gone; `None` while it is listed.
     pub removed_since: Option<Micros>,
 }
 
-/// Its entry in the list and its size.
+/// The entry in the list, and the size.
 impl MachineState {
-    /// A machine of which only its entry in the list is known.
+    /// Creates the state of a machine of which only its entry in the list is known.
     pub fn new(machine: &Machine, settings: &Settings) -> Self {
         Self {
             machine: machine.clone(),
@@ -106,8 +111,8 @@
         .resized(settings)
     }
 
-    /// The same machine with the sizes and limits of these settings; all that was learned of it
-    /// stays.
+    /// Computes the sizes and limits anew from `settings`; everything learned about the machine is
+    /// kept.
     pub fn resized(self, settings: &Settings) -> Self {
         let kind = settings
             .kinds
@@ -134,7 +139,8 @@
         }
     }
 
-    /// Takes in a new entry of the list. A new start of the machine makes all older reports void.
+    /// Applies a new entry of the list. If the machine has restarted, the loads, the rejection and
+    /// the failures recorded before that are discarded.
     pub fn update(&mut self, now: Micros, machine: &Machine) {
         if machine.ready_at != self.machine.ready_at {
             (self.requested, self.used, self.rejected) = (None, None, None);
@@ -148,13 +154,13 @@
         self.machine = machine.clone();
     }
 
-    /// Notes whether the list says that it is gone, and since when.
+    /// Updates `removed_since` from the health that the list states.
     pub fn track_removal(&mut self, now: Micros) {
         let is_gone = self.machine.health == Health::Gone;
         self.removed_since = is_gone.then(|| self.removed_since.unwrap_or(now));
     }
 
-    /// Whether it started so recently that it bears only a few offers.
+    /// Whether it started less than `warm_after_us` ago, so that it survives only a few offers.
     pub fn is_warming_up(&self, now: Micros, rules: &Rules) -> bool {
         let warm_after = rules.warm_after_us.unwrap_or(0);
         self.machine
@@ -163,7 +169,8 @@
     }
 }
 
-/// How many tasks of mean size a machine accepts; 1 where the settings don't tell.
+/// How many tasks of mean size a machine accepts; 1 where the settings state no mean size or no size
+/// of the machine.
 fn capacity_in_tasks(accept_limit: Load, settings: &Settings) -> f64 {
     let tasks_that_fit = |mean: Option<f64>, capacity: f64| mean.map(|mean| capacity / mean);
     let by_resource = [
@@ -178,10 +185,10 @@
         .unwrap_or(1.0)
 }
 
-/// Its load.
+/// The load: reports, rejections, and what is requested and used.
 impl MachineState {
-    /// Takes in a load report, which tells what is left: of requests if `counts_requests`, else of
-    /// use.
+    /// Applies a load report, which states what is left: not requested by any task if
+    /// `counts_requests`, else not used by any.
     pub fn apply_report(&mut self, now: Micros, left: Load, counts_requests: bool) {
         let load = Load::sanitized(self.size.cores - left.cores, self.size.memory - left.memory);
         let report = Some(DatedLoad { at: now, load });
@@ -193,26 +200,27 @@
         }
     }
 
-    /// Forgets the rejection, unless it is younger than the `lag` of the report that has come: such
-    /// a report says nothing against it.
+    /// Discards the rejection in favour of a report that has arrived, unless the rejection is
+    /// younger than the `lag` of the report, which may then describe the time before it.
     fn expire_rejection(&mut self, now: Micros, lag: Micros) {
         self.rejected = self.rejected.filter(|rejected| now < rejected.at + lag);
     }
 
-    /// The last rejection, while it counts.
+    /// The last rejection for lack of capacity, if it is still valid.
     pub fn valid_rejection(&self, now: Micros) -> Option<DatedLoad> {
         self.rejected
             .filter(|rejected| now < rejected.at + REJECTION_VALID_US)
     }
 
-    /// Remembers an own offer, or an end as a negative load, until reports hold it.
+    /// Records an own offer, or an ended attempt as a negative load, until reports include it.
     fn record_change(&mut self, now: Micros, load: Load) {
         self.recent_changes
             .retain(|change| now < change.at + 2 * LIST_LAG_US);
         self.recent_changes.push_back(DatedLoad { at: now, load });
     }
 
-    /// A report that lags, plus the own changes that it can't hold yet, each times `factors`.
+    /// The load of a report that lags by `lag`, plus the own changes that it may not include yet,
+    /// each times `factors`.
     fn with_recent_changes(&self, report: DatedLoad, lag: Micros, factors: Load) -> Load {
         self.recent_changes
             .iter()
@@ -222,7 +230,7 @@
             })
     }
 
-    /// What tasks of all schedulers request there: never less than what own tasks request.
+    /// What tasks of all schedulers request there; at least what own attempts request.
     pub fn requested_now(&self) -> Load {
         let requested = self.requested.map_or(self.own_load, |report| {
             self.with_recent_changes(report, LIST_LAG_US, UNSCALED)
@@ -233,14 +241,15 @@
         )
     }
 
-    /// What tasks of all schedulers use there, by the last report; `use_ratio` is the expected
-    /// ratio of use to request for own tasks that it can't hold yet.
+    /// What tasks of all schedulers use there; `None` without a report. Own tasks that the last
+    /// report may not include yet count by `use_ratio`, the expected ratio of use to request.
     pub fn used_now(&self, use_ratio: Load) -> Option<Load> {
         self.used
             .map(|report| self.with_recent_changes(report, REPORT_LAG_US, use_ratio))
     }
 
-    /// How the draws of one step see it; the rank is left at 0.
+    /// The view of this machine for the draws of one step. The rank is left at 0, for the caller to
+    /// set.
     pub fn view(
         &self,
         now: Micros,
@@ -276,15 +285,16 @@
     }
 }
 
-/// Own attempts there.
+/// Own attempts at the machine.
 impl MachineState {
-    /// Counts an own attempt. What all tasks request stays: reports hold an adopted task already.
+    /// Counts an own attempt. It does not count as a recent change, because reports already include
+    /// an adopted task; [`record_offer`](Self::record_offer) adds that of an offer.
     pub fn add_attempt(&mut self, attempt: &ActiveAttempt) {
         self.own_load = self.own_load.plus(attempt.load);
         *self.own_tasks.entry(attempt.service).or_default() += 1;
     }
 
-    /// Takes an own attempt that ended out of the load and the counts.
+    /// Removes an own attempt that ended from the load and the counts.
     pub fn remove_attempt(&mut self, now: Micros, id: AttemptId, attempt: &ActiveAttempt) {
         let released = attempt.load.times(Load::uniform(-1.0));
         self.own_load = self.own_load.plus(released);
@@ -295,7 +305,8 @@
         self.own_tasks.retain(|_, tasks| *tasks > 0);
     }
 
-    /// Notes an offer that is sent now.
+    /// Records an offer that is sent now; it counts against the slow start budget of a machine that
+    /// is warming up.
     pub fn record_offer(&mut self, now: Micros, id: AttemptId, load: Load, rules: &Rules) {
         self.record_change(now, load);
         self.unanswered.insert(id, now);
@@ -305,23 +316,24 @@
         }
     }
 
-    /// Notes that an offer will get no answer.
+    /// Stops waiting for the answer to an offer.
     pub fn forget_offer(&mut self, id: AttemptId) {
         self.unanswered.remove(&id);
     }
 }
 
-/// Its health.
+/// The health: failures, answers and silence.
 impl MachineState {
-    /// Notes a failed connection, health check or attempt: the backoff doubles with each.
+    /// Records a failed connection, health check or attempt. The backoff doubles with each, up to
+    /// [`MAX_BACKOFF_DOUBLINGS`] times.
     pub fn record_failure(&mut self, now: Micros, rules: &Rules) {
         let doublings = self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
         self.backoff_until = now + (initial_backoff_us(rules) << doublings);
         self.consecutive_failures += 1;
     }
 
-    /// Notes an answer to an offer. It halves the failures, so that one lucky answer does not end a
-    /// jam.
+    /// Records an answer to an offer. It halves the count of failures rather than clearing it: one
+    /// answer does not show that an overload is over.
     pub fn record_answer(&mut self, now: Micros, id: AttemptId) {
         let sent_at = self.unanswered.remove(&id).unwrap_or(0);
         self.latest_answered_send = self.latest_answered_send.max(sent_at);
@@ -329,36 +341,37 @@
         self.consecutive_failures /= 2;
     }
 
-    /// Notes an answer to a health check that was sent `took_us` ago.
+    /// Records an answer to a health check that was sent `took_us` microseconds ago.
     pub fn record_health_check_answer(&mut self, now: Micros, took_us: Micros) {
         self.last_answer_at = now;
         self.latest_answered_send = self.latest_answered_send.max(now.saturating_sub(took_us));
     }
 
-    /// Whether a later offer or health check was answered before one sent at `sent_at`. Machines
-    /// answer in order of sending, unless their answer comes only when the task runs.
+    /// Whether the machine has answered an offer or health check that was sent after `sent_at`, and
+    /// so passed over one sent at `sent_at`. Machines answer in the order of sending, except where
+    /// they answer only when the task runs: there the result is always false.
     pub fn was_passed_over(&self, sent_at: Micros, settings: &Settings) -> bool {
         !settings.yes_when_running && sent_at < self.latest_answered_send
     }
 
-    /// The same for an own offer that has no answer.
+    /// Whether the machine passed over this offer; false if the offer is not waiting for an answer.
     pub fn offer_was_passed_over(&self, id: AttemptId, settings: &Settings) -> bool {
         self.unanswered
             .get(&id)
             .is_some_and(|sent_at| self.was_passed_over(*sent_at, settings))
     }
 
-    /// Since when offers wait and no answer of any kind has come; `None` where no offer waits. A
-    /// machine that still answers others is slow, not silent. Time before `awake_since` does not
-    /// count.
-    pub fn silent_since(&self, awake_since: Micros) -> Option<Micros> {
+    /// Since when an offer has waited with no answer of any kind from this machine; `None` where no
+    /// offer waits. A machine that still answers other offers is slow, not silent. Time before
+    /// `running_since` does not count.
+    pub fn silent_since(&self, running_since: Micros) -> Option<Micros> {
         self.unanswered
             .values()
             .min()
-            .map(|sent_at| (*sent_at).max(self.last_answer_at).max(awake_since))
+            .map(|sent_at| (*sent_at).max(self.last_answer_at).max(running_since))
     }
 
-    /// Whether tasks of this tenant and class avoid it now.
+    /// Whether tasks of this tenant and class are not to be offered to it now.
     pub fn is_rejecting(&self, now: Micros, tenant_class: TenantClass) -> bool {
         self.rejecting
             .get(&tenant_class)
--- a/src/logic/mod.rs
+++ b/src/logic/mod.rs
@@ -1,9 +1,9 @@
-//! All placement decisions: a sans-I/O state machine, [`Placer`], that folds events and returns
+//! All placement decisions: a sans-I/O state machine, [`Placer`], that applies events and returns
 //! actions.
 //!
 //! Nothing here reads a clock, does I/O, keeps global state or iterates in an undefined order, so
-//! equal events give equal actions. The interface is `src/api/`; `docs/design.md` states the
-//! algorithm and each exception.
+//! equal events give equal actions. The interface is in `src/api/`; `docs/design.md` states the
+//! algorithm and each exception to these rules.
 
 mod machine_state;
 mod machine_view;
--- a/src/logic/placer/arrivals.rs
+++ b/src/logic/placer/arrivals.rs
@@ -1,18 +1,19 @@
-//! Own arrivals, and the estimate of the load that arrives at all schedulers: the paper's `a`.
+//! Tasks that arrived at this scheduler, and the estimate of the load that arrives at all
+//! schedulers: `a` in the paper that `water_filling` names.
 
 use std::collections::VecDeque;
 
 use crate::api::{Micros, Settings};
 use crate::load::Load;
 
-/// Microseconds of arrivals that one water filling covers: about as long as a view of a machine
-/// stays unconfirmed.
+/// Microseconds of arrivals that one water filling distributes: about as long as it takes until the
+/// known load of a machine is confirmed.
 pub(super) const ARRIVAL_WINDOW_US: Micros = 1_000_000;
-/// Microseconds, at most, over which a quiet scheduler counts its arrivals: half a usual task's
-/// duration.
+/// Maximum span in microseconds over which a scheduler with few arrivals counts them: half the
+/// duration of a usual task.
 const MAX_COUNTED_SPAN_US: Micros = 10 * ARRIVAL_WINDOW_US;
-/// Own arrivals that are enough to count over a shorter span: by then chance is a third of the
-/// count.
+/// Number of own arrivals from which on the span may be shorter: the standard deviation of such a
+/// count is about a third of it.
 const ENOUGH_ARRIVALS: usize = 8;
 
 /// A task that arrived at this scheduler.
@@ -23,7 +24,7 @@
     pub size: f64,
 }
 
-/// Recent own arrivals.
+/// Recent arrivals at this scheduler.
 #[derive(Default)]
 pub(super) struct ArrivalHistory {
     /// The oldest first.
@@ -31,7 +32,7 @@
 }
 
 impl ArrivalHistory {
-    /// Adds a task that arrives now.
+    /// Adds the latest arrival.
     pub fn record(&mut self, arrival: Arrival) {
         self.arrivals.push_back(arrival);
     }
@@ -41,7 +42,7 @@
         self.arrivals.iter()
     }
 
-    /// Puts earlier arrivals before those known.
+    /// Inserts earlier arrivals, and sorts all by time.
     pub fn prepend(&mut self, earlier: impl Iterator<Item = Arrival>) {
         self.arrivals = earlier.chain(self.arrivals.iter().copied()).collect();
         self.arrivals
@@ -49,10 +50,11 @@
             .sort_by_key(|arrival| arrival.at);
     }
 
-    /// The load that arrives at all schedulers within the arrival window, in tasks of mean size:
-    /// the number of schedulers times the own arrivals before `now`, counted over a longer span
-    /// where they are few. Time before `awake_since` is not counted.
-    pub fn estimate_load(&mut self, now: Micros, awake_since: Micros, schedulers: u32) -> f64 {
+    /// The load that arrives at all schedulers within [`ARRIVAL_WINDOW_US`], in tasks of mean size:
+    /// the number of schedulers times the own arrivals before `now`. If those are few, they are
+    /// counted over a longer span and scaled to the window. The span does not reach back before
+    /// `running_since`, except to be as long as the window.
+    pub fn estimate_load(&mut self, now: Micros, running_since: Micros, schedulers: u32) -> f64 {
         let expired = self
             .arrivals
             .partition_point(|arrival| arrival.at + MAX_COUNTED_SPAN_US < now);
@@ -68,7 +70,7 @@
             .map_or(0, |arrival| arrival.at);
         let span = (now - enough_since)
             .min(MAX_COUNTED_SPAN_US)
-            .min(now - awake_since)
+            .min(now - running_since)
             .max(ARRIVAL_WINDOW_US);
         let own: f64 = before_now
             .take_while(|arrival| now <= arrival.at + span)
@@ -78,8 +80,8 @@
     }
 }
 
-/// A load in tasks of mean size, by the mean of cores and memory where both have a known mean; 1
-/// where neither has.
+/// A load in tasks of mean size: the mean of its sizes by cores and by memory, or the one of them
+/// whose mean the settings state; 1 if they state neither.
 pub(super) fn size_in_mean_tasks(load: Load, settings: &Settings) -> f64 {
     let relative = |x: f64, mean: Option<f64>| mean.filter(|mean| *mean > 0.0).map(|mean| x / mean);
     let by_cores = relative(load.cores, settings.mean_cores);
--- a/src/logic/placer/beliefs.rs
+++ b/src/logic/placer/beliefs.rs
@@ -1,5 +1,5 @@
-//! What a scheduler has learned, saved for its next process and restored there. Restoring only adds
-//! bounds to what the new process knows itself.
+//! What a scheduler has learned: exported, to be saved, and restored in its next process. Restoring
+//! fills what the new process does not know and never loosens a limit that it already keeps.
 
 use super::arrivals::Arrival;
 use super::{Placer, REJECTING_US};
@@ -11,7 +11,7 @@
 use crate::logic::requests::TenantClass;
 
 impl Placer {
-    /// What it has learned so far, with times relative to `now`.
+    /// What this scheduler has learned so far, with times relative to `now`.
     pub fn beliefs(&self, now: Micros) -> Beliefs {
         let machines = self
             .machines
@@ -30,8 +30,8 @@
         }
     }
 
-    /// Takes in the beliefs of a previous process where nothing newer is known; backoffs and spent
-    /// budgets only grow.
+    /// Restores the beliefs of a previous process where nothing newer is known. Backoffs and spent
+    /// slow start budgets only grow.
     pub(super) fn restore_beliefs(&mut self, now: Micros, beliefs: &Beliefs) {
         for belief in &beliefs.machines {
             if let Some(state) = self.machines.get_mut(&belief.machine) {
@@ -53,7 +53,7 @@
     }
 }
 
-/// What is known of one machine, with times relative to `now`.
+/// What this scheduler knows about one machine, with times relative to `now`.
 fn belief(now: Micros, state: &MachineState) -> Belief {
     let ago = |at: Micros| now.saturating_sub(at);
     let aged = |dated: Option<DatedLoad>| {
@@ -75,7 +75,7 @@
     }
 }
 
-/// Whether it says more than which machine it is about.
+/// Whether the belief has any content besides the id of its machine.
 fn has_content(belief: &Belief) -> bool {
     *belief
         != Belief {
@@ -90,14 +90,15 @@
         at: at(ago),
         load: Load::sanitized(cores, memory),
     };
-    // A rejection of any amount of a resource is stored as an infinite load.
-    let unlimited = |(ago, cores, memory): (Micros, f64, f64)| DatedLoad {
+    // An infinite load stands for a resource that was not short; `sanitized` would make it 0, which
+    // rules out every request.
+    let unsanitized = |(ago, cores, memory): (Micros, f64, f64)| DatedLoad {
         at: at(ago),
         load: Load { cores, memory },
     };
     state.requested = state.requested.or(belief.asked.map(sanitized));
     state.used = state.used.or(belief.used.map(sanitized));
-    state.rejected = state.rejected.or(belief.refused.map(unlimited));
+    state.rejected = state.rejected.or(belief.refused.map(unsanitized));
     for (tenant, class, remaining) in &belief.rejecting {
         let tenant_class = TenantClass {
             tenant: *tenant,
--- a/src/logic/placer/events.rs
+++ b/src/logic/placer/events.rs
@@ -1,5 +1,5 @@
-//! What each event changes. Nothing is placed here; requests become due, to be placed at the end of
-//! the step.
+//! Applies events to the state. Nothing is placed here: requests become due, and are placed at the
+//! end of the step.
 
 use super::arrivals::{Arrival, size_in_mean_tasks};
 use super::list_watch::LIST_WATCH_TIMER;
@@ -9,7 +9,7 @@
 use crate::logic::requests::{ActiveAttempt, PendingRequest};
 
 impl Placer {
-    /// Folds one event.
+    /// Applies one event.
     pub(super) fn apply_event(&mut self, now: Micros, event: &Event, actions: &mut Vec<Action>) {
         match event {
             Event::Listed(listing) => self.apply_listing(now, listing, actions),
@@ -37,7 +37,7 @@
             Event::Woken(POLL_TIMER) => self.poll(now, actions),
             Event::Woken(LIST_WATCH_TIMER) => {
                 self.list_watch
-                    .timer_due(now, &self.settings.rules, actions);
+                    .handle_timer(now, &self.settings.rules, actions);
             }
             Event::Woken(_) | Event::Peer { .. } => {}
             Event::Probed {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// A task needs a place until `grace_us` microseconds from now.
+    /// Adds a request to place a task, whose client waits for `grace_us` microseconds from now.
     fn add_request(&mut self, now: Micros, task: &Task, grace_us: Micros) {
         let size = size_in_mean_tasks(Load::requested_by(task), &self.settings);
         self.arrivals.record(Arrival { at: now, size });
@@ -62,12 +62,13 @@
             .insert(task.request, PendingRequest::new(task.clone(), deadline));
     }
 
-    /// From now on only these machines may take the request.
+    /// Restricts the request to these machines from now on.
     fn restrict_request(&mut self, id: RequestId, machines: &[MachineId]) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        // A queued request that gets machines is placed at once, not at the next poll.
+        // A queued request that gets eligible machines is placed in this step instead of at the
+        // next poll.
         let place_now = !machines.is_empty() && !self.due.contains(&id) && !request.is_in_flight();
         request.eligible = Some(machines.to_vec());
         if place_now {
@@ -76,7 +77,7 @@
         }
     }
 
-    /// A task that already runs on a machine becomes one of this scheduler.
+    /// Adds a task that already runs on a machine as attempt 0 of its request.
     fn adopt_attempt(&mut self, task: &Task, machine: MachineId) {
         let id = AttemptId {
             request: task.request,
@@ -90,8 +91,8 @@
         self.add_active_attempt(id, attempt);
     }
 
-    /// The client wants the task no more: its attempts would only take capacity from a task that is
-    /// wanted.
+    /// Drops a request that its client has withdrawn, and stops its attempts, which would take
+    /// capacity from other tasks.
     fn withdraw_request(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let request = self.requests.remove(&id);
         if self.settings.rules.may_stop {
@@ -100,7 +101,7 @@
         }
     }
 
-    /// The deadline of the request is now.
+    /// Moves the deadline of the request to now, so that no further attempt begins.
     fn expire_request(&mut self, now: Micros, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.deadline = now;
@@ -108,7 +109,7 @@
         self.due.push(id);
     }
 
-    /// Tries all queued requests again, and looks for machines that have fallen silent.
+    /// Makes all queued requests due again, and handles machines that give no answer.
     fn poll(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.poll_due = None;
         self.due.append(&mut self.queued);
--- a/src/logic/placer/fresh_reports.rs
+++ b/src/logic/placer/fresh_reports.rs
@@ -1,21 +1,22 @@
-//! Health checks of a pool before the draw, where load reports come only with their answers.
+//! Health checks of a pool before the draw, for deployments where machines report their load only in
+//! answers to health checks.
 
 use super::arrivals::ARRIVAL_WINDOW_US;
 use super::pool::PoolMember;
 use super::{POLL_INTERVAL_US, Placer};
 use crate::api::{Action, Micros, ReportStyle};
 
-/// Microseconds for which the report of a health check is fresh: as long as one water filling
-/// covers.
+/// Microseconds after a health check was sent until its report is too old for a draw: the period
+/// that one water filling covers.
 const REPORT_FRESH_US: Micros = ARRIVAL_WINDOW_US;
-/// Microseconds that a request waits for the reports of its pool: health checks take about as long
-/// as two polls.
+/// Microseconds after a health check was sent for which a request waits for its report: health
+/// checks take about as long as two polls.
 const REPORT_WAIT_US: Micros = 2 * POLL_INTERVAL_US;
 
 impl Placer {
-    /// Sends a health check to each machine of the pool whose report is old. Returns whether the
-    /// request should wait for a report that is on its way.
-    pub(super) fn await_fresh_reports(
+    /// Sends a health check to each machine of the pool whose last one is older than
+    /// [`REPORT_FRESH_US`]. Returns whether the request should wait for a report that is pending.
+    pub(super) fn request_fresh_reports(
         &mut self,
         now: Micros,
         pool: &[PoolMember],
--- a/src/logic/placer/legality.rs
+++ b/src/logic/placer/legality.rs
@@ -1,14 +1,15 @@
-//! Which offers are legal by rules 2 to 5, and when that is checked.
+//! Which offers are legal, and when that is checked: rule 2 (no task starts twice that must not),
+//! rule 3 (drains are kept), rule 4 (the slow start budget) and rule 5 (services stay spread).
 //!
 //! - Each [`Action::Offer`](crate::api::Action::Offer) passes [`Placer::may_offer`], in the step
 //!   that returns it.
 //! - An attempt that had to wait for its connection also passes [`Placer::claim_late_send`], which
-//!   the platform (`crates/platform`) calls once the connection is established. It checks again
-//!   only the health of the machine, the slow start budget and the deduplication window: neither
+//!   the platform (`crates/platform`) calls once the connection is established. That checks only
+//!   the health of the machine, the slow start budget and the deduplication window again: neither
 //!   the spread nor the constraint.
-//! - The platform sends an attempt again, under the same number, if its connection ended before any
-//!   byte of it was written. On a connection that is already established that send passes neither
-//!   check; on one that is still being made it passes `claim_late_send`.
+//! - If a connection ended before any byte of an attempt was written, the platform sends the attempt
+//!   again under the same number. On a connection that is already established this send passes
+//!   neither check; on one that is still being made it passes `claim_late_send`.
 
 use std::collections::BTreeMap;
 
@@ -18,8 +19,8 @@
 use crate::logic::requests::{Attempt, AttemptState, PendingRequest};
 
 impl Placer {
-    /// Whether the request may be offered to a machine now. `full` holds the machines, cells or
-    /// zones that have the most tasks of its service that its class allows, sorted.
+    /// Whether the request may be offered to a machine now. `full` are the places, as returned by
+    /// [`Self::full_places`], that may get no further task of its service.
     pub(super) fn may_offer(
         &self,
         now: Micros,
@@ -40,10 +41,10 @@
             && view.has_slow_start_budget
     }
 
-    /// Claims the send of an attempt that waited for its connection: whether it may be sent now, by
-    /// rules 2 to 4. What it had spent of the slow start budget is returned, and spent anew if it
-    /// may be sent, so that it counts from now on. A second claim of the same attempt finds
-    /// nothing to return and spends nothing.
+    /// Claims the send of an attempt that waited for its connection. Returns whether it may be sent
+    /// now, by rules 2 to 4; false for an unknown attempt. What the attempt had spent of the slow
+    /// start budget is given back, and spent anew if the machine may get it, so that it counts from
+    /// now on. A second claim of the same attempt finds nothing to give back and spends nothing.
     pub fn claim_late_send(&mut self, now: Micros, attempt: AttemptId) -> bool {
         let Some(request) = self.requests.get(&attempt.request) else {
             return false;
@@ -55,29 +56,29 @@
         let keyed_repeat = class
             .filter(|class| class.effect == Effect::Keyed)
             .zip(earlier);
-        let Some(this) = request.attempts.get(usize::from(attempt.number)) else {
+        let Some(claimed) = request.attempts.get(usize::from(attempt.number)) else {
             return false;
         };
-        let Some(state) = self.machines.get_mut(&this.machine) else {
+        let Some(state) = self.machines.get_mut(&claimed.machine) else {
             return false;
         };
         let budgeted = state
             .slow_start_offers
             .iter()
-            .rposition(|at| *at == this.sent_at);
+            .rposition(|at| *at == claimed.sent_at);
         if let Some(position) = budgeted {
             state.slow_start_offers.remove(position);
         }
-        let machine_takes_it = state.has_slow_start_budget(now, &self.settings, self.scheduler)
+        let machine_may_take_it = state.has_slow_start_budget(now, &self.settings, self.scheduler)
             && state.machine.health == Health::Ready;
-        if machine_takes_it && budgeted.is_some() {
+        if machine_may_take_it && budgeted.is_some() {
             state.slow_start_offers.push(now);
         }
-        machine_takes_it
+        machine_may_take_it
             && keyed_repeat.is_none_or(|(class, first)| is_in_dedup_window(now, first, class))
     }
 
-    /// Whether the request has had the most attempts that the rules allow.
+    /// Whether the request has had the maximum number of attempts that the rules allow.
     pub(super) fn has_spent_attempts(&self, request: &PendingRequest) -> bool {
         self.settings
             .rules
@@ -85,8 +86,8 @@
             .is_some_and(|most| request.attempts.len() >= most as usize)
     }
 
-    /// Whether the request may be sent to a machine though an earlier attempt may have run (rule
-    /// 2).
+    /// Whether rule 2 lets the request be sent to a machine: no earlier attempt may have run, or a
+    /// second start there does no harm.
     fn may_repeat(
         &self,
         now: Micros,
@@ -106,7 +107,7 @@
             })
     }
 
-    /// Whether a machine drops repeats of what was sent to the machine of an earlier attempt.
+    /// Whether a machine drops a repeat of the keyed task that was first sent in attempt `first`.
     fn drops_repeats_of(&self, first: &Attempt, group: Group, machine: &Machine) -> bool {
         self.machines
             .get(&first.machine)
@@ -117,8 +118,8 @@
             })
     }
 
-    /// The machines, cells or zones that hold the most tasks of a service that its class allows,
-    /// sorted: one pass over the fleet.
+    /// The numbers of the machines, cells or zones that hold as many tasks of a service as its class
+    /// allows, sorted; empty for a class without a spread. Takes one pass over all machines.
     pub(super) fn full_places(&self, class: &Class, service: ServiceId) -> Vec<u64> {
         let Some((place, most)) = class.spread else {
             return Vec::new();
@@ -145,7 +146,8 @@
         .is_none_or(|eligible| eligible.binary_search(&machine.id).is_ok())
 }
 
-/// Whether machines still drop repeats of a keyed task whose first attempt this is.
+/// Whether machines still drop repeats of a keyed task whose first attempt that may have run is
+/// `first`; false if the class states no window.
 fn is_in_dedup_window(now: Micros, first: &Attempt, class: &Class) -> bool {
     class
         .window_us
--- a/src/logic/placer/list_watch.rs
+++ b/src/logic/placer/list_watch.rs
@@ -1,4 +1,4 @@
-//! The watch on the machine list: when it is requested, and requested again.
+//! The watch on the machine list: when it is requested, and when it is requested again.
 
 use super::random::RandomSource;
 use crate::api::{Action, Micros, Rules};
@@ -21,7 +21,8 @@
         self.next_request_at.is_some()
     }
 
-    /// Requests changes of the list. A watch that stays silent is requested again in time.
+    /// Requests changes of the list, and sets the timer that requests them again if the watch gives
+    /// no answer for `must_ask_us`.
     pub fn request(&mut self, now: Micros, rules: &Rules, actions: &mut Vec<Action>) {
         actions.push(Action::Watch(true));
         self.next_request_at = Some(rules.must_ask_us.map_or(Micros::MAX, |most| now + most));
@@ -31,9 +32,9 @@
         }));
     }
 
-    /// The timer of the watch came due: requests it again, unless it has answered since the timer
-    /// was set.
-    pub fn timer_due(&mut self, now: Micros, rules: &Rules, actions: &mut Vec<Action>) {
+    /// Handles the timer of the watch: requests the watch again, unless it has answered since the
+    /// timer was set.
+    pub fn handle_timer(&mut self, now: Micros, rules: &Rules, actions: &mut Vec<Action>) {
         match self.next_request_at {
             Some(due) if now < due => actions.push(Action::Timer {
                 token: LIST_WATCH_TIMER,
@@ -43,7 +44,7 @@
         }
     }
 
-    /// The list answered.
+    /// Records an answer of the list, which postpones the next request.
     pub fn record_answer(&mut self, now: Micros, rules: &Rules) {
         self.consecutive_failures = 0;
         self.next_request_at = self
@@ -51,8 +52,8 @@
             .max(rules.must_ask_us.map(|most| now + most));
     }
 
-    /// The watch failed. The backoff doubles with each failure, with jitter so that schedulers
-    /// don't come back together.
+    /// Records a failure of the watch, and sets the timer for the next request. The backoff doubles
+    /// with each failure; jitter keeps schedulers from sending their requests at the same time.
     pub fn record_failure(
         &mut self,
         now: Micros,
--- a/src/logic/placer/machine_list.rs
+++ b/src/logic/placer/machine_list.rs
@@ -1,4 +1,4 @@
-//! The machine list: which machines there are, and their order that all schedulers share.
+//! The machine list: which machines there are, and their order, which is the same at all schedulers.
 
 use super::{Placer, REJECTING_US};
 use crate::api::{Action, AttemptId, Health, Listing, Machine, MachineId, Micros, Settings};
@@ -7,7 +7,7 @@
 use crate::names::mix64;
 
 impl Placer {
-    /// Takes in the changes of the list, or the whole of it.
+    /// Applies changes of the list or a snapshot of it, or handles a failure of the watch.
     pub(super) fn apply_listing(
         &mut self,
         now: Micros,
@@ -34,7 +34,8 @@
         }
     }
 
-    /// Sizes all machines by changed settings; what was learned of them stays.
+    /// Replaces the settings and computes the sizes of all machines from them; what was learned
+    /// about the machines is kept.
     pub(super) fn apply_settings(&mut self, settings: &Settings) {
         self.machines = std::mem::take(&mut self.machines)
             .into_iter()
@@ -68,8 +69,8 @@
         }
     }
 
-    /// Forgets machines that are gone for good and run no own task, once nothing they did matters
-    /// any more.
+    /// Drops machines that have been gone for [`REJECTING_US`] and run no own task: what was
+    /// learned about them no longer matters then.
     fn forget_removed_machines(&mut self, now: Micros) {
         self.machines.retain(|_, state| {
             state.track_removal(now);
@@ -80,7 +81,8 @@
         });
     }
 
-    /// Orders the machines from the largest down, equal ones by a hash, alike at all schedulers.
+    /// Orders the machines by capacity, the largest first, and equal ones by a hash of their id: the
+    /// same order at all schedulers.
     fn rank_machines(&mut self) {
         let keys: Vec<(f64, u64)> = self
             .machines
--- a/src/logic/placer/mod.rs
+++ b/src/logic/placer/mod.rs
@@ -1,8 +1,8 @@
-//! The placer: folds events in order, then places the requests that are due.
+//! The placer: applies events in order, then places the requests that are due.
 //!
-//! [`Placer::step`] shows the whole of a step. What came in is folded by `events`, which hands over
-//! to `machine_list`, `outcomes`, `reports` and `beliefs`. A request is placed by `placement`:
-//! candidates by `legality`, a draw within the `pool`, and the send in `offers`. `silence` stops
+//! [`Placer::step`] shows a whole step. Events are applied by `events`, which calls `machine_list`,
+//! `outcomes`, `reports` and `beliefs`. Requests are placed by `placement`: it takes the candidates
+//! that `legality` allows, draws one in `pool`, and sends the offer in `offers`. `silence` stops
 //! offers that get no answer.
 
 mod answer_times;
@@ -37,18 +37,18 @@
 use crate::load::Load;
 use crate::names::mix64;
 
-/// Microseconds between two polls of queued requests and silent machines: well under any latency
-/// objective, and a light load.
+/// Microseconds between two polls, each of which retries queued requests and handles silent
+/// machines: well under any latency objective, and a light load.
 const POLL_INTERVAL_US: Micros = 100_000;
 /// Token of the timer for the next poll.
 const POLL_TIMER: u64 = 1;
-/// Microseconds before its deadline in which a request is decided without further waiting: two
+/// Microseconds before its deadline from which on a request is decided without further waiting: two
 /// polls.
-const LAST_CHANCE_US: Micros = 2 * POLL_INTERVAL_US;
-/// Microseconds for which a tenant and class avoid a machine that rejected them: only another try
-/// shows more.
+const NEAR_DEADLINE_US: Micros = 2 * POLL_INTERVAL_US;
+/// Microseconds for which tasks of a tenant and class are not offered to a machine that rejected
+/// them. After that they are offered again, as only another offer shows whether it accepts them.
 const REJECTING_US: Micros = 4 * REJECTION_VALID_US;
-/// Stands for the start of a scheduler before its first step.
+/// Value of `started_at` and `running_since` before the first step.
 const NOT_STARTED: Micros = Micros::MAX;
 
 /// The placement decisions of one scheduler.
@@ -57,38 +57,40 @@
     scheduler: SchedulerIdentity,
     random: RandomSource,
     machines: BTreeMap<MachineId, MachineState>,
-    /// Positions among `machines`, the largest machine first, in an order that all schedulers
-    /// share.
+    /// Positions in `machines`, the largest machine first, in an order that is the same at all
+    /// schedulers.
     ranking: Vec<usize>,
-    /// How the machines look to the draws of this step, in the order of `machines`.
+    /// The views of all machines for the draws of this step, in the order of `machines`.
     views: Vec<MachineView>,
     /// Requests without a final answer.
     requests: BTreeMap<RequestId, PendingRequest>,
-    /// Own attempts that have not ended, also those of requests that have their answer.
+    /// Own attempts that have not ended, including those of requests that have their final answer.
     active_attempts: BTreeMap<AttemptId, ActiveAttempt>,
     arrivals: ArrivalHistory,
     answer_times: AnswerTimes,
-    /// The ratio of use to request, learned from tasks that run.
+    /// The expected ratio of use to request, of cores and memory, learned from signals of running
+    /// tasks.
     use_ratio: Load,
     /// Requests to place at the end of this step, in order.
     due: Vec<RequestId>,
     /// Requests that wait for a machine or for reports; the next poll makes them due.
     queued: Vec<RequestId>,
     list_watch: ListWatch,
-    /// Until when a request may wait for reports of machines that were sent a health check.
+    /// Until when queued requests may be waiting for reports rather than for a machine.
     reports_awaited_until: Micros,
-    /// When this scheduler started, or last resumed after a standstill of its own.
-    awake_since: Micros,
-    /// When the next poll is due, if any is.
+    /// When this process started, or last resumed after it stood still.
+    running_since: Micros,
+    /// When the next poll is due; `None` if no timer is set for it.
     poll_due: Option<Micros>,
     operator_log: OperatorLog,
 }
 
 impl Placer {
-    /// A scheduler that knows its settings and nothing else. All random numbers come from `seed`.
+    /// Creates a placer that knows its settings and nothing else. All random numbers come from
+    /// `seed`.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        // Without reports of use, what machines accept says by how much requests are expected to
-        // exceed use.
+        // Until running tasks report their use, requests are taken to exceed use by the multiple of
+        // its size up to which a machine accepts requests.
         let accepted = accepted_multiples(&settings);
         let use_ratio = Load {
             cores: 1.0 / accepted.cores.max(1.0),
@@ -114,15 +116,15 @@
             queued: Vec::new(),
             list_watch: ListWatch::default(),
             reports_awaited_until: 0,
-            awake_since: NOT_STARTED,
+            running_since: NOT_STARTED,
             poll_due: None,
             operator_log: OperatorLog::default(),
         }
     }
 
-    /// Folds a batch of events in order, then places the requests that are due. `now` is in
-    /// microseconds on the caller's clock; the actions are appended in the order in which they are
-    /// to be done.
+    /// Applies a batch of events in order, then places the requests that are due. `now` is in
+    /// microseconds on the caller's clock. The actions are appended to `actions` in the order in
+    /// which they are to be done.
     pub fn step(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         self.start_list_watch(now, actions);
         self.detect_standstill(now);
@@ -135,7 +137,7 @@
         self.schedule_poll(now, actions);
     }
 
-    /// How many machines, requests and attempts it keeps in memory.
+    /// The numbers of machines, requests without a final answer, and attempts in memory.
     pub fn sizes(&self) -> [usize; 3] {
         [
             self.machines.len(),
@@ -144,40 +146,42 @@
         ]
     }
 
-    /// Watches the machine list from the first step on, where it comes only on request.
+    /// Requests the watch on the machine list in the first step, in deployments where the list comes
+    /// only on request.
     fn start_list_watch(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if self.settings.list_on_request && !self.list_watch.is_started() {
             self.list_watch.request(now, &self.settings.rules, actions);
         }
     }
 
-    /// A poll that comes late shows that this scheduler stood still: the silence was its own, and
-    /// no machine is blamed for it. The first step counts as the end of a standstill.
+    /// Sets `running_since` in the first step, and after a standstill of this process, which shows as
+    /// a poll that is late by more than [`POLL_INTERVAL_US`]. Machines do not count as silent for
+    /// the time of a standstill.
     fn detect_standstill(&mut self, now: Micros) {
         let poll_is_late = self
             .poll_due
             .is_some_and(|due| due + POLL_INTERVAL_US < now);
-        if self.awake_since == NOT_STARTED || poll_is_late {
-            self.awake_since = now;
+        if self.running_since == NOT_STARTED || poll_is_late {
+            self.running_since = now;
             self.scheduler.started_at = self.scheduler.started_at.min(now);
         }
     }
 
-    /// Draws for all requests that are due, in order, from one view of the machines.
+    /// Places all requests that are due, in order, with views of the machines computed once.
     fn place_due_requests(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if self.due.is_empty() {
             return;
         }
-        let arriving = self
-            .arrivals
-            .estimate_load(now, self.awake_since, self.settings.schedulers);
+        let arriving =
+            self.arrivals
+                .estimate_load(now, self.running_since, self.settings.schedulers);
         self.refresh_views(now);
         for request in std::mem::take(&mut self.due) {
             self.place(now, request, arriving, actions);
         }
     }
 
-    /// Computes the view of each machine anew.
+    /// Computes the views of all machines.
     fn refresh_views(&mut self, now: Micros) {
         let view =
             |state: &MachineState| state.view(now, &self.settings, self.scheduler, self.use_ratio);
@@ -187,7 +191,8 @@
         }
     }
 
-    /// Logs that requests were queued for want of a machine; waiting for reports is ordinary.
+    /// Logs that requests were queued because no machine may take them; not where they wait for
+    /// reports, which is normal.
     fn report_queued_requests(
         &mut self,
         now: Micros,
--- a/src/logic/placer/offers.rs
+++ b/src/logic/placer/offers.rs
@@ -1,4 +1,4 @@
-//! Sending an offer, and the final answer to a request that got none accepted.
+//! Sends offers, and gives the final answer to requests of which no offer was accepted.
 
 use super::Placer;
 use crate::api::{Action, AttemptId, Class, MachineId, Micros, RequestId};
@@ -18,8 +18,8 @@
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
-        // The attempt may take all the time that is left: a copy of a start that only waits makes a
-        // jam worse, and machines that fall silent are found by `silence`.
+        // The time-out is all the time that is left: where a start is only waiting at its machine, a
+        // second one elsewhere would add to an overload. `silence` stops offers that get no answer.
         let within_us = Some(request.deadline - now);
         let attempt = AttemptId {
             request: id,
@@ -48,7 +48,7 @@
         });
     }
 
-    /// Remembers an own attempt, and counts it at its machine.
+    /// Records an own attempt, and counts it at its machine if that is known.
     pub(super) fn add_active_attempt(&mut self, id: AttemptId, attempt: ActiveAttempt) {
         if let Some(state) = self.machines.get_mut(&attempt.machine) {
             state.add_attempt(&attempt);
@@ -56,7 +56,7 @@
         self.active_attempts.insert(id, attempt);
     }
 
-    /// Computes the view of one machine anew, for the draws that follow in this step.
+    /// Recomputes the view of one machine, for the draws that follow in this step.
     fn refresh_view(&mut self, now: Micros, machine: MachineId) {
         let Some(state) = self.machines.get(&machine) else {
             return;
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Gives the final answer to a request that has no attempt in flight.
+    /// Gives the final answer, refused or failed, to a request that has no attempt in flight.
     pub(super) fn give_up(&mut self, id: RequestId, class: &Class, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.remove(&id) else {
             return;
--- a/src/logic/placer/operator_log.rs
+++ b/src/logic/placer/operator_log.rs
@@ -1,18 +1,19 @@
-//! Log lines for the staff, at a bounded rate.
+//! Log lines for operators, at a limited rate.
 
 use crate::api::{Action, Micros};
 
-/// Microseconds between two log lines at least; lines that come sooner are dropped.
+/// Minimum time in microseconds between two log lines; lines that come sooner are dropped.
 const LOG_INTERVAL_US: Micros = 2_000_000;
 
-/// The limiter of log lines.
+/// Limits the rate of log lines.
 #[derive(Default)]
 pub(super) struct OperatorLog {
     last_line_at: Option<Micros>,
 }
 
 impl OperatorLog {
-    /// Emits a line, unless one was emitted a moment ago.
+    /// Returns a line as an [`Action::Log`], or drops it if the last one is younger than
+    /// [`LOG_INTERVAL_US`].
     pub fn write(&mut self, now: Micros, line: String, actions: &mut Vec<Action>) {
         if self
             .last_line_at
--- a/src/logic/placer/outcomes.rs
+++ b/src/logic/placer/outcomes.rs
@@ -1,4 +1,4 @@
-//! What the outcome of an attempt teaches of its machine, and what becomes of its request.
+//! Applies the outcomes of attempts, to the state of the machine and to the request.
 
 use std::collections::btree_map::Entry;
 
@@ -9,7 +9,7 @@
 use crate::logic::requests::{ActiveAttempt, AttemptState, PendingRequest};
 
 impl Placer {
-    /// A machine accepted the task: the request has its final answer.
+    /// Records that a machine accepted the task, which is the final answer to the request.
     pub(super) fn attempt_placed(
         &mut self,
         now: Micros,
@@ -22,7 +22,7 @@
         let tenant_class = request.as_ref().map(PendingRequest::tenant_class);
         if let Some(state) = self.machines.get_mut(&machine) {
             state.record_answer(now, attempt);
-            // An acceptance clears a suspicion against the machine.
+            // An acceptance clears a suspicion that the machine rejects this tenant and class.
             state
                 .rejecting
                 .retain(|other, until| Some(*other) != tenant_class || *until > now);
@@ -30,8 +30,8 @@
                 state.starting.remove(&attempt);
             }
         }
-        // A machine that reported an error for a task which another one accepts rejects its tenant
-        // and class.
+        // A machine that reported an error for a task that another machine then accepts is taken to
+        // reject the tenant and class of the task.
         if let Some(request) = request {
             for machine in request.machines_with_errors() {
                 if let Some(state) = self.machines.get_mut(&machine) {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// An attempt ended; its request, if it has no answer yet, is due again.
+    /// Records the end of an attempt; its request becomes due again if it has no final answer.
     pub(super) fn attempt_ended(&mut self, now: Micros, end: &Ended) {
         let Some(attempt) = self.active_attempts.remove(&end.attempt) else {
             return;
@@ -57,7 +57,8 @@
         self.close_or_retry(end);
     }
 
-    /// Closes the request, or notes what its attempt came to and makes it due.
+    /// Removes a request that is closed; otherwise records the result of its attempt and makes it
+    /// due.
     fn close_or_retry(&mut self, end: &Ended) {
         let id = end.attempt.request;
         if end.closed {
@@ -87,14 +88,16 @@
     )
 }
 
-/// The end of an attempt, and what it speaks against.
+/// The end of an attempt, and whether it counts against the machine or only against a tenant and
+/// class there.
 struct AttemptOutcome<'a> {
     end: &'a Ended,
-    /// The request, where it has no final answer.
+    /// The request; `None` if it has its final answer.
     request: Option<&'a PendingRequest>,
-    /// The machine answered later offers and not this one.
+    /// Whether the machine answered later offers or health checks and not this offer.
     was_passed_over: bool,
-    /// It speaks against the tenant and class at this machine, not against the machine.
+    /// Whether it shows that the machine rejects the tenant and class, not that the machine as a
+    /// whole is at fault.
     rejects_tenant_class: bool,
 }
 
@@ -106,8 +109,9 @@
         settings: &Settings,
     ) -> Self {
         let was_passed_over = state.offer_was_passed_over(end.attempt, settings);
-        // With no shortage named, a rejection is about the tenant or class; an error may be the
-        // task's own fault, and only a task that is never sent again is taken at its word.
+        // A rejection that names no shortage concerns the tenant or class. An error may be the fault
+        // of the task: for a task that is tried elsewhere, the other machines show whose fault it
+        // is. An unsafe task is not sent again, so its error counts at once.
         let rejects_tenant_class = match end.outcome {
             Outcome::TimedOut | Outcome::Stopped => was_passed_over,
             Outcome::Refused => end.reason.is_none(),
@@ -124,7 +128,7 @@
         }
     }
 
-    /// Notes at the machine what the outcome says.
+    /// Updates the state of the machine.
     fn apply(
         &self,
         now: Micros,
@@ -153,7 +157,8 @@
         }
     }
 
-    /// One missing answer may be lost on its way and is a suspicion; a second one in a row is not.
+    /// Records that the machine rejects the tenant and class. A single missing answer may have been
+    /// lost on its way, so it is only a suspicion, which a second one in a row confirms.
     fn record_tenant_class_rejection(&self, now: Micros, state: &mut MachineState) {
         let Some(request) = self.request else {
             return;
@@ -176,8 +181,9 @@
         .map_or(Effect::Unsafe, |class| class.effect)
 }
 
-/// The least load that a rejection speaks against: where the reason names the resource that is
-/// short, requests that are smaller in it may still fit; else none does.
+/// The least load that a rejection rules out. If the reason names the resource that is short,
+/// requests that are smaller in it may still fit, and the other resource is infinite; else no
+/// request fits, and the load is 0.
 fn rejected_load(reason: Option<Reason>, requested: Load) -> Load {
     match reason {
         Some(Reason::NoCores) => Load {
--- a/src/logic/placer/placement.rs
+++ b/src/logic/placer/placement.rs
@@ -1,14 +1,14 @@
-//! What happens to a request that is due: it is offered, queued or given up.
+//! Decides about a request that is due: it is offered to a machine, queued, or given up.
 
-use super::{LAST_CHANCE_US, Placer};
+use super::{NEAR_DEADLINE_US, Placer};
 use crate::api::{Action, Class, Effect, Micros, RequestId, Task};
 use crate::load::Load;
 use crate::logic::machine_view::MachineView;
 use crate::logic::requests::PendingRequest;
 
 impl Placer {
-    /// Places a request that has no attempt in flight. `arriving` is the load that arrives at all
-    /// schedulers.
+    /// Offers, queues or gives up a request, unless it is answered or has an attempt in flight.
+    /// `arriving` is the estimated load that arrives at all schedulers, in tasks of mean size.
     pub(super) fn place(
         &mut self,
         now: Micros,
@@ -28,17 +28,18 @@
         let candidates = self.candidates(now, request, &class);
         if !candidates.is_empty() && time_left > 0 {
             let pool = self.weighted_pool(candidates, request.task.service, arriving);
-            if time_left <= LAST_CHANCE_US || !self.await_fresh_reports(now, &pool, actions) {
+            if time_left <= NEAR_DEADLINE_US || !self.request_fresh_reports(now, &pool, actions) {
                 let machine = self.draw(&pool);
                 return self.send_offer(now, id, machine, actions);
             }
-        } else if self.has_no_further_chance(request, &class, time_left) {
+        } else if self.should_give_up(request, &class, time_left) {
             return self.give_up(id, &class, actions);
         }
         self.queued.push(id);
     }
 
-    /// The class of a task; one that the settings don't name is unsafe and unconstrained.
+    /// The class of a task; a class that the settings lack counts as unsafe, with no spread and no
+    /// machine kind.
     fn class_of(&self, task: &Task) -> Class {
         self.settings
             .classes
@@ -47,8 +48,9 @@
             .unwrap_or_default()
     }
 
-    /// The machines to draw from: those that may legally get the request, are not avoided, and have
-    /// capacity.
+    /// The machines to draw from: those that may legally get the request and have capacity for it,
+    /// that are not backing off, that do not reject its tenant and class, and that reported no error
+    /// for it.
     fn candidates(
         &self,
         now: Micros,
@@ -69,22 +71,18 @@
         self.views.iter().filter(is_candidate).collect()
     }
 
-    /// Whether a machine rejects the tenant and class of the request.
+    /// Whether the machine rejects the tenant and class of the request at present.
     fn is_rejected_by(&self, now: Micros, request: &PendingRequest, view: &MachineView) -> bool {
         view.is_rejecting
             && self.machines[&view.machine.id].is_rejecting(now, request.tenant_class())
     }
 
-    /// Whether a request that finds no machine now can't be offered later either.
-    fn has_no_further_chance(
-        &self,
-        request: &PendingRequest,
-        class: &Class,
-        time_left: Micros,
-    ) -> bool {
+    /// Whether a request that has no candidate now is given up instead of queued: it has spent its
+    /// attempts, it may have run and is not safe to repeat, or its deadline is near.
+    fn should_give_up(&self, request: &PendingRequest, class: &Class, time_left: Micros) -> bool {
         let may_have_run = request.first_may_have_run().is_some();
         self.has_spent_attempts(request)
             || may_have_run && class.effect != Effect::Safe
-            || time_left <= LAST_CHANCE_US
+            || time_left <= NEAR_DEADLINE_US
     }
 }
--- a/src/logic/placer/pool.rs
+++ b/src/logic/placer/pool.rs
@@ -1,5 +1,5 @@
-//! Where a task goes among its candidates: the pool of its service, the heights of its columns, and
-//! the draw.
+//! Chooses a machine for a task among its candidates: the pool of its service, the heights of the
+//! columns for the water filling, and the draw.
 
 use std::cmp::Reverse;
 
@@ -9,34 +9,36 @@
 use crate::logic::water_filling::water_filling_probabilities;
 use crate::names::mix64;
 
-/// Machines in the pool of a service: enough to find a low one, few enough to share its program.
+/// Maximum number of machines in the pool of a service: enough to include a lightly loaded one, few
+/// enough for its tasks to share the program that is on the machine.
 const POOL_SIZE: usize = 4;
-/// By how much a column is lower for a service's home or a machine that runs it, as a fraction of a
-/// mean machine.
+/// By how much the column of a service's home (the first machine of its pool) or of a machine that
+/// runs the service is lowered, as a fraction of a mean machine's capacity.
 const AFFINITY: f64 = 0.25;
-/// By how much the column of a service's second home is lower, as a fraction of a mean machine.
+/// By how much the column of a service's second home (the second machine of its pool) is lowered, as
+/// a fraction of a mean machine's capacity.
 const SECOND_HOME_AFFINITY: f64 = AFFINITY / 2.0;
-/// Rise of a column for each own task that has not started, as a fraction of a mean machine: a few
-/// outweigh the affinity.
+/// By how much each own task that has not started raises a column, as a fraction of a mean machine's
+/// capacity: a few such tasks outweigh the affinity.
 const STARTING_TASK_RISE: f64 = 0.1;
-/// Fraction of its capacity up to which a machine of the smallest sufficient set is meant to be
-/// filled.
+/// Fraction of its capacity to which a machine counts when the smallest sufficient set of machines
+/// is computed.
 const PACKING_FRACTION: f64 = 0.6;
 
-/// A machine of a pool, and how likely it is to be drawn.
+/// A machine of a pool, and its weight in the draw.
 pub(super) struct PoolMember {
     pub machine: MachineId,
-    /// Its probability times its capacity; the weights of a pool need not sum to 1.
+    /// Its water filling probability times its capacity; the weights of a pool need not sum to 1.
     pub weight: f64,
 }
 
-/// Sums and means over the machines that are ready.
+/// Totals and means over the machines that are ready.
 struct FleetSummary {
-    /// Capacity of all, in tasks of mean size.
+    /// Total capacity, in tasks of mean size.
     capacity: f64,
-    /// Capacity of a mean machine, in tasks of mean size.
+    /// Mean capacity of a machine, in tasks of mean size.
     mean_capacity: f64,
-    /// Mean utilization of the machines that are observed.
+    /// Mean utilization of the machines whose load is known.
     mean_utilization: f64,
 }
 
@@ -54,8 +56,8 @@
         }
     }
 
-    /// The utilization that a machine is taken to have: one that may look emptier than it is counts
-    /// as no emptier than the mean.
+    /// The utilization assumed for a machine: at least the mean for one that may look emptier than
+    /// it is.
     fn utilization(&self, view: &MachineView) -> f64 {
         let floor = if view.is_doubtful {
             self.mean_utilization
@@ -73,8 +75,8 @@
 }
 
 impl Placer {
-    /// The pool of a service within the candidates, with the weights of its water filling.
-    /// `arriving` is the load that arrives at all schedulers.
+    /// Chooses the pool of a service from the candidates, and computes the weights by water filling.
+    /// `arriving` is the estimated load that arrives at all schedulers, in tasks of mean size.
     pub(super) fn weighted_pool(
         &self,
         candidates: Vec<&MachineView>,
@@ -86,7 +88,7 @@
         if self.settings.prices.fleet.is_some_and(|price| price > 0.0) {
             self.retain_smallest_sufficient_set(&mut pool, &fleet, arriving);
         }
-        retain_homes(&mut pool, service);
+        retain_pool(&mut pool, service);
         let pool_capacity = pool.iter().map(|view| view.capacity_in_tasks).sum::<f64>();
         let arriving_at_pool = arriving * pool_capacity / fleet.capacity.max(1.0);
         let columns: Vec<f64> = pool
@@ -114,8 +116,9 @@
         drawn.unwrap_or(&pool[pool.len() - 1]).machine
     }
 
-    /// Keeps the candidates within the smallest set of machines that holds the load of the fleet,
-    /// in the order that all schedulers share; all of them if none is in it.
+    /// Keeps the candidates that belong to the smallest sufficient set: the first machines of the
+    /// ranking whose capacity, times [`PACKING_FRACTION`], holds the load of the fleet. Keeps all if
+    /// none belongs to it.
     fn retain_smallest_sufficient_set(
         &self,
         candidates: &mut Vec<&MachineView>,
@@ -142,8 +145,8 @@
         }
     }
 
-    /// The height of a machine's column, in tasks of mean size. `home_rank` is its position in the
-    /// pool.
+    /// The height of a machine's column, in tasks of mean size. `home_rank` is the position of the
+    /// machine in the pool, from 0.
     fn column_height(
         &self,
         view: &MachineView,
@@ -168,9 +171,10 @@
     }
 }
 
-/// Keeps the first machines of an order that a hash of service and machine gives alike to all
-/// schedulers: without any message, tasks gather where their program is.
-fn retain_homes(candidates: &mut Vec<&MachineView>, service: ServiceId) {
+/// Keeps the first [`POOL_SIZE`] machines in the order of a hash of service and machine. The order
+/// is the same at all schedulers, so that the tasks of a service gather on machines that have its
+/// program, without messages between schedulers.
+fn retain_pool(candidates: &mut Vec<&MachineView>, service: ServiceId) {
     let service_hash = mix64(service.0);
     let order = |view: &&MachineView| Reverse(mix64(view.machine.id.0 ^ service_hash));
     if candidates.len() > POOL_SIZE {
--- a/src/logic/placer/random.rs
+++ b/src/logic/placer/random.rs
@@ -1,4 +1,4 @@
-//! The random numbers of all draws, from one seed.
+//! Random numbers for all draws, from one seed.
 
 use rand_core::Rng;
 use rand_pcg::Pcg32;
@@ -9,14 +9,14 @@
 }
 
 impl RandomSource {
-    /// A generator with this seed.
+    /// Creates a generator with this seed.
     pub fn new(seed: u64) -> Self {
         Self {
             generator: Pcg32::new(seed, 0),
         }
     }
 
-    /// The next number, uniform in 0.0 up to, not including, 1.0.
+    /// The next number, uniformly distributed from 0.0 up to but not including 1.0.
     pub fn uniform(&mut self) -> f64 {
         f64::from(self.generator.next_u32()) / (f64::from(u32::MAX) + 1.0)
     }
--- a/src/logic/placer/reports.rs
+++ b/src/logic/placer/reports.rs
@@ -1,16 +1,18 @@
-//! Load reports, signals of running tasks and ends of health checks: what they teach of a machine.
+//! Applies load reports, signals of running tasks and results of health checks to the state of the
+//! machines.
 
 use super::Placer;
 use crate::api::{AttemptId, MachineId, Micros, Note, ReportField};
 use crate::load::Load;
 use crate::logic::machine_state::DatedLoad;
 
-/// Weight of one signal in the learned ratio of use to request: the mean of about fifty signals.
+/// Weight of one signal in the learned ratio of use to request, which is so a mean over about fifty
+/// signals.
 const USE_RATIO_GAIN: f64 = 0.02;
 
 impl Placer {
-    /// Takes in a load report, whose values come in the order of the settings. A report that lacks
-    /// cores or memory is left out.
+    /// Applies a load report, whose values are in the order of `report_fields` in the settings. A
+    /// report that lacks a finite value for cores or memory is ignored.
     pub(super) fn apply_load_report(&mut self, now: Micros, machine: MachineId, report: &[f64]) {
         let value_of = |field: ReportField| {
             let position = self
@@ -30,7 +32,8 @@
         }
     }
 
-    /// Takes in what a machine says of an own task.
+    /// Applies a signal that a machine sent about an own task. The share of service that a task gets
+    /// ([`Note::Served`]) is not used.
     pub(super) fn apply_task_signal(&mut self, now: Micros, id: AttemptId, signal: Note) {
         let Some(attempt) = self.active_attempts.get(&id) else {
             return;
@@ -61,8 +64,8 @@
         }
     }
 
-    /// A health check came back after `answer_time` microseconds, or failed (`None`). All queued
-    /// requests are due, whatever they wait for.
+    /// Records the result of a health check: answered after `answer_time` microseconds, or failed
+    /// (`None`). All queued requests become due, whatever they wait for.
     pub(super) fn health_check_ended(
         &mut self,
         now: Micros,
@@ -81,7 +84,7 @@
     }
 }
 
-/// Moves a ratio of use to request a little towards that of one task.
+/// Moves a ratio of use to request towards that of one task, by [`USE_RATIO_GAIN`] of the difference.
 fn learn_use_ratio(ratio: &mut f64, used: f64, requested: f64) {
     let is_valid = used.is_finite() && requested > 0.0;
     *ratio += if is_valid {
--- a/src/logic/placer/silence.rs
+++ b/src/logic/placer/silence.rs
@@ -1,5 +1,6 @@
-//! Machines that give no answer: a health check first, then the offers that wait there are stopped.
-//! It sends no task elsewhere; the outcome of a stopped attempt makes its request due.
+//! Handles machines that give no answer: sends them a health check first, then stops the offers that
+//! wait there. No task is sent elsewhere here; the outcome of a stopped attempt makes its request
+//! due.
 
 use std::collections::BTreeMap;
 
@@ -7,22 +8,23 @@
 use crate::api::{Action, AttemptId, MachineId, Micros};
 use crate::logic::requests::{Attempt, AttemptState};
 
-/// Multiple of the slowest remembered answer after which a machine counts as silent.
+/// Multiple of the slowest recent answer time after which a machine counts as silent.
 const SLOWEST_ANSWER_FACTOR: u64 = 2;
-/// Multiple of the latency objective, at most, after which a machine counts as silent where it gets
-/// health checks.
+/// Upper bound of the silence limit, as a multiple of the latency objective, where health checks are
+/// allowed.
 const CHECKED_OBJECTIVE_FACTOR: u64 = 2;
-/// Multiple of the latency objective, at least, after which a machine counts as silent where it
-/// gets no health checks: a connection is made by then.
+/// Lower bound of the silence limit, as a multiple of the latency objective, where health checks are
+/// not allowed: a connection is made by then.
 const UNCHECKED_OBJECTIVE_FACTOR: u64 = 4;
-/// Part of the silence limit after which a machine gets a health check, and then another: limit /
-/// 4.
+/// A silent machine gets a health check after the silence limit divided by this, and another one
+/// after each further such period.
 const HEALTH_CHECK_DIVISOR: u64 = 4;
-/// Part of the silence limit after which an offer that was passed over is stopped: limit / 2.
+/// An offer that was passed over is stopped after the silence limit divided by this.
 const PASSED_OVER_DIVISOR: u64 = 2;
 
 impl Placer {
-    /// Sends health checks to silent machines, then stops the attempts that wait too long.
+    /// Sends health checks to silent machines, then stops the attempts that have waited too long, as
+    /// far as the rules allow either.
     pub(super) fn stop_silent_attempts(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let classes = &self.settings.classes;
         let shortest_objective = classes.iter().map(|class| class.aim_us).min().unwrap_or(0);
@@ -44,8 +46,8 @@
         }
     }
 
-    /// After how many microseconds without an answer a machine counts as silent for a task with
-    /// this latency objective.
+    /// The silence limit: after how many microseconds without an answer a machine counts as silent
+    /// for a task with this latency objective, in microseconds too.
     fn silence_limit(&self, latency_objective: Micros) -> Micros {
         let by_answers = SLOWEST_ANSWER_FACTOR * self.answer_times.slowest();
         let objective = latency_objective.max(POLL_INTERVAL_US);
@@ -56,11 +58,11 @@
         }
     }
 
-    /// The machines where offers wait, and since when each has given no answer.
+    /// The machines with unanswered offers, and since when each has given no answer.
     fn machines_silent_since(&self) -> BTreeMap<MachineId, Micros> {
         self.machines
             .values()
-            .filter_map(|state| Some((state.machine.id, state.silent_since(self.awake_since)?)))
+            .filter_map(|state| Some((state.machine.id, state.silent_since(self.running_since)?)))
             .collect()
     }
 
@@ -86,8 +88,8 @@
         }
     }
 
-    /// Stops the attempts on machines that were silent for the limit of the task's class, and those
-    /// that were passed over.
+    /// Stops the attempts on machines that have been silent for longer than the limit of the task's
+    /// class, and attempts that were passed over.
     fn stop_attempts(
         &mut self,
         now: Micros,
@@ -96,16 +98,16 @@
         actions: &mut Vec<Action>,
     ) {
         let (machines, settings) = (&self.machines, &self.settings);
-        let awake_since = self.awake_since;
+        let running_since = self.running_since;
         let is_overdue = |attempt: &Attempt, limit: Micros| {
-            let waited_from = attempt.sent_at.max(awake_since);
-            let is_early = waited_from + limit / PASSED_OVER_DIVISOR >= now;
+            let waited_from = attempt.sent_at.max(running_since);
+            let has_waited_briefly = waited_from + limit / PASSED_OVER_DIVISOR >= now;
             let machine_is_silent = silent_since
                 .get(&attempt.machine)
                 .is_some_and(|since| since + limit < now);
             let machine = machines.get(&attempt.machine);
             machine_is_silent
-                || !is_early
+                || !has_waited_briefly
                     && machine.is_some_and(|state| state.was_passed_over(attempt.sent_at, settings))
         };
         let mut stopped: u32 = 0;
--- a/src/logic/requests.rs
+++ b/src/logic/requests.rs
@@ -1,23 +1,23 @@
-//! Requests without a final answer, their attempts, and which final answer is legal. It places no
-//! task.
+//! Requests without a final answer, their attempts, and which final answer is legal. Nothing is
+//! placed here.
 //!
-//! No field holds the state of a request; it follows from where its id and its attempts stand in
-//! the [`Placer`](super::Placer):
+//! No field holds the state of a request; it follows from which collections of the
+//! [`Placer`](super::Placer) hold its id, and from the states of its attempts:
 //!
-//! | state | what shows it | moved there by |
+//! | state | condition | entered by |
 //! | --- | --- | --- |
 //! | due | id in `Placer::due` | `add_request`, `restrict_request`, `attempt_ended`, `expire_request`; from queued: `poll`, `health_check_ended` |
 //! | queued | id in `Placer::queued` | `place`, where no machine may take it or reports are awaited |
 //! | in flight | [`PendingRequest::is_in_flight`] | `place`, by `send_offer` |
 //! | answered | not in `Placer::requests` any more | `give_up`, `attempt_placed`, `withdraw_request`, and `attempt_ended` where the request is closed |
 //!
-//! An id may stand in `due` or `queued` though its request is in flight or answered, and in both at
-//! once: `place` ignores what is not to be placed.
+//! An id may be in `due` or `queued` although its request is in flight or answered, and in both at
+//! once: `place` ignores ids of requests that are in flight or answered.
 
 use crate::api::{AttemptId, Class, Effect, Group, MachineId, Micros, ServiceId, Task};
 use crate::load::Load;
 
-/// An own attempt that has not ended, as far as is known: offered, starting or running.
+/// An attempt of this scheduler that is not known to have ended: offered, starting or running.
 #[derive(Clone, Copy)]
 pub struct ActiveAttempt {
     pub machine: MachineId,
@@ -26,12 +26,12 @@
     pub load: Load,
 }
 
-/// How far an attempt of an unanswered request has come.
+/// The progress of an attempt of an unanswered request.
 #[derive(Clone, Copy, PartialEq)]
 pub enum AttemptState {
     /// Offered, without an outcome.
     InFlight,
-    /// In flight, and asked to stop.
+    /// In flight, and told to stop by [`Action::Stop`](crate::api::Action::Stop).
     Stopping,
     /// Ended; its outcome proves that the task never started.
     NeverRan,
@@ -42,9 +42,10 @@
 /// One attempt of an unanswered request.
 pub struct Attempt {
     pub machine: MachineId,
+    /// When the offer was returned, on the caller's clock.
     pub sent_at: Micros,
     pub state: AttemptState,
-    /// The machine reported an error for it.
+    /// Whether it ended with an error that the machine reported.
     pub reported_error: bool,
 }
 
@@ -56,7 +57,7 @@
 }
 
 impl TenantClass {
-    /// That of a task.
+    /// The tenant and class of `task`.
     pub fn of(task: &Task) -> Self {
         Self {
             tenant: task.tenant,
@@ -68,14 +69,16 @@
 /// A request that has no final answer yet.
 pub struct PendingRequest {
     pub task: Task,
+    /// When its client stops waiting, on the caller's clock.
     pub deadline: Micros,
+    /// All attempts so far, by attempt number.
     pub attempts: Vec<Attempt>,
-    /// The only machines that may take it, sorted; `None` for no constraint.
+    /// The only machines that may take it, sorted by id; `None` for no constraint.
     pub eligible: Option<Vec<MachineId>>,
 }
 
 impl PendingRequest {
-    /// A request without attempts or constraints.
+    /// Creates a request without attempts or constraint.
     pub fn new(task: Task, deadline: Micros) -> Self {
         Self {
             task,
@@ -97,7 +100,7 @@
         TenantClass::of(&self.task)
     }
 
-    /// The machines that reported an error for it.
+    /// The machines that reported an error for one of its attempts.
     pub fn machines_with_errors(&self) -> impl Iterator<Item = MachineId> {
         self.attempts
             .iter()
@@ -105,15 +108,15 @@
             .map(|attempt| attempt.machine)
     }
 
-    /// The first attempt that is not proven never to have run: also one that is in flight or was
-    /// asked to stop.
+    /// The first attempt that may have run: the first one without proof that its task never started.
+    /// An attempt in flight counts, also one that was told to stop.
     pub fn first_may_have_run(&self) -> Option<&Attempt> {
         self.attempts
             .iter()
             .find(|attempt| attempt.state != AttemptState::NeverRan)
     }
 
-    /// The attempts that are in flight and were not asked to stop.
+    /// The attempts that are in flight and were not told to stop.
     pub fn unstopped_attempts(&self) -> impl Iterator<Item = AttemptId> {
         self.attempts
             .iter()
@@ -126,7 +129,8 @@
     }
 }
 
-/// Whether the request may be refused, which promises that another submission does no harm.
+/// Whether the request may be refused. A refusal promises that submitting the task again does no
+/// harm.
 pub fn may_refuse(request: &PendingRequest, class: &Class) -> bool {
     match class.effect {
         Effect::Safe => true,
--- a/src/logic/slow_start.rs
+++ b/src/logic/slow_start.rs
@@ -1,46 +1,48 @@
 //! Slow start: how many offers this scheduler may send to a machine that is warming up, so that the
-//! sum over all schedulers stays within what the machine bears (rule 4).
+//! sum over all schedulers stays within what the machine survives (rule 4).
 //!
-//! A machine that is warming up bears N offers in a window W from all M schedulers, and by chance 2
-//! sqrt(N) + 2 more. Each scheduler sends floor(N / M) offers in any window. What that leaves, r,
-//! goes round in turns: one turn begins each W / r, belongs to one scheduler, and may be used for V
-//! = W min(1, 2 sqrt(N) / r). A window meets at most r (1 + V / W) + 1 turns, so the sum stays
-//! within N + 2 sqrt(N) + 1, however busy the schedulers are or however they coincide.
+//! A machine that is warming up survives N offers in a window W from all M schedulers, plus a chance
+//! excess of 2 sqrt(N) + 2. Each scheduler may send floor(N / M) offers in any window. The
+//! remainder r = N - M floor(N / M) is handed out in turns. A turn allows one scheduler one offer:
+//! the schedulers have it in rotation, a new turn begins every W / r, and it may be used for
+//! V = W min(1, 2 sqrt(N) / r). A window overlaps at most r (1 + V / W) + 1 turns, so the sum stays
+//! within N + 2 sqrt(N) + 1, however busy the schedulers are and however their offers coincide.
 //! `docs/design.md` has the derivation.
 
 use super::machine_state::MachineState;
 use crate::api::{Micros, Settings};
 use crate::names::mix64;
 
-/// Microseconds by which two offers may come nearer to each other on their way: as late as a poll
-/// may be.
+/// Microseconds by which the delivery may shorten the time between two offers: as late as a poll may
+/// be. The window is longer by this much.
 const DELIVERY_JITTER_US: Micros = 100_000;
 
-/// Most offers in a window that are reckoned with: beyond any machine, and exact in a float.
+/// Upper bound of the offers in a window from the settings: more than any machine survives, and
+/// still exact as a float.
 const MAX_OFFERS: f64 = 1e9;
 
-/// This scheduler among all.
+/// Which of the schedulers this one is, and since when.
 #[derive(Clone, Copy)]
 pub struct SchedulerIdentity {
-    /// Its number; a random one where the settings have none.
+    /// Its position among the schedulers, from 0; a random number where the settings have none.
     pub number: u64,
-    /// When it started.
+    /// When this process started, on the caller's clock.
     pub started_at: Micros,
 }
 
 /// What one scheduler may send to one machine that is warming up.
 struct SlowStartBudget {
-    /// Offers in a window that the machine bears from all schedulers, N.
+    /// Offers in a window that the machine survives from all schedulers, N.
     offers: f64,
-    /// The window W in microseconds.
+    /// The window W in microseconds, lengthened by [`DELIVERY_JITTER_US`].
     window: Micros,
     /// How many schedulers there are, M.
     schedulers: u64,
     /// Offers in any window that each scheduler may send, floor(N / M).
-    steady: f64,
-    /// Offers in a window that are left over for turns, r.
+    equal_share: f64,
+    /// Offers in a window, by all schedulers, that are handed out in turns, r.
     remainder: f64,
-    /// When the machine started.
+    /// When the machine started, on the caller's clock.
     machine_started_at: Micros,
 }
 
@@ -56,38 +58,40 @@
         }
         let offers = offers.clamp(0.0, MAX_OFFERS);
         let schedulers = u64::from(settings.schedulers.max(1));
-        let steady = (offers / schedulers as f64).floor();
-        // Without numbers, turns fall by chance: m turns in the mean with m + 3 sqrt(m) = N, which
-        // keeps three standard deviations in hand.
+        let equal_share = (offers / schedulers as f64).floor();
+        // Schedulers without a position take random numbers, so several may share a turn. The
+        // expected number of turns m satisfies m + 3 sqrt(m) = N, a margin of three standard
+        // deviations.
         let root = ((9.0 + 4.0 * offers).sqrt() - 3.0) / 2.0;
-        let by_chance = if steady > 0.0 { 0.0 } else { root * root };
+        let random_turns = if equal_share > 0.0 { 0.0 } else { root * root };
         let remainder = settings
             .position
-            .map_or(by_chance, |_| offers - steady * schedulers as f64);
+            .map_or(random_turns, |_| offers - equal_share * schedulers as f64);
         Some(Self {
             offers,
             window: window.saturating_add(DELIVERY_JITTER_US),
             schedulers,
-            steady,
+            equal_share,
             remainder,
             machine_started_at,
         })
     }
 
-    /// Whether the machine started after this scheduler, so that no previous process of it spent any
-    /// budget.
+    /// Whether the machine started after this scheduler did, so that no previous process of this
+    /// scheduler can have spent any of the budget.
     fn is_unspent_by_previous_process(&self, scheduler: SchedulerIdentity) -> bool {
         self.machine_started_at >= scheduler.started_at
     }
 
-    /// Offers of the last window, with those that a previous process of this scheduler may have sent.
+    /// The number of offers sent in the last window, including those that a previous process of this
+    /// scheduler may have sent.
     fn spent(&self, state: &MachineState, now: Micros, scheduler: SchedulerIdentity) -> f64 {
         let by_previous_process = if self.is_unspent_by_previous_process(scheduler)
             || now >= scheduler.started_at.saturating_add(self.window)
         {
             0.0
         } else {
-            self.steady
+            self.equal_share
         };
         by_previous_process
             + state
@@ -97,8 +101,8 @@
                 .count() as f64
     }
 
-    /// Whether the latest turn of this scheduler may still be used. A turn that began before the
-    /// scheduler started may have been used by its previous process.
+    /// Whether the latest turn of this scheduler may still be used. A turn that began before this
+    /// process started may have been used by a previous process, and is not used again.
     fn has_open_turn(
         &self,
         state: &MachineState,
@@ -124,7 +128,8 @@
 }
 
 impl MachineState {
-    /// Whether the slow start budget has room for one more offer now. It spends nothing.
+    /// Whether the slow start budget has room for one more offer now; true where no budget applies.
+    /// This spends nothing.
     pub fn has_slow_start_budget(
         &self,
         now: Micros,
@@ -135,9 +140,9 @@
             return true;
         };
         let spent = budget.spent(self, now, scheduler);
-        spent < budget.steady
+        spent < budget.equal_share
             || budget.remainder > 0.0
-                && spent < budget.steady + 1.0
+                && spent < budget.equal_share + 1.0
                 && budget.has_open_turn(self, now, scheduler)
     }
 }
--- a/src/logic/water_filling.rs
+++ b/src/logic/water_filling.rs
@@ -1,8 +1,8 @@
-//! Water filling as in the paper ("Distributed Dispatching in the Parallel Server Model"): from the
-//! heights of columns to probabilities. It works on bare numbers, in any unit that the heights and
-//! `a` share.
+//! Water filling as in the paper "Distributed Dispatching in the Parallel Server Model": computes
+//! probabilities from the heights of columns, one column for each machine, and from the amount `a`
+//! that arrives. The heights and `a` may be in any unit that they share.
 
-/// The level to which `a` units of water rise over the columns (Algorithm 1 of the paper).
+/// The level that `a` units of water reach when poured over the columns (Algorithm 1 of the paper).
 pub fn water_level(columns: &[f64], a: f64) -> f64 {
     let mut sorted = columns.to_vec();
     sorted.sort_by(f64::total_cmp);
@@ -19,8 +19,9 @@
     level + remaining / sorted.len().max(1) as f64
 }
 
-/// The probability of each column where `a` units arrive (eq. 14), rescaled to sum to 1. For an `a`
-/// of 1 or less the lowest columns have equal probabilities and the others none.
+/// The probability of each column when `a` units arrive (equation 14 of the paper), scaled to a sum
+/// of 1. Where `a` is at most 1 or not a number, the lowest columns have equal probabilities and the
+/// others have none.
 pub fn water_filling_probabilities(columns: &[f64], a: f64) -> Vec<f64> {
     let level = water_level(columns, a);
     let depths: Vec<f64> = columns
