--- a/src/api/actions.rs
+++ b/src/api/actions.rs
@@ -1,58 +1,65 @@
-//! Actions: what a placer tells the caller to do.
+//! Actions: what the decision module asks its caller to do.
 //!
-//! Today's algorithm never returns [`Action::Move`], [`Action::CloseIdle`], [`Action::Tell`],
+//! The current algorithm never returns [`Action::Move`], [`Action::CloseIdle`], [`Action::Tell`],
 //! [`Action::Fetch`] or `Action::Watch(false)`, and a refusal's `stay_away_us` is always `None`.
-//! They are part of the interface that callers carry out.
+//! They are part of the interface for algorithms that need them.
 
 use super::ids::{AttemptId, MachineId, Micros, RequestId};
 
-/// Something to do, in order.
+/// An action for the caller. Actions are to be carried out in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Offer a task to a machine.
+    /// Offer the task of a request to a machine, as the next attempt of the request; the first
+    /// attempt is number 0.
     Offer {
-        /// The request.
+        /// The request whose task is offered.
         request: RequestId,
-        /// The machine.
+        /// The machine that gets the offer.
         machine: MachineId,
-        /// Time-out in microseconds; `None` waits until the client gives up.
+        /// Time-out of the attempt, in microseconds from now; `None` waits until the client gives
+        /// up.
         within_us: Option<Micros>,
     },
-    /// Stop waiting for an attempt.
+    /// Stop an attempt that is in flight. Its end is reported by
+    /// [`Event::Ended`](super::Event::Ended).
     Stop(AttemptId),
-    /// Final answer: refused, with the promise that another submission does no harm.
+    /// Answer the request finally: refused, with the promise that another submission of the task
+    /// does no harm.
     Refuse {
-        /// The request.
+        /// The request that is refused.
         request: RequestId,
-        /// How long the client should wait before it submits again.
+        /// How long the client should wait before it submits the task again, in microseconds;
+        /// `None` states no time.
         stay_away_us: Option<Micros>,
     },
-    /// Final answer: failed; the task may have run.
+    /// Answer the request finally: failed; the task may have run.
     Fail(RequestId),
-    /// Stop a placed task, so that its client submits it again. Never returned today.
+    /// Stop a placed task, so that its client submits it again. Not returned by the current
+    /// algorithm.
     Move(RequestId),
-    /// Send a health check to a machine, whose answer holds its load report.
+    /// Send a health check to a machine, whose answer contains its load report where machines
+    /// report their load.
     Probe(MachineId),
-    /// Close idle connections to a machine. Never returned today.
+    /// Close idle connections to a machine. Not returned by the current algorithm.
     CloseIdle(MachineId),
-    /// Send a message to one scheduler, or to all. Never returned today.
+    /// Send a message to one other scheduler, or to all. Not returned by the current algorithm.
     Tell {
-        /// The number of the receiver; `None` for all.
+        /// The position of the receiver, from 0; `None` for all.
         to: Option<u32>,
-        /// The message.
+        /// The content of the message, in a format of the decision module.
         body: Vec<u8>,
     },
-    /// Watch the machine list, or stop; only `true` is returned today.
+    /// Start to watch the machine list (`true`), or stop; the current algorithm returns only `true`.
     Watch(bool),
-    /// Request a snapshot of the machine list. Never returned today.
+    /// Request a snapshot of the machine list. Not returned by the current algorithm.
     Fetch,
     /// Set a timer.
     Timer {
-        /// Comes back in [`Event::Woken`](super::Event::Woken).
+        /// The value that [`Event::Woken`](super::Event::Woken) has when the timer is due.
         token: u64,
-        /// When it is due, from now.
+        /// Time until the timer is due, in microseconds from now.
         after_us: Micros,
     },
-    /// A log line for the staff.
+    /// Write a log line for operators.
     Log(String),
 }
--- a/src/api/beliefs.rs
+++ b/src/api/beliefs.rs
@@ -1,44 +1,50 @@
-//! What a scheduler has learned, as it is saved for its next process.
+//! What a scheduler has learned, in the form in which it is saved for its next process.
 
 use super::ids::{MachineId, Micros};
 
-/// What a scheduler has learned of one machine. Times are in microseconds before the moment of
-/// saving, or after it where they end something. The order and the serialized names of the fields
-/// are the stored form.
+/// What a scheduler has learned about one machine. Times are in microseconds: for past events the
+/// time from then until the moment of saving, for restrictions the time that remains. The order and
+/// the serialized names of the fields are part of the stored format.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Belief {
-    /// Which machine.
+    /// The machine that this is about.
     pub machine: MachineId,
-    /// When it last learned what all tasks there request, and the cores and memory of that.
+    /// How long ago the scheduler last learned what all tasks there request, and the cores and
+    /// memory that they request; `None` if it never did.
     pub asked: Option<(Micros, f64, f64)>,
-    /// When a report last said what all tasks there use, and the cores and memory of that.
+    /// How long ago a report last stated what all tasks there use, and the cores and memory that
+    /// they use; `None` if none did.
     pub used: Option<(Micros, f64, f64)>,
-    /// When the machine last rejected a task for lack of capacity, and the least cores and memory
-    /// that this speaks against; infinite for a resource that was not short.
+    /// How long ago the machine last rejected a task for lack of capacity, and the least cores and
+    /// memory that the rejection rules out: infinite for a resource that was not short, 0 for both
+    /// if the machine named neither. `None` without a rejection that is still valid.
     pub refused: Option<(Micros, f64, f64)>,
-    /// Tenants and classes whose tasks it rejects, and for how long they still avoid it.
+    /// Numbers of the tenants and classes whose tasks it rejects, and for how much longer such tasks
+    /// are not offered to it.
     #[serde(rename = "shut")]
     pub rejecting: Vec<(u16, u16, Micros)>,
-    /// Failures without an answer; each answer halves the count.
+    /// Count of failures, each of which doubles the backoff; an answer to an offer halves it.
     #[serde(rename = "strikes")]
     pub consecutive_failures: u32,
-    /// For how long it still gets no offers after these failures.
+    /// For how much longer it gets no offers because of these failures.
     #[serde(rename = "barred_us")]
     pub backoff_us: Micros,
-    /// When own offers were sent there while it was warming up.
+    /// How long ago each own offer was sent to it while it was warming up, the oldest first.
     #[serde(rename = "cold_offers")]
     pub slow_start_offers: Vec<Micros>,
 }
 
-/// What a scheduler has learned, for the process that takes its place after a restart.
+/// What a scheduler has learned, for its process after a restart.
 #[derive(Clone, Debug, Default, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Beliefs {
-    /// By machine; one of which nothing is known is left out.
+    /// What is known about each machine, in the order of their ids; machines about which nothing is
+    /// known are left out.
     pub machines: Vec<Belief>,
-    /// Remembered times from an offer to its acceptance, the oldest first.
+    /// Times from recent offers to their acceptance, in microseconds, the oldest first.
     pub answers: Vec<Micros>,
-    /// When own tasks arrived, and their sizes in tasks of mean size, the oldest first.
+    /// How many microseconds before the moment of saving each recent task arrived at this scheduler,
+    /// and its size in tasks of mean size; the oldest first.
     pub arrivals: Vec<(Micros, f64)>,
-    /// The learned ratio of use to request, of cores and memory.
+    /// The learned ratios of use to request, of cores and of memory; `None` if none is known.
     pub ratio: Option<(f64, f64)>,
 }
--- a/src/api/events.rs
+++ b/src/api/events.rs
@@ -1,4 +1,4 @@
-//! Events: what the caller tells a placer.
+//! Events: what the caller reports to the decision module.
 
 use super::beliefs::Beliefs;
 use super::ids::{AttemptId, MachineId, Micros, RequestId};
@@ -7,83 +7,83 @@
 use super::settings::Settings;
 use super::tasks::Task;
 
-/// Something that happened, in order.
+/// Something that happened. Events are applied in the order in which they are given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The settings changed while the scheduler runs. Classes, kinds and tenants keep their
-    /// numbers: what was removed stays as it was, what is new comes after it. All that was learned
-    /// stays.
+    /// The settings changed while the scheduler runs. Classes, kinds and tenants keep their numbers:
+    /// removed ones keep their entry, and new ones are appended. Everything learned is kept.
     SettingsChanged(Box<Settings>),
-    /// What a previous process of this scheduler had learned, as long ago as its times say. What is
-    /// about machines that no list has named yet is ignored.
+    /// What a previous process of this scheduler had learned. Its times count back from now. Beliefs
+    /// about machines that no list has named yet are ignored.
     BeliefsRestored(Beliefs),
     /// The machine list changed, or the watch on it failed.
     Listed(Listing),
-    /// A task needs a place, and its client one final answer.
+    /// A client requests a place for a task, and expects one final answer.
     Arrived {
-        /// The task.
+        /// The task to place.
         task: Task,
-        /// Time until its client gives up.
+        /// Time until the client stops waiting, in microseconds from now.
         grace_us: Micros,
     },
-    /// From now on only these machines may take a request. It comes again whenever they change; a
-    /// request for which it never comes may go anywhere.
+    /// From now on only these machines may take a request. The event is repeated whenever they
+    /// change; a request without such an event may go to any machine.
     EligibilityChanged {
-        /// The request.
+        /// The request that is restricted.
         request: RequestId,
-        /// The machines, in the order of their ids.
+        /// The eligible machines, sorted by id; none may take the request if it is empty.
         machines: Vec<MachineId>,
     },
-    /// A running task becomes one of this scheduler, as attempt 0 of its request.
+    /// A running task becomes one of this scheduler, as attempt 0 of its request. The request needs
+    /// no answer.
     Adopted {
-        /// The task.
+        /// The running task.
         task: Task,
         /// The machine that runs it.
         machine: MachineId,
     },
-    /// A machine accepted a task.
+    /// A machine accepted a task, which is the final answer to its request.
     Placed {
-        /// The attempt that placed it.
+        /// The attempt that was accepted.
         attempt: AttemptId,
-        /// Its machine.
+        /// The machine that accepted it.
         machine: MachineId,
-        /// Time since it was sent.
+        /// Time from the offer until the acceptance arrived, in microseconds.
         took_us: Micros,
     },
-    /// A machine says something of a task that it runs.
+    /// A machine sent a signal about a task that it runs.
     TaskSignal {
-        /// The attempt.
+        /// The attempt that placed the task.
         attempt: AttemptId,
-        /// Its machine.
+        /// The machine that runs it.
         machine: MachineId,
-        /// What it says.
+        /// The content of the signal.
         note: Note,
     },
-    /// An attempt ended; this comes exactly once for each.
+    /// An attempt ended; this event occurs exactly once for each attempt.
     Ended(Ended),
-    /// The client wants the task no more.
+    /// The client withdrew the request: it no longer needs the task or an answer.
     Withdrawn(RequestId),
-    /// The client disconnected or will send nothing more: no attempt begins from now on. One in
-    /// flight may still place the task; without one the final answer comes at once.
+    /// The client disconnected or will send nothing more: no attempt of the request begins from now
+    /// on. One in flight may still place the task; without one the final answer is given at once.
     NoFurtherAttempts(RequestId),
-    /// The timer with this token came due.
+    /// The timer that was set with this token is due.
     Woken(u64),
-    /// A health check came back.
+    /// A health check was answered, or failed.
     Probed {
-        /// Which machine.
+        /// The machine that was checked.
         machine: MachineId,
-        /// The machine answered.
+        /// Whether the machine answered.
         answered: bool,
-        /// Time since it was sent.
+        /// Time since the health check was sent, in microseconds.
         took_us: Micros,
-        /// Its load report; may be empty.
+        /// The machine's load report, in the order of [`Settings::report_fields`]; may be empty.
         report: Vec<f64>,
     },
-    /// A message from another scheduler.
+    /// A message from another scheduler. The current algorithm ignores it.
     Peer {
-        /// Its position.
+        /// The position of the sender, from 0.
         from: u32,
-        /// The message.
+        /// The content of the message, in a format of the decision module.
         body: Vec<u8>,
     },
 }
--- a/src/api/ids.rs
+++ b/src/api/ids.rs
@@ -1,9 +1,9 @@
-//! Identifiers, and the unit of time.
+//! Identifiers, and the type for times.
 
-/// Microseconds, as a point on the caller's clock or as a length of time.
+/// Microseconds: a point in time on the caller's clock, or a duration.
 pub type Micros = u64;
 
-/// A machine; the same number at every scheduler.
+/// Identifies a machine; the same number at every scheduler.
 #[derive(
     Clone,
     Copy,
@@ -18,23 +18,23 @@
 )]
 pub struct MachineId(pub u64);
 
-/// One request to place a task. A task that is submitted again gets a new one.
+/// Identifies a request to place a task. Each submission of a task is a new request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// One attempt of a request; the first is number 0.
+/// Identifies an attempt to place the task of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// Its number, in the order of the offers.
+    /// The number of the attempt within the request, from 0 in the order of the offers.
     pub number: u16,
 }
 
-/// A task; it stays the same each time the task is submitted.
+/// Identifies a task; it stays the same each time the task is submitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TaskKey(pub u64);
 
-/// A service: tasks of one class, one shape and one program.
+/// Identifies a service: tasks of one class, one size and one program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServiceId(pub u64);
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,9 +1,9 @@
 //! The interface of the decision module: the settings and events that it is given, and the actions
 //! that it returns.
 //!
-//! Times are microseconds on one clock of the caller that never goes back. What a deployment does
-//! not tell is `None`; no default stands in for it. Amounts of cores and memory are in any unit,
-//! the same throughout.
+//! Times are microseconds on a monotonic clock of the caller. A setting or value that a deployment
+//! does not state is `None`; the caller puts no default in its place. Cores and memory may each be
+//! in any unit that is used throughout.
 
 mod actions;
 mod beliefs;
--- a/src/api/outcomes.rs
+++ b/src/api/outcomes.rs
@@ -1,4 +1,4 @@
-//! How attempts end, and what machines say of running tasks.
+//! How attempts end, and the signals that machines send about running tasks.
 
 use super::ids::{AttemptId, MachineId};
 
@@ -7,70 +7,73 @@
 pub enum Outcome {
     /// The task ran to its end.
     Finished,
-    /// The machine reports an error; the task may have started.
+    /// The machine reported an error; the task may have started.
     Error,
-    /// The machine rejected it, or handed it back before it ran.
+    /// The machine rejected the task, or returned it before it ran.
     Refused,
-    /// No answer in time; the task may have been accepted.
+    /// No answer arrived in time; the task may have been accepted.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection was established; the task never ran.
     Unconnected,
-    /// Lost, evicted or moved away after it was placed; before that it is unknown whether it ran.
+    /// A placed task was lost, evicted or moved away. If the task was not yet placed, it is unknown
+    /// whether it ran.
     Reset,
-    /// Stopped by the scheduler; if it was not placed, it is unknown whether it ran.
+    /// The scheduler stopped the attempt; if the task was not placed, it is unknown whether it ran.
     Stopped,
-    /// Never sent to the machine.
+    /// The offer was never sent to the machine.
     Unsent,
 }
 
-/// Why an attempt ended, where the machine says so.
+/// The reason for which an attempt ended, as stated by the machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
-    /// No cores left.
+    /// The machine has no cores left.
     NoCores,
-    /// No memory left.
+    /// The machine has no memory left.
     NoMemory,
     /// Too many offers wait at the machine.
     Crowded,
-    /// The machine is of the wrong kind or draining, the offer is too late, or a copy runs.
+    /// The machine can't take this task: it is of the wrong kind or draining, the offer is too late,
+    /// or a copy of the task runs there.
     NotHere,
-    /// Evicted for memory.
+    /// The task was evicted because the machine ran out of memory.
     Evicted,
-    /// Preempted by a task of higher priority.
+    /// The task was preempted by one of higher priority.
     PushedOut,
-    /// Moved away from a machine that drains.
+    /// The task was moved away from a draining machine.
     SentAway,
 }
 
-/// What a machine says of a task that it runs.
+/// A signal from a machine about a task that it runs. Amounts are in the units of the task's
+/// request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Note {
-    /// It runs.
+    /// The task has started to run.
     Runs,
-    /// Cores it uses.
+    /// The cores that the task uses.
     Cores(f64),
-    /// Memory it uses.
+    /// The memory that the task uses.
     Memory(f64),
-    /// Fraction of full service that it gets.
+    /// The fraction of full service that the task gets. The current algorithm ignores it.
     Served(f64),
-    /// Fraction of its machine's memory in use.
+    /// The fraction of the machine's memory that is in use.
     Pressure(f64),
 }
 
 /// The end of an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Ended {
-    /// The attempt.
+    /// The attempt that ended.
     pub attempt: AttemptId,
-    /// Its machine.
+    /// The machine to which it was offered.
     pub machine: MachineId,
     /// How it ended.
     pub outcome: Outcome,
-    /// Why, where the machine says so.
+    /// The reason that the machine stated; `None` if it stated none.
     pub reason: Option<Reason>,
-    /// The request needs no answer any more.
+    /// Whether the request needs no further attempt and no answer, as it was answered or withdrawn.
     pub closed: bool,
-    /// The machine's load report, in the order of [`Settings::report_fields`](super::Settings); may
-    /// be empty.
+    /// The machine's load report, in the order of
+    /// [`Settings::report_fields`](super::Settings::report_fields); may be empty.
     pub report: Vec<f64>,
 }
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -6,98 +6,110 @@
 /// A kind of machine.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Kind {
-    /// Cores of one machine.
+    /// Cores of one machine of this kind; `None` if the deployment does not state them.
     pub cores: Option<f64>,
-    /// Memory of one machine.
+    /// Memory of one machine of this kind; `None` if the deployment does not state it.
     pub memory: Option<f64>,
 }
 
-/// A value of a load report, in the report's order.
+/// The meaning of one value of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportField {
-    /// Cores left.
+    /// The cores that are left.
     Cores,
-    /// Memory left.
+    /// The memory that is left.
     Memory,
-    /// Any other value.
+    /// Any other value, which the decision module ignores.
     Other,
 }
 
-/// When load reports come.
+/// Which messages from machines contain load reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReportStyle {
-    /// Never.
+    /// None: machines send no load reports.
     #[default]
     Never,
-    /// With outcomes and with the results of health checks.
+    /// Outcomes of attempts, and answers to health checks.
     Answers,
-    /// With the results of health checks alone.
+    /// Answers to health checks only.
     Probes,
 }
 
 /// The rules and limits that bind a scheduler.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Rules {
-    /// Most attempts of one request.
+    /// Maximum number of attempts of one request; `None` for no limit.
     pub max_attempts: Option<u32>,
-    /// Attempts may be stopped.
+    /// Whether attempts may be stopped.
     pub may_stop: bool,
-    /// Machines may be sent health checks.
+    /// Whether machines may be sent health checks.
     pub may_probe: bool,
-    /// A connection that takes longer than this fails.
+    /// Time in microseconds after which an attempt to connect fails, which is also the first backoff
+    /// after a failure; `None` if unknown.
     pub connect_timeout_us: Option<Micros>,
-    /// A machine is warm this long after its start, at the latest.
+    /// Time in microseconds after its start for which a machine is warming up, at most; `None` if
+    /// machines are warm at once.
     pub warm_after_us: Option<Micros>,
-    /// The slow start window, in which offers to a machine that is warming up are counted.
+    /// The slow start window, in microseconds, in which the offers to a machine that is warming up
+    /// are counted; `None` for no limit on them.
     pub slow_start_window_us: Option<Micros>,
-    /// Offers in that window, by all schedulers, that a machine survives while it is warming up.
+    /// Number of offers in that window, by all schedulers together, that a machine survives while it
+    /// is warming up; `None` for no limit.
     pub slow_start_offers: Option<f64>,
-    /// The longest time without an answer after which the watch on the list must be requested
-    /// again.
+    /// Time in microseconds without an answer after which the watch on the machine list must be
+    /// requested again; `None` if it needs no repeated request.
     pub must_ask_us: Option<Micros>,
 }
 
-/// Prices of what a placement costs, each in points of the result for the whole fraction or rate.
+/// What a placement costs, each in points that the result loses for a fraction or rate of 1; `None`
+/// if it costs nothing.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Prices {
-    /// Machines that run a task beyond those needed.
+    /// The price of machines that run tasks beyond those needed. If it is positive, tasks are packed
+    /// on the smallest set of machines that suffices.
     pub fleet: Option<f64>,
-    /// Tasks that run outside the zone of their scheduler.
+    /// The price of tasks that run outside the zone of their scheduler. The current algorithm
+    /// ignores it.
     pub cross_zone: Option<f64>,
 }
 
 /// The settings of a scheduler.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// How many schedulers there are.
+    /// The number of schedulers in the deployment, including this one; 0 counts as 1.
     pub schedulers: u32,
-    /// The number of this scheduler among them, from 0, the same after a restart.
+    /// The number of this scheduler among them, from 0 and the same after a restart; `None` if the
+    /// schedulers are not numbered.
     pub position: Option<u32>,
-    /// The zone of this scheduler.
+    /// The number of the zone that this scheduler is in; `None` if unknown. The current algorithm
+    /// ignores it.
     pub zone: Option<u16>,
-    /// Classes, by number.
+    /// The classes of tasks, by class number.
     pub classes: Vec<Class>,
-    /// Machine kinds, by number.
+    /// The kinds of machines, by kind number.
     pub kinds: Vec<Kind>,
-    /// A machine accepts tasks until requests reach this multiple of its cores.
+    /// A machine accepts tasks until the sum of their requests reaches this multiple of its cores;
+    /// `None` counts as 1.
     pub accepts_cores: Option<f64>,
-    /// A machine accepts tasks until requests reach this multiple of its memory.
+    /// A machine accepts tasks until the sum of their requests reaches this multiple of its memory;
+    /// `None` counts as 1.
     pub accepts_memory: Option<f64>,
-    /// Cores that a task of mean size requests.
+    /// Cores that a task of mean size requests; `None` if unknown.
     pub mean_cores: Option<f64>,
-    /// Memory that a task of mean size requests.
+    /// Memory that a task of mean size requests; `None` if unknown.
     pub mean_memory: Option<f64>,
-    /// The machine list comes only on request.
+    /// Whether the machine list is sent only on request ([`Action::Watch`](super::Action::Watch)).
     pub list_on_request: bool,
-    /// When load reports come.
+    /// Which messages from machines contain load reports.
     pub report_style: ReportStyle,
-    /// The values of a load report, in order.
+    /// The meaning of the values of a load report, in their order.
     pub report_fields: Vec<ReportField>,
-    /// What reports call left is what nobody requests, not what nobody uses.
+    /// Whether what reports call left is what no task requests; otherwise it is what no task uses.
     pub report_counts_asks: bool,
-    /// A machine answers an offer only when the task runs, not when it is accepted.
+    /// Whether a machine answers an offer only when the task runs, instead of when it accepts the
+    /// task.
     pub yes_when_running: bool,
-    /// The rules and limits.
+    /// The rules and limits that bind this scheduler.
     pub rules: Rules,
     /// What a placement costs.
     pub prices: Prices,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,17 +1,17 @@
 //! reedring decides where a cluster scheduler places its tasks when many
 //! copies of the scheduler run side by side and share nothing.
 //!
-//! The decisions live in [`Placer`], a sans-I/O state machine: it is told what
-//! happened as [`Event`]s and answers with [`Action`]s. It reads no clock and
-//! draws its random numbers from the seed it was given, so equal events give
-//! equal actions.
+//! [`Placer`] makes the decisions. It is a sans-I/O state machine: its caller
+//! reports what happened as [`Event`]s, and it returns [`Action`]s for the
+//! caller to carry out. It reads no clock and draws its random numbers from
+//! the seed that it was given, so equal events give equal actions.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! | --- | --- |
-//! | [`api`] | the interface: settings and events in, actions out |
-//! | [`logic`] | the decisions; begin at `logic/placer/mod.rs`, where [`Placer::step`] shows a whole step |
-//! | [`settings`] | reads a deployment's settings from JSON |
-//! | [`names`] | names to the numbers of machines, services and tasks |
+//! | [`api`] | the interface: settings and events as input, actions as output |
+//! | [`logic`] | the decisions; start reading at `logic/placer/mod.rs`, where [`Placer::step`] shows a whole step |
+//! | [`settings`] | reads the settings of a deployment from JSON |
+//! | [`names`] | hashes names to the ids of machines, services and tasks |
 //! | [`timers`] | a queue of timers, for the programs that drive a [`Placer`] |
 //! | `load` | arithmetic on pairs of cores and memory |
 //!
--- a/src/load.rs
+++ b/src/load.rs
@@ -2,16 +2,14 @@
 
 use crate::api::Task;
 
-/// An amount of cores and memory, requested or used; also a pair of factors, one for each of the
-/// two.
+/// An amount of cores and of memory, requested or used; also a pair of factors for the two.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Load {
     pub cores: f64,
     pub memory: f64,
 }
 
-/// The factors (no unit) that leave a load as it is: a request counts in full, not by its expected
-/// use.
+/// Factors of 1, for requests that count in full instead of by their expected use.
 pub(crate) const UNSCALED: Load = Load::uniform(1.0);
 
 impl Load {
@@ -23,7 +21,7 @@
         }
     }
 
-    /// A load from outside: a value that is negative or not finite counts as zero.
+    /// A load from values that may be invalid: one that is negative or not finite counts as 0.
     pub fn sanitized(cores: f64, memory: f64) -> Self {
         let non_negative = |x: f64| if x.is_finite() { x.max(0.0) } else { 0.0 };
         Self {
@@ -58,8 +56,8 @@
         self.cores >= other.cores || self.memory >= other.memory
     }
 
-    /// The larger of the fractions of `capacity` that its cores and its memory are. A capacity that
-    /// is not positive is unknown, and counts as empty.
+    /// The fraction of `capacity` that it takes up, of cores or of memory, whichever is larger. A
+    /// capacity that is not positive is unknown: its fraction counts as 0.
     pub fn dominant_fraction(self, capacity: Self) -> f64 {
         let fraction = |x: f64, of: f64| if of > 0.0 { x / of } else { 0.0 };
         fraction(self.cores, capacity.cores).max(fraction(self.memory, capacity.memory))
