--- a/src/logic/placer/legality.rs
+++ b/src/logic/placer/legality.rs
@@ -1,5 +1,6 @@
-//! Which offers are legal, and when that is checked: rule 2 (no task starts twice that must not),
-//! rule 3 (drains are kept), rule 4 (the slow start budget) and rule 5 (services stay spread).
+//! Which offers are legal, and when that is checked: rule 2 (a task that is not idempotent starts
+//! only once), rule 3 (a draining machine gets no offers), rule 4 (the slow start budget) and rule 5
+//! (services stay spread).
 //!
 //! - Each [`Action::Offer`](crate::api::Action::Offer) passes [`Placer::may_offer`], in the step
 //!   that returns it.
--- a/src/logic/placer/pool.rs
+++ b/src/logic/placer/pool.rs
@@ -21,8 +21,8 @@
 /// By how much each own task that has not started raises a column, as a fraction of a mean machine's
 /// capacity: a few such tasks outweigh the affinity.
 const STARTING_TASK_RISE: f64 = 0.1;
-/// Fraction of its capacity to which a machine counts when the smallest sufficient set of machines
-/// is computed.
+/// Fraction of its capacity up to which a machine of the smallest sufficient set is to be filled,
+/// which determines how many machines are in the set.
 const PACKING_FRACTION: f64 = 0.6;
 
 /// A machine of a pool, and its weight in the draw.
--- a/src/logic/placer/reports.rs
+++ b/src/logic/placer/reports.rs
@@ -6,8 +6,8 @@
 use crate::load::Load;
 use crate::logic::machine_state::DatedLoad;
 
-/// Weight of one signal in the learned ratio of use to request, which is so a mean over about fifty
-/// signals.
+/// Weight of one signal in the learned ratio of use to request: the ratio is a mean over about the
+/// last fifty signals.
 const USE_RATIO_GAIN: f64 = 0.02;
 
 impl Placer {
--- a/src/logic/placer/silence.rs
+++ b/src/logic/placer/silence.rs
@@ -46,8 +46,8 @@
         }
     }
 
-    /// The silence limit: after how many microseconds without an answer a machine counts as silent
-    /// for a task with this latency objective, in microseconds too.
+    /// The silence limit in microseconds: how long a machine gives no answer until it counts as
+    /// silent for a task with this latency objective, which is in microseconds too.
     fn silence_limit(&self, latency_objective: Micros) -> Micros {
         let by_answers = SLOWEST_ANSWER_FACTOR * self.answer_times.slowest();
         let objective = latency_objective.max(POLL_INTERVAL_US);
