--- a/crates/core/benches/keep.rs
+++ b/crates/core/benches/keep.rs
@@ -153,7 +153,11 @@
             ..Machine::default()
         };
         let lines = (0..machines).map(line).collect();
-        placer.step(1, &[Event::Listed(Listing::Whole(lines))], &mut Vec::new());
+        placer.step(
+            1,
+            &[Event::Listed(Listing::Snapshot(lines))],
+            &mut Vec::new(),
+        );
         let began = Instant::now();
         let beliefs = placer.beliefs(2);
         println!(
--- a/crates/core/src/core/dispatch.rs
+++ b/crates/core/src/core/dispatch.rs
@@ -107,7 +107,7 @@
         match timer {
             Timer::Module(token) => {
                 lifecycle.constraints.rotate();
-                lifecycle.cx.notify_module(reedring::Event::Woken(token));
+                lifecycle.cx.notify_module(reedring::Event::TimerDue(token));
             }
             Timer::OfferTimeout(id) => lifecycle.offer_timed_out(now, id),
             Timer::StopTimeout(id) => lifecycle.stop_timed_out(now, id),
--- a/crates/platform-protocol/tests/golden.rs
+++ b/crates/platform-protocol/tests/golden.rs
@@ -407,7 +407,7 @@
         (module.mean_cores, module.mean_memory),
         (Some(1.25), Some(2.75))
     );
-    assert!(module.list_on_request && module.report_counts_asks && module.yes_when_running);
+    assert!(module.list_on_request && module.report_counts_requests && module.yes_when_running);
     assert_eq!(module.report_style, ReportStyle::Probes);
     assert_eq!(
         module.report_fields,
--- a/crates/platform/src/engine/mod.rs
+++ b/crates/platform/src/engine/mod.rs
@@ -163,7 +163,7 @@
 
     fn timer_fired(&mut self, now: Micros, timer: Timer) {
         match timer {
-            Timer::Module(token) => self.events.push(Event::Woken(token)),
+            Timer::Module(token) => self.events.push(Event::TimerDue(token)),
             Timer::AttemptTimeout(attempt) => self.attempt_timeout(now, attempt),
             Timer::HealthCheckTimeout(id) => {
                 self.health_check_done(now, id, false, &Figures::new());
--- a/crates/platform/src/hosts/endpoints.rs
+++ b/crates/platform/src/hosts/endpoints.rs
@@ -53,7 +53,7 @@
     /// Passes the whole endpoint list on to the decision module.
     pub(crate) fn send_endpoints(&mut self) {
         self.events
-            .push(Event::Listed(Listing::Whole(self.machines())));
+            .push(Event::Listed(Listing::Snapshot(self.machines())));
     }
 
     fn machines(&self) -> Vec<Machine> {
@@ -85,7 +85,7 @@
             self.set_endpoint(now, entry);
         }
         let listing = if is_snapshot {
-            Listing::Whole(machines)
+            Listing::Snapshot(machines)
         } else {
             Listing::Changes(machines)
         };
--- a/crates/settings/src/settings/module.rs
+++ b/crates/settings/src/settings/module.rs
@@ -49,7 +49,7 @@
             list_on_request: false,
             report_style: site.reports.style,
             report_fields: site.reports.fields.clone(),
-            report_counts_asks: site.reports.counts_asks,
+            report_counts_requests: site.reports.counts_asks,
             yes_when_running: site.yes_when_running,
             rules: module::Rules {
                 max_attempts: Some(site.max_attempts),
--- a/src/api/actions.rs
+++ b/src/api/actions.rs
@@ -55,7 +55,7 @@
     Fetch,
     /// Set a timer.
     Timer {
-        /// The value that [`Event::Woken`](super::Event::Woken) has when the timer is due.
+        /// The value that [`Event::TimerDue`](super::Event::TimerDue) has when the timer is due.
         token: u64,
         /// Time until the timer is due, in microseconds from now.
         after_us: Micros,
--- a/src/api/events.rs
+++ b/src/api/events.rs
@@ -67,7 +67,7 @@
     /// on. One in flight may still place the task; without one the final answer is given at once.
     NoFurtherAttempts(RequestId),
     /// The timer that was set with this token is due.
-    Woken(u64),
+    TimerDue(u64),
     /// A health check was answered, or failed.
     Probed {
         /// The machine that was checked.
--- a/src/api/machines.rs
+++ b/src/api/machines.rs
@@ -55,8 +55,8 @@
     /// The entries that changed; all others are as before.
     Changes(Vec<Machine>),
     /// A snapshot of the list; a machine that it lacks is gone.
-    Whole(Vec<Machine>),
-    /// A snapshot from before a restart. It is applied like [`Listing::Whole`], but does not count
+    Snapshot(Vec<Machine>),
+    /// A snapshot from before a restart. It is applied like [`Listing::Snapshot`], but does not count
     /// as an answer of the list.
     Cached(Vec<Machine>),
     /// A request for the list failed, or the watch on it ended.
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -105,7 +105,7 @@
     /// The meaning of the values of a load report, in their order.
     pub report_fields: Vec<ReportField>,
     /// Whether what reports call left is what no task requests; otherwise it is what no task uses.
-    pub report_counts_asks: bool,
+    pub report_counts_requests: bool,
     /// Whether a machine answers an offer only when the task runs, instead of when it accepts the
     /// task.
     pub yes_when_running: bool,
--- a/src/bin/reedring-bench-adapter/host.rs
+++ b/src/bin/reedring-bench-adapter/host.rs
@@ -133,7 +133,7 @@
         });
         Ok(match update {
             ListUpdate::Delta => Listing::Changes(machines.collect()),
-            ListUpdate::Full => Listing::Whole(machines.collect()),
+            ListUpdate::Full => Listing::Snapshot(machines.collect()),
             ListUpdate::Cached | ListUpdate::Failed => Listing::Cached(machines.collect()),
         })
     }
--- a/src/bin/reedring-bench-adapter/wire/decode.rs
+++ b/src/bin/reedring-bench-adapter/wire/decode.rs
@@ -61,7 +61,7 @@
         code::PLACED => placed(fields),
         code::ENDED => Event::Ended(ended(fields)?),
         code::WITHDRAWN => Event::Withdrawn(fields.request()),
-        code::WOKEN => Event::Woken(fields.u64()),
+        code::WOKEN => Event::TimerDue(fields.u64()),
         code::PROBED => probed(fields)?,
         code::PEER => peer(fields, tail)?,
         code::ADOPTED => adopted(fields),
--- a/src/logic/placer/events.rs
+++ b/src/logic/placer/events.rs
@@ -34,12 +34,12 @@
             }
             Event::Withdrawn(request) => self.withdraw_request(*request, actions),
             Event::NoFurtherAttempts(request) => self.expire_request(now, *request),
-            Event::Woken(POLL_TIMER) => self.poll(now, actions),
-            Event::Woken(LIST_WATCH_TIMER) => {
+            Event::TimerDue(POLL_TIMER) => self.poll(now, actions),
+            Event::TimerDue(LIST_WATCH_TIMER) => {
                 self.list_watch
                     .handle_timer(now, &self.settings.rules, actions);
             }
-            Event::Woken(_) | Event::Peer { .. } => {}
+            Event::TimerDue(_) | Event::Peer { .. } => {}
             Event::Probed {
                 machine,
                 answered,
--- a/src/logic/placer/machine_list.rs
+++ b/src/logic/placer/machine_list.rs
@@ -17,7 +17,7 @@
         let machines = match listing {
             Listing::Failed => return self.list_watch_failed(now, actions),
             Listing::Changes(machines) => machines,
-            Listing::Whole(machines) | Listing::Cached(machines) => {
+            Listing::Snapshot(machines) | Listing::Cached(machines) => {
                 for state in self.machines.values_mut() {
                     state.machine.health = Health::Gone;
                 }
--- a/src/logic/placer/reports.rs
+++ b/src/logic/placer/reports.rs
@@ -28,7 +28,7 @@
         let left = value_of(ReportField::Cores).zip(value_of(ReportField::Memory));
         if let (Some((cores, memory)), Some(state)) = (left, self.machines.get_mut(&machine)) {
             let left = Load { cores, memory };
-            state.apply_report(now, left, self.settings.report_counts_asks);
+            state.apply_report(now, left, self.settings.report_counts_requests);
         }
     }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -236,7 +236,7 @@
             list_on_request: self.discovery == DiscoveryJson::Ask,
             report_style: self.report_style(),
             report_fields: self.report_fields(),
-            report_counts_asks: specifics.counts == Some(CountsJson::Asked),
+            report_counts_requests: specifics.counts == Some(CountsJson::Asked),
             yes_when_running: specifics.yes_at == Some(YesAtJson::Running),
             rules: self.rules(),
             prices: self.prices(),
--- a/tests/action_digests.rs
+++ b/tests/action_digests.rs
@@ -101,7 +101,7 @@
                     health,
                 )])));
             }
-            1..=8 => events.push(Event::Woken(1)),
+            1..=8 => events.push(Event::TimerDue(1)),
             _ => {}
         }
         for action in &step(&mut placer, now, &mut events, &mut hash) {
@@ -162,7 +162,7 @@
     if settings.report_style != ReportStyle::Never {
         settings.report_fields = vec![ReportField::Cores, ReportField::Other, ReportField::Memory];
     }
-    settings.report_counts_asks = seed.is_multiple_of(2);
+    settings.report_counts_requests = seed.is_multiple_of(2);
     settings
 }
 
@@ -347,10 +347,10 @@
                     .filter(|n| n % 11 != round % 11)
                     .map(entry)
                     .collect();
-                events.push(Event::Listed(Listing::Whole(remaining)));
+                events.push(Event::Listed(Listing::Snapshot(remaining)));
             }
             3 if round % 50 == 0 => events.push(Event::BeliefsRestored(placer.beliefs(now))),
-            3..=12 => events.push(Event::Woken(1)),
+            3..=12 => events.push(Event::TimerDue(1)),
             _ => {}
         }
         for action in &step(&mut placer, now, &mut events, &mut hash) {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -155,7 +155,7 @@
     pub fn poll_until_action(&mut self, us: Micros) -> Vec<Action> {
         let until = self.now + us;
         while self.now < until {
-            let mut actions = self.step_after(SECOND / 10, &[Event::Woken(1)]);
+            let mut actions = self.step_after(SECOND / 10, &[Event::TimerDue(1)]);
             actions.retain(|action| !matches!(action, Action::Timer { .. } | Action::Log(_)));
             if !actions.is_empty() {
                 return actions;
--- a/tests/edge_cases.rs
+++ b/tests/edge_cases.rs
@@ -62,7 +62,7 @@
 fn each_task_gets_one_answer_after_the_clock_jumps() {
     let mut harness = Harness::new(settings(), Vec::new());
     harness.step(&[arrived(1, 0), arrived(2, 2)]);
-    let actions = harness.step_after(60 * SECOND, &[Event::Woken(1)]);
+    let actions = harness.step_after(60 * SECOND, &[Event::TimerDue(1)]);
     assert!(is_refused(&actions, 1) && is_refused(&actions, 2));
     assert!(harness.poll_until_action(SECOND).is_empty());
 }
@@ -154,7 +154,7 @@
     ))))]);
     let mut sent = 0;
     for request in 0..50 {
-        let events = [arrived(request, 0), Event::Woken(1)];
+        let events = [arrived(request, 0), Event::TimerDue(1)];
         sent += offers(&harness.step_after(SECOND / 5, &events)).len();
     }
     assert!(
--- a/tests/machine_view.rs
+++ b/tests/machine_view.rs
@@ -199,7 +199,7 @@
 fn the_time_in_which_the_placer_stood_still_is_not_counted_as_silence_of_machines() {
     let mut harness = Harness::new(settings(), vec![machine(1, 0)]);
     harness.step(&[arrived(1, 0)]);
-    let actions = harness.step_after(3 * SECOND, &[Event::Woken(1), arrived(2, 0)]);
+    let actions = harness.step_after(3 * SECOND, &[Event::TimerDue(1), arrived(2, 0)]);
     assert!(
         !actions.contains(&Action::Stop(attempt(1, 0))),
         "an offer is stopped although only the placer stood still"
--- a/tests/random_histories.rs
+++ b/tests/random_histories.rs
@@ -156,7 +156,7 @@
     };
     for (n, (what, class, pick, pause)) in steps.iter().enumerate() {
         harness.now = (harness.now + pause).min(start + 9 * SECOND);
-        let mut batch = vec![Event::Woken(1)];
+        let mut batch = vec![Event::TimerDue(1)];
         // Attempts in flight time out at the deadline of their request.
         let mut overdue = Vec::new();
         for (id, machine) in &checker.active_attempts {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -65,7 +65,7 @@
 fn a_queued_task_is_offered_when_a_machine_is_listed() {
     let mut harness = Harness::new(settings(), Vec::new());
     harness.step(&[arrived(1, 2)]);
-    harness.step(&[Event::Listed(Listing::Whole(vec![machine(5, 0)]))]);
+    harness.step(&[Event::Listed(Listing::Snapshot(vec![machine(5, 0)]))]);
     assert_eq!(
         offers(&harness.poll_until_action(SECOND)),
         [(1, MachineId(5))]
@@ -79,7 +79,7 @@
         ended(9, 0, MachineId(1), Outcome::Refused),
         placed(9, 3, MachineId(99)),
         Event::Withdrawn(RequestId(9)),
-        Event::Woken(77),
+        Event::TimerDue(77),
         Event::TaskSignal {
             attempt: attempt(9, 0),
             machine: MachineId(1),
@@ -218,7 +218,7 @@
         let actions = harness.step(&[
             answer,
             Event::Withdrawn(RequestId(request)),
-            Event::Woken(1),
+            Event::TimerDue(1),
         ]);
         actions.contains(&Action::Stop(attempt(1, 0)))
     })
@@ -256,7 +256,7 @@
 #[test]
 fn a_machine_that_a_snapshot_of_the_list_lacks_gets_no_offers() {
     let mut harness = Harness::new(settings(), two_zones());
-    harness.step(&[Event::Listed(Listing::Whole(vec![machine(3, 1)]))]);
+    harness.step(&[Event::Listed(Listing::Snapshot(vec![machine(3, 1)]))]);
     let sent = offers(&harness.step(&[arrived(1, 0), arrived(2, 0), arrived(3, 0)]));
     assert!(sent.len() == 3 && sent.iter().all(|(_, chosen)| *chosen == MachineId(3)));
 }
@@ -290,7 +290,7 @@
     actions.clear();
     placer.step(
         SECOND + request_again_after,
-        &[Event::Woken(2)],
+        &[Event::TimerDue(2)],
         &mut actions,
     );
     assert!(
@@ -302,7 +302,7 @@
     let backoff = watch_timer(&actions).unwrap();
     assert!(backoff < 2 * SECOND && !actions.contains(&Action::Watch(true)));
     actions.clear();
-    placer.step(10 * SECOND + backoff, &[Event::Woken(2)], &mut actions);
+    placer.step(10 * SECOND + backoff, &[Event::TimerDue(2)], &mut actions);
     assert!(
         actions.contains(&Action::Watch(true)),
         "a failed watch is requested again after the backoff"
@@ -331,15 +331,15 @@
             "the share of 8 offers for 4 schedulers, unless it may be spent"
         );
         assert!(
-            offers(&harness.step_after(SECOND, &[Event::Woken(1)])).is_empty(),
+            offers(&harness.step_after(SECOND, &[Event::TimerDue(1)])).is_empty(),
             "an offer in the same window"
         );
         assert!(
-            offers(&harness.step_after(SECOND, &[Event::Woken(1)])).is_empty(),
+            offers(&harness.step_after(SECOND, &[Event::TimerDue(1)])).is_empty(),
             "an offer within the delivery jitter after the window"
         );
         assert_eq!(
-            offers(&harness.step_after(SECOND / 10, &[Event::Woken(1)])).len(),
+            offers(&harness.step_after(SECOND / 10, &[Event::TimerDue(1)])).len(),
             2,
             "the share of the next window"
         );
@@ -377,7 +377,7 @@
                 .iter()
                 .map(|(request, chosen)| placed(*request, 0, *chosen));
             events = acceptances
-                .chain([arrived(tick + 1, 0), Event::Woken(1)])
+                .chain([arrived(tick + 1, 0), Event::TimerDue(1)])
                 .collect();
         }
     }
@@ -427,7 +427,7 @@
         machine: MachineId(7),
     }]);
     harness.step(&[
-        Event::Listed(Listing::Whole(vec![machine(7, 0)])),
+        Event::Listed(Listing::Snapshot(vec![machine(7, 0)])),
         arrived(1, 4),
     ]);
     assert!(harness.poll_until_action(SECOND).is_empty());
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -157,7 +157,7 @@
                 queued_tasks[n] += 1;
             }
             if now % (100 * MS) < TICK && queued_tasks[n] > 0 {
-                events.push(Event::Woken(1));
+                events.push(Event::TimerDue(1));
             }
             if events.is_empty() {
                 continue;
@@ -271,7 +271,7 @@
         "the window since both were sent is not over"
     );
     assert_eq!(
-        offers(&harness.step_after(3 * SECOND / 2, &[Event::Woken(1)])).len(),
+        offers(&harness.step_after(3 * SECOND / 2, &[Event::TimerDue(1)])).len(),
         1
     );
     assert!(
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -158,7 +158,7 @@
                 self.push(20, &[ids.concat(), more.concat(), rest.concat()]);
             }
             Event::Withdrawn(request) => self.push(21, &[number(request.0)]),
-            Event::Woken(token) => self.push(22, &[number(*token)]),
+            Event::TimerDue(token) => self.push(22, &[number(*token)]),
             Event::Probed {
                 machine,
                 answered,
@@ -291,7 +291,7 @@
             took_us: u64::from(x),
         },
         Event::Withdrawn(RequestId(n)),
-        Event::Woken(n),
+        Event::TimerDue(n),
         Event::Probed {
             machine,
             answered: flag,
