--- a/crates/state/src/beliefs/aging.rs
+++ b/crates/state/src/beliefs/aging.rs
@@ -139,7 +139,7 @@
             from_future,
             age,
             load_weight: weight(age, half_lives.load),
-            mean_requested: MeanLoad::over(&snapshot.nodes, |belief| belief.asked),
+            mean_requested: MeanLoad::over(&snapshot.nodes, |belief| belief.requested),
             mean_used: MeanLoad::over(&snapshot.nodes, |belief| belief.used),
         }
     }
@@ -172,7 +172,7 @@
     fn node(&self, node: &NodeBeliefs) -> NodeBeliefs {
         let belief = &node.belief;
         let refusal_counts = weight(self.age, self.half_lives.refusal) > 0.0;
-        let refused = belief.refused.filter(|_| refusal_counts);
+        let refused = belief.rejected.filter(|_| refusal_counts);
         let rejecting = belief
             .rejecting
             .iter()
@@ -181,9 +181,9 @@
         let failure_weight = weight(self.age, self.half_lives.failures);
         let belief = Belief {
             machine: belief.machine,
-            asked: self.load(belief.asked, self.mean_requested),
+            requested: self.load(belief.requested, self.mean_requested),
             used: self.load(belief.used, self.mean_used),
-            refused: refused.map(|(age, cores, memory)| (self.older(age), cores, memory)),
+            rejected: refused.map(|(age, cores, memory)| (self.older(age), cores, memory)),
             rejecting: rejecting.collect(),
             consecutive_failures: (f64::from(belief.consecutive_failures) * failure_weight) as u32,
             backoff_us: belief.backoff_us.saturating_sub(self.age),
--- a/crates/state/src/beliefs/snapshot.rs
+++ b/crates/state/src/beliefs/snapshot.rs
@@ -61,7 +61,7 @@
                 node: identity.name,
                 incarnation: identity.incarnation,
                 belief: Belief {
-                    refused: belief.refused.map(finite_refusal),
+                    rejected: belief.rejected.map(finite_refusal),
                     ..belief
                 },
             })
--- a/crates/state/src/beliefs/tests.rs
+++ b/crates/state/src/beliefs/tests.rs
@@ -15,8 +15,8 @@
 fn sample_belief(machine: u64, cores: f64) -> Belief {
     Belief {
         machine: MachineId(machine),
-        asked: Some((SECOND, cores, 4.0)),
-        refused: Some((SECOND / 2, 1.0, f64::INFINITY)),
+        requested: Some((SECOND, cores, 4.0)),
+        rejected: Some((SECOND / 2, 1.0, f64::INFINITY)),
         rejecting: vec![(0, 1, 12 * SECOND)],
         consecutive_failures: 4,
         backoff_us: 2 * SECOND,
@@ -53,7 +53,7 @@
 
 #[test]
 fn a_belief_counts_for_less_the_older_it_is() {
-    let requested = |age| first_belief_after(age).asked;
+    let requested = |age| first_belief_after(age).requested;
     assert_eq!(requested(0), Some((SECOND, 2.0, 4.0)));
     assert_eq!(
         requested(8 * SECOND),
@@ -92,7 +92,7 @@
         future
             .nodes
             .iter()
-            .all(|node| node.belief.slow_start_offers == [0] && node.belief.asked.is_none())
+            .all(|node| node.belief.slow_start_offers == [0] && node.belief.requested.is_none())
     );
 }
 
--- a/src/api/beliefs.rs
+++ b/src/api/beliefs.rs
@@ -11,14 +11,16 @@
     pub machine: MachineId,
     /// How long ago the scheduler last learned what all tasks there request, and the cores and
     /// memory that they request; `None` if it never did.
-    pub asked: Option<(Micros, f64, f64)>,
+    #[serde(rename = "asked")]
+    pub requested: Option<(Micros, f64, f64)>,
     /// How long ago a report last stated what all tasks there use, and the cores and memory that
     /// they use; `None` if none did.
     pub used: Option<(Micros, f64, f64)>,
     /// How long ago the machine last rejected a task for lack of capacity, and the least cores and
     /// memory that the rejection rules out: infinite for a resource that was not short, 0 for both
     /// if the machine named neither. `None` without a rejection that is still valid.
-    pub refused: Option<(Micros, f64, f64)>,
+    #[serde(rename = "refused")]
+    pub rejected: Option<(Micros, f64, f64)>,
     /// Numbers of the tenants and classes whose tasks it rejects, and for how much longer such tasks
     /// are not offered to it.
     #[serde(rename = "shut")]
--- a/src/logic/placer/beliefs.rs
+++ b/src/logic/placer/beliefs.rs
@@ -61,9 +61,9 @@
     };
     Belief {
         machine: state.machine.id,
-        asked: aged(state.requested),
+        requested: aged(state.requested),
         used: aged(state.used),
-        refused: aged(state.valid_rejection(now)),
+        rejected: aged(state.valid_rejection(now)),
         rejecting: state
             .rejecting
             .iter()
@@ -96,9 +96,9 @@
         at: at(ago),
         load: Load { cores, memory },
     };
-    state.requested = state.requested.or(belief.asked.map(sanitized));
+    state.requested = state.requested.or(belief.requested.map(sanitized));
     state.used = state.used.or(belief.used.map(sanitized));
-    state.rejected = state.rejected.or(belief.refused.map(unsanitized));
+    state.rejected = state.rejected.or(belief.rejected.map(unsanitized));
     for (tenant, class, remaining) in &belief.rejecting {
         let tenant_class = TenantClass {
             tenant: *tenant,
--- a/tests/restored_beliefs.rs
+++ b/tests/restored_beliefs.rs
@@ -18,8 +18,8 @@
     harness.now = previous.now + later;
     let mut beliefs = previous.placer.beliefs(previous.now);
     for belief in &mut beliefs.machines {
-        belief.refused = belief
-            .refused
+        belief.rejected = belief
+            .rejected
             .map(|(ago, cores, memory)| (ago + later, cores, memory));
         belief
             .slow_start_offers
@@ -104,9 +104,9 @@
 fn beliefs_are_saved_again_as_they_were_restored() {
     let belief = Belief {
         machine: MachineId(1),
-        asked: Some((5, 2.0, 3.0)),
+        requested: Some((5, 2.0, 3.0)),
         used: Some((6, 1.0, 1.0)),
-        refused: Some((7, 0.0, 0.0)),
+        rejected: Some((7, 0.0, 0.0)),
         rejecting: vec![(0, 1, SECOND)],
         consecutive_failures: 2,
         backoff_us: SECOND,
