--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -1,4 +1,4 @@
-//! The loop: which component gets which input, in which order.
+//! The event loop of a placer: which component gets which input, and in which order.
 
 mod dispatch;
 
@@ -25,7 +25,7 @@
 use crate::sessions::Sessions;
 use crate::timers::Timer;
 
-/// The core of one placer. The crate's page shows the loop around it.
+/// The core of one placer: all of its state. The crate documentation shows the loop that drives it.
 pub struct Core {
     cx: Context,
     module: DecisionModule,
@@ -40,8 +40,8 @@
     requests: ClientRequests,
 }
 
-/// The components, borrowed apart, so that one can be given others.
-struct Parts<'a> {
+/// The components, borrowed separately, so that a method of one can take others as arguments.
+struct Components<'a> {
     lifecycle: JobLifecycle<'a>,
     configuration: &'a mut Configuration,
     health_checks: &'a mut HealthChecks,
@@ -50,7 +50,7 @@
 }
 
 impl Core {
-    /// A core that knows its settings and nothing else.
+    /// A core without jobs, nodes or persisted state.
     pub fn new(settings: Settings, start: Start) -> Self {
         let kinds = settings
             .kinds
@@ -66,7 +66,7 @@
         let mut cx = Context::new(settings, start);
         cx.set_timer(reconcile_until, Timer::ReconciliationDeadline);
         if let Some(window) = window {
-            // Nodes that are warming up and were withheld until now are announced.
+            // Announces the nodes that were withheld because they were warming up.
             cx.set_timer(start.now + window, Timer::AnnounceNodes);
         }
         Self {
@@ -84,14 +84,14 @@
         }
     }
 
-    /// A core that persists its state, and takes up what was persisted before.
+    /// A core that persists its state and starts from the state of a former incarnation.
     pub fn with_state(settings: Settings, start: Start, restored: Restored) -> Self {
         let mut core = Self::new(settings, start);
-        restore::restore(&mut core.parts().lifecycle, restored);
+        restore::restore(&mut core.components().lifecycle, restored);
         core
     }
 
-    /// Times the decision module with this clock (nanoseconds), for the counters alone.
+    /// Sets the clock (in nanoseconds) that times the decision module. It affects only the counters.
     pub fn time_module(&mut self, stopwatch: fn() -> u64) {
         self.module.set_stopwatch(stopwatch);
     }
@@ -101,7 +101,8 @@
         self.cx.settings()
     }
 
-    /// When [`Core::flush`] must be called at the latest, if no input comes before.
+    /// The latest time at which [`Core::flush`] must be called if no input arrives before; `None` where no timer is set.
+    /// The time is in the past where work is pending.
     pub fn next_wake(&self) -> Option<Micros> {
         let is_idle = !self.requests.has_listings() && self.constraints.is_idle();
         if is_idle {
@@ -111,18 +112,18 @@
         }
     }
 
-    /// The next thing to do.
+    /// The next output that the shell is to carry out; `None` where there is none.
     pub fn poll(&mut self) -> Option<Output> {
         self.cx.next_output()
     }
 
-    /// Takes an input in. What the decision module has to say to it comes with the next [`Core::flush`].
+    /// Processes an input. The decision module reacts to it with the next [`Core::flush`].
     pub fn handle(&mut self, now: Micros, input: Input) {
-        let Parts {
+        let Components {
             mut lifecycle,
             configuration,
             ..
-        } = self.parts();
+        } = self.components();
         match input {
             Input::Call { conn, id, call } => {
                 let caller = Caller { conn, id };
@@ -166,17 +167,17 @@
                 reason,
                 marked_incomplete,
             } => {
-                lifecycle.state_lost(now, reason, marked_incomplete);
+                lifecycle.state_unavailable(now, reason, marked_incomplete);
             }
             Input::StateAvailable => self.queue.resume(&mut self.cx),
             Input::Tick => {}
         }
     }
 
-    /// Runs the timers that are due and lets the decision module decide on all that came since the last time.
+    /// Runs the timers that are due and lets the decision module decide on all events since the last flush.
     pub fn flush(&mut self, now: Micros) {
         while let Some(due) = self.cx.next_timer_at().filter(|due| *due <= now) {
-            // Before anything else: answers that this flush gives go by how far behind it is.
+            // The lag is recorded first, because the answer margins of requests in this flush depend on it.
             self.cx.note_lag(now, now - due);
             if let Some(timer) = self.cx.next_timer(now) {
                 self.timer_due(now, timer);
@@ -214,13 +215,14 @@
         );
     }
 
-    /// Before the decision module decides: what waits for nothing that this flush changes leaves, as a flush may be
-    /// long.
+    /// Sends the outputs that wait for no change of the current flush. The shell calls it before [`Core::flush`], which may
+    /// take long.
     pub fn release(&mut self, now: Micros) {
         self.queue.release(now, &mut self.cx);
     }
 
-    /// Has the beliefs of the decision module persisted, as for a placer that ends in order.
+    /// Outputs the decision module's beliefs to be persisted, where a state folder is configured. The shell calls it when
+    /// the placer shuts down.
     pub fn output_beliefs(&mut self, now: Micros) {
         if !self.queue.is_enabled() {
             return;
@@ -233,27 +235,27 @@
                 incarnation: node.incarnation(),
             })
         };
-        let learned = BeliefSnapshot::new(self.cx.clock().unix_us(now), beliefs, node_of);
-        self.cx.output(Output::PersistBeliefs(Box::new(learned)));
+        let snapshot = BeliefSnapshot::new(self.cx.clock().unix_us(now), beliefs, node_of);
+        self.cx.output(Output::PersistBeliefs(Box::new(snapshot)));
     }
 
     // ---- Steps of the loop ----
 
-    /// The handshake with a node is done.
+    /// Handles a completed handshake with a node.
     fn link_up(&mut self, now: Micros, handshake: NodeHandshake, report: Option<AcceptorReport>) {
-        let Parts {
+        let Components {
             mut lifecycle,
             configuration,
             ..
-        } = self.parts();
+        } = self.components();
         if let Some(number) = node_links::link_up(&mut lifecycle, now, handshake) {
             configuration.node_connected(now, number, report, lifecycle.cx);
             lifecycle.nodes.announce(number, now, lifecycle.cx);
         }
     }
 
-    fn parts(&mut self) -> Parts<'_> {
-        Parts {
+    fn components(&mut self) -> Components<'_> {
+        Components {
             lifecycle: JobLifecycle {
                 cx: &mut self.cx,
                 ledger: &mut self.ledger,
@@ -270,14 +272,15 @@
         }
     }
 
+    /// Calls a function with the client requests and the components that a call may use.
     fn with_requests(&mut self, call: impl FnOnce(&mut ClientRequests, &mut CallContext<'_, '_>)) {
-        let Parts {
+        let Components {
             mut lifecycle,
             configuration,
             requests,
             module,
             ..
-        } = self.parts();
+        } = self.components();
         let module_ns = module.spent_ns();
         call(
             requests,
@@ -289,6 +292,7 @@
         );
     }
 
+    /// Advances the agreement on the configuration if that is due.
     fn advance_configuration(&mut self, now: Micros) {
         let Self {
             cx,
@@ -309,8 +313,8 @@
         );
     }
 
-    /// Lets the decision module decide until there is nothing more to decide on. Requests whose constraints speak of
-    /// copies take turns: each is drawn for with the copies of those before it known.
+    /// Runs the decision module until it has no more events, or [`TURNS_PER_FLUSH`] turns were taken. Requests whose
+    /// constraints depend on other copies take turns, so that each is decided with the copies of those before it known.
     fn decide(&mut self, now: Micros) {
         let mut turns = 0;
         loop {
@@ -323,10 +327,10 @@
                 self.announce_open(opened);
             }
             for action in self.module.step(now, &mut self.cx) {
-                self.carry_out(now, action);
+                self.apply_action(now, action);
             }
             if turns >= TURNS_PER_FLUSH && !self.cx.has_module_events() {
-                // The one that is open is closed before anything of the next flush is drawn.
+                // The request whose turn it is must be closed before the decision module chooses in the next flush.
                 let closed = self.constraints.close_turn();
                 self.announce_open(closed);
                 break;
@@ -334,6 +338,7 @@
         }
     }
 
+    /// Notifies the decision module which machines are open to each of these requests.
     fn announce_open(&mut self, opened: impl IntoIterator<Item = OpenMachines>) {
         for OpenMachines { request, machines } in opened {
             self.cx
@@ -341,7 +346,7 @@
         }
     }
 
-    /// Reports constraints of placed jobs that are violated, or satisfied again, once each.
+    /// Logs each constraint of a placed job that became violated, or satisfied again.
     fn report_constraints(&mut self, now: Micros) {
         for change in self.constraints.evaluate_placed(now) {
             let Some(job) = self.ledger.job(change.job) else {
@@ -366,9 +371,9 @@
         }
     }
 
-    /// Goes on with what waited for nodes to report what they hold, if all have or had their time to.
+    /// Continues what waited for nodes to report their tasks, if all have or the time allowed for that is over.
     fn reconciliation_done(&mut self, now: Micros) {
-        let mut lifecycle = self.parts().lifecycle;
+        let mut lifecycle = self.components().lifecycle;
         if lifecycle.all_reconciled(now) {
             lifecycle.reconciliation_done(now);
             self.with_requests(|requests, calls| requests.retry_deferred(now, calls));
--- a/crates/core/src/core/dispatch.rs
+++ b/crates/core/src/core/dispatch.rs
@@ -1,10 +1,10 @@
-//! What each kind of message, action and timer is passed on to.
+//! Dispatch of node messages, actions of the decision module and timers to the components that handle them.
 
 use reedring::{Action, Micros, RequestId};
 use reedring_node_protocol::Message;
 use reedring_state::Outcome;
 
-use super::{Core, Parts};
+use super::{Components, Core};
 use crate::event::Event;
 use crate::ids::NodeNumber;
 use crate::lifecycle::{JobLifecycle, OfferDecision};
@@ -13,22 +13,22 @@
 use crate::timers::Timer;
 
 impl Core {
-    /// A message of a node.
+    /// Handles a message of a node.
     pub(super) fn node_message(&mut self, now: Micros, name: &str, message: Message) {
         let Some(node) = self.nodes.number(name) else {
             return;
         };
-        let Parts {
+        let Components {
             mut lifecycle,
             configuration,
             health_checks,
             ..
-        } = self.parts();
+        } = self.components();
         let JobLifecycle { nodes, cx, .. } = &mut lifecycle;
         match message {
-            Message::InFlight { tasks: held, last } => {
+            Message::InFlight { tasks, last } => {
                 let is_reconciled =
-                    node_links::holdings_reported(&mut lifecycle, now, node, held, last);
+                    node_links::holdings_reported(&mut lifecycle, now, node, tasks, last);
                 if is_reconciled {
                     self.reconciliation_done(now);
                 }
@@ -41,18 +41,18 @@
                 configuration.text_received(node, version, &text, nodes, cx);
             }
             Message::ConfigDelta(delta) => configuration.delta_received(node, &delta, nodes, cx),
-            message => attempt_message(&mut lifecycle, now, node, message),
+            message => handle_attempt_message(&mut lifecycle, now, node, message),
         }
     }
 
-    /// What the decision module wants done.
-    pub(super) fn carry_out(&mut self, now: Micros, action: Action) {
-        let Parts {
+    /// Carries out an action of the decision module.
+    pub(super) fn apply_action(&mut self, now: Micros, action: Action) {
+        let Components {
             mut lifecycle,
             configuration,
             health_checks,
             ..
-        } = self.parts();
+        } = self.components();
         match action {
             Action::Offer {
                 request,
@@ -92,18 +92,19 @@
                 lifecycle.cx.set_timer(now + after_us, Timer::Module(token));
             }
             Action::Log(text) => lifecycle.cx.log(Event::ModuleMessage { text }),
-            // Connections stay open, nobody listens, and the node list comes without being asked for.
+            // Idle connections stay open, placers exchange no messages, and the shell delivers each new node list without
+            // a request.
             Action::CloseIdle(_) | Action::Tell { .. } | Action::Watch(_) | Action::Fetch => {}
         }
     }
 
-    /// A timer has come due.
+    /// Handles a timer that is due.
     pub(super) fn timer_due(&mut self, now: Micros, timer: Timer) {
-        let Parts {
+        let Components {
             mut lifecycle,
             health_checks,
             ..
-        } = self.parts();
+        } = self.components();
         match timer {
             Timer::Module(token) => {
                 lifecycle.constraints.rotate();
@@ -127,7 +128,7 @@
             Timer::HealthCheck(nonce) => {
                 health_checks.failed(now, nonce, lifecycle.nodes, lifecycle.cx);
             }
-            Timer::RequestPlacement(job) => lifecycle.delay_over(now, job),
+            Timer::RequestPlacement(job) => lifecycle.delay_elapsed(now, job),
             Timer::PlacementDeadline { job, request } => {
                 lifecycle.placement_overdue(now, job, RequestId(request));
             }
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Persists the beliefs of the decision module, and will again.
+    /// Persists the beliefs of the decision module and schedules the next time.
     fn persist_beliefs(&mut self, now: Micros) {
         if let Some(every) = self
             .cx
@@ -155,8 +156,8 @@
     }
 }
 
-/// A message of a node about an attempt.
-fn attempt_message(
+/// Handles a message of a node about an attempt.
+fn handle_attempt_message(
     lifecycle: &mut JobLifecycle<'_>,
     now: Micros,
     node: NodeNumber,
@@ -176,10 +177,10 @@
         }
         Message::TaskSignal {
             attempt,
-            kind: topic,
+            kind,
             amount,
         } => {
-            lifecycle.note_reported(now, node, attempt, topic, amount);
+            lifecycle.signal_reported(now, node, attempt, kind, amount);
         }
         Message::Ended {
             attempt,
@@ -189,9 +190,9 @@
         } => {
             lifecycle.end_reported(now, node, attempt, end, ran, report);
         }
-        // The shell reads the answer to its handshake itself.
+        // The shell handles the answer to its handshake itself.
         Message::Welcome { .. } => {}
-        // What placers send, and nodes have no reason to.
+        // Only placers send these; from a node they are ignored.
         Message::Hello { .. }
         | Message::Offer { .. }
         | Message::ConfigRequest(_)
@@ -200,7 +201,7 @@
         | Message::Suspend { .. }
         | Message::Resume { .. }
         | Message::Ack { .. } => {}
-        // Taken by `node_message`.
+        // Handled by `node_message`.
         Message::InFlight { .. }
         | Message::Report { .. }
         | Message::AcceptorReport(_)
--- a/crates/core/src/decide.rs
+++ b/crates/core/src/decide.rs
@@ -1,64 +1,67 @@
-//! What the core decides itself, as pure functions with their tables.
+//! The decisions that the core makes itself, as pure functions documented with decision tables.
 //!
-//! Where tasks go, and what may be offered or rejected, the decision module says. What is left is what a node's
-//! report means for an attempt, and what may be done again. Each function answers from its
-//! arguments alone, and `tests` goes through every case.
+//! The decision module decides where tasks go, and when a job is refused. The core decides what a node's report means for
+//! an attempt, and what may be started again. Each function depends only on its arguments.
 
 use reedring::Effect;
 use reedring_node_protocol::{InFlightState, TaskEnd};
 use reedring_settings::ComesAgain;
 
-/// What the ledger knows of an open attempt.
+/// The state of an open attempt in the ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptState {
     /// Offered, no answer yet.
     Offered,
     /// Accepted by its node.
     Accepted,
-    /// Given up, and its node was asked to stop it.
+    /// No longer wanted: its node was asked to stop it.
     Stopping,
 }
 
-/// What a node's report of all that it holds means for one attempt.
+/// What a node's complete list of its tasks means for one open attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reconciled {
     /// Nothing changed.
     Unchanged,
-    /// It was accepted, and the answer was lost on the way.
+    /// Its node accepted it, and the answer was lost with a connection.
     Accepted,
     /// It has ended.
     Ended {
-        /// How.
+        /// How it ended.
         end: TaskEnd,
-        /// It ran, or may have.
+        /// Whether it ran, or may have.
         ran: bool,
     },
-    /// It never reached the node, and can't any more.
+    /// Its offer never reached the node, and can't reach it any more.
     NeverRan,
-    /// Nobody knows whether it ran; no copy is left.
+    /// It is not known whether it ran; no copy is left.
     MayHaveRun,
     /// It was accepted, and no copy is left.
     Lost,
-    /// Its node holds it though it was given up: ask once more to stop it.
+    /// Its node still has it although it was asked to stop it: the stop is sent again.
     StopAgain,
 }
 
-/// Reads a node's list of what it holds.
+/// Compares an open attempt with its node's complete list of tasks.
 ///
-/// | ledger | held: waiting | held: accepted, running, suspended | held: ended | not held, same incarnation | not held, new incarnation |
+/// `reported` is the state of the attempt's task in that list, `None` where the list does not have it.
+/// `same_incarnation` says that the node did not restart since the offer was sent.
+///
+/// | ledger | listed: queued | listed: accepted, running, suspended | listed: ended | not listed, same incarnation | not listed, new incarnation |
 /// | --- | --- | --- | --- | --- | --- |
 /// | offered | unchanged | accepted | ended | never ran | may have run |
 /// | accepted | unchanged | unchanged | ended | lost | lost |
 /// | stopping | stop again | stop again | ended | never ran | may have run |
 ///
-/// "Not held, same incarnation" proves that an unanswered offer never ran: a node that answers the handshake of a newer
-/// connection drops what it has not read from the older one, and keeps each end until it is acknowledged.
+/// A task that is not listed by the same incarnation of its node never ran, if its offer is unanswered: a node that
+/// answers the handshake of a new connection drops what it has not read from the old one, and it keeps the end of each
+/// task until that is acknowledged.
 pub fn reconcile(
-    known: AttemptState,
-    held: Option<&InFlightState>,
+    state: AttemptState,
+    reported: Option<&InFlightState>,
     same_incarnation: bool,
 ) -> Reconciled {
-    match (known, held) {
+    match (state, reported) {
         (_, Some(InFlightState::Ended { end, ran })) => Reconciled::Ended {
             end: end.clone(),
             ran: *ran,
@@ -75,61 +78,62 @@
     }
 }
 
-/// What became of a job when a node reports a copy that the ledger had closed, or never knew.
+/// The status of a job when its node reports a copy whose attempt is not open in the ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobStatus {
-    /// The ledger knows no such job, and this incarnation never did.
+    /// The job is not in the ledger, and was not in it during this incarnation.
     Unknown,
-    /// It was this incarnation's, and is forgotten.
+    /// The job is not in the ledger any more: this incarnation made or closed the attempt, or the job's end was returned to
+    /// its client.
     Forgotten,
-    /// It waits for a place.
+    /// The job waits to be placed.
     Queued,
-    /// Another copy of it was accepted.
+    /// Another copy of the job was accepted.
     PlacedElsewhere,
-    /// It has ended, or is being ended.
+    /// The job is on hold, being ended, or has ended.
     Ended,
 }
 
-/// What is done with such a copy.
+/// What is done with a copy whose attempt is not open in the ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CopyAction {
-    /// It is the job's copy from now on.
+    /// The copy becomes the job's accepted copy.
     Adopt,
-    /// Its node is asked to stop it.
+    /// The copy's node is asked to stop it.
     Stop,
 }
 
-/// Decides on a copy that is reported late: one live copy of a job is kept at most, and none of a job whose
-/// client has its final answer.
+/// Decides whether a copy that is reported late is adopted or stopped. At most one copy of a job is kept, and none of a job
+/// whose client has its final answer.
 ///
 /// | job | copy |
 /// | --- | --- |
 /// | unknown: a former incarnation of this placer placed it | adopted |
-/// | waits for a place | adopted; what was still offered for it is stopped |
+/// | waits to be placed | adopted; the job's other attempts are stopped |
 /// | forgotten, ended, or placed elsewhere | stopped |
-pub fn copy_action(standing: JobStatus) -> CopyAction {
-    match standing {
+pub fn copy_action(status: JobStatus) -> CopyAction {
+    match status {
         JobStatus::Unknown | JobStatus::Queued => CopyAction::Adopt,
         JobStatus::Forgotten | JobStatus::PlacedElsewhere | JobStatus::Ended => CopyAction::Stop,
     }
 }
 
-/// What is known of a copy that was accepted and no longer exists.
+/// What is known of an accepted copy that is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Loss {
-    /// It never started: handed back by its node.
+    /// It never started: its node returned it.
     NeverRan,
-    /// It ended, by its node's report or because its node restarted without it.
+    /// It ended: its node reports so, or no longer has it.
     Ended,
-    /// Its node does not answer, listed or not, or did not say what became of it in time; it may run still.
+    /// It may still run: its node can't be reached, or did not confirm in time that it stopped it.
     Unknown,
 }
 
-/// Whether a lost task is placed again (rule 2).
+/// Whether a lost task is placed again, by the rule of its class and what is known of the loss.
 ///
-/// | class says | never ran | ended | unknown |
+/// | rule of the class | never ran | ended | unknown |
 /// | --- | --- | --- | --- |
-/// | always (safe classes alone) | again | again | again |
+/// | always (only safe classes) | again | again | again |
 /// | ended | again | again | no |
 /// | never | again | no | no |
 pub fn may_retry(rule: ComesAgain, loss: Loss) -> bool {
@@ -139,61 +143,62 @@
     }
 }
 
-/// What nodes hold of a submission that was made to a former incarnation of the placer.
+/// What is known of a job that was submitted to a former incarnation of the placer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PriorSubmission {
-    /// A node holds the task: it is that job.
+    /// The job exists: it is in the ledger, or was adopted from a node's report.
     Held,
-    /// No node holds it, but one that could has not reported yet.
+    /// The job does not exist, but a node that may have its task has not reported yet.
     Unreported,
-    /// All nodes reported, and none holds it.
+    /// The job does not exist, and all nodes have reported.
     NotHeld,
 }
 
-/// What becomes of a job that was being placed when the placer ended, once it is back.
+/// What is done with a job that was being placed when a former incarnation ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecoveryAction {
-    /// Some node may still report.
+    /// Wait: some node may still report.
     Wait,
-    /// Nobody waits any longer for the nodes that were asked: their attempts may have run.
+    /// Close the open attempts without their nodes' reports; they may have run.
     Abandon,
-    /// It is placed, as if it had just come.
+    /// Request its placement, as for a new job.
     Request,
-    /// It never ran, and its time is over.
+    /// End it as refused: its client is giving up, and submitting it again is harmless.
     Reject,
-    /// It may have run, and must not start twice.
+    /// End it as failed: it may have run, and must not start twice.
     Fail,
 }
 
-/// A job of the ledger that was requested and not placed when a former incarnation ended.
+/// What is known of a job that was requested and not placed when a former incarnation ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecoveringJob {
-    /// What a second start of it may do.
+    /// Whether the job's class allows a second start.
     pub effect: Effect,
-    /// Some attempt's end is not known.
+    /// Some attempt of it is open: its end is not known.
     pub has_open_attempts: bool,
-    /// An attempt that is closed may have run.
+    /// Some closed attempt of it may have run.
     pub may_have_run: bool,
-    /// Every node has reported what it holds, or has had its time to.
+    /// Every listed node has reported its tasks, or the time allowed for that is over.
     pub all_reconciled: bool,
-    /// Its client has given up, or is about to.
+    /// Its client has given up, or will within [`ANSWER_MARGIN_US`].
     pub is_overdue: bool,
-    /// It may not wait any longer.
+    /// The job may not wait any longer.
     pub is_last_call: bool,
 }
 
-/// Decides on a job that was requested and not placed. What nodes reported of its attempts has been applied by
-/// [`reconcile`] already: an attempt that is accepted or ended made it a placed or an ended job, one that never ran is
-/// closed, and one that may have run is closed and leaves `may_have_run`.
+/// Decides on a job that was requested and not placed when a former incarnation ended.
+///
+/// Nodes' reports on its attempts have been applied by [`reconcile`] before: an accepted or ended attempt has made it a
+/// placed or ended job, an attempt that never ran is closed, and one that may have run is closed and sets `may_have_run`.
 ///
 /// | attempts open | class | may have run | all nodes reported | overdue | last call | action |
 /// | --- | --- | --- | --- | --- | --- | --- |
 /// | yes | any | any | any | any | no | wait |
 /// | yes | any | any | any | any | yes | abandon |
-/// | no | safe | any | no | any | no | wait: an offer of a safe task may have left unrecorded |
+/// | no | safe | any | no | any | no | wait: an offer of a safe task may have been sent unrecorded |
 /// | no | safe | any | yes, or last call | no | any | request |
-/// | no | safe | any | yes, or last call | yes | any | reject: asking again is harmless |
-/// | no | keyed, unsafe | no | any | no | any | request: every offer of it was recorded before it left |
+/// | no | safe | any | yes, or last call | yes | any | reject: submitting it again is harmless |
+/// | no | keyed, unsafe | no | any | no | any | request: every offer of it was recorded before it was sent |
 /// | no | keyed, unsafe | no | any | yes | any | reject |
 /// | no | keyed, unsafe | yes | no | any | no | wait: its copy may still be reported |
 /// | no | keyed, unsafe | yes | yes, or last call | any | any | fail |
@@ -210,24 +215,25 @@
     }
 }
 
-/// What a submission that a former incarnation may have carried out does for one job.
+/// What is done for one job of a submission that a former incarnation may have carried out already.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Resubmission {
-    /// The job is there already.
+    /// Nothing: the job exists already.
     Existing,
-    /// Wait for nodes to report.
+    /// Defer the submission until nodes have reported.
     Wait,
-    /// Place it as new.
+    /// Place it as a new job.
     Start,
-    /// It may have run and ended unseen: its client is told that it failed, which promises nothing.
+    /// Add it as failed: it may have run to its end without a report. An answer of `failed` says nothing about whether it
+    /// ran.
     Fail,
 }
 
-/// Decides on a submission repeated to the successor of a placer that died.
+/// Decides on one job of a submission that was first sent to a former incarnation of the placer.
 ///
-/// A task that nobody holds may have run to its end before: its node forgot it once the dead placer had acknowledged
-/// the end. Only a safe class may be started on that knowledge. Where the ledger has every record of the dead placer
-/// (`is_complete`), a submission that is not in it was never accepted, and no offer of its jobs has left.
+/// A task that no node has may have run to its end: its node deleted it once the former incarnation acknowledged the end.
+/// So only a task of a safe class may be started. Where the ledger has every record of the former incarnation
+/// (`is_complete`), a submission that is not in it was never accepted, and no offer of its jobs was sent.
 pub fn resubmission(
     effect: Effect,
     prior: PriorSubmission,
@@ -243,12 +249,13 @@
     }
 }
 
-/// Whether a node may be announced to the decision module at all yet (rule 4).
+/// Whether a node may be announced to the decision module yet.
 ///
-/// A placer that has just started does not know what its former incarnation sent to a node that is warming up: the
-/// node's budget counts both. So such a node is withheld until one window has passed since the placer's own start; by
-/// then nothing of the former incarnation is left in any window. It need not be where the ledger has every offer to
-/// such a node (`budgets_restored`). `warming_until` is `None` for a node that is warm, or whose start is not known.
+/// A node that is warming up gets at most a budget of offers per window. The budget counts the offers of the placer's
+/// former incarnation too, which a placer that has just started does not know. So such a node is announced only once a window (`window_us`) has
+/// passed since the placer's start (`started`): no window then has offers of the former incarnation. It is announced at
+/// once where the ledger has every offer to such nodes (`budgets_restored`). `warming_until` is `None` for a node that is
+/// warm or whose start time is not known. All times are in microseconds.
 pub fn may_announce(
     now: u64,
     started: u64,
@@ -260,91 +267,91 @@
     !is_warming_up || budgets_restored || now >= started.saturating_add(window_us.unwrap_or(0))
 }
 
-/// Microseconds before a client gives up at which the decision module's time is over: enough to answer on a machine that
-/// keeps up, little beside any class's deadline.
+/// Microseconds before a client gives up by which the decision module must have answered, where the placer is not late:
+/// enough to send the answer, and short compared with any class's deadline.
 pub const ANSWER_MARGIN_US: u64 = 100_000;
 
-/// How long before its client gives up a request must be answered by the decision module: the answer has the loop and
-/// the disk before it, so twice what these were behind lately, and no more than a quarter of the client's deadline.
+/// Microseconds before its client gives up by which a request must be answered by the decision module. The answer is
+/// delayed by the event loop and the disk, so the margin is twice their recent lag, at least [`ANSWER_MARGIN_US`] and at
+/// most a quarter of the client's deadline `grace_us`.
 pub fn answer_margin(grace_us: u64, lag_us: u64) -> u64 {
     ANSWER_MARGIN_US
         .max(lag_us.saturating_mul(2))
         .min(grace_us / 4)
 }
 
-/// How far behind something was lately: the worst, which counts for half as much after each [`LAG_HALF_LIFE_US`].
+/// The recent lag: the largest lag recorded, halved after each [`LAG_HALF_LIFE_US`]. Times are in microseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Lag {
     worst_us: u64,
     at_us: u64,
 }
 
-/// Microseconds after which a lag counts for half.
+/// Microseconds after which a recorded lag is halved.
 const LAG_HALF_LIFE_US: u64 = 5_000_000;
 
 impl Lag {
-    /// Something was late by so much.
+    /// Records a lag. It is ignored where it is less than the current value.
     pub fn note(&mut self, now: u64, late_us: u64) {
         if late_us >= self.at(now) {
             (self.worst_us, self.at_us) = (late_us, now);
         }
     }
 
-    /// What counts now.
+    /// The value at `now`.
     pub fn at(&self, now: u64) -> u64 {
-        let halves = now.saturating_sub(self.at_us) / LAG_HALF_LIFE_US;
+        let half_lives = now.saturating_sub(self.at_us) / LAG_HALF_LIFE_US;
         self.worst_us
-            .checked_shr(u32::try_from(halves).unwrap_or(u32::MAX))
+            .checked_shr(u32::try_from(half_lives).unwrap_or(u32::MAX))
             .unwrap_or(0)
     }
 }
 
-/// What is known of the offers to a node that may be warming up.
+/// The offers to a node that may be warming up. Times are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlowStartOffers {
-    /// It has started lately, and bears little.
+    /// The node started recently and may get only few offers.
     pub is_warming_up: bool,
-    /// When the oldest unanswered offer to it was sent.
+    /// When the oldest unanswered offer to the node was sent; `None` where all are answered.
     pub oldest_unanswered: Option<u64>,
-    /// Until when an offer that it answered late counts against it.
+    /// Until when the node is blocked because it answered an offer late; 0 where it never did.
     pub overdue_until: u64,
 }
 
-/// Whether a node that is warming up gets nothing more for now (rule 4).
+/// Whether a node that is warming up, which gets at most a budget of offers per window, is blocked for now.
 ///
-/// The decision module counts offers to such a node from when it decided them, with a jitter in hand. A connection that
-/// stalls or a node that reads slowly lets more than that pass before the first of them arrives, and then all at once:
-/// so a node with an offer that is unanswered for longer than the jitter gets none, and neither does one that answered
-/// late, for a window after that answer.
+/// The decision module counts an offer to such a node from the time of its decision, and allows for a jitter until it
+/// arrives. Where a connection stalls or a node reads slowly, offers are delayed by more than that and then arrive all at
+/// once. So a node gets no offer while one is unanswered for longer than the jitter, nor for a window after it answered
+/// one late.
 ///
 /// | warming up | oldest unanswered offer | answered late | blocked |
 /// | --- | --- | --- | --- |
 /// | no | any | any | no |
 /// | yes | older than the jitter | any | yes |
 /// | yes | younger, or none | less than a window ago | yes |
-/// | yes | younger, or none | longer ago, or never | no |
+/// | yes | younger, or none | a window ago or longer, or never | no |
 pub fn slow_start_overdue(now: u64, offers: SlowStartOffers, jitter: u64) -> bool {
     let is_overdue = |sent: u64| now >= sent.saturating_add(jitter);
     offers.is_warming_up
         && (offers.overdue_until > now || offers.oldest_unanswered.is_some_and(is_overdue))
 }
 
-/// How long ago an offer of a former incarnation counts as sent to a node that is warming up, which the ledger has as
-/// decided `ago`.
+/// The age at which an offer of a former incarnation counts against the budget of a node that is warming up. `age` is the
+/// time since the offer was decided, by the ledger; all values are in microseconds.
 ///
-/// It may have reached its node as late as the former incarnation's connection was open, so until its successor's
-/// handshake: within
-/// [`FORMER_OFFER_US`] of a window it counts as sent just now.
-pub fn former_offer_age(ago: u64, window: u64) -> u64 {
-    if ago < window.saturating_add(FORMER_OFFER_US) {
+/// The offer may have reached its node as long as the former incarnation's connection was open, which is until the
+/// handshake of this incarnation. So an offer younger than a window and [`FORMER_OFFER_DELAY_US`] counts as sent just now.
+pub fn former_offer_age(age: u64, window: u64) -> u64 {
+    if age < window.saturating_add(FORMER_OFFER_DELAY_US) {
         0
     } else {
-        ago
+        age
     }
 }
 
-/// Microseconds for which a connection of a former incarnation may delay an offer.
-const FORMER_OFFER_US: u64 = 2_000_000;
+/// Microseconds by which a connection of a former incarnation may delay an offer.
+const FORMER_OFFER_DELAY_US: u64 = 2_000_000;
 
 #[cfg(test)]
 mod tests;
--- a/crates/core/src/lifecycle/adoption.rs
+++ b/crates/core/src/lifecycle/adoption.rs
@@ -1,4 +1,4 @@
-//! Copies that a node holds and the ledger does not know: each becomes a job's own, or is stopped.
+//! Task copies that a node reports and that are not in the ledger: each is adopted as a job's copy, or is stopped.
 
 use std::sync::Arc;
 
@@ -13,44 +13,49 @@
 use crate::ledger::{Attempt, Job, JobName, Phase};
 use crate::requirements::JobRequirements;
 
-/// Why a job can't be reconstructed from what a node was given.
+/// Why a job can't be reconstructed from the task that a node reports.
 #[derive(Debug)]
 enum AdoptionError {
+    /// The job's name does not parse.
     InvalidName,
+    /// The payload is not a job template.
     InvalidTemplate(serde_json::Error),
+    /// The template does not fit the current settings, or its session can't be opened.
     Rejected(reedring_drmaa::Error),
 }
 
 impl std::fmt::Display for AdoptionError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Self::InvalidName => f.write_str("its name is not one of a job"),
-            Self::InvalidTemplate(error) => write!(f, "its template: {error}"),
+            Self::InvalidName => f.write_str("the task's job name is not valid"),
+            Self::InvalidTemplate(error) => {
+                write!(f, "the task's payload is not a valid job template: {error}")
+            }
             Self::Rejected(error) => f.write_str(&error.message),
         }
     }
 }
 
 impl JobLifecycle<'_> {
-    /// A node reports a copy that the ledger does not hold.
+    /// Handles a task that a node reports and whose attempt is not open in the ledger.
     pub(super) fn unknown_attempt_reported(
         &mut self,
         now: Micros,
         number: NodeNumber,
-        held: InFlightTask,
+        reported: InFlightTask,
     ) {
         let InFlightTask {
             attempt,
             task,
             state,
-        } = held;
+        } = reported;
         if let InFlightState::Ended { end, ran } = state {
             return self.unknown_end_reported(now, number, attempt, &task, end, ran);
         }
         let job = self.job_named(&task.job);
-        let status = self.status_of(job, attempt, &task.job);
+        let status = self.job_status(job, attempt, &task.job);
         let is_adopted = match decide::copy_action(status) {
-            // A copy still in the node's queue of offers is no copy to count on.
+            // The node may still reject a copy that is in its queue of offers.
             CopyAction::Adopt if state == InFlightState::Queued => false,
             CopyAction::Adopt => self.adopt(now, number, attempt, &task, job, &state),
             CopyAction::Stop => false,
@@ -62,7 +67,12 @@
         }
     }
 
-    fn status_of(&self, job: Option<JobNumber>, attempt: wire::AttemptId, name: &str) -> JobStatus {
+    fn job_status(
+        &self,
+        job: Option<JobNumber>,
+        attempt: wire::AttemptId,
+        name: &str,
+    ) -> JobStatus {
         match job.and_then(|job| self.ledger.job(job)) {
             Some(job) => match job.phase {
                 Phase::Requested(_) | Phase::Delayed => JobStatus::Queued,
@@ -77,8 +87,8 @@
         }
     }
 
-    /// An end that no attempt waits for. A task of a former incarnation whose end nobody was told is a job that has
-    /// ended; its client may still ask.
+    /// Handles the end of a task whose attempt is not open in the ledger. If a former incarnation placed the task and
+    /// its client did not get the end, the task is adopted as a job that has ended, since the client may still wait for it.
     fn unknown_end_reported(
         &mut self,
         now: Micros,
@@ -89,13 +99,14 @@
         ran: bool,
     ) {
         self.send(now, number, Message::Ack { attempt });
-        // A job of the ledger whose offer left unrecorded ran all the same.
+        // A recovering job may have run although the ledger does not have this attempt: the offer of a safe task may
+        // be sent before it is recorded.
         let job = self.job_named(&task.job);
         let recovering = job.filter(|job| self.ledger.job(*job).is_some_and(|job| job.recovering));
-        let is_untold =
+        let is_unreturned =
             recovering.is_some() || job.is_none() && !self.is_settled(attempt, &task.job);
         if !self.ledger.is_known(attempt)
-            && is_untold
+            && is_unreturned
             && ran
             && self.adopt(
                 now,
@@ -111,7 +122,7 @@
         }
     }
 
-    /// Makes a copy that a node holds the job's own; whether that could be done.
+    /// Makes a copy that a node reports the job's accepted copy. Returns false where the copy can't be adopted.
     fn adopt(
         &mut self,
         now: Micros,
@@ -141,11 +152,11 @@
         }
         self.cx.stats.adopted += 1;
         self.job_placed(now, job, id);
-        self.apply_held_state(now, id, state);
+        self.apply_in_flight_state(now, id, state);
         true
     }
 
-    /// Opens an adopted attempt in the ledger.
+    /// Adds an adopted attempt to the ledger, already accepted. Returns false where its job is not in the ledger.
     fn open_adopted(
         &mut self,
         now: Micros,
@@ -181,7 +192,8 @@
         true
     }
 
-    /// The job of a copy: the ledger's, without what else is tried for it, or one made from what the node was given.
+    /// The job that adopts a copy: the given job of the ledger, whose request is withdrawn and whose other attempts are
+    /// stopped, or a new job that is reconstructed from the task.
     fn job_to_adopt_for(
         &mut self,
         now: Micros,
@@ -191,9 +203,9 @@
         job: Option<JobNumber>,
     ) -> Option<JobNumber> {
         if let Some(job) = job {
-            // What is still tried for it would only make a second copy.
+            // Its open request and its other attempts could only start a second copy.
             self.withdraw_job(job);
-            self.set_recovered(job);
+            self.mark_recovered(job);
             let attempts = self
                 .ledger
                 .job(job)
@@ -217,7 +229,7 @@
         }
     }
 
-    /// A job as a node reports it: its session, its template and its class are in what the node was given.
+    /// Adds a job to the ledger that is reconstructed from a task: the task has its session, template and class.
     fn reconstruct_job(
         &mut self,
         now: Micros,
@@ -228,7 +240,7 @@
             serde_json::from_slice(&task.payload).map_err(AdoptionError::InvalidTemplate)?;
         let mut requirements = JobRequirements::new(spec, self.cx.settings(), None)
             .map_err(AdoptionError::Rejected)?;
-        // What it was placed with holds, also where the settings say otherwise by now.
+        // The values of the offer apply, even where the settings have changed since.
         (requirements.cores, requirements.memory) = (task.cores, task.memory);
         requirements.service.clone_from(&task.service);
         requirements.life_us = (task.expected_duration_ms > 0)
--- a/crates/core/src/lifecycle/durability.rs
+++ b/crates/core/src/lifecycle/durability.rs
@@ -1,4 +1,5 @@
-//! What waited for the disk: released once it is durable, or decided on once it can't wait any longer.
+//! Outputs that wait for a batch to become durable: they are sent once it is, and sent, deferred or dropped where the
+//! state folder can't be written.
 
 use reedring::{AttemptId, Effect, Micros, Outcome as AttemptOutcome};
 use reedring_drmaa::rpc::Answer;
@@ -11,10 +12,10 @@
 use crate::persistence::{Destination, ReleasedOutput, offered_attempt};
 
 impl JobLifecycle<'_> {
-    /// Everything up to this batch is durable.
+    /// Sends the outputs that waited for batches up to `seq`, which are durable now.
     pub fn batch_durable(&mut self, now: Micros, seq: u64) {
         for released in self.queue.durable(now, seq, self.cx) {
-            if self.is_still_wanted(now, &released) {
+            if self.may_still_send(now, &released) {
                 self.cx.output(released.output);
             } else {
                 self.offer_retracted(now, &released.output, "the disk was slow");
@@ -25,9 +26,9 @@
         }
     }
 
-    /// Whether an output that waited for the disk may leave now: an offer may not where its node is no longer ready, or
-    /// would get it late while it is warming up, or its attempt is closed.
-    fn is_still_wanted(&self, now: Micros, released: &ReleasedOutput) -> bool {
+    /// Whether an output that waited for the disk may be sent now. An offer may not if its attempt is closed, its node is
+    /// no longer ready, or its node is warming up and the offer waited longer than [`DISK_WAIT_US`].
+    fn may_still_send(&self, now: Micros, released: &ReleasedOutput) -> bool {
         let Destination::Node(number) = released.to else {
             return true;
         };
@@ -45,10 +46,10 @@
         is_ready && !is_late && self.ledger.find(attempt).is_some()
     }
 
-    /// Retracts offers that wait for the disk, to nodes that may get nothing any more.
+    /// Retracts offers that wait for the disk and whose nodes are no longer ready.
     pub fn retract_offers_to_closed_nodes(&mut self, now: Micros) {
         let nodes = &*self.nodes;
-        let is_closed = |output: &Output| match output {
+        let is_to_unready_node = |output: &Output| match output {
             Output::Send {
                 node,
                 message: Message::Offer { .. },
@@ -57,11 +58,12 @@
                 .is_none_or(|health| health != Health::Ready),
             _ => false,
         };
-        for released in self.queue.take_waiting(is_closed) {
+        for released in self.queue.take_waiting(is_to_unready_node) {
             self.offer_retracted(now, &released.output, "its node drains");
         }
     }
 
+    /// Closes the attempt of an offer that was not sent.
     fn offer_retracted(&mut self, now: Micros, output: &Output, label: &'static str) {
         let id = offered_attempt(output).and_then(|attempt| self.ledger.find(attempt));
         if let Some(id) = id {
@@ -69,8 +71,10 @@
         }
     }
 
-    /// The state folder can't be written: nothing that waits can wait for it.
-    pub fn state_lost(&mut self, now: Micros, reason: String, marked: bool) {
+    /// Handles that the state folder can't be written: outputs that wait for it are sent, except offers that must be
+    /// recorded first, which are rejected, and acknowledgements, which are deferred. `marked` says that the folder is
+    /// marked as incomplete.
+    pub fn state_unavailable(&mut self, now: Micros, reason: String, marked: bool) {
         let Some(waiting) = self.queue.suspend(reason, marked, self.cx) else {
             return;
         };
@@ -108,7 +112,8 @@
         }
     }
 
-    /// A task that must not start twice can't be offered while that can't be persisted: its client has its answer.
+    /// Ends the job of an attempt that can't be offered: a task that must not start twice is offered only once the offer
+    /// is recorded, and nothing can be recorded now.
     pub(super) fn reject_unpersisted(&mut self, now: Micros, id: AttemptId) {
         let Some(job) = self.ledger.attempt(id).map(|attempt| attempt.job) else {
             return;
--- a/crates/core/src/lifecycle/jobs.rs
+++ b/crates/core/src/lifecycle/jobs.rs
@@ -1,4 +1,4 @@
-//! The end of jobs: how one ends, which clients learn of it, and when it is forgotten.
+//! The end of jobs: how a job ends, which waiting calls are answered, and when the job is deleted.
 
 use reedring::Micros;
 use reedring_drmaa::rpc::Answer;
@@ -12,15 +12,15 @@
 use crate::sessions::{WaitCondition, Waiter};
 use crate::timers::Timer;
 
-/// How often finished jobs are looked through, as a part of the time for which they are kept.
-const FORGET_CHECKS: u64 = 8;
-/// Microseconds between two such looks at least.
+/// How many times finished jobs are checked for expiry within the time for which they are kept.
+const FORGET_CHECKS_PER_RETENTION: u64 = 8;
+/// The shortest interval between two such checks, in microseconds.
 const MIN_FORGET_INTERVAL_US: Micros = 1_000_000;
 
-/// The answer of a wait for a job.
+/// The answer to a wait for a job; an error where the job has not ended.
 pub(crate) fn ended_answer(info: Option<JobInfo>) -> Result<Answer> {
     info.map(Answer::Ended)
-        .ok_or_else(|| Error::new(ErrorCode::InternalError, "the job is not over"))
+        .ok_or_else(|| Error::new(ErrorCode::InternalError, "the job has not ended"))
 }
 
 impl JobLifecycle<'_> {
@@ -35,21 +35,22 @@
         number
     }
 
-    /// The job of this name, if nobody has waited for it yet.
+    /// The job of this name, if its end was not returned yet.
     pub fn job_named(&self, name: &str) -> Option<JobNumber> {
         let name = JobName::parse(name)?;
         let session = self.sessions.get(self.sessions.find(&name.session).ok()?)?;
         session.job(name.place())
     }
 
-    /// Whether a former incarnation made this attempt, its job was in the ledger, and its client was told how it ended.
+    /// Whether a former incarnation with a complete ledger made this attempt, and the end of its job was returned to the
+    /// client.
     pub(super) fn is_settled(&self, attempt: wire::AttemptId, name: &str) -> bool {
         if !self.ledger.is_complete(attempt.incarnation) {
             return false;
         }
         let is_settled = JobName::parse(name).and_then(|name| {
             let session = self.sessions.get(self.sessions.find(&name.session).ok()?)?;
-            Some(session.knows_call(name.call) && session.job(name.place()).is_none())
+            Some(session.is_call_closed(name.call) && session.job(name.place()).is_none())
         });
         is_settled.unwrap_or(false)
     }
@@ -60,7 +61,7 @@
         }
     }
 
-    /// The client of a job has its answer: the first one holds, and is counted.
+    /// Records and counts the answer about a job's placement. A job that has one keeps it.
     pub fn record_outcome(&mut self, job: JobNumber, outcome: Outcome) {
         let undecided = self.ledger.job_mut(job).filter(|job| job.outcome.is_none());
         let Some(job) = undecided else { return };
@@ -76,7 +77,7 @@
 
     // ---- Ending ----
 
-    /// Ends a job for its user or by its limit: its copies are stopped first.
+    /// Ends a job at its user's request or at its run limit. Its attempts are stopped first.
     pub fn terminate(&mut self, now: Micros, job: JobNumber, ending: Ending) {
         self.withdraw_job(job);
         let Some(entry) = self.ledger.job_mut(job) else {
@@ -91,10 +92,10 @@
         for id in attempts {
             self.stop(now, id);
         }
-        self.end_if_ending(now, job);
+        self.finish_ending(now, job);
     }
 
-    /// A job has run for as long as its template allows.
+    /// Terminates a job that has run for as long as its template allows.
     pub fn run_limit_reached(&mut self, now: Micros, job: JobNumber) {
         if self.ledger.job(job).is_some_and(Job::is_running) {
             let end = End::Signaled {
@@ -114,8 +115,8 @@
         }
     }
 
-    /// A job that is being ended has ended once no copy is left.
-    pub fn end_if_ending(&mut self, now: Micros, job: JobNumber) {
+    /// Ends a job that is being ended if none of its attempts is open any more.
+    pub fn finish_ending(&mut self, now: Micros, job: JobNumber) {
         let Some(entry) = self.ledger.job(job) else {
             return;
         };
@@ -125,7 +126,7 @@
         }
     }
 
-    /// A job has ended: clients that wait for it are answered.
+    /// Marks a job as ended and answers the calls that wait for it.
     pub fn end_job(&mut self, now: Micros, number: JobNumber, ending: Ending) {
         let Some(job) = self.ledger.job_mut(number).filter(|job| !job.is_ended()) else {
             return;
@@ -147,7 +148,7 @@
         self.wake_waiting(session_number, number);
     }
 
-    /// Answers the calls that wait for the end of a job.
+    /// Answers the calls that wait for the end of a job. The first wait for it gets the end, and the job is deleted.
     fn wake_waiting(&mut self, session_number: SessionNumber, number: JobNumber) {
         let Some(session) = self.sessions.get_mut(session_number) else {
             return;
@@ -158,11 +159,11 @@
             self.forget_job(number);
             self.complete_call(session_number, call, result);
             for call in wake_ups.too_late {
-                let taken = Error::new(
+                let already_returned = Error::new(
                     ErrorCode::InvalidJob,
                     "the job's end was told to another wait",
                 );
-                self.complete_call(session_number, call, Err(taken));
+                self.complete_call(session_number, call, Err(already_returned));
             }
         }
         for call in wake_ups.complete {
@@ -176,7 +177,7 @@
         self.reply_completed(completed);
     }
 
-    /// The last job of a synchronization has ended.
+    /// Answers a synchronization whose last job has ended, and deletes its jobs where it asked for that.
     fn complete_synchronization(&mut self, session: SessionNumber, call: u64) {
         let waiter = self
             .sessions
@@ -199,7 +200,7 @@
         self.complete_call(session, call, Ok(Answer::Done));
     }
 
-    /// What `drmaa_wait` returns of a job that has ended.
+    /// What `drmaa_wait` returns of a job; `None` where it has not ended.
     pub fn job_info(&self, number: JobNumber) -> Option<JobInfo> {
         let job = self.ledger.job(number)?;
         let node = job
@@ -211,7 +212,7 @@
 
     // ---- Forgetting ----
 
-    /// Forgets a job whose end its client was told.
+    /// Deletes a job from the ledger and its session.
     pub fn forget_job(&mut self, number: JobNumber) {
         if let Some(job) = self.ledger.forget(number)
             && let Some(session) = self.sessions.get_mut(job.session)
@@ -220,13 +221,14 @@
         }
     }
 
+    /// Schedules the next check for finished jobs that are kept for too long.
     fn schedule_forgetting(&mut self, now: Micros) {
         let keep = self.cx.settings().limits.keep_ended_us;
-        let interval = (keep / FORGET_CHECKS).max(MIN_FORGET_INTERVAL_US);
+        let interval = (keep / FORGET_CHECKS_PER_RETENTION).max(MIN_FORGET_INTERVAL_US);
         self.cx.set_timer(now + interval, Timer::ForgetFinished);
     }
 
-    /// Forgets jobs that ended long ago, and sessions that were not used since.
+    /// Deletes jobs that ended more than `keep_ended_us` ago, and idle sessions that were not used for as long.
     pub fn forget_finished(&mut self, now: Micros) {
         let before = now.saturating_sub(self.cx.settings().limits.keep_ended_us);
         let is_old = |job: &JobNumber| {
--- a/crates/core/src/lifecycle/mod.rs
+++ b/crates/core/src/lifecycle/mod.rs
@@ -1,19 +1,20 @@
-//! The lifecycle of jobs and attempts: every transition of one, with what it means for the rest of the placer.
+//! The lifecycle of jobs and attempts: each state transition and the changes that it causes in other components.
 //!
-//! | step | where |
+//! | transition | module |
 //! | --- | --- |
-//! | a job is handed to the decision module, and gets its answer | `requests` |
-//! | an attempt is offered to a node, is taken back, or is never accepted | `offers` |
-//! | a node accepts, rejects, runs or ends an attempt, or it is lost | `reports` |
-//! | a job ends, its waiting clients are answered, and it is forgotten | `jobs` |
-//! | a node reports all that it holds, or can't be reached | `reconciliation` |
-//! | a copy that the ledger does not know becomes a job's own | `adoption` |
-//! | a job of a former incarnation is decided on | `recovery` |
-//! | a node that is warming up answers late | `slow_start` |
-//! | what waited for the disk is released, or can't wait any longer | `durability` |
+//! | a placement request is sent to the decision module and answered | `requests` |
+//! | an attempt is offered to a node, retracted, stopped, or never accepted | `offers` |
+//! | a node accepts, rejects, runs or ends an attempt, or an accepted copy is lost | `reports` |
+//! | a job ends, calls that wait for it are answered, and the job is deleted | `jobs` |
+//! | a node reports all of its tasks, or can't be reached | `reconciliation` |
+//! | a running copy that is not in the ledger is adopted or stopped | `adoption` |
+//! | a job that was being placed by a former incarnation is placed or ended | `recovery` |
+//! | a node that is warming up answers late and is blocked | `slow_start` |
+//! | outputs that waited for a durable batch are released or dropped | `durability` |
+//! | a message to a node is sent, and what must be durable before | `sending` |
 //!
-//! [`JobLifecycle`] owns nothing: it is the set of components that a transition may change, borrowed for one call. Each
-//! component is changed through its own methods alone.
+//! [`JobLifecycle`] owns no state: it borrows the components that a transition may change for one call. Each component
+//! is changed only through its own methods.
 
 mod adoption;
 mod durability;
@@ -40,7 +41,7 @@
 pub(crate) use jobs::ended_answer;
 pub(crate) use offers::OfferDecision;
 
-/// The components that a transition of a job or an attempt may change.
+/// Mutable references to the components that a transition of a job or an attempt may change.
 pub(crate) struct JobLifecycle<'a> {
     pub cx: &'a mut Context,
     pub ledger: &'a mut Ledger,
@@ -51,12 +52,12 @@
     pub queue: &'a mut WriteAheadQueue,
 }
 
-/// How an attempt ended, for the decision module and for the job's history.
+/// How an attempt ended, as it is reported to the decision module and recorded in the job's history.
 pub(crate) struct AttemptEnd {
     outcome: AttemptOutcome,
     reason: Option<Reason>,
     report: Vec<f64>,
-    /// What the job's history says of it.
+    /// The attempt's result in the job's history, which operators and clients see.
     label: &'static str,
 }
 
@@ -70,35 +71,35 @@
         }
     }
 
-    /// The node gave a reason.
-    pub fn because(self, reason: Option<Reason>) -> Self {
+    /// Adds the reason that the node gave, if any.
+    pub fn with_reason(self, reason: Option<Reason>) -> Self {
         Self { reason, ..self }
     }
 
-    /// The node reported its load with it.
+    /// Adds the load report that the node sent with the answer.
     pub fn with_report(self, report: Vec<f64>) -> Self {
         Self { report, ..self }
     }
 }
 
 impl JobLifecycle<'_> {
-    /// Whether every node that could hold a task of a former incarnation has reported, or has had its time to.
+    /// Whether every listed node has reported its tasks since this placer started, or the time allowed for that is over.
     pub fn all_reconciled(&self, now: Micros) -> bool {
         now >= self.nodes.reconcile_until()
             || self.constraints.has_nodes() && self.nodes.all_reconciled()
     }
 
-    /// What a second start of a job may do.
+    /// Whether the job's class allows a second start of it.
     pub fn effect(&self, job: &Job) -> Effect {
         self.cx.class(job.requirements.class).effect
     }
 
-    /// Answers a client, once what it is told is durable.
+    /// Sends a response to a client once the changes of the current flush are durable.
     pub fn reply(&mut self, conn: ConnectionId, response: Response) {
         self.queue.reply(conn, Output::Reply { conn, response });
     }
 
-    /// Answers a call that waited.
+    /// Sends the response of a call that waited, if there is one.
     pub fn reply_completed(&mut self, completed: Option<CompletedCall>) {
         if let Some(CompletedCall { conn, response }) = completed {
             self.reply(conn, response);
--- a/crates/core/src/lifecycle/offers.rs
+++ b/crates/core/src/lifecycle/offers.rs
@@ -1,4 +1,4 @@
-//! Attempts before a node has accepted them: offers, stops, and those that come to nothing.
+//! Attempts before a node has accepted them: offers, stops, and attempts that end without being accepted.
 
 use std::sync::Arc;
 
@@ -13,18 +13,18 @@
 use crate::ledger::Attempt;
 use crate::timers::Timer;
 
-/// An offer that the decision module wants made.
+/// An offer that the decision module has decided on.
 pub(crate) struct OfferDecision {
     pub request: RequestId,
     pub machine: MachineId,
-    /// How long the node may take to answer.
+    /// Microseconds that the node has to answer; `None` or 0 for no limit.
     pub within_us: Option<Micros>,
-    /// By which configuration it was decided, where the node reads that.
+    /// The configuration by which the offer was decided; `None` for a node that does not read it.
     pub stamp: Option<VersionStamp>,
 }
 
 impl JobLifecycle<'_> {
-    /// Offers a task to a node.
+    /// Opens an attempt at a request and sends its offer, or closes the attempt where the offer can't be sent.
     pub fn offer(&mut self, now: Micros, decision: OfferDecision) {
         let OfferDecision {
             request, machine, ..
@@ -41,7 +41,7 @@
             return;
         }
         if is_blocked {
-            // It was blocked after the module had drawn.
+            // The machine was blocked after the module had chosen it.
             return self.attempt_unplaced(now, id, AttemptEnd::new(Outcome::Unsent, "held back"));
         }
         let effect = self
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Opens an attempt in the ledger, before its offer leaves.
+    /// Adds an attempt to the ledger before its offer is sent. Returns false where its job is not in the ledger.
     fn open_attempt(
         &mut self,
         now: Micros,
@@ -95,6 +95,7 @@
         true
     }
 
+    /// Sends the offer of an attempt to a connected node and starts its timers.
     fn send_offer(
         &mut self,
         now: Micros,
@@ -107,7 +108,7 @@
         if within > 0 {
             self.cx.set_timer(now + within, Timer::OfferTimeout(id));
         }
-        // Rounded down, and 1 at least: 0 would mean no bound.
+        // Rounded down, but to at least 1: 0 means no limit on the wire.
         let within_ms = u32::try_from(within / 1_000).unwrap_or(u32::MAX);
         let within_ms = if within > 0 { within_ms.max(1) } else { 0 };
         self.cx.stats.offers += 1;
@@ -125,6 +126,7 @@
         );
     }
 
+    /// The task of a job as the node protocol describes it.
     fn wire_task(&self, job: JobNumber) -> Option<wire::Task> {
         let job = self.ledger.job(job)?;
         let requirements = &job.requirements;
@@ -156,7 +158,7 @@
         })
     }
 
-    /// An offer was not answered within the time that the decision module allows.
+    /// Closes an attempt whose offer was not answered within the time that the decision module allows.
     pub fn offer_timed_out(&mut self, now: Micros, id: AttemptId) {
         if self.ledger.state_of(id) == Some(AttemptState::Offered) {
             self.attempt_unplaced(
@@ -167,7 +169,8 @@
         }
     }
 
-    /// Gives an attempt up: its node is asked to stop it, and its answer awaited for a while.
+    /// Stops an attempt: retracts an offer that was not sent, and otherwise asks the node to stop it and waits up to
+    /// `stop_wait_us` for the answer.
     pub fn stop(&mut self, now: Micros, id: AttemptId) {
         let Some(attempt) = self.ledger.attempt_mut(id) else {
             return;
@@ -184,7 +187,7 @@
         }
     }
 
-    /// A node did not answer in time that it stopped an attempt.
+    /// Closes an attempt whose node did not confirm in time that it stopped it.
     pub fn stop_timed_out(&mut self, now: Micros, id: AttemptId) {
         let attempt = self.ledger.attempt(id);
         let stopping = attempt.filter(|attempt| attempt.state == AttemptState::Stopping);
@@ -196,7 +199,7 @@
         }
     }
 
-    /// Takes an attempt's offer back, if it has not left; whether it had not.
+    /// Removes an attempt's offer from the queue. Returns false where it has been sent.
     fn retract(&mut self, id: AttemptId) -> bool {
         let Some(attempt) = self.ledger.attempt(id) else {
             return false;
@@ -204,7 +207,7 @@
         self.queue.retract_offer(attempt.node, attempt.wire)
     }
 
-    /// An attempt ended before its node accepted it, or nobody knows whether it did.
+    /// Closes an attempt that its node did not accept, or of which it is not known whether it did.
     pub fn attempt_unplaced(&mut self, now: Micros, id: AttemptId, mut end: AttemptEnd) {
         let is_unanswered = matches!(
             end.outcome,
@@ -226,7 +229,7 @@
         {
             job.may_have_run = true;
         }
-        // Where it may be accepted still, its node should not start it for nothing.
+        // The node may still accept the offer: the stop keeps it from starting a task that nothing waits for.
         if is_unresolved {
             self.send(
                 now,
@@ -237,11 +240,12 @@
             );
         }
         self.announce_end(id, &attempt, end);
-        self.end_if_ending(now, attempt.job);
+        self.finish_ending(now, attempt.job);
         self.recover(now, attempt.job, false);
     }
 
-    /// Offers that were never written to their connection: no copy of them runs, and each may be placed elsewhere.
+    /// Closes the attempts of offers that were never written to their connection: no copy of them runs, so the job may
+    /// be offered to another node.
     pub fn offers_unwritten(&mut self, now: Micros, attempts: &[wire::AttemptId]) {
         for attempt in attempts {
             if let Some(node) = self.constraints.attempt_resolved(*attempt) {
@@ -253,7 +257,8 @@
         }
     }
 
-    /// Closes an attempt; where it is unresolved its copy may still run.
+    /// Closes an attempt in the ledger. If it is unresolved, its copy may still run and counts for constraints until its
+    /// node reports.
     pub(super) fn close_attempt(
         &mut self,
         id: AttemptId,
@@ -272,7 +277,7 @@
         Some(attempt)
     }
 
-    /// Tells the decision module how an attempt ended.
+    /// Notifies the decision module how an attempt ended, if the module knows the attempt.
     pub(super) fn announce_end(&mut self, id: AttemptId, attempt: &Attempt, end: AttemptEnd) {
         if !attempt.announced {
             return;
--- a/crates/core/src/lifecycle/reconciliation.rs
+++ b/crates/core/src/lifecycle/reconciliation.rs
@@ -1,4 +1,4 @@
-//! Reconciliation: a node reports all that it holds, or can't be reached, and the ledger follows.
+//! Reconciliation: updates the ledger when a node reports all of its tasks, restarts, or can't be reached.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,33 +11,39 @@
 use crate::ids::NodeNumber;
 
 impl JobLifecycle<'_> {
-    /// A node reported all that it holds.
-    pub fn node_reconciled(&mut self, now: Micros, number: NodeNumber, held: Vec<InFlightTask>) {
-        // The ledger's attempts first: what has ended makes room for what is adopted.
+    /// Applies a node's complete list of the tasks that it has of this placer.
+    pub fn node_reconciled(
+        &mut self,
+        now: Micros,
+        number: NodeNumber,
+        reported: Vec<InFlightTask>,
+    ) {
+        // Attempts of the ledger come first, so that those that have ended release their resources before any task is
+        // adopted.
         let by_wire: BTreeMap<wire::AttemptId, &InFlightTask> =
-            held.iter().map(|held| (held.attempt, held)).collect();
+            reported.iter().map(|task| (task.attempt, task)).collect();
         for id in self.attempts_at(number) {
             let Some(attempt) = self.ledger.attempt(id) else {
                 continue;
             };
-            let state = by_wire.get(&attempt.wire).map(|held| &held.state);
+            let state = by_wire.get(&attempt.wire).map(|task| &task.state);
             let reconciled = decide::reconcile(attempt.state, state, true);
             self.apply_reconciled(now, id, reconciled);
             if let Some(state) = state {
-                self.apply_held_state(now, id, state);
+                self.apply_in_flight_state(now, id, state);
             }
         }
-        let reported: BTreeSet<wire::AttemptId> = by_wire.into_keys().collect();
-        self.constraints.resolve_except(number, &reported);
+        let reported_ids: BTreeSet<wire::AttemptId> = by_wire.into_keys().collect();
+        self.constraints.resolve_except(number, &reported_ids);
         self.offer_answered(now, number, now);
-        for held in held {
-            if self.ledger.find(held.attempt).is_none() {
-                self.unknown_attempt_reported(now, number, held);
+        for task in reported {
+            if self.ledger.find(task.attempt).is_none() {
+                self.unknown_attempt_reported(now, number, task);
             }
         }
     }
 
-    /// A node restarted: attempts of its former incarnation can't be among what it holds now.
+    /// Handles the restart of a node: none of the tasks of its former incarnation is left.
     pub fn node_restarted(&mut self, now: Micros, number: NodeNumber) {
         for id in self.attempts_at(number) {
             if let Some(state) = self.ledger.state_of(id) {
@@ -48,6 +54,7 @@
         self.constraints.resolve_all(number);
     }
 
+    /// The open attempts at a node.
     fn attempts_at(&self, number: NodeNumber) -> Vec<AttemptId> {
         self.nodes
             .get(number)
@@ -55,6 +62,7 @@
             .unwrap_or_default()
     }
 
+    /// Applies to one attempt what its node's report means for it.
     fn apply_reconciled(&mut self, now: Micros, id: AttemptId, reconciled: Reconciled) {
         let reset = |label| AttemptEnd::new(Outcome::Reset, label);
         match reconciled {
@@ -79,19 +87,26 @@
         }
     }
 
-    /// Applies reports that were lost with a connection.
-    pub(super) fn apply_held_state(&mut self, now: Micros, id: AttemptId, state: &InFlightState) {
+    /// Applies the state of a task whose report may have been lost with the connection: it runs, or is suspended.
+    pub(super) fn apply_in_flight_state(
+        &mut self,
+        now: Micros,
+        id: AttemptId,
+        state: &InFlightState,
+    ) {
         match state {
-            InFlightState::Running => self.attempt_noted(now, id, TaskSignalKind::Running, 0.0),
-            InFlightState::Suspended => self.attempt_noted(now, id, TaskSignalKind::Suspended, 0.0),
+            InFlightState::Running => self.attempt_signaled(now, id, TaskSignalKind::Running, 0.0),
+            InFlightState::Suspended => {
+                self.attempt_signaled(now, id, TaskSignalKind::Suspended, 0.0)
+            }
             _ => {}
         }
     }
 
     // ---- Nodes that can't be reached ----
 
-    /// A connection was down for too long: what was unanswered on it may have run, and on a node that is no longer
-    /// listed, what was accepted too.
+    /// Handles that a connection was down for too long: closes the node's offers and stops that were not answered, which
+    /// may have run. If the node is listed as gone or no longer listed, its accepted attempts count as lost too.
     pub fn node_unanswered(&mut self, now: Micros, number: NodeNumber) {
         let Some(node) = self.nodes.get(number) else {
             return;
@@ -111,7 +126,7 @@
         }
     }
 
-    /// A node can't be asked what became of the tasks that it accepted: they count as lost, and may run still.
+    /// Handles that a node can't be asked about the tasks that it accepted: they count as lost, and may still run.
     pub fn node_lost(&mut self, now: Micros, number: NodeNumber, label: &'static str) {
         let is_accepted =
             |id: &AttemptId| self.ledger.state_of(*id) == Some(AttemptState::Accepted);
--- a/crates/core/src/lifecycle/recovery.rs
+++ b/crates/core/src/lifecycle/recovery.rs
@@ -1,5 +1,5 @@
-//! Jobs that were being placed when a former incarnation ended: each waits for the nodes that were asked, and is then
-//! decided on by [`decide::recovery_action`].
+//! Recovery of jobs that were being placed when a former incarnation ended: each job waits for reports of the nodes that
+//! it was offered to, and [`decide::recovery_action`] then decides whether it is placed again or ended.
 
 use reedring::{Micros, Outcome as AttemptOutcome};
 use reedring_state::{Ending, Outcome};
@@ -9,8 +9,9 @@
 use crate::ids::JobNumber;
 
 impl JobLifecycle<'_> {
-    /// Decides on a job that was being placed when the former incarnation ended; `last` if it may not wait any longer.
-    pub fn recover(&mut self, now: Micros, number: JobNumber, last: bool) {
+    /// Takes the recovery action of a job that was being placed when a former incarnation ended; does nothing for any other
+    /// job. `is_last_call` says that the job may not wait any longer.
+    pub fn recover(&mut self, now: Micros, number: JobNumber, is_last_call: bool) {
         let Some(job) = self.ledger.job(number).filter(|job| job.recovering) else {
             return;
         };
@@ -22,7 +23,7 @@
             may_have_run: job.may_have_run,
             all_reconciled: self.all_reconciled(now),
             is_overdue: until <= now.saturating_add(ANSWER_MARGIN_US),
-            is_last_call: last,
+            is_last_call,
         });
         match action {
             RecoveryAction::Wait => {}
@@ -31,11 +32,11 @@
                     let end = AttemptEnd::new(AttemptOutcome::Reset, "no word after a restart");
                     self.attempt_unplaced(now, id, end);
                 }
-                // The end of the last attempt may have decided it.
+                // Closing the last attempt may have ended the recovery already: then this call does nothing.
                 self.recover(now, number, true);
             }
             RecoveryAction::Request => {
-                self.set_recovered(number);
+                self.mark_recovered(number);
                 self.request_placement_until(now, number, Some(until));
             }
             RecoveryAction::Reject => {
@@ -51,20 +52,22 @@
         }
     }
 
+    /// Ends a job that is not placed again after the restart.
     fn end_recovered(&mut self, now: Micros, number: JobNumber, outcome: Outcome, reason: &str) {
-        self.set_recovered(number);
+        self.mark_recovered(number);
         self.record_outcome(number, outcome);
         self.end_job(now, number, Ending::aborted(reason));
     }
 
-    /// What became of a job of a former incarnation is known.
-    pub(super) fn set_recovered(&mut self, number: JobNumber) {
+    /// Marks the recovery of a job as done: what became of its earlier attempts is known.
+    pub(super) fn mark_recovered(&mut self, number: JobNumber) {
         if let Some(job) = self.ledger.job_mut(number) {
             job.recovering = false;
         }
     }
 
-    /// Nodes have reported: what waited for that goes on.
+    /// Continues what waited for the nodes' reports: recovering jobs, constraints on copies, and the constraints of placed
+    /// jobs that were restored.
     pub fn reconciliation_done(&mut self, now: Micros) {
         self.constraints.reconciled();
         let recovering = self.ledger.jobs().filter(|(_, job)| job.recovering);
--- a/crates/core/src/lifecycle/reports.rs
+++ b/crates/core/src/lifecycle/reports.rs
@@ -1,4 +1,4 @@
-//! What nodes report of attempts, and what it means for jobs.
+//! Nodes' reports on attempts, and the changes that they cause in jobs.
 
 use reedring::{AttemptId, Event as ModuleEvent, Micros, Note, Outcome as AttemptOutcome, Reason};
 use reedring_drmaa::End;
@@ -14,7 +14,7 @@
 use crate::timers::Timer;
 
 impl JobLifecycle<'_> {
-    /// The open attempt that a node reports of; an attempt is its own node's to report of.
+    /// The open attempt that a node reports on; `None` where the attempt is closed or was offered to another node.
     fn reported_attempt(&self, node: NodeNumber, attempt: wire::AttemptId) -> Option<AttemptId> {
         let id = self.ledger.find(attempt)?;
         self.ledger
@@ -23,7 +23,7 @@
             .map(|_| id)
     }
 
-    /// A node accepted an offer.
+    /// Handles that a node accepted an offer.
     pub fn accept_reported(
         &mut self,
         now: Micros,
@@ -33,12 +33,12 @@
     ) {
         match self.reported_attempt(node, attempt) {
             Some(id) => self.attempt_accepted(now, id, report),
-            // Its job went on without it: what it is now comes with the answer to this stop.
+            // The attempt is closed. The answer to this stop will say whether the task ran.
             None => self.send(now, node, Message::Stop { attempt }),
         }
     }
 
-    /// A node rejected an offer.
+    /// Handles that a node rejected an offer.
     pub fn rejection_reported(
         &mut self,
         now: Micros,
@@ -54,21 +54,21 @@
         }
     }
 
-    /// A node reports something of a task that it runs.
-    pub fn note_reported(
+    /// Handles a node's signal on a task: it runs, is suspended or resumed, or uses so much.
+    pub fn signal_reported(
         &mut self,
         now: Micros,
         node: NodeNumber,
         attempt: wire::AttemptId,
-        topic: TaskSignalKind,
+        kind: TaskSignalKind,
         amount: f64,
     ) {
         if let Some(id) = self.reported_attempt(node, attempt) {
-            self.attempt_noted(now, id, topic, amount);
+            self.attempt_signaled(now, id, kind, amount);
         }
     }
 
-    /// A node reports that an attempt has ended.
+    /// Handles and acknowledges a node's report that an attempt has ended.
     pub fn end_reported(
         &mut self,
         now: Micros,
@@ -87,13 +87,14 @@
 
     // ---- Accepted ----
 
+    /// Handles the acceptance of an open attempt: its request is closed and its job is placed.
     pub(super) fn attempt_accepted(&mut self, now: Micros, id: AttemptId, report: Vec<f64>) {
         let Some(attempt) = self.ledger.attempt_mut(id) else {
             return;
         };
         attempt.accepted = true;
         if attempt.state != AttemptState::Offered {
-            // It crossed the stop on the wire; the answer to the stop says what became of it.
+            // The acceptance was sent before the node read the stop; the answer to the stop says how the attempt ended.
             return;
         }
         attempt.state = AttemptState::Accepted;
@@ -111,11 +112,11 @@
                 took_us,
             });
         } else if let Some(task) = self.module_task(job, id.request) {
-            // A former incarnation offered it.
+            // A former incarnation made the offer, so the decision module does not know the attempt.
             self.cx
                 .notify_module(ModuleEvent::Adopted { task, machine });
         }
-        self.set_recovered(job);
+        self.mark_recovered(job);
         if !report.is_empty() {
             self.cx.notify_module(ModuleEvent::Probed {
                 machine,
@@ -127,7 +128,7 @@
         self.job_placed(now, job, id);
     }
 
-    /// A job has an accepted copy.
+    /// Marks a job as placed by this attempt, its accepted copy.
     pub(super) fn job_placed(&mut self, now: Micros, job: JobNumber, id: AttemptId) {
         self.track_constraint(job, id);
         let Some(entry) = self.ledger.job_mut(job) else {
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Watches whether the constraint of a placed job stays satisfied.
+    /// Starts to track whether the constraint of a placed job stays satisfied, if it has one.
     pub(super) fn track_constraint(&mut self, job: JobNumber, id: AttemptId) {
         let node = self.ledger.attempt(id).map(|attempt| attempt.node);
         let constrained = self
@@ -156,6 +157,7 @@
         }
     }
 
+    /// Marks a job as running and starts its run limit.
     fn job_running(&mut self, now: Micros, job: JobNumber, id: AttemptId) {
         let Some(entry) = self.ledger.job_mut(job) else {
             return;
@@ -165,7 +167,7 @@
         self.set_run_limit(job);
     }
 
-    /// A job runs for as long as its template allows.
+    /// Sets the timer that ends a job after the run time that its template allows, if it limits that.
     pub fn set_run_limit(&mut self, number: JobNumber) {
         let Some(job) = self.ledger.job(number) else {
             return;
@@ -178,18 +180,19 @@
         }
     }
 
-    pub(super) fn attempt_noted(
+    /// Applies a node's signal on a task to the job, and passes it on to the decision module unless it is about suspension.
+    pub(super) fn attempt_signaled(
         &mut self,
         now: Micros,
         id: AttemptId,
-        topic: TaskSignalKind,
+        kind: TaskSignalKind,
         amount: f64,
     ) {
         let Some(attempt) = self.ledger.attempt(id) else {
             return;
         };
         let (job, machine) = (attempt.job, attempt.machine);
-        let note = match topic {
+        let note = match kind {
             TaskSignalKind::Running => {
                 let phase = self.ledger.job(job).map(|job| &job.phase);
                 if matches!(phase, Some(Phase::Placed(_))) {
@@ -203,7 +206,7 @@
                     .job_mut(job)
                     .filter(|job| job.placed_attempt().is_some())
                 {
-                    let is_suspended = topic == TaskSignalKind::Suspended;
+                    let is_suspended = kind == TaskSignalKind::Suspended;
                     job.phase = if is_suspended {
                         Phase::Suspended(id)
                     } else {
@@ -226,6 +229,7 @@
 
     // ---- Rejected ----
 
+    /// Closes an attempt that its node rejected.
     fn attempt_rejected(
         &mut self,
         now: Micros,
@@ -242,8 +246,8 @@
             | wire::RejectionReason::DuplicateActive
             | wire::RejectionReason::DeadlineExceeded
             | wire::RejectionReason::Unsupported => Some(Reason::NotHere),
-            // It was never considered: the node has reported what it stores, and is blocked until that is caught up
-            // with.
+            // The node did not consider the offer, because of the configuration that decided it. It counts as not sent:
+            // dispatch to the node is blocked until the placer knows the configuration that the node stores.
             wire::RejectionReason::Superseded => {
                 let end =
                     AttemptEnd::new(AttemptOutcome::Unsent, reason.word()).with_report(report);
@@ -253,13 +257,13 @@
         let state = self.ledger.state_of(id);
         if state.is_some_and(|state| state != AttemptState::Accepted) {
             let end = AttemptEnd::new(AttemptOutcome::Refused, reason.word());
-            self.attempt_unplaced(now, id, end.because(module_reason).with_report(report));
+            self.attempt_unplaced(now, id, end.with_reason(module_reason).with_report(report));
         }
     }
 
     // ---- Ended ----
 
-    /// A node reports that an attempt has ended.
+    /// Handles the end of an attempt as its node reports it; `ran` says whether the task ran, or may have.
     pub(super) fn attempt_ended(
         &mut self,
         now: Micros,
@@ -273,7 +277,7 @@
         };
         let (state, accepted) = (attempt.state, attempt.accepted);
         if state == AttemptState::Offered && ran {
-            // Its acceptance was lost on the way.
+            // The node's acceptance was lost with a connection.
             self.attempt_accepted(now, id, Vec::new());
         } else if state == AttemptState::Offered || state == AttemptState::Stopping && !accepted {
             let (outcome, label) = match ran {
@@ -284,7 +288,8 @@
             return self.attempt_unplaced(now, id, end);
         }
         let loss = if ran { Loss::Ended } else { Loss::NeverRan };
-        let reset = |label, reason| AttemptEnd::new(AttemptOutcome::Reset, label).because(reason);
+        let reset =
+            |label, reason| AttemptEnd::new(AttemptOutcome::Reset, label).with_reason(reason);
         let lost = match end {
             wire::TaskEnd::Exited(status) => {
                 return self.attempt_finished(now, id, Ending::ran(End::Exited { status }), report);
@@ -311,7 +316,7 @@
         self.attempt_lost(now, id, loss, lost);
     }
 
-    /// An accepted copy ran to its end.
+    /// Closes an attempt whose accepted copy ran to its end, and ends its job.
     fn attempt_finished(&mut self, now: Micros, id: AttemptId, ending: Ending, report: Vec<f64>) {
         let Some(attempt) = self.close_attempt(id, "ended", false) else {
             return;
@@ -321,13 +326,14 @@
         let Some(job) = self.ledger.job(attempt.job) else {
             return;
         };
-        // Also where it ended by itself before a stop came through: that is how it ended.
+        // A task that ended by itself before its stop arrived gives its job this end, not that of the termination.
         if matches!(job.phase, Phase::Ending(_)) || job.placed_attempt().is_some() {
             self.end_job(now, attempt.job, ending);
         }
     }
 
-    /// An accepted copy no longer exists, and did not run to its end.
+    /// Closes an attempt whose accepted copy did not run to its end. Its job is placed again where its class allows a
+    /// second copy, and ends otherwise.
     pub(super) fn attempt_lost(&mut self, now: Micros, id: AttemptId, loss: Loss, end: AttemptEnd) {
         let label = end.label;
         let Some(attempt) = self.close_attempt(id, label, loss == Loss::Unknown) else {
@@ -339,7 +345,7 @@
             return;
         };
         if job.placed_attempt() != Some(id) {
-            return self.end_if_ending(now, attempt.job);
+            return self.finish_ending(now, attempt.job);
         }
         let class = self.cx.class(job.requirements.class);
         let (may_retry, backoff) = (
--- a/crates/core/src/lifecycle/requests.rs
+++ b/crates/core/src/lifecycle/requests.rs
@@ -1,4 +1,4 @@
-//! Requests to the decision module: a job is handed to it, and gets its answer.
+//! Requests to the decision module for the placement of a job, and the module's answers.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,11 +15,11 @@
 use crate::ledger::{Job, Phase};
 use crate::timers::Timer;
 
-/// Microseconds after which an overdue request is looked at again, where the decision module has not seen all events.
+/// Microseconds after which an overdue request is checked again if the decision module has not processed all events.
 const OVERDUE_RETRY_US: Micros = 1_000;
 
 impl JobLifecycle<'_> {
-    /// A job as the decision module knows it.
+    /// The description of a job for the decision module.
     pub fn module_task(&self, job: JobNumber, request: RequestId) -> Option<Task> {
         let job = self.ledger.job(job)?;
         let requirements = &job.requirements;
@@ -37,20 +37,20 @@
         })
     }
 
-    /// Hands a job to the decision module: from here on its client is owed one answer in time.
+    /// Requests the placement of a job from the decision module, to be answered before the job's client gives up.
     pub fn request_placement(&mut self, now: Micros, job: JobNumber) {
         self.request_placement_until(now, job, None);
     }
 
-    /// The start time of a job has come, or its backoff after a loss is over.
-    pub fn delay_over(&mut self, now: Micros, job: JobNumber) {
+    /// Requests the placement of a job whose start time has come, or whose backoff after a loss is over.
+    pub fn delay_elapsed(&mut self, now: Micros, job: JobNumber) {
         let is_delayed = |job: &Job| matches!(job.phase, Phase::Delayed);
         if self.ledger.job(job).is_some_and(is_delayed) {
             self.request_placement(now, job);
         }
     }
 
-    /// The same, where the client gives up earlier than its class says.
+    /// Requests the placement of a job whose client gives up at `until`, where that is earlier than its class says.
     pub(super) fn request_placement_until(
         &mut self,
         now: Micros,
@@ -61,7 +61,7 @@
         let Some(task) = self.module_task(job, request) else {
             return;
         };
-        let Some(grace_us) = self.grace(now, job, until) else {
+        let Some(grace_us) = self.placement_grace(now, job, until) else {
             return;
         };
         if grace_us == 0 {
@@ -72,12 +72,12 @@
             .ledger
             .job(job)
             .and_then(|job| job.requirements.constrained_job());
-        if let Some(never) = constrained
+        if let Some(explanation) = constrained
             .as_ref()
             .and_then(|job| self.constraints.impossible(job))
         {
             self.record_outcome(job, Outcome::Refused);
-            return self.end_job(now, job, Ending::aborted(format!("refused: {never}")));
+            return self.end_job(now, job, Ending::aborted(format!("refused: {explanation}")));
         }
         self.open_request(now, task, job, grace_us);
         match constrained {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Has the decision module answer a request before the client of its job gives up.
+    /// Opens a request that the decision module is to answer before the job's client gives up in `grace_us`.
     fn open_request(&mut self, now: Micros, task: Task, number: JobNumber, grace_us: Micros) {
         let request = task.request;
         if let Some(job) = self.ledger.job_mut(number) {
@@ -100,7 +100,7 @@
             job.may_have_run = false;
         }
         self.ledger.open_request(request, number);
-        // The answer must be with the client before it gives up, so the module gets a little less time.
+        // The answer must reach the client before it gives up, so the module gets less time than the client waits.
         let margin = decide::answer_margin(grace_us, self.cx.lag(now));
         let deadline = Timer::PlacementDeadline {
             job: number,
@@ -113,8 +113,14 @@
         });
     }
 
-    /// For how long the client of a job waits for its placement.
-    fn grace(&mut self, now: Micros, job: JobNumber, until: Option<Micros>) -> Option<Micros> {
+    /// Microseconds for which the client of a job waits for its placement: the least of its class's limit, the template's
+    /// deadline and `until`.
+    fn placement_grace(
+        &mut self,
+        now: Micros,
+        job: JobNumber,
+        until: Option<Micros>,
+    ) -> Option<Micros> {
         let requirements = &self.ledger.job_mut(job)?.requirements;
         let give_up = self.cx.class(requirements.class).give_up_us;
         let give_up = until.map_or(give_up, |until| give_up.min(until.saturating_sub(now)));
@@ -128,14 +134,14 @@
         Some(left.map_or(give_up, |left| give_up.min(left as u64)))
     }
 
-    /// Withdraws the open request of a job: nobody wants it placed any more.
+    /// Withdraws the open request of a job, if it has one.
     pub(super) fn withdraw_job(&mut self, job: JobNumber) {
         if let Some(request) = self.ledger.job(job).and_then(|job| job.open_request()) {
             self.withdraw(request);
         }
     }
 
-    /// Withdraws a request; the decision module stops what is offered.
+    /// Withdraws a request; the decision module then stops its attempts.
     pub fn withdraw(&mut self, request: RequestId) {
         self.ledger.close_request(request);
         self.constraints.request_closed(request);
@@ -143,7 +149,8 @@
         self.cx.notify_module(ModuleEvent::Withdrawn(request));
     }
 
-    /// The decision module's final answer to a request.
+    /// Ends the job of a request that the decision module refuses or fails. The reason lists the attempts that were made,
+    /// the blocked nodes and the job's constraint.
     pub fn answer(
         &mut self,
         now: Micros,
@@ -154,7 +161,7 @@
         let Some(job) = self.ledger.close_request(request) else {
             return;
         };
-        let mut reason = self.why_unplaced(job, request);
+        let mut reason = self.describe_attempts(job, request);
         let blocked = self.blocks.describe();
         if !blocked.is_empty() {
             reason = format!("{reason}; {blocked}");
@@ -180,8 +187,8 @@
         );
     }
 
-    /// What became of a request's attempts, in words.
-    fn why_unplaced(&self, job: JobNumber, request: RequestId) -> String {
+    /// The results of a request's attempts in words, with their counts and nodes.
+    fn describe_attempts(&self, job: JobNumber, request: RequestId) -> String {
         let Some(job) = self.ledger.job(job) else {
             return String::new();
         };
@@ -205,10 +212,11 @@
         words.collect::<Vec<_>>().join(", ")
     }
 
-    /// The last guard of the answer in time: the decision module gives it; if it ever does not, the job fails.
+    /// Fails a job whose request the decision module has not answered in time. The module is expected to answer every
+    /// request, so this is a safeguard.
     pub fn placement_overdue(&mut self, now: Micros, job: JobNumber, request: RequestId) {
         if self.cx.has_module_events() {
-            // After a standstill the module may not have seen yet what came with this timer.
+            // After the process was stalled, the module may not have processed the events that are due with this timer.
             let deadline = Timer::PlacementDeadline {
                 job,
                 request: request.0,
--- a/crates/core/src/lifecycle/sending.rs
+++ b/crates/core/src/lifecycle/sending.rs
@@ -1,4 +1,4 @@
-//! Messages to nodes, and what must be durable before each leaves.
+//! Messages to nodes, and what must be durable before each is sent.
 
 use reedring::{Effect, Micros};
 use reedring_node_protocol::{self as wire, Message};
@@ -9,7 +9,7 @@
 use crate::persistence::Requires;
 
 impl JobLifecycle<'_> {
-    /// Sends on a node's connection, in order, if it is up.
+    /// Sends a message on a node's connection, in order. It is dropped where the connection is down.
     pub fn send(&mut self, now: Micros, number: NodeNumber, message: Message) {
         if !self.nodes.is_up(number) {
             return;
@@ -25,7 +25,9 @@
         self.queue.send(number, self.nodes, message, requires);
     }
 
-    /// An offer of an idempotent task to a warm node may leave once the job's first row is durable.
+    /// What must be durable before an offer is sent: for an idempotent task to a node that is not warming up the job's
+    /// first row, for any other the offer itself. An offer to a node that is warming up is recorded, as it counts against
+    /// the node's budget.
     fn offer_requires(&mut self, now: Micros, number: NodeNumber, task: &wire::Task) -> Requires {
         let is_warming_up = self
             .nodes
@@ -45,8 +47,9 @@
         }
     }
 
-    /// A node forgets what is acknowledged. While nothing is durable that would make the ledger wrong: it holds the
-    /// attempt as open, and the node no longer knows of it.
+    /// Whether the end of an attempt may be acknowledged now. A node deletes what is acknowledged, so while nothing can be
+    /// recorded, the ledger on disk would have the attempt as open and its node would no longer know it. It may be for a
+    /// job of a safe class that was never recorded.
     pub(super) fn may_acknowledge(&self, attempt: wire::AttemptId) -> bool {
         if self.queue.unavailable().is_none() {
             return true;
--- a/crates/core/src/lifecycle/slow_start.rs
+++ b/crates/core/src/lifecycle/slow_start.rs
@@ -1,4 +1,4 @@
-//! Nodes that are warming up: one that answers late gets nothing for a while.
+//! Nodes that are warming up: one that answers offers late gets no more of them for a while.
 
 use reedring::Micros;
 use reedring_node_protocol as wire;
@@ -10,7 +10,7 @@
 use crate::timers::Timer;
 
 impl JobLifecycle<'_> {
-    /// An offer leaves for a node.
+    /// Schedules the check whether an offer to a node that is warming up is answered within the jitter.
     pub(super) fn slow_start_offered(&mut self, now: Micros, number: NodeNumber) {
         if self
             .nodes
@@ -23,8 +23,8 @@
         }
     }
 
-    /// An offer to a node was answered, or its end is known otherwise. Where it was late, whatever was sent since may
-    /// have reached the node in one piece with it.
+    /// Handles that the offer sent at `sent` was answered, or that its end is known otherwise. If that is late and the node
+    /// is warming up, the node is blocked for a window: offers sent since may have reached it all at once.
     pub(super) fn offer_answered(&mut self, now: Micros, number: NodeNumber, sent: Micros) {
         let settings = self.cx.settings();
         let (jitter, window) = (settings.jitter_us(), settings.site.cold_window_us);
@@ -37,14 +37,14 @@
         self.evaluate_slow_start(now, number);
     }
 
-    /// A node reported what became of an attempt that was closed without its answer.
+    /// Handles a node's report on an attempt that may have been closed before the node answered.
     pub(super) fn attempt_resolved(&mut self, now: Micros, attempt: wire::AttemptId) {
         if let Some(node) = self.constraints.attempt_resolved(attempt) {
             self.offer_answered(now, node, 0);
         }
     }
 
-    /// Blocks a node that is warming up and late, or no longer does.
+    /// Blocks a node that is warming up and whose answers are overdue, and unblocks it otherwise.
     pub fn evaluate_slow_start(&mut self, now: Micros, number: NodeNumber) {
         let is_warming_up = self
             .nodes
@@ -61,7 +61,7 @@
         } else {
             None
         };
-        // What was closed without an answer may still be on its way.
+        // An offer whose attempt was closed without an answer may still be on its way to the node.
         let is_unresolved = is_warming_up && self.constraints.has_unresolved(number);
         let offers = SlowStartOffers {
             is_warming_up,
--- a/crates/core/src/requests/control.rs
+++ b/crates/core/src/requests/control.rs
@@ -1,4 +1,4 @@
-//! Control of jobs by their user: hold, release, suspend, resume, terminate.
+//! Control of jobs by their users: hold, release, suspend, resume and terminate.
 
 use reedring::{AttemptId, Micros};
 use reedring_drmaa::rpc::{Answer, Jobs};
@@ -12,7 +12,8 @@
 use crate::lifecycle::JobLifecycle;
 use crate::timers::Timer;
 
-/// Acts on each job that it can; with all of a session, jobs that have ended are skipped.
+/// Applies a control action to each job that the call names and returns the first error. Where the call names all jobs of
+/// the session, those that have ended are skipped.
 pub(super) fn control(
     lifecycle: &mut JobLifecycle<'_>,
     now: Micros,
@@ -34,6 +35,7 @@
     first_error.map_or(Ok(Answer::Done), Err)
 }
 
+/// Applies a control action to one job.
 fn control_job(
     lifecycle: &mut JobLifecycle<'_>,
     now: Micros,
@@ -41,7 +43,10 @@
     action: Control,
 ) -> Result<()> {
     let Some(job) = lifecycle.ledger.job(number) else {
-        return Err(error(ErrorCode::InvalidJob, "the job is forgotten"));
+        return Err(error(
+            ErrorCode::InvalidJob,
+            "the job does not exist any more",
+        ));
     };
     let name = job.name.to_string();
     match (action, &job.phase) {
@@ -58,12 +63,12 @@
             ErrorCode::ReleaseInconsistentState,
             format!("job {name} is not on hold"),
         )),
-        (Control::Suspend, Phase::Running(id)) => set_suspended(lifecycle, now, *id, true),
+        (Control::Suspend, Phase::Running(id)) => request_suspension(lifecycle, now, *id, true),
         (Control::Suspend, _) => Err(error(
             ErrorCode::SuspendInconsistentState,
             format!("job {name} does not run"),
         )),
-        (Control::Resume, Phase::Suspended(id)) => set_suspended(lifecycle, now, *id, false),
+        (Control::Resume, Phase::Suspended(id)) => request_suspension(lifecycle, now, *id, false),
         (Control::Resume, _) => Err(error(
             ErrorCode::ResumeInconsistentState,
             format!("job {name} is not suspended"),
@@ -71,6 +76,7 @@
     }
 }
 
+/// Terminates a job at its user's request; does nothing where it has ended.
 fn terminate(lifecycle: &mut JobLifecycle<'_>, now: Micros, number: JobNumber) {
     let Some(job) = lifecycle.ledger.job(number).filter(|job| !job.is_ended()) else {
         return;
@@ -95,7 +101,7 @@
     );
 }
 
-/// Puts a job on hold. Only what was offered to no node can still be.
+/// Puts a job on hold. Only a job that was not offered to any node can be put on hold.
 fn hold(lifecycle: &mut JobLifecycle<'_>, number: JobNumber, name: &str) -> Result<()> {
     let job = lifecycle.ledger.job(number);
     match job.map(|job| (&job.phase, job)) {
@@ -115,7 +121,7 @@
     Ok(())
 }
 
-/// Releases a job that is on hold: it waits for its start time, or for the decision module.
+/// Releases a job that is on hold: it then waits for its start time, or its placement is requested.
 fn release(lifecycle: &mut JobLifecycle<'_>, now: Micros, number: JobNumber) {
     let job = lifecycle.ledger.job(number);
     let start = job
@@ -134,8 +140,8 @@
     }
 }
 
-/// Asks a job's node to suspend it or to resume it; the job's state changes when the node reports so.
-fn set_suspended(
+/// Asks a job's node to suspend or resume it. The job's state changes once the node reports that it has.
+fn request_suspension(
     lifecycle: &mut JobLifecycle<'_>,
     now: Micros,
     id: AttemptId,
@@ -144,7 +150,7 @@
     let Some(attempt) = lifecycle.ledger.attempt(id) else {
         return Err(error(
             ErrorCode::InternalError,
-            "the job's copy is not known",
+            "the job's attempt is not in the ledger",
         ));
     };
     let (number, attempt) = (attempt.node, attempt.wire);
--- a/crates/core/src/requests/mod.rs
+++ b/crates/core/src/requests/mod.rs
@@ -1,14 +1,13 @@
-//! Requests of clients: the DRMAA calls and those of operators, by kind.
+//! Calls of clients and operators, by kind.
 //!
-//! | kind | file |
+//! | kind | module |
 //! | --- | --- |
-//! | submissions, also those repeated after a restart | `submission` |
+//! | submissions, including those repeated after a restart of the placer | `submission` |
 //! | hold, release, suspend, resume, terminate | `control` |
 //! | waits and synchronizations | `waiting` |
-//! | what operators and `drmaa_job_ps` read | `queries` |
+//! | queries of operators, and `drmaa_job_ps` | `queries` |
 //!
-//! [`ClientRequests`] owns the calls that are taken up again later; what a call changes it changes through
-//! [`JobLifecycle`].
+//! [`ClientRequests`] owns the calls that are deferred. All other state is changed through [`JobLifecycle`].
 
 mod control;
 mod queries;
@@ -36,21 +35,21 @@
     Error::new(code, text)
 }
 
-/// Who made a call: its connection, and the id of the call there.
+/// Where the answer to a call goes: the client's connection, and the id of the call on it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Caller {
     pub conn: ConnectionId,
     pub id: u64,
 }
 
-/// A submission that waits for nodes to report what they hold.
+/// A submission that waits for nodes to report their tasks.
 #[derive(Debug)]
 struct DeferredSubmission {
     caller: Caller,
     call: Call,
 }
 
-/// An operator's long list that was asked for.
+/// An operator's request for a list of jobs.
 #[derive(Debug)]
 struct ListingRequest {
     caller: Caller,
@@ -61,21 +60,21 @@
 pub(crate) struct CallContext<'a, 'b> {
     pub lifecycle: &'a mut JobLifecycle<'b>,
     pub configuration: &'a Configuration,
-    /// Nanoseconds spent in the decision module.
+    /// Nanoseconds spent in the decision module since the start, for the counters.
     pub module_ns: u64,
 }
 
-/// Calls that are taken up again later.
+/// The calls that are answered later than in the step in which they arrive, except waits, which sessions own.
 #[derive(Debug, Default)]
 pub(crate) struct ClientRequests {
     deferred: Vec<DeferredSubmission>,
-    /// Operators' long lists. They are made one a flush, after all else, so that who asks for many of them holds nobody
-    /// up.
+    /// Operators' requests for lists of jobs, which may be long. One is answered per flush, after all other work, so that
+    /// many of them do not delay other calls.
     listings: VecDeque<ListingRequest>,
 }
 
 impl ClientRequests {
-    /// Carries a call out, and answers it if its answer does not come later.
+    /// Carries out a call and answers it, unless the answer comes later.
     pub fn handle(
         &mut self,
         now: Micros,
@@ -83,20 +82,20 @@
         call: Call,
         cx: &mut CallContext<'_, '_>,
     ) {
-        if let Some(result) = self.carry_out(now, caller, call, cx) {
+        if let Some(result) = self.execute(now, caller, call, cx) {
             cx.lifecycle
                 .reply(caller.conn, Response::new(caller.id, result));
         }
     }
 
-    /// A connection ended: its calls need no answer any more.
+    /// Drops the deferred calls of a connection that has ended.
     pub fn client_disconnected(&mut self, conn: ConnectionId) {
         self.deferred
             .retain(|deferred| deferred.caller.conn != conn);
         self.listings.retain(|listing| listing.caller.conn != conn);
     }
 
-    /// Nodes have reported what they hold: submissions that waited for that go on.
+    /// Carries out the submissions that waited for nodes to report their tasks.
     pub fn retry_deferred(&mut self, now: Micros, cx: &mut CallContext<'_, '_>) {
         for DeferredSubmission { caller, call } in std::mem::take(&mut self.deferred) {
             self.handle(now, caller, call, cx);
@@ -107,7 +106,7 @@
         !self.listings.is_empty()
     }
 
-    /// Makes the next long list.
+    /// Answers the next request for a list of jobs.
     pub fn answer_next_listing(&mut self, now: Micros, cx: &mut CallContext<'_, '_>) {
         if let Some(ListingRequest { caller, call }) = self.listings.pop_front() {
             let result = stateless_call(now, call, cx);
@@ -116,8 +115,9 @@
         }
     }
 
-    /// Carries a call out. `None` where its answer comes later.
-    fn carry_out(
+    /// Carries out a call; `None` where its answer comes later. A call of a session that was made before gets the answer that
+    /// is recorded.
+    fn execute(
         &mut self,
         now: Micros,
         caller: Caller,
@@ -144,7 +144,7 @@
         let session = cx.lifecycle.sessions.get_mut(number)?;
         session.touch(now);
         session.settle(key.settled);
-        match session.recorded(key.call) {
+        match session.call_record(key.call) {
             Err(error) => Some(Err(error)),
             Ok(Some(CallRecord::Answer(result))) => Some(result.clone()),
             Ok(Some(CallRecord::Submission(range))) => {
@@ -155,7 +155,8 @@
         }
     }
 
-    /// Carries out a call of a session that was not made before.
+    /// Carries out a call of a session that was not made before, and records its answer; `None` where the answer comes
+    /// later.
     fn session_call(
         &mut self,
         now: Micros,
@@ -203,7 +204,7 @@
     }
 }
 
-/// Calls that change nothing in a session, or may be made twice.
+/// Carries out a call whose answer is not recorded in a session: it changes nothing there, or may be made twice.
 fn stateless_call(now: Micros, call: Call, cx: &mut CallContext<'_, '_>) -> Result<Answer> {
     let lifecycle = &mut *cx.lifecycle;
     match call {
@@ -237,14 +238,11 @@
         Call::Drain { node, drain } => node_links::set_drained(lifecycle, now, &node, drain),
         Call::Explain { text } => queries::explain(lifecycle, &text),
         Call::Stats {} => Ok(queries::stats(lifecycle, cx.module_ns)),
-        _ => Err(error(
-            ErrorCode::InternalError,
-            "the call has no answer here",
-        )),
+        _ => Err(error(ErrorCode::InternalError, "the call needs a session")),
     }
 }
 
-/// Closes a session: the calls that wait in it are answered.
+/// Closes a session: the calls that wait in it are answered with an error.
 fn close_session(lifecycle: &mut JobLifecycle<'_>, number: SessionNumber) -> Result<Answer> {
     let session = lifecycle.sessions.get(number);
     let waiting = session
@@ -257,8 +255,11 @@
     Ok(Answer::Done)
 }
 
-/// The job of this name, if it is one of the session and its end was not returned yet.
-fn job_of(lifecycle: &JobLifecycle<'_>, number: SessionNumber, name: &str) -> Result<JobNumber> {
+/// The job of this name.
+///
+/// # Errors
+/// `InvalidJob` where the session has no such job, or its end was returned already.
+fn find_job(lifecycle: &JobLifecycle<'_>, number: SessionNumber, name: &str) -> Result<JobNumber> {
     let found = JobName::parse(name).and_then(|parsed| {
         let session = lifecycle.sessions.get(number);
         session
@@ -272,6 +273,9 @@
 }
 
 /// The jobs that a call names.
+///
+/// # Errors
+/// Those of [`find_job`].
 fn named_jobs(
     lifecycle: &JobLifecycle<'_>,
     number: SessionNumber,
@@ -286,7 +290,7 @@
         }
         Jobs::These(names) => names
             .iter()
-            .map(|name| job_of(lifecycle, number, name))
+            .map(|name| find_job(lifecycle, number, name))
             .collect(),
     }
 }
--- a/crates/core/src/requests/queries.rs
+++ b/crates/core/src/requests/queries.rs
@@ -1,4 +1,4 @@
-//! What clients and operators read: jobs, nodes, constraints, counters.
+//! Queries of clients and operators: jobs, nodes, constraints and counters.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 use reedring_drmaa::rpc::{Answer, JobLine, JobsPage, NodeLine, Stats};
 use reedring_drmaa::{ErrorCode, Result};
 
-use super::{error, job_of};
+use super::{error, find_job};
 use crate::configuration::Configuration;
 use crate::constraints::{ConstrainedJob, JobConstraint};
 use crate::ids::{JobNumber, NodeNumber, SessionNumber};
@@ -15,22 +15,23 @@
 use crate::lifecycle::JobLifecycle;
 use crate::nodes::{Node, NodeLoad};
 
-/// Lines of one page of jobs at most.
+/// The most jobs in one page of a list.
 const MAX_PAGE: usize = 1_000;
 
-/// The state of a job of a session.
+/// The DRMAA state of a job.
 pub(super) fn job_state(
     lifecycle: &JobLifecycle<'_>,
     session: SessionNumber,
     name: &str,
 ) -> Result<Answer> {
-    let job = lifecycle.ledger.job(job_of(lifecycle, session, name)?);
+    let job = lifecycle.ledger.job(find_job(lifecycle, session, name)?);
     let state = job.map(Job::state);
     state
         .map(Answer::State)
-        .ok_or_else(|| error(ErrorCode::InvalidJob, "the job is forgotten"))
+        .ok_or_else(|| error(ErrorCode::InvalidJob, "the job does not exist any more"))
 }
 
+/// A job as a line of a list.
 fn job_line(lifecycle: &JobLifecycle<'_>, job: &Job, now: Micros) -> JobLine {
     let node = job
         .history
@@ -39,7 +40,7 @@
     job.line(lifecycle.cx.settings(), node.as_deref(), now)
 }
 
-/// A page of all jobs, from the one after this number on.
+/// A page of at most `limit` jobs by their numbers, from the one after the number `after` on.
 pub(super) fn jobs_page(
     lifecycle: &JobLifecycle<'_>,
     now: Micros,
@@ -58,7 +59,7 @@
     JobsPage { jobs, next }
 }
 
-/// One job with its attempts and its constraint.
+/// One job with its attempts, the evaluation of its constraint, and the clauses that are violated.
 pub(super) fn show_job(
     lifecycle: &mut JobLifecycle<'_>,
     now: Micros,
@@ -85,7 +86,7 @@
     Ok(Answer::Job(Box::new(detail)))
 }
 
-/// What the site knows of names and types; none before the first node list.
+/// The names and types that constraints may use; `None` before the first node list.
 pub(super) fn schema(lifecycle: &JobLifecycle<'_>) -> Option<Schema> {
     let kinds = lifecycle
         .cx
@@ -102,11 +103,11 @@
 
 /// How a constraint would be evaluated now.
 pub(super) fn explain(lifecycle: &mut JobLifecycle<'_>, text: &str) -> Result<Answer> {
-    let wrong = |mistake: Mistake| error(ErrorCode::InvalidAttributeValue, mistake.to_string());
-    let constraint = lifecycle.cx.settings().constraint(text).map_err(wrong)?;
+    let invalid = |mistake: Mistake| error(ErrorCode::InvalidAttributeValue, mistake.to_string());
+    let constraint = lifecycle.cx.settings().constraint(text).map_err(invalid)?;
     schema(lifecycle)
         .map_or(Ok(()), |schema| schema.check(&constraint, text))
-        .map_err(wrong)?;
+        .map_err(invalid)?;
     let own = Own::service("", "");
     let constraint = Arc::new(JobConstraint::new(constraint, &own));
     let job = ConstrainedJob {
@@ -130,24 +131,25 @@
     Answer::Stats(Box::new(stats))
 }
 
-/// All nodes.
+/// All nodes, except those without attempts that only the ledger of a former incarnation names.
 pub(super) fn node_lines(
     lifecycle: &JobLifecycle<'_>,
     configuration: &Configuration,
 ) -> Vec<NodeLine> {
     let is_known = |(_, node): &(NodeNumber, &Node)| !node.is_restored() || node.has_attempts();
     let line = |(number, node): (NodeNumber, &Node)| {
-        // What a node reported that is no longer connected may be otherwise by now.
+        // The last report of a node that is not connected may be outdated.
         let connected = Some(number).filter(|_| node.is_up());
         let plan =
             connected.and_then(|number| configuration.describe_node(number, lifecycle.nodes));
         let kind = lifecycle.nodes.kind_name(node.entry().kind);
-        node.line(load_of(lifecycle, node), kind, plan)
+        node.line(node_load(lifecycle, node), kind, plan)
     };
     lifecycle.nodes.iter().filter(is_known).map(line).collect()
 }
 
-fn load_of(lifecycle: &JobLifecycle<'_>, node: &Node) -> NodeLoad {
+/// The number of unanswered offers to a node, and of its accepted tasks with the cores and memory that they reserve.
+fn node_load(lifecycle: &JobLifecycle<'_>, node: &Node) -> NodeLoad {
     let mut load = NodeLoad::default();
     for id in node.attempts() {
         let Some(attempt) = lifecycle.ledger.attempt(id) else {
--- a/crates/core/src/requests/submission.rs
+++ b/crates/core/src/requests/submission.rs
@@ -1,4 +1,4 @@
-//! Submissions, also those that a former incarnation may have carried out already.
+//! Submissions of jobs, including those that a former incarnation may have carried out already.
 
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
 use crate::sessions::CallRecord;
 use crate::timers::Timer;
 
-/// One call that submits jobs.
+/// A call that submits one job, or one for each index of a range.
 pub(super) struct Submission {
     key: CallKey,
     spec: JobSpec,
@@ -26,7 +26,7 @@
 }
 
 impl Submission {
-    /// One job.
+    /// A submission of one job.
     pub fn single(key: CallKey, spec: JobSpec) -> Self {
         let range = Range {
             first: 1,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// A job for each index of a range.
+    /// A submission of a job for each index of a range.
     pub const fn bulk(key: CallKey, spec: JobSpec, range: Range) -> Self {
         Self {
             key,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The call as it was made.
+    /// The call that made the submission, to carry it out later.
     fn into_call(self) -> Call {
         let Self {
             key,
@@ -68,11 +68,11 @@
     }
 }
 
-/// What is to be done for each index of a submission.
+/// What is done for each index of a submission.
 type SubmissionPlan = Vec<(u64, Resubmission)>;
 
 impl ClientRequests {
-    /// Submits jobs. `None` where the submission waits for nodes to report what they hold.
+    /// Submits jobs. `None` where the submission is deferred until nodes have reported their tasks.
     pub(super) fn submit(
         &mut self,
         now: Micros,
@@ -118,7 +118,11 @@
     }
 }
 
-/// Whether jobs may be submitted now; what they require.
+/// Checks a submission and returns what its jobs require.
+///
+/// # Errors
+/// `InvalidArgument` for a range without indices or with too many, and those of [`JobRequirements::new`] and
+/// [`check_acceptance`].
 fn check(submission: &Submission, cx: &CallContext<'_, '_>) -> Result<JobRequirements> {
     let lifecycle = &*cx.lifecycle;
     let settings = lifecycle.cx.settings();
@@ -136,17 +140,20 @@
     Ok(requirements)
 }
 
-/// Whether this placer accepts jobs of a class now.
+/// Checks that this placer accepts jobs of the class now.
+///
+/// # Errors
+/// `TryLater` where the placer is fenced, the class is closed, or the class needs persistence, which is unavailable.
 fn check_acceptance(requirements: &JobRequirements, cx: &CallContext<'_, '_>) -> Result<()> {
     let lifecycle = &*cx.lifecycle;
     let class = lifecycle.cx.class(requirements.class);
     let name = &class.name;
-    let later = |text: String| Err::<(), Error>(error(ErrorCode::TryLater, text));
+    let try_later = |text: String| Err::<(), Error>(error(ErrorCode::TryLater, text));
     if let Some(why) = cx.configuration.fence_reason() {
-        return later(format!("this placer takes nothing new: {why}; ask another"));
+        return try_later(format!("this placer takes nothing new: {why}; ask another"));
     }
     if class.closed {
-        return later(format!(
+        return try_later(format!(
             "class `{name}` takes nothing new: it is not in the plan that is acted by"
         ));
     }
@@ -155,14 +162,14 @@
         .unavailable()
         .filter(|_| !queue.may_offer(class.effect, lifecycle.cx))
     {
-        return later(format!(
+        return try_later(format!(
             "class `{name}` must not start twice, and what is promised can't be kept now: {why}"
         ));
     }
     Ok(())
 }
 
-/// What is to be done for each index; `None` where nodes are to report first.
+/// What is done for each index of a submission; `None` where nodes must report their tasks first.
 fn plan(
     lifecycle: &JobLifecycle<'_>,
     now: Micros,
@@ -202,7 +209,7 @@
         .collect()
 }
 
-/// Adds the jobs of a submission that are not there already, and starts them.
+/// Adds the jobs of a submission that do not exist already, and starts or fails each by the plan.
 fn add_jobs(
     lifecycle: &mut JobLifecycle<'_>,
     now: Micros,
@@ -244,7 +251,7 @@
     Some(())
 }
 
-/// A new job waits for its user, for its time, or for the decision module.
+/// Starts a new job: puts it on hold where its template says so, delays it until its start time, or requests its placement.
 fn start(lifecycle: &mut JobLifecycle<'_>, now: Micros, number: JobNumber) {
     let Some(job) = lifecycle.ledger.job_mut(number) else {
         return;
@@ -267,17 +274,18 @@
     }
 }
 
-/// A job of a former incarnation may have run and ended unseen.
+/// Ends a resubmitted job as failed: a former incarnation may have run it to its end.
 fn fail_resubmitted(lifecycle: &mut JobLifecycle<'_>, now: Micros, number: JobNumber) {
     let ending = Ending::aborted(
         "failed: the placer was started anew since it was submitted, no node holds it, and it may have run to its end",
     );
     lifecycle.set_phase(number, Phase::Ending(ending));
     lifecycle.record_outcome(number, Outcome::Failed);
-    lifecycle.end_if_ending(now, number);
+    lifecycle.finish_ending(now, number);
 }
 
-/// The number of the key that a job's repeats share.
+/// The task key of a job: all submissions of the same job have the same. It is made of the client's key, with the index of
+/// a bulk submission, or of the job's name where the client gave none.
 fn job_key(class: &str, key: Option<&str>, name: &JobName, is_bulk: bool) -> TaskKey {
     match key {
         Some(key) if is_bulk => task_key(class, &format!("{key}\n{}", name.index)),
@@ -286,7 +294,7 @@
     }
 }
 
-/// The answer of a submission: the jobs' names follow from the call and the indices.
+/// The answer to a submission, with the names of its jobs, which follow from the call and the indices.
 pub(super) fn submitted(key: &CallKey, range: Range, warning: Option<String>) -> Answer {
     let name = |index| {
         JobName {
--- a/crates/core/src/requests/waiting.rs
+++ b/crates/core/src/requests/waiting.rs
@@ -1,4 +1,4 @@
-//! Waits for jobs to end.
+//! Calls that wait for jobs to end.
 
 use std::collections::BTreeSet;
 
@@ -6,7 +6,7 @@
 use reedring_drmaa::rpc::{Answer, Jobs, Response};
 use reedring_drmaa::{ErrorCode, Result};
 
-use super::{Caller, error, job_of, named_jobs};
+use super::{Caller, error, find_job, named_jobs};
 use crate::ids::{JobNumber, SessionNumber};
 use crate::io::Output;
 use crate::ledger::Job;
@@ -14,17 +14,18 @@
 use crate::sessions::{CallRecord, WaitCondition, Waiter};
 use crate::timers::Timer;
 
-/// A call that waits.
+/// The parameters that all waiting calls have.
 #[derive(Clone, Copy)]
 pub(super) struct Wait {
     pub session: SessionNumber,
     pub call: u64,
     pub caller: Caller,
-    /// Seconds to wait; negative for ever, 0 for no wait at all.
+    /// Seconds to wait: negative to wait without a limit, 0 not to wait.
     pub timeout_s: i64,
 }
 
-/// Waits for one job, or for any. `None` where the answer comes later.
+/// Waits for the end of one job, or of any job of the session where `job` is `None`. Returns `None` where the answer comes
+/// later.
 pub(super) fn wait(
     lifecycle: &mut JobLifecycle<'_>,
     now: Micros,
@@ -32,7 +33,7 @@
     job: Option<&str>,
 ) -> Option<Result<Answer>> {
     let (ended, condition) = match job {
-        Some(name) => match job_of(lifecycle, wait.session, name) {
+        Some(name) => match find_job(lifecycle, wait.session, name) {
             Ok(job) => {
                 let has_ended = lifecycle.ledger.job(job).is_some_and(Job::is_ended);
                 (has_ended.then_some(job), WaitCondition::Job(job))
@@ -42,8 +43,8 @@
         None => {
             let session = lifecycle.sessions.get(wait.session)?;
             if !session.has_jobs() {
-                let none = error(ErrorCode::InvalidJob, "the session has no job to wait for");
-                return Some(Err(none));
+                let no_jobs = error(ErrorCode::InvalidJob, "the session has no job to wait for");
+                return Some(Err(no_jobs));
             }
             (session.first_ended(), WaitCondition::Any)
         }
@@ -54,7 +55,7 @@
     }
 }
 
-/// Returns the end of a job, which is forgotten then. `None` where the answer leaves once the end is durable.
+/// Answers a wait with the end of a job and deletes the job. Returns `None` where the answer is sent once the end is durable.
 fn take_ended(
     lifecycle: &mut JobLifecycle<'_>,
     wait: Wait,
@@ -78,7 +79,7 @@
     None
 }
 
-/// Waits for several jobs. `None` where the answer comes later.
+/// Waits for the ends of several jobs; deletes them then where `dispose` is set. Returns `None` where the answer comes later.
 pub(super) fn synchronize(
     lifecycle: &mut JobLifecycle<'_>,
     now: Micros,
@@ -115,6 +116,7 @@
     )
 }
 
+/// Registers a call that waits, with its timeout; an error where it has a timeout of 0.
 fn wait_for(
     lifecycle: &mut JobLifecycle<'_>,
     now: Micros,
@@ -146,8 +148,8 @@
     None
 }
 
-/// The time of a wait is over.
+/// Answers a call whose timeout is over with an error. Does nothing where it is answered already.
 pub(crate) fn wait_timed_out(lifecycle: &mut JobLifecycle<'_>, session: SessionNumber, call: u64) {
-    let late = error(ErrorCode::ExitTimeout, "not over in the time to wait");
-    lifecycle.complete_call(session, call, Err(late));
+    let timeout = error(ErrorCode::ExitTimeout, "not over in the time to wait");
+    lifecycle.complete_call(session, call, Err(timeout));
 }
--- a/crates/core/src/requirements.rs
+++ b/crates/core/src/requirements.rs
@@ -1,4 +1,4 @@
-//! What a job requires: its template, its category and its class made into one.
+//! What a job requires, derived from its template, its job category and its class.
 
 use std::sync::Arc;
 
@@ -13,34 +13,39 @@
 
 use crate::constraints::{ConstrainedJob, JobConstraint};
 
-/// Bytes of a template that are left for the digits of an index in each place that may hold one.
+/// Bytes of the payload limit that are reserved for the digits of the index, which replaces each placeholder in a bulk
+/// template.
 const INDEX_DIGITS_RESERVE: usize = 256;
 
-/// A job's template with what follows from it. All jobs of one submission share it.
+/// A job's template and the values derived from it. All jobs of a submission share it.
 #[derive(Debug, PartialEq)]
 pub(crate) struct JobRequirements {
     pub spec: JobSpec,
+    /// The class, as its index in the settings.
     pub class: u16,
+    /// The tenant, as its index in the settings.
     pub tenant: u16,
     pub service: String,
-    /// The key of a keyed class, before the index of a bulk submission is added.
+    /// The client's idempotency key, if any, without the index of a bulk submission.
     pub key: Option<String>,
     pub cores: f64,
     pub memory: f64,
+    /// The expected run time in microseconds, if the template gives one.
     pub life_us: Option<Micros>,
-    /// Where it may be placed, if it says so.
+    /// The placement constraint, if the template has one.
     pub constraint: Option<Arc<JobConstraint>>,
+    /// The job's own class and service, to which its constraint may refer.
     pub own: Own,
-    /// What its copies count as for others' constraints.
+    /// The topics under which its copies count for the constraints of other jobs.
     pub topics: Arc<Vec<Topic>>,
 }
 
-/// What a job of a former incarnation required, where the settings no longer know it.
+/// The requirements of a job of a former incarnation that don't fit the current settings.
 #[derive(Debug)]
 pub(crate) struct UnusableRequirements {
-    /// What is left of it, to show.
+    /// The part that is known, to be shown to clients and operators.
     pub remaining: Arc<JobRequirements>,
-    /// What the settings do not know.
+    /// What is missing, or unknown in the settings.
     pub reason: String,
 }
 
@@ -76,19 +81,19 @@
     Error::new(ErrorCode::InvalidAttributeValue, message)
 }
 
-/// A name among those of the settings.
-fn position(name: &str, known: &[&str], what: &str) -> Result<u16> {
-    let at = known.iter().position(|known| *known == name);
-    let at = at.ok_or_else(|| {
-        let near = nearest(name, known).map(|near| format!("did you mean `{near}`?"));
-        let fix = near.unwrap_or_else(|| format!("known are {}", known.join(", ")));
-        invalid(format!("`{name}` is no {what} of this placer; {fix}"))
+/// The index of a name among the known names; `what` says in the error what they name.
+fn index_of(name: &str, known: &[&str], what: &str) -> Result<u16> {
+    let index = known.iter().position(|known| *known == name);
+    let index = index.ok_or_else(|| {
+        let suggestion = nearest(name, known).map(|nearest| format!("did you mean `{nearest}`?"));
+        let hint = suggestion.unwrap_or_else(|| format!("known are {}", known.join(", ")));
+        invalid(format!("`{name}` is no {what} of this placer; {hint}"))
     })?;
-    Ok(at as u16)
+    Ok(index as u16)
 }
 
 impl JobRequirements {
-    /// The job as constraints see it, if it has one.
+    /// The job as an input to constraint evaluation; `None` where it has no constraint.
     pub fn constrained_job(&self) -> Option<ConstrainedJob> {
         let constraint = Arc::clone(self.constraint.as_ref()?);
         Some(ConstrainedJob {
@@ -98,10 +103,11 @@
         })
     }
 
-    /// What a job of a former incarnation requires, as it was then.
+    /// The requirements of a job of a former incarnation, with the values that its row recorded.
     ///
     /// # Errors
-    /// Where the settings no longer know it, or its row is missing.
+    /// [`UnusableRequirements`] where the row is missing or can't be read, or where the settings no longer have the
+    /// category, class or tenant, or reject the template.
     pub fn restore(
         row: Option<&state::JobTemplate>,
         settings: &Settings,
@@ -111,11 +117,11 @@
             return Err(UnusableRequirements::new(
                 row,
                 spec,
-                "its template is missing",
+                "its template is missing or can't be read",
             ));
         };
-        let mut made = match Self::new(known_spec, settings, None) {
-            Ok(made) => made,
+        let mut requirements = match Self::new(known_spec, settings, None) {
+            Ok(requirements) => requirements,
             Err(error) => return Err(UnusableRequirements::new(Some(row), spec, error.message)),
         };
         let class = settings
@@ -129,25 +135,26 @@
         let Some((class, tenant)) = class.zip(tenant) else {
             let reason = format!("class `{}` or tenant `{}`", row.class, row.tenant);
             return Err(UnusableRequirements {
-                remaining: Arc::new(made),
+                remaining: Arc::new(requirements),
                 reason,
             });
         };
-        (made.class, made.tenant) = (class as u16, tenant as u16);
-        (made.cores, made.memory, made.life_us) = (row.cores, row.memory, row.run_time_us);
-        made.service.clone_from(&row.service);
-        Ok(Arc::new(made))
+        (requirements.class, requirements.tenant) = (class as u16, tenant as u16);
+        (requirements.cores, requirements.memory) = (row.cores, row.memory);
+        requirements.life_us = row.run_time_us;
+        requirements.service.clone_from(&row.service);
+        Ok(Arc::new(requirements))
     }
 
-    /// Makes one of a template.
+    /// The requirements of a job with this template.
     ///
     /// # Errors
-    /// `DeniedByDrm` for a template without a command, `InvalidAttributeValue` for an unknown category, class or tenant
-    /// or a wrong constraint, and what [`Native::parse`] and [`JobSpec::check`] return. The constraint is checked against
-    /// `schema` too, where one is given.
+    /// `DeniedByDrm` for a template without a command, `InvalidAttributeValue` for a template or service name that is too
+    /// long, an unknown category, class or tenant, or an invalid constraint, and what [`Native::parse`] and [`JobSpec::check`] return. The constraint is also checked
+    /// against `schema`, where one is given.
     pub fn new(spec: JobSpec, settings: &Settings, schema: Option<&Schema>) -> Result<Self> {
         check_template(&spec)?;
-        let native = native_of(&spec, settings)?;
+        let native = resolve_native(&spec, settings)?;
         let classes: Vec<&str> = settings
             .classes
             .iter()
@@ -156,14 +163,14 @@
         let class = native
             .class
             .as_deref()
-            .map_or(Ok(0), |name| position(name, &classes, "class"))?;
+            .map_or(Ok(0), |name| index_of(name, &classes, "class"))?;
         let tenants: Vec<&str> = settings.tenants.iter().map(String::as_str).collect();
         let tenant = native
             .tenant
             .as_deref()
-            .map_or(Ok(0), |name| position(name, &tenants, "tenant"))?;
+            .map_or(Ok(0), |name| index_of(name, &tenants, "tenant"))?;
         let class_settings = &settings.classes[usize::from(class)];
-        // Where none is named, the jobs of one program in one class are one service.
+        // Without a service name, all jobs of a class that run the same program are one service.
         let service = native
             .service
             .unwrap_or_else(|| format!("{}:{}", class_settings.name, spec.command));
@@ -196,6 +203,7 @@
     }
 }
 
+/// Checks that a template is valid, has a command, and fits into the payload of an offer.
 fn check_template(spec: &JobSpec) -> Result<()> {
     spec.check()?;
     if spec.command.is_empty() {
@@ -214,8 +222,8 @@
     Ok(())
 }
 
-/// The native specification of a template, completed by that of its category.
-fn native_of(spec: &JobSpec, settings: &Settings) -> Result<Native> {
+/// The native specification of a template. Values that it does not give are those of its category.
+fn resolve_native(spec: &JobSpec, settings: &Settings) -> Result<Native> {
     let own = Native::parse(&spec.native)?;
     if spec.category.is_empty() {
         return Ok(own);
@@ -225,20 +233,21 @@
         .iter()
         .map(|category| category.name.as_str())
         .collect();
-    let at = position(&spec.category, &names, "job category")?;
-    Ok(own.or(&settings.categories[usize::from(at)].native))
+    let category = index_of(&spec.category, &names, "job category")?;
+    Ok(own.or(&settings.categories[usize::from(category)].native))
 }
 
+/// Parses a constraint and checks it against `schema`, where one is given.
 fn parse_constraint(
     text: &str,
     own: &Own,
     settings: &Settings,
     schema: Option<&Schema>,
 ) -> Result<JobConstraint> {
-    let wrong = |mistake: Mistake| invalid(format!("constraint: {mistake}"));
-    let constraint = settings.constraint(text).map_err(wrong)?;
+    let invalid_constraint = |mistake: Mistake| invalid(format!("constraint: {mistake}"));
+    let constraint = settings.constraint(text).map_err(invalid_constraint)?;
     schema
         .map_or(Ok(()), |schema| schema.check(&constraint, text))
-        .map_err(wrong)?;
+        .map_err(invalid_constraint)?;
     Ok(JobConstraint::new(constraint, own))
 }
--- a/crates/core/src/sessions/call_record.rs
+++ b/crates/core/src/sessions/call_record.rs
@@ -1,19 +1,19 @@
-//! What a call came to, remembered until its client confirms that it knows.
+//! Records of the answers to calls, kept until the client confirms that it has them.
 
 use reedring_drmaa::Result;
 use reedring_drmaa::rpc::{Answer, Range, Response};
 use reedring_state as state;
 
-/// What a call came to.
+/// The recorded result of a call, to answer the same call again.
 #[derive(Debug)]
 pub(crate) enum CallRecord {
     Answer(Result<Answer>),
-    /// The jobs' names follow from the indices.
+    /// A submission with these indices, from which the names of its jobs follow.
     Submission(Range),
 }
 
 impl CallRecord {
-    /// As it is persisted. Answers are persisted as they are sent.
+    /// The record as a row. An answer is stored in the format in which it is sent.
     pub fn to_row(&self) -> state::StoredResponse {
         match self {
             Self::Answer(result) => {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// As it was before it was persisted; `None` where the row can't be read.
+    /// The record of a row; `None` where the row can't be read.
     pub fn from_row(row: &state::StoredResponse) -> Option<Self> {
         match row {
             state::StoredResponse::Submission { first, last, step } => {
--- a/crates/core/src/sessions/mod.rs
+++ b/crates/core/src/sessions/mod.rs
@@ -1,6 +1,6 @@
-//! Sessions: which client owns which jobs, which calls wait for what, and what was answered.
+//! Client sessions: their jobs, the calls that wait, and the recorded answers.
 //!
-//! It owns every [`Session`], and notes which rows of them changed since they were persisted last.
+//! [`Sessions`] owns every [`Session`] and tracks which of their rows changed since they were last persisted.
 
 mod call_record;
 mod session;
@@ -22,24 +22,26 @@
 pub(crate) use session::Session;
 pub(crate) use waiter::{CompletedCall, WaitCondition, Waiter};
 
-/// All sessions.
+/// All open sessions.
 #[derive(Debug, Default)]
 pub(crate) struct Sessions {
     all: BTreeMap<SessionNumber, Session>,
     numbers: BTreeMap<Arc<str>, SessionNumber>,
+    /// The greatest session number in use so far.
     last: SessionNumber,
-    /// Waiting calls by connection, to find those of one that ended.
+    /// Waiting calls by connection, to find those of a connection that has ended.
     by_conn: BTreeSet<(ConnectionId, SessionNumber, u64)>,
-    /// Sessions that may have changes that are not persisted, and those that are forgotten.
+    /// Sessions that may have changes that are not persisted.
     touched: BTreeSet<SessionNumber>,
+    /// Sessions that were deleted since they were last persisted.
     forgotten: Vec<SessionNumber>,
 }
 
 impl Sessions {
-    /// The number of a session.
+    /// The number of the session with this name.
     ///
     /// # Errors
-    /// `NoActiveSession` where none of this name is open.
+    /// `NoActiveSession` where no session of this name is open.
     pub fn find(&self, name: &str) -> Result<SessionNumber> {
         self.numbers.get(name).copied().ok_or_else(|| {
             let text = format!("no session `{name}` is open; call drmaa_init first");
@@ -47,22 +49,22 @@
         })
     }
 
-    /// Opens a session, or finds it.
+    /// Opens a session, or finds the open session of this name.
     ///
     /// # Errors
-    /// `InvalidArgument` for a name that is none, `TryLater` where `limit` are open.
+    /// `InvalidArgument` for an invalid name, `TryLater` where `limit` sessions are open.
     pub fn open(&mut self, name: &str, now: Micros, limit: usize) -> Result<SessionNumber> {
         if let Some(number) = self.numbers.get(name) {
             return Ok(*number);
         }
-        let legal = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
-        if name.is_empty() || name.len() > MAX_SESSION || !name.chars().all(legal) {
+        let is_valid = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
+        if name.is_empty() || name.len() > MAX_SESSION || !name.chars().all(is_valid) {
             let text =
-                format!("a session's name has 1 to {MAX_SESSION} letters, digits, `-` and `_`");
+                format!("a session name must have 1 to {MAX_SESSION} letters, digits, `-` and `_`");
             return Err(Error::new(ErrorCode::InvalidArgument, text));
         }
         if self.all.len() >= limit {
-            let text = format!("{limit} sessions are open, the most that this placer keeps");
+            let text = format!("{limit} sessions are open, the limit of this placer; try later");
             return Err(Error::new(ErrorCode::TryLater, text));
         }
         let number = SessionNumber(self.last.0 + 1);
@@ -73,6 +75,7 @@
         Ok(number)
     }
 
+    /// Adds a session under its number and its name.
     fn add(&mut self, session: Session) {
         let number = session.number();
         self.last = self.last.max(number);
@@ -80,7 +83,7 @@
         self.all.insert(number, session);
     }
 
-    /// A session of a former incarnation, under its number there.
+    /// Restores a session of a former incarnation under the number that it had there.
     pub fn restore(
         &mut self,
         number: SessionNumber,
@@ -95,7 +98,7 @@
         self.all.get(&number)
     }
 
-    /// A session that is about to change.
+    /// A session to be changed; it is marked as changed.
     pub fn get_mut(&mut self, number: SessionNumber) -> Option<&mut Session> {
         self.touched.insert(number);
         self.all.get_mut(&number)
@@ -103,7 +106,7 @@
 
     // ---- Waits ----
 
-    /// A call waits. The same call made again takes the place of the one before.
+    /// Adds a waiting call. It replaces an earlier one with the same number in the session.
     pub fn wait(&mut self, number: SessionNumber, call: u64, waiter: Waiter) {
         let Some(session) = self.all.get_mut(&number) else {
             return;
@@ -117,7 +120,7 @@
         }
     }
 
-    /// Answers a call that waits.
+    /// Ends a call's wait and returns its response; `None` where no such call waits.
     pub fn answer(
         &mut self,
         number: SessionNumber,
@@ -129,7 +132,7 @@
         Some(completed)
     }
 
-    /// A connection ended: nobody waits on it any more.
+    /// Removes the waiting calls of a connection that has ended.
     pub fn client_disconnected(&mut self, conn: ConnectionId) {
         let first = (conn, SessionNumber::default(), 0);
         let last = (conn, SessionNumber::MAX, u64::MAX);
@@ -144,7 +147,7 @@
 
     // ---- Forgetting ----
 
-    /// Forgets sessions that hold nothing and were not used since.
+    /// Deletes the sessions that have no jobs and no waiting calls and were last used before `before`.
     pub fn forget_idle(&mut self, before: Micros) {
         let (numbers, forgotten) = (&mut self.numbers, &mut self.forgotten);
         self.all.retain(|number, session| {
@@ -157,14 +160,14 @@
         });
     }
 
-    /// Jobs that have ended and that nobody has waited for yet.
+    /// The jobs that have ended and whose end was not returned yet.
     pub fn ended_jobs(&self) -> impl Iterator<Item = JobNumber> + '_ {
         self.all.values().flat_map(Session::ended)
     }
 
     // ---- Rows ----
 
-    /// Rows that changed since this was last asked.
+    /// The rows that changed since the last call of this method.
     pub fn take_changes(&mut self) -> Vec<Change> {
         let forgotten = std::mem::take(&mut self.forgotten).into_iter();
         let mut changes: Vec<Change> = forgotten
@@ -178,7 +181,7 @@
         changes
     }
 
-    /// Every row.
+    /// All rows, for a rewrite of the whole ledger on disk; pending changes are dropped.
     pub fn rows(&mut self) -> Vec<Change> {
         self.take_changes();
         self.all.values().flat_map(Session::rows).collect()
--- a/crates/core/src/sessions/session.rs
+++ b/crates/core/src/sessions/session.rs
@@ -1,4 +1,4 @@
-//! One session: its jobs, the calls that wait, and what calls came to.
+//! One client session: its jobs, the calls that wait, and the recorded answers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -12,25 +12,26 @@
 use super::waiter::{CompletedCall, WaitCondition, Waiter, WakeUps};
 use crate::ids::{CallIndex, JobNumber, SessionNumber};
 
-/// Call records of one session: more than any client has calls under way.
+/// The most call records that a session keeps, more than any client has calls in progress. The oldest is dropped then.
 const MAX_RECORDS: usize = 65_536;
 
-/// One session.
+/// A client session.
 #[derive(Debug)]
 pub(crate) struct Session {
     number: SessionNumber,
     name: Arc<str>,
-    /// Jobs that nobody has waited for yet.
+    /// Jobs whose end was not returned yet.
     jobs: BTreeMap<CallIndex, JobNumber>,
-    /// Those of them that have ended.
+    /// Those of `jobs` that have ended.
     ended: BTreeSet<JobNumber>,
+    /// Recorded results by call number.
     records: BTreeMap<u64, CallRecord>,
-    /// Calls below this one are settled: their client knows what they came to.
+    /// Calls with numbers below this one are settled: the client has their answers, and their records are deleted.
     settled: u64,
-    /// Waiting calls by number.
+    /// Waiting calls by call number.
     pub(super) waiters: BTreeMap<u64, Waiter>,
     last_used: Micros,
-    /// Rows that are not persisted yet.
+    /// Changed rows that are not persisted yet.
     pub(super) changes: Vec<Change>,
 }
 
@@ -49,7 +50,7 @@
         }
     }
 
-    /// A session of a former incarnation.
+    /// A session of a former incarnation from its rows, without its jobs. Records that can't be read are dropped.
     pub(super) fn restore(
         row: &state::Session,
         number: SessionNumber,
@@ -74,6 +75,7 @@
         &self.name
     }
 
+    /// The row of the session itself.
     pub(super) fn row(&self) -> Change {
         let row = state::Session {
             name: self.name.to_string(),
@@ -82,7 +84,7 @@
         Change::Session(self.number.0, Some(row))
     }
 
-    /// Every row of it.
+    /// All rows of the session: its own and those of its call records.
     pub(super) fn rows(&self) -> impl Iterator<Item = Change> + '_ {
         let number = self.number.0;
         let records = self.records.iter();
@@ -90,23 +92,24 @@
         std::iter::once(self.row()).chain(calls)
     }
 
-    /// A client uses it.
+    /// Records that the client used the session.
     pub fn touch(&mut self, now: Micros) {
         self.last_used = now;
     }
 
+    /// Whether the session has no jobs and no waiting calls and was last used before `before`.
     pub(super) fn is_idle_since(&self, before: Micros) -> bool {
         self.jobs.is_empty() && self.waiters.is_empty() && self.last_used < before
     }
 
     // ---- Jobs ----
 
-    /// The job that a call submitted at an index, if nobody has waited for it yet.
+    /// The job that a call submitted at an index, if its end was not returned yet.
     pub fn job(&self, place: CallIndex) -> Option<JobNumber> {
         self.jobs.get(&place).copied()
     }
 
-    /// Jobs that nobody has waited for yet.
+    /// The jobs whose end was not returned yet.
     pub fn jobs(&self) -> impl Iterator<Item = JobNumber> + '_ {
         self.jobs.values().copied()
     }
@@ -115,7 +118,7 @@
         !self.jobs.is_empty()
     }
 
-    /// Whether any job of a call is left.
+    /// Whether the session has any job that a call submitted and whose end was not returned yet.
     pub fn has_jobs_of(&self, call: u64) -> bool {
         self.jobs.range(CallIndex::all_of(call)).next().is_some()
     }
@@ -124,24 +127,24 @@
         self.jobs.insert(place, job);
     }
 
-    /// A job has ended; whether it is the only one that nobody has waited for yet.
+    /// Marks a job as ended. Returns whether it is the only ended job of the session whose end was not returned yet.
     pub fn job_ended(&mut self, job: JobNumber) -> bool {
-        let first = self.ended.is_empty();
+        let is_only_one = self.ended.is_empty();
         self.ended.insert(job);
-        first
+        is_only_one
     }
 
-    /// The first job that has ended and that nobody has waited for yet.
+    /// The ended job with the lowest number, if any, whose end was not returned yet.
     pub fn first_ended(&self) -> Option<JobNumber> {
         self.ended.first().copied()
     }
 
-    /// Jobs that have ended and that nobody has waited for yet.
+    /// The jobs that have ended and whose end was not returned yet.
     pub fn ended(&self) -> impl Iterator<Item = JobNumber> + '_ {
         self.ended.iter().copied()
     }
 
-    /// Forgets a job that was waited for.
+    /// Removes a job that is deleted.
     pub fn forget_job(&mut self, place: CallIndex, job: JobNumber) {
         self.jobs.remove(&place);
         self.ended.remove(&job);
@@ -149,11 +152,11 @@
 
     // ---- Calls ----
 
-    /// Forgets the records that the client says it needs no more.
+    /// Deletes the records of calls below `settled`, whose answers the client has.
     pub fn settle(&mut self, settled: u64) {
         if settled > self.settled {
             self.settled = settled;
-            // A successor must know of the calls that it finds no answer of.
+            // After a restart the placer must know that calls without a record were settled, and not carry them out again.
             self.changes.extend([
                 Change::CallsDeletedBelow(self.number.0, settled),
                 self.row(),
@@ -162,14 +165,14 @@
         }
     }
 
-    /// What this call came to before, if it was made before.
+    /// The record of a call; `None` where the call was not made before.
     ///
     /// # Errors
-    /// `InvalidArgument` for a call that its client had said was settled.
-    pub fn recorded(&self, call: u64) -> Result<Option<&CallRecord>> {
+    /// `InvalidArgument` for a call that the client has settled.
+    pub fn call_record(&self, call: u64) -> Result<Option<&CallRecord>> {
         if call < self.settled {
             let text = format!(
-                "call {call} is below {}, which was said to be settled",
+                "call {call} is settled: the client has the answers to all calls below {}",
                 self.settled
             );
             return Err(Error::new(ErrorCode::InvalidArgument, text));
@@ -177,11 +180,13 @@
         Ok(self.records.get(&call))
     }
 
-    /// A call was made and is closed: the ends of its jobs were all returned, or are here.
-    pub fn knows_call(&self, call: u64) -> bool {
+    /// Whether a call is settled or its answer is recorded. The ends of the jobs that it submitted were then returned, or
+    /// the jobs are in this session.
+    pub fn is_call_closed(&self, call: u64) -> bool {
         call < self.settled || self.records.contains_key(&call)
     }
 
+    /// Records the result of a call.
     pub fn record(&mut self, call: u64, record: CallRecord) {
         self.changes
             .push(Change::Call(self.number.0, call, record.to_row()));
@@ -193,7 +198,7 @@
 
     // ---- Waits ----
 
-    /// Waiting calls.
+    /// The numbers of the waiting calls.
     pub fn waiting_calls(&self) -> Vec<u64> {
         self.waiters.keys().copied().collect()
     }
@@ -202,7 +207,7 @@
         self.waiters.get(&call)
     }
 
-    /// A waiting call is answered; the answer is recorded, as it may be lost on the way.
+    /// Ends a call's wait and returns its response. The answer is recorded, since the response may not reach the client.
     pub(super) fn answer(&mut self, call: u64, result: Result<Answer>) -> Option<CompletedCall> {
         let waiter = self.waiters.remove(&call)?;
         self.record(call, CallRecord::Answer(result.clone()));
@@ -212,7 +217,7 @@
         })
     }
 
-    /// Calls whose wait the end of this job ends: the first that receives the job, and the rest.
+    /// The waiting calls that the end of a job completes. The first wait that the job satisfies receives its end.
     pub fn wake_ups(&mut self, job: JobNumber) -> WakeUps {
         let mut wake_ups = WakeUps::default();
         for (call, waiter) in &mut self.waiters {
--- a/crates/core/src/sessions/tests.rs
+++ b/crates/core/src/sessions/tests.rs
@@ -13,14 +13,14 @@
     }
 }
 
-fn session(sessions: &mut Sessions) -> SessionNumber {
+fn open_session(sessions: &mut Sessions) -> SessionNumber {
     sessions.open("s", 0, 10).unwrap()
 }
 
 #[test]
-fn the_first_wait_receives_a_job_and_a_later_one_for_it_is_too_late() {
+fn the_first_matching_wait_receives_a_jobs_end_and_later_ones_are_too_late() {
     let mut sessions = Sessions::default();
-    let number = session(&mut sessions);
+    let number = open_session(&mut sessions);
     let job = JobNumber(5);
     sessions.wait(number, 1, waiter(WaitCondition::Job(JobNumber(6))));
     sessions.wait(number, 2, waiter(WaitCondition::Any));
@@ -33,9 +33,9 @@
 }
 
 #[test]
-fn a_synchronization_is_complete_with_its_last_job() {
+fn a_synchronization_completes_when_its_last_job_ends() {
     let mut sessions = Sessions::default();
-    let number = session(&mut sessions);
+    let number = open_session(&mut sessions);
     let jobs = vec![JobNumber(1), JobNumber(2)];
     let unfinished = jobs.iter().copied().collect();
     sessions.wait(
@@ -55,18 +55,18 @@
 }
 
 #[test]
-fn calls_of_a_connection_that_ended_wait_no_longer() {
+fn a_connection_that_ends_removes_its_waiting_calls() {
     let mut sessions = Sessions::default();
-    let number = session(&mut sessions);
+    let number = open_session(&mut sessions);
     sessions.wait(number, 1, waiter(WaitCondition::Any));
     sessions.client_disconnected(CLIENT);
     assert!(sessions.answer(number, 1, Ok(Answer::Done)).is_none());
 }
 
 #[test]
-fn a_settled_call_is_known_and_may_not_be_made_again() {
+fn a_settled_call_is_closed_and_can_not_be_made_again() {
     let mut sessions = Sessions::default();
-    let number = session(&mut sessions);
+    let number = open_session(&mut sessions);
     let session = sessions.get_mut(number).unwrap();
     session.record(
         1,
@@ -77,17 +77,19 @@
         }),
     );
     assert!(matches!(
-        session.recorded(1),
+        session.call_record(1),
         Ok(Some(CallRecord::Submission(_)))
     ));
     session.settle(2);
-    assert!(session.recorded(1).is_err() && session.knows_call(1) && !session.knows_call(2));
+    assert!(
+        session.call_record(1).is_err() && session.is_call_closed(1) && !session.is_call_closed(2)
+    );
 }
 
 #[test]
-fn a_session_is_forgotten_once_it_is_idle_and_holds_no_job() {
+fn an_idle_session_is_deleted_once_it_has_no_jobs() {
     let mut sessions = Sessions::default();
-    let number = session(&mut sessions);
+    let number = open_session(&mut sessions);
     let place = CallIndex { call: 1, index: 1 };
     sessions
         .get_mut(number)
