--- a/crates/core/src/core/dispatch.rs
+++ b/crates/core/src/core/dispatch.rs
@@ -135,7 +135,7 @@
             Timer::RunLimit(job) => lifecycle.run_limit_reached(now, job),
             Timer::WaitTimeout { session, call } => wait_timed_out(&mut lifecycle, session, call),
             Timer::ReconciliationDeadline => self.reconciliation_done(now),
-            Timer::ForgetFinished => lifecycle.forget_finished(now),
+            Timer::ForgetFinished => lifecycle.remove_expired_jobs(now),
             Timer::PersistBeliefs => self.persist_beliefs(now),
             Timer::Recover { job, last } => lifecycle.recover(now, job, last),
         }
--- a/crates/core/src/decide.rs
+++ b/crates/core/src/decide.rs
@@ -85,7 +85,7 @@
     Unknown,
     /// The job is not in the ledger any more: this incarnation made or closed the attempt, or the job's end was returned to
     /// its client.
-    Forgotten,
+    Removed,
     /// The job waits to be placed.
     Queued,
     /// Another copy of the job was accepted.
@@ -110,11 +110,11 @@
 /// | --- | --- |
 /// | unknown: a former incarnation of this placer placed it | adopted |
 /// | waits to be placed | adopted; the job's other attempts are stopped |
-/// | forgotten, ended, or placed elsewhere | stopped |
+/// | removed, ended, or placed elsewhere | stopped |
 pub fn copy_action(status: JobStatus) -> CopyAction {
     match status {
         JobStatus::Unknown | JobStatus::Queued => CopyAction::Adopt,
-        JobStatus::Forgotten | JobStatus::PlacedElsewhere | JobStatus::Ended => CopyAction::Stop,
+        JobStatus::Removed | JobStatus::PlacedElsewhere | JobStatus::Ended => CopyAction::Stop,
     }
 }
 
@@ -252,10 +252,10 @@
 /// Whether a node may be announced to the decision module yet.
 ///
 /// A node that is warming up gets at most a budget of offers per window. The budget counts the offers of the placer's
-/// former incarnation too, which a placer that has just started does not know. So such a node is announced only once a window (`window_us`) has
-/// passed since the placer's start (`started`): no window then has offers of the former incarnation. It is announced at
-/// once where the ledger has every offer to such nodes (`budgets_restored`). `warming_until` is `None` for a node that is
-/// warm or whose start time is not known. All times are in microseconds.
+/// former incarnation too, which a placer that has just started does not know. So such a node is announced only once a
+/// window (`window_us`) has passed since the placer's start (`started`): no window then has offers of the former
+/// incarnation. It is announced at once where the ledger has every offer to such nodes (`budgets_restored`).
+/// `warming_until` is `None` for a node that is warm or whose start time is not known. All times are in microseconds.
 pub fn may_announce(
     now: u64,
     started: u64,
--- a/crates/core/src/decide/tests.rs
+++ b/crates/core/src/decide/tests.rs
@@ -79,7 +79,7 @@
 #[test]
 fn at_most_one_copy_of_a_job_is_kept() {
     for status in [
-        JobStatus::Forgotten,
+        JobStatus::Removed,
         JobStatus::PlacedElsewhere,
         JobStatus::Ended,
     ] {
--- a/crates/core/src/lifecycle/adoption.rs
+++ b/crates/core/src/lifecycle/adoption.rs
@@ -81,8 +81,8 @@
                 }
                 Phase::OnHold | Phase::Ending(_) | Phase::Ended(_) => JobStatus::Ended,
             },
-            None if self.ledger.is_known(attempt) => JobStatus::Forgotten,
-            None if self.is_settled(attempt, name) => JobStatus::Forgotten,
+            None if self.ledger.is_known(attempt) => JobStatus::Removed,
+            None if self.is_settled(attempt, name) => JobStatus::Removed,
             None => JobStatus::Unknown,
         }
     }
--- a/crates/core/src/lifecycle/jobs.rs
+++ b/crates/core/src/lifecycle/jobs.rs
@@ -13,9 +13,9 @@
 use crate::timers::Timer;
 
 /// How many times finished jobs are checked for expiry within the time for which they are kept.
-const FORGET_CHECKS_PER_RETENTION: u64 = 8;
+const EXPIRY_CHECKS_PER_RETENTION: u64 = 8;
 /// The shortest interval between two such checks, in microseconds.
-const MIN_FORGET_INTERVAL_US: Micros = 1_000_000;
+const MIN_EXPIRY_CHECK_INTERVAL_US: Micros = 1_000_000;
 
 /// The answer to a wait for a job; an error where the job has not ended.
 pub(crate) fn ended_answer(info: Option<JobInfo>) -> Result<Answer> {
@@ -102,7 +102,7 @@
                 signal: "SIGXCPU".to_owned(),
                 core_dump: false,
             };
-            let reason = Some("it ran for as long as its template allows".to_owned());
+            let reason = Some("it reached the run time limit of its template".to_owned());
             self.terminate(
                 now,
                 job,
@@ -143,26 +143,24 @@
             return;
         };
         if session.job_ended(number) {
-            self.schedule_forgetting(now);
+            self.schedule_expiry_check(now);
         }
-        self.wake_waiting(session_number, number);
+        self.answer_waiting_calls(session_number, number);
     }
 
     /// Answers the calls that wait for the end of a job. The first wait for it gets the end, and the job is deleted.
-    fn wake_waiting(&mut self, session_number: SessionNumber, number: JobNumber) {
+    fn answer_waiting_calls(&mut self, session_number: SessionNumber, number: JobNumber) {
         let Some(session) = self.sessions.get_mut(session_number) else {
             return;
         };
         let wake_ups = session.wake_ups(number);
         if let Some(call) = wake_ups.receiver {
             let result = ended_answer(self.job_info(number));
-            self.forget_job(number);
+            self.remove_job(number);
             self.complete_call(session_number, call, result);
             for call in wake_ups.too_late {
-                let already_returned = Error::new(
-                    ErrorCode::InvalidJob,
-                    "the job's end was told to another wait",
-                );
+                let already_returned =
+                    Error::new(ErrorCode::InvalidJob, "another call received the job's end");
                 self.complete_call(session_number, call, Err(already_returned));
             }
         }
@@ -194,7 +192,7 @@
         }) = waiter
         {
             for job in jobs.clone() {
-                self.forget_job(job);
+                self.remove_job(job);
             }
         }
         self.complete_call(session, call, Ok(Answer::Done));
@@ -210,26 +208,26 @@
         job.info(node.as_deref(), |at| self.cx.clock().unix_seconds(at))
     }
 
-    // ---- Forgetting ----
+    // ---- Removal ----
 
     /// Deletes a job from the ledger and its session.
-    pub fn forget_job(&mut self, number: JobNumber) {
+    pub fn remove_job(&mut self, number: JobNumber) {
         if let Some(job) = self.ledger.forget(number)
             && let Some(session) = self.sessions.get_mut(job.session)
         {
-            session.forget_job(job.name.place(), number);
+            session.remove_job(job.name.place(), number);
         }
     }
 
     /// Schedules the next check for finished jobs that are kept for too long.
-    fn schedule_forgetting(&mut self, now: Micros) {
+    fn schedule_expiry_check(&mut self, now: Micros) {
         let keep = self.cx.settings().limits.keep_ended_us;
-        let interval = (keep / FORGET_CHECKS_PER_RETENTION).max(MIN_FORGET_INTERVAL_US);
+        let interval = (keep / EXPIRY_CHECKS_PER_RETENTION).max(MIN_EXPIRY_CHECK_INTERVAL_US);
         self.cx.set_timer(now + interval, Timer::ForgetFinished);
     }
 
     /// Deletes jobs that ended more than `keep_ended_us` ago, and idle sessions that were not used for as long.
-    pub fn forget_finished(&mut self, now: Micros) {
+    pub fn remove_expired_jobs(&mut self, now: Micros) {
         let before = now.saturating_sub(self.cx.settings().limits.keep_ended_us);
         let is_old = |job: &JobNumber| {
             let ended = self.ledger.job(*job).and_then(|job| job.ended);
@@ -237,11 +235,11 @@
         };
         let jobs: Vec<JobNumber> = self.sessions.ended_jobs().filter(is_old).collect();
         for job in jobs {
-            self.forget_job(job);
+            self.remove_job(job);
         }
-        self.sessions.forget_idle(before);
+        self.sessions.remove_idle(before);
         if self.sessions.ended_jobs().next().is_some() {
-            self.schedule_forgetting(now);
+            self.schedule_expiry_check(now);
         }
     }
 }
--- a/crates/core/src/lifecycle/mod.rs
+++ b/crates/core/src/lifecycle/mod.rs
@@ -57,7 +57,7 @@
     outcome: AttemptOutcome,
     reason: Option<Reason>,
     report: Vec<f64>,
-    /// The attempt's result in the job's history, which operators and clients see.
+    /// The attempt's result in the job's history, in answers to operators and in end reasons. Scripts compare these texts.
     label: &'static str,
 }
 
@@ -89,7 +89,7 @@
             || self.constraints.has_nodes() && self.nodes.all_reconciled()
     }
 
-    /// Whether the job's class allows a second start of it.
+    /// Whether a second start of the job is harmless, by its class.
     pub fn effect(&self, job: &Job) -> Effect {
         self.cx.class(job.requirements.class).effect
     }
--- a/crates/core/src/lifecycle/offers.rs
+++ b/crates/core/src/lifecycle/offers.rs
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Removes an attempt's offer from the queue. Returns false where it has been sent.
+    /// Removes an attempt's offer from the queue of unsent messages. Returns false where it is not there.
     fn retract(&mut self, id: AttemptId) -> bool {
         let Some(attempt) = self.ledger.attempt(id) else {
             return false;
--- a/crates/core/src/lifecycle/requests.rs
+++ b/crates/core/src/lifecycle/requests.rs
@@ -66,7 +66,11 @@
         };
         if grace_us == 0 {
             self.record_outcome(job, Outcome::Refused);
-            return self.end_job(now, job, Ending::aborted("its drmaa_deadline_time is over"));
+            return self.end_job(
+                now,
+                job,
+                Ending::aborted("its drmaa_deadline_time has passed"),
+            );
         }
         let constrained = self
             .ledger
--- a/crates/core/src/lifecycle/sending.rs
+++ b/crates/core/src/lifecycle/sending.rs
@@ -47,9 +47,9 @@
         }
     }
 
-    /// Whether the end of an attempt may be acknowledged now. A node deletes what is acknowledged, so while nothing can be
-    /// recorded, the ledger on disk would have the attempt as open and its node would no longer know it. It may be for a
-    /// job of a safe class that was never recorded.
+    /// Whether the end of an attempt may be acknowledged now. A node deletes what is acknowledged. If that happens while
+    /// nothing can be recorded, the ledger on disk has the attempt as open and its node no longer knows it. So then only
+    /// the ends of jobs of a safe class that were never recorded are acknowledged.
     pub(super) fn may_acknowledge(&self, attempt: wire::AttemptId) -> bool {
         if self.queue.unavailable().is_none() {
             return true;
--- a/crates/core/src/requests/queries.rs
+++ b/crates/core/src/requests/queries.rs
@@ -68,7 +68,7 @@
     let number = lifecycle.job_named(name);
     let found = number.and_then(|number| Some((number, lifecycle.ledger.job(number)?)));
     let (number, job) = found.ok_or_else(|| {
-        let text = format!("`{name}` is no job of this placer, or its end was told");
+        let text = format!("`{name}` is not a job of this placer, or its end was returned already");
         error(ErrorCode::InvalidJob, text)
     })?;
     let line = job_line(lifecycle, job, now);
@@ -79,8 +79,8 @@
             .push(lifecycle.constraints.explain(&constrained).to_string());
         let violated = lifecycle.constraints.violated(number).into_iter();
         detail.stands.extend(violated.map(|(text, since)| {
-            let for_s = now.saturating_sub(since) as f64 / 1e6;
-            format!("`{text}` does not hold for {for_s:.1} s")
+            let violated_s = now.saturating_sub(since) as f64 / 1e6;
+            format!("`{text}` does not hold for {violated_s:.1} s")
         }));
     }
     Ok(Answer::Job(Box::new(detail)))
--- a/crates/core/src/requests/submission.rs
+++ b/crates/core/src/requests/submission.rs
@@ -106,7 +106,8 @@
             lifecycle.cx.settings().limits.jobs,
         );
         if starts > 0 && unfinished + starts > limit {
-            let text = format!("{unfinished} jobs are not over and at most {limit} fit; try later");
+            let text =
+                format!("{unfinished} jobs have not ended, and the limit is {limit}; try later");
             return Some(Err(error(ErrorCode::TryLater, text)));
         }
         let Submission { key, range, .. } = &submission;
@@ -129,7 +130,7 @@
     let (most, range) = (settings.limits.bulk, submission.range);
     if range.indices(most).is_none() {
         let text = format!(
-            "{} to {} by {} is no range of 1 to {most} indices from 1",
+            "the range from {} to {} by {} must have 1 to {most} indices, and start at 1 or above",
             range.first, range.last, range.step
         );
         return Err(error(ErrorCode::InvalidArgument, text));
@@ -150,11 +151,13 @@
     let name = &class.name;
     let try_later = |text: String| Err::<(), Error>(error(ErrorCode::TryLater, text));
     if let Some(why) = cx.configuration.fence_reason() {
-        return try_later(format!("this placer takes nothing new: {why}; ask another"));
+        return try_later(format!(
+            "this placer accepts no new jobs: {why}; use another placer"
+        ));
     }
     if class.closed {
         return try_later(format!(
-            "class `{name}` takes nothing new: it is not in the plan that is acted by"
+            "class `{name}` accepts no new jobs: it is not in the active configuration"
         ));
     }
     let queue = &lifecycle.queue;
@@ -163,7 +166,7 @@
         .filter(|_| !queue.may_offer(class.effect, lifecycle.cx))
     {
         return try_later(format!(
-            "class `{name}` must not start twice, and what is promised can't be kept now: {why}"
+            "class `{name}` must not start twice, and starts can't be recorded now: {why}"
         ));
     }
     Ok(())
--- a/crates/core/src/requests/waiting.rs
+++ b/crates/core/src/requests/waiting.rs
@@ -66,7 +66,7 @@
         .ledger
         .job(job)
         .and_then(|job| job.end_recorded_in);
-    lifecycle.forget_job(job);
+    lifecycle.remove_job(job);
     let Some(batch) = recorded_in else {
         return Some(result);
     };
@@ -100,7 +100,7 @@
     let unfinished: BTreeSet<JobNumber> = jobs.iter().copied().filter(is_unfinished).collect();
     if unfinished.is_empty() {
         if dispose {
-            jobs.into_iter().for_each(|job| lifecycle.forget_job(job));
+            jobs.into_iter().for_each(|job| lifecycle.remove_job(job));
         }
         return Some(Ok(Answer::Done));
     }
@@ -150,6 +150,6 @@
 
 /// Answers a call whose timeout is over with an error. Does nothing where it is answered already.
 pub(crate) fn wait_timed_out(lifecycle: &mut JobLifecycle<'_>, session: SessionNumber, call: u64) {
-    let timeout = error(ErrorCode::ExitTimeout, "not over in the time to wait");
+    let timeout = error(ErrorCode::ExitTimeout, "the wait timed out");
     lifecycle.complete_call(session, call, Err(timeout));
 }
--- a/crates/core/src/requirements.rs
+++ b/crates/core/src/requirements.rs
@@ -86,8 +86,8 @@
     let index = known.iter().position(|known| *known == name);
     let index = index.ok_or_else(|| {
         let suggestion = nearest(name, known).map(|nearest| format!("did you mean `{nearest}`?"));
-        let hint = suggestion.unwrap_or_else(|| format!("known are {}", known.join(", ")));
-        invalid(format!("`{name}` is no {what} of this placer; {hint}"))
+        let hint = suggestion.unwrap_or_else(|| format!("the known ones are {}", known.join(", ")));
+        invalid(format!("`{name}` is not a {what} of this placer; {hint}"))
     })?;
     Ok(index as u16)
 }
@@ -149,9 +149,9 @@
     /// The requirements of a job with this template.
     ///
     /// # Errors
-    /// `DeniedByDrm` for a template without a command, `InvalidAttributeValue` for a template or service name that is too
-    /// long, an unknown category, class or tenant, or an invalid constraint, and what [`Native::parse`] and [`JobSpec::check`] return. The constraint is also checked
-    /// against `schema`, where one is given.
+    /// `DeniedByDrm` for a template without a command; `InvalidAttributeValue` for a template or service name that is too
+    /// long, for an unknown category, class or tenant, and for an invalid constraint; and those of [`Native::parse`] and
+    /// [`JobSpec::check`]. The constraint is also checked against `schema`, where one is given.
     pub fn new(spec: JobSpec, settings: &Settings, schema: Option<&Schema>) -> Result<Self> {
         check_template(&spec)?;
         let native = resolve_native(&spec, settings)?;
@@ -176,7 +176,7 @@
             .unwrap_or_else(|| format!("{}:{}", class_settings.name, spec.command));
         if service.len() > MAX_NAME {
             let text = format!(
-                "the service has {} bytes, at most {MAX_NAME} fit",
+                "the service name has {} bytes, the limit is {MAX_NAME}",
                 service.len()
             );
             return Err(invalid(text));
@@ -216,7 +216,7 @@
     let limit = MAX_PAYLOAD - INDEX_DIGITS_RESERVE;
     if size > limit {
         return Err(invalid(format!(
-            "the template has {size} bytes, at most {limit} fit"
+            "the template has {size} bytes, the limit is {limit}"
         )));
     }
     Ok(())
--- a/crates/core/src/sessions/mod.rs
+++ b/crates/core/src/sessions/mod.rs
@@ -34,7 +34,7 @@
     /// Sessions that may have changes that are not persisted.
     touched: BTreeSet<SessionNumber>,
     /// Sessions that were deleted since they were last persisted.
-    forgotten: Vec<SessionNumber>,
+    removed: Vec<SessionNumber>,
 }
 
 impl Sessions {
@@ -145,15 +145,15 @@
         }
     }
 
-    // ---- Forgetting ----
+    // ---- Removal ----
 
     /// Deletes the sessions that have no jobs and no waiting calls and were last used before `before`.
-    pub fn forget_idle(&mut self, before: Micros) {
-        let (numbers, forgotten) = (&mut self.numbers, &mut self.forgotten);
+    pub fn remove_idle(&mut self, before: Micros) {
+        let (numbers, removed) = (&mut self.numbers, &mut self.removed);
         self.all.retain(|number, session| {
             let is_idle = session.is_idle_since(before);
             if is_idle {
-                forgotten.push(*number);
+                removed.push(*number);
                 numbers.remove(session.name());
             }
             !is_idle
@@ -169,8 +169,8 @@
 
     /// The rows that changed since the last call of this method.
     pub fn take_changes(&mut self) -> Vec<Change> {
-        let forgotten = std::mem::take(&mut self.forgotten).into_iter();
-        let mut changes: Vec<Change> = forgotten
+        let removed = std::mem::take(&mut self.removed).into_iter();
+        let mut changes: Vec<Change> = removed
             .map(|number| Change::Session(number.0, None))
             .collect();
         for number in std::mem::take(&mut self.touched) {
--- a/crates/core/src/sessions/session.rs
+++ b/crates/core/src/sessions/session.rs
@@ -145,7 +145,7 @@
     }
 
     /// Removes a job that is deleted.
-    pub fn forget_job(&mut self, place: CallIndex, job: JobNumber) {
+    pub fn remove_job(&mut self, place: CallIndex, job: JobNumber) {
         self.jobs.remove(&place);
         self.ended.remove(&job);
     }
--- a/crates/core/src/sessions/tests.rs
+++ b/crates/core/src/sessions/tests.rs
@@ -95,12 +95,12 @@
         .get_mut(number)
         .unwrap()
         .add_job(place, JobNumber(1));
-    sessions.forget_idle(10);
+    sessions.remove_idle(10);
     assert!(sessions.get(number).is_some());
     sessions
         .get_mut(number)
         .unwrap()
-        .forget_job(place, JobNumber(1));
-    sessions.forget_idle(10);
+        .remove_job(place, JobNumber(1));
+    sessions.remove_idle(10);
     assert!(sessions.get(number).is_none() && sessions.find("s").is_err());
 }
