--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -101,8 +101,8 @@
         self.cx.settings()
     }
 
-    /// The latest time at which [`Core::flush`] must be called if no input arrives before; `None` where no timer is set.
-    /// The time is in the past where work is pending.
+    /// The latest time at which [`Core::flush`] must be called if no input arrives before; `None` where no timer is
+    /// set. The time is in the past where work is pending.
     pub fn next_wake(&self) -> Option<Micros> {
         let is_idle = !self.requests.has_listings() && self.constraints.is_idle();
         if is_idle {
@@ -215,14 +215,14 @@
         );
     }
 
-    /// Sends the outputs that wait for no change of the current flush. The shell calls it before [`Core::flush`], which may
-    /// take long.
+    /// Sends the outputs that wait for no change of the current flush. The shell calls it before [`Core::flush`], which
+    /// may take long.
     pub fn release(&mut self, now: Micros) {
         self.queue.release(now, &mut self.cx);
     }
 
-    /// Outputs the decision module's beliefs to be persisted, where a state folder is configured. The shell calls it when
-    /// the placer shuts down.
+    /// Outputs the decision module's beliefs to be persisted, where a state folder is configured. The shell calls it
+    /// when the placer shuts down.
     pub fn output_beliefs(&mut self, now: Micros) {
         if !self.queue.is_enabled() {
             return;
--- a/crates/core/src/core/dispatch.rs
+++ b/crates/core/src/core/dispatch.rs
@@ -92,8 +92,8 @@
                 lifecycle.cx.set_timer(now + after_us, Timer::Module(token));
             }
             Action::Log(text) => lifecycle.cx.log(Event::ModuleMessage { text }),
-            // Idle connections stay open, placers exchange no messages, and the shell delivers each new node list without
-            // a request.
+            // Idle connections stay open, placers exchange no messages, and the shell delivers each new node list
+            // without a request.
             Action::CloseIdle(_) | Action::Tell { .. } | Action::Watch(_) | Action::Fetch => {}
         }
     }
--- a/crates/core/src/decide.rs
+++ b/crates/core/src/decide.rs
@@ -1,7 +1,7 @@
 //! The decisions that the core makes itself, as pure functions documented with decision tables.
 //!
-//! The decision module decides where tasks go, and when a job is refused. The core decides what a node's report means for
-//! an attempt, and what may be started again. Each function depends only on its arguments.
+//! The decision module decides where tasks go, and when a job is refused. The core decides what a node's report means
+//! for an attempt, and what may be started again. Each function depends only on its arguments.
 
 use reedring::Effect;
 use reedring_node_protocol::{InFlightState, TaskEnd};
@@ -83,8 +83,8 @@
 pub enum JobStatus {
     /// The job is not in the ledger, and was not in it during this incarnation.
     Unknown,
-    /// The job is not in the ledger any more: this incarnation made or closed the attempt, or the job's end was returned to
-    /// its client.
+    /// The job is not in the ledger any more: this incarnation made or closed the attempt, or the job's end was
+    /// returned to its client.
     Removed,
     /// The job waits to be placed.
     Queued,
@@ -103,8 +103,8 @@
     Stop,
 }
 
-/// Decides whether a copy that is reported late is adopted or stopped. At most one copy of a job is kept, and none of a job
-/// whose client has its final answer.
+/// Decides whether a copy that is reported late is adopted or stopped. At most one copy of a job is kept, and none of a
+/// job whose client has its final answer.
 ///
 /// | job | copy |
 /// | --- | --- |
@@ -189,7 +189,8 @@
 /// Decides on a job that was requested and not placed when a former incarnation ended.
 ///
 /// Nodes' reports on its attempts have been applied by [`reconcile`] before: an accepted or ended attempt has made it a
-/// placed or ended job, an attempt that never ran is closed, and one that may have run is closed and sets `may_have_run`.
+/// placed or ended job, an attempt that never ran is closed, and one that may have run is closed and sets
+/// `may_have_run`.
 ///
 /// | attempts open | class | may have run | all nodes reported | overdue | last call | action |
 /// | --- | --- | --- | --- | --- | --- | --- |
@@ -224,15 +225,15 @@
     Wait,
     /// Place it as a new job.
     Start,
-    /// Add it as failed: it may have run to its end without a report. An answer of `failed` says nothing about whether it
-    /// ran.
+    /// Add it as failed: it may have run to its end without a report. An answer of `failed` says nothing about whether
+    /// it ran.
     Fail,
 }
 
 /// Decides on one job of a submission that was first sent to a former incarnation of the placer.
 ///
-/// A task that no node has may have run to its end: its node deleted it once the former incarnation acknowledged the end.
-/// So only a task of a safe class may be started. Where the ledger has every record of the former incarnation
+/// A task that no node has may have run to its end: its node deleted it once the former incarnation acknowledged the
+/// end. So only a task of a safe class may be started. Where the ledger has every record of the former incarnation
 /// (`is_complete`), a submission that is not in it was never accepted, and no offer of its jobs was sent.
 pub fn resubmission(
     effect: Effect,
@@ -272,15 +273,15 @@
 pub const ANSWER_MARGIN_US: u64 = 100_000;
 
 /// Microseconds before its client gives up by which a request must be answered by the decision module. The answer is
-/// delayed by the event loop and the disk, so the margin is twice their recent lag, at least [`ANSWER_MARGIN_US`] and at
-/// most a quarter of the client's deadline `grace_us`.
+/// delayed by the event loop and the disk, so the margin is twice their recent lag, at least [`ANSWER_MARGIN_US`] and
+/// at most a quarter of the client's deadline `grace_us`.
 pub fn answer_margin(grace_us: u64, lag_us: u64) -> u64 {
     ANSWER_MARGIN_US
         .max(lag_us.saturating_mul(2))
         .min(grace_us / 4)
 }
 
-/// The recent lag: the largest lag recorded, halved after each [`LAG_HALF_LIFE_US`]. Times are in microseconds.
+/// The recent lag: the largest lag recorded, halved after each `LAG_HALF_LIFE_US`. Times are in microseconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Lag {
     worst_us: u64,
@@ -321,9 +322,9 @@
 /// Whether a node that is warming up, which gets at most a budget of offers per window, is blocked for now.
 ///
 /// The decision module counts an offer to such a node from the time of its decision, and allows for a jitter until it
-/// arrives. Where a connection stalls or a node reads slowly, offers are delayed by more than that and then arrive all at
-/// once. So a node gets no offer while one is unanswered for longer than the jitter, nor for a window after it answered
-/// one late.
+/// arrives. Where a connection stalls or a node reads slowly, offers are delayed by more than that and then arrive all
+/// at once. So a node gets no offer while one is unanswered for longer than the jitter, nor for a window after it
+/// answered one late.
 ///
 /// | warming up | oldest unanswered offer | answered late | blocked |
 /// | --- | --- | --- | --- |
@@ -337,11 +338,12 @@
         && (offers.overdue_until > now || offers.oldest_unanswered.is_some_and(is_overdue))
 }
 
-/// The age at which an offer of a former incarnation counts against the budget of a node that is warming up. `age` is the
-/// time since the offer was decided, by the ledger; all values are in microseconds.
+/// The age at which an offer of a former incarnation counts against the budget of a node that is warming up. `age` is
+/// the time since the offer was decided, by the ledger; all values are in microseconds.
 ///
 /// The offer may have reached its node as long as the former incarnation's connection was open, which is until the
-/// handshake of this incarnation. So an offer younger than a window and [`FORMER_OFFER_DELAY_US`] counts as sent just now.
+/// handshake of this incarnation. So an offer younger than a window and `FORMER_OFFER_DELAY_US` counts as sent just
+/// now.
 pub fn former_offer_age(age: u64, window: u64) -> u64 {
     if age < window.saturating_add(FORMER_OFFER_DELAY_US) {
         0
--- a/crates/core/src/decide/tests.rs
+++ b/crates/core/src/decide/tests.rs
@@ -37,8 +37,8 @@
     }
 }
 
-/// Only an attempt that can't have run counts as never run: its offer is unanswered, and its node did not restart and does
-/// not list it.
+/// Only an attempt that can't have run counts as never run: its offer is unanswered, and its node did not restart and
+/// does not list it.
 #[test]
 fn only_an_unanswered_offer_that_the_same_node_incarnation_does_not_list_never_ran() {
     for state in ATTEMPT_STATES {
--- a/crates/core/src/lifecycle/adoption.rs
+++ b/crates/core/src/lifecycle/adoption.rs
@@ -88,7 +88,8 @@
     }
 
     /// Handles the end of a task whose attempt is not open in the ledger. If a former incarnation placed the task and
-    /// its client did not get the end, the task is adopted as a job that has ended, since the client may still wait for it.
+    /// its client did not get the end, the task is adopted as a job that has ended, since the client may still wait for
+    /// it.
     fn unknown_end_reported(
         &mut self,
         now: Micros,
--- a/crates/core/src/lifecycle/durability.rs
+++ b/crates/core/src/lifecycle/durability.rs
@@ -26,8 +26,8 @@
         }
     }
 
-    /// Whether an output that waited for the disk may be sent now. An offer may not if its attempt is closed, its node is
-    /// no longer ready, or its node is warming up and the offer waited longer than [`DISK_WAIT_US`].
+    /// Whether an output that waited for the disk may be sent now. An offer may not if its attempt is closed, its node
+    /// is no longer ready, or its node is warming up and the offer waited longer than [`DISK_WAIT_US`].
     fn may_still_send(&self, now: Micros, released: &ReleasedOutput) -> bool {
         let Destination::Node(number) = released.to else {
             return true;
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Ends the job of an attempt that can't be offered: a task that must not start twice is offered only once the offer
-    /// is recorded, and nothing can be recorded now.
+    /// Ends the job of an attempt that can't be offered: a task that must not start twice is offered only once the
+    /// offer is recorded, and nothing can be recorded now.
     pub(super) fn reject_unpersisted(&mut self, now: Micros, id: AttemptId) {
         let Some(job) = self.ledger.attempt(id).map(|attempt| attempt.job) else {
             return;
--- a/crates/core/src/lifecycle/jobs.rs
+++ b/crates/core/src/lifecycle/jobs.rs
@@ -42,8 +42,8 @@
         session.job(name.place())
     }
 
-    /// Whether a former incarnation with a complete ledger made this attempt, and the end of its job was returned to the
-    /// client.
+    /// Whether a former incarnation with a complete ledger made this attempt, and the end of its job was returned to
+    /// the client.
     pub(super) fn is_settled(&self, attempt: wire::AttemptId, name: &str) -> bool {
         if !self.ledger.is_complete(attempt.incarnation) {
             return false;
--- a/crates/core/src/lifecycle/mod.rs
+++ b/crates/core/src/lifecycle/mod.rs
@@ -57,7 +57,8 @@
     outcome: AttemptOutcome,
     reason: Option<Reason>,
     report: Vec<f64>,
-    /// The attempt's result in the job's history, in answers to operators and in end reasons. Scripts compare these texts.
+    /// The attempt's result in the job's history, in answers to operators and in end reasons. Scripts compare these
+    /// texts.
     label: &'static str,
 }
 
@@ -83,7 +84,8 @@
 }
 
 impl JobLifecycle<'_> {
-    /// Whether every listed node has reported its tasks since this placer started, or the time allowed for that is over.
+    /// Whether every listed node has reported its tasks since this placer started, or the time allowed for that is
+    /// over.
     pub fn all_reconciled(&self, now: Micros) -> bool {
         now >= self.nodes.reconcile_until()
             || self.constraints.has_nodes() && self.nodes.all_reconciled()
--- a/crates/core/src/lifecycle/offers.rs
+++ b/crates/core/src/lifecycle/offers.rs
@@ -257,8 +257,8 @@
         }
     }
 
-    /// Closes an attempt in the ledger. If it is unresolved, its copy may still run and counts for constraints until its
-    /// node reports.
+    /// Closes an attempt in the ledger. If it is unresolved, its copy may still run and counts for constraints until
+    /// its node reports.
     pub(super) fn close_attempt(
         &mut self,
         id: AttemptId,
--- a/crates/core/src/lifecycle/recovery.rs
+++ b/crates/core/src/lifecycle/recovery.rs
@@ -1,5 +1,5 @@
-//! Recovery of jobs that were being placed when a former incarnation ended: each job waits for reports of the nodes that
-//! it was offered to, and [`decide::recovery_action`] then decides whether it is placed again or ended.
+//! Recovery of jobs that were being placed when a former incarnation ended: each job waits for reports of the nodes
+//! that it was offered to, and [`decide::recovery_action`] then decides whether it is placed again or ended.
 
 use reedring::{Micros, Outcome as AttemptOutcome};
 use reedring_state::{Ending, Outcome};
@@ -9,8 +9,8 @@
 use crate::ids::JobNumber;
 
 impl JobLifecycle<'_> {
-    /// Takes the recovery action of a job that was being placed when a former incarnation ended; does nothing for any other
-    /// job. `is_last_call` says that the job may not wait any longer.
+    /// Takes the recovery action of a job that was being placed when a former incarnation ended; does nothing for any
+    /// other job. `is_last_call` says that the job may not wait any longer.
     pub fn recover(&mut self, now: Micros, number: JobNumber, is_last_call: bool) {
         let Some(job) = self.ledger.job(number).filter(|job| job.recovering) else {
             return;
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Continues what waited for the nodes' reports: recovering jobs, constraints on copies, and the constraints of placed
-    /// jobs that were restored.
+    /// Continues what waited for the nodes' reports: recovering jobs, constraints on copies, and the constraints of
+    /// placed jobs that were restored.
     pub fn reconciliation_done(&mut self, now: Micros) {
         self.constraints.reconciled();
         let recovering = self.ledger.jobs().filter(|(_, job)| job.recovering);
--- a/crates/core/src/lifecycle/reports.rs
+++ b/crates/core/src/lifecycle/reports.rs
@@ -180,7 +180,8 @@
         }
     }
 
-    /// Applies a node's signal on a task to the job, and passes it on to the decision module unless it is about suspension.
+    /// Applies a node's signal on a task to the job, and passes it on to the decision module unless it is about
+    /// suspension.
     pub(super) fn attempt_signaled(
         &mut self,
         now: Micros,
--- a/crates/core/src/lifecycle/requests.rs
+++ b/crates/core/src/lifecycle/requests.rs
@@ -117,8 +117,8 @@
         });
     }
 
-    /// Microseconds for which the client of a job waits for its placement: the least of its class's limit, the template's
-    /// deadline and `until`.
+    /// Microseconds for which the client of a job waits for its placement: the least of its class's limit, the
+    /// template's deadline and `until`.
     fn placement_grace(
         &mut self,
         now: Micros,
@@ -153,8 +153,8 @@
         self.cx.notify_module(ModuleEvent::Withdrawn(request));
     }
 
-    /// Ends the job of a request that the decision module refuses or fails. The reason lists the attempts that were made,
-    /// the blocked nodes and the job's constraint.
+    /// Ends the job of a request that the decision module refuses or fails. The reason lists the attempts that were
+    /// made, the blocked nodes and the job's constraint.
     pub fn answer(
         &mut self,
         now: Micros,
--- a/crates/core/src/lifecycle/sending.rs
+++ b/crates/core/src/lifecycle/sending.rs
@@ -26,8 +26,8 @@
     }
 
     /// What must be durable before an offer is sent: for an idempotent task to a node that is not warming up the job's
-    /// first row, for any other the offer itself. An offer to a node that is warming up is recorded, as it counts against
-    /// the node's budget.
+    /// first row, for any other the offer itself. An offer to a node that is warming up is recorded, as it counts
+    /// against the node's budget.
     fn offer_requires(&mut self, now: Micros, number: NodeNumber, task: &wire::Task) -> Requires {
         let is_warming_up = self
             .nodes
@@ -47,9 +47,9 @@
         }
     }
 
-    /// Whether the end of an attempt may be acknowledged now. A node deletes what is acknowledged. If that happens while
-    /// nothing can be recorded, the ledger on disk has the attempt as open and its node no longer knows it. So then only
-    /// the ends of jobs of a safe class that were never recorded are acknowledged.
+    /// Whether the end of an attempt may be acknowledged now. A node deletes what is acknowledged. If that happens
+    /// while nothing can be recorded, the ledger on disk has the attempt as open and its node no longer knows it. So
+    /// then only the ends of jobs of a safe class that were never recorded are acknowledged.
     pub(super) fn may_acknowledge(&self, attempt: wire::AttemptId) -> bool {
         if self.queue.unavailable().is_none() {
             return true;
--- a/crates/core/src/lifecycle/slow_start.rs
+++ b/crates/core/src/lifecycle/slow_start.rs
@@ -23,8 +23,8 @@
         }
     }
 
-    /// Handles that the offer sent at `sent` was answered, or that its end is known otherwise. If that is late and the node
-    /// is warming up, the node is blocked for a window: offers sent since may have reached it all at once.
+    /// Handles that the offer sent at `sent` was answered, or that its end is known otherwise. If that is late and the
+    /// node is warming up, the node is blocked for a window: offers sent since may have reached it all at once.
     pub(super) fn offer_answered(&mut self, now: Micros, number: NodeNumber, sent: Micros) {
         let settings = self.cx.settings();
         let (jitter, window) = (settings.jitter_us(), settings.site.cold_window_us);
--- a/crates/core/src/requests/control.rs
+++ b/crates/core/src/requests/control.rs
@@ -12,8 +12,8 @@
 use crate::lifecycle::JobLifecycle;
 use crate::timers::Timer;
 
-/// Applies a control action to each job that the call names and returns the first error. Where the call names all jobs of
-/// the session, those that have ended are skipped.
+/// Applies a control action to each job that the call names and returns the first error. Where the call names all jobs
+/// of the session, those that have ended are skipped.
 pub(super) fn control(
     lifecycle: &mut JobLifecycle<'_>,
     now: Micros,
--- a/crates/core/src/requests/mod.rs
+++ b/crates/core/src/requests/mod.rs
@@ -68,8 +68,8 @@
 #[derive(Debug, Default)]
 pub(crate) struct ClientRequests {
     deferred: Vec<DeferredSubmission>,
-    /// Operators' requests for lists of jobs, which may be long. One is answered per flush, after all other work, so that
-    /// many of them do not delay other calls.
+    /// Operators' requests for lists of jobs, which may be long. One is answered per flush, after all other work, so
+    /// that many of them do not delay other calls.
     listings: VecDeque<ListingRequest>,
 }
 
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Carries out a call; `None` where its answer comes later. A call of a session that was made before gets the answer that
-    /// is recorded.
+    /// Carries out a call; `None` where its answer comes later. A call of a session that was made before gets the
+    /// answer that is recorded.
     fn execute(
         &mut self,
         now: Micros,
--- a/crates/core/src/requests/submission.rs
+++ b/crates/core/src/requests/submission.rs
@@ -254,7 +254,8 @@
     Some(())
 }
 
-/// Starts a new job: puts it on hold where its template says so, delays it until its start time, or requests its placement.
+/// Starts a new job: puts it on hold where its template says so, delays it until its start time, or requests its
+/// placement.
 fn start(lifecycle: &mut JobLifecycle<'_>, now: Micros, number: JobNumber) {
     let Some(job) = lifecycle.ledger.job_mut(number) else {
         return;
@@ -287,8 +288,8 @@
     lifecycle.finish_ending(now, number);
 }
 
-/// The task key of a job: all submissions of the same job have the same. It is made of the client's key, with the index of
-/// a bulk submission, or of the job's name where the client gave none.
+/// The task key of a job: all submissions of the same job have the same. It is made of the client's key, with the index
+/// of a bulk submission, or of the job's name where the client gave none.
 fn job_key(class: &str, key: Option<&str>, name: &JobName, is_bulk: bool) -> TaskKey {
     match key {
         Some(key) if is_bulk => task_key(class, &format!("{key}\n{}", name.index)),
--- a/crates/core/src/requests/waiting.rs
+++ b/crates/core/src/requests/waiting.rs
@@ -24,8 +24,8 @@
     pub timeout_s: i64,
 }
 
-/// Waits for the end of one job, or of any job of the session where `job` is `None`. Returns `None` where the answer comes
-/// later.
+/// Waits for the end of one job, or of any job of the session where `job` is `None`. Returns `None` where the answer
+/// comes later.
 pub(super) fn wait(
     lifecycle: &mut JobLifecycle<'_>,
     now: Micros,
@@ -55,7 +55,8 @@
     }
 }
 
-/// Answers a wait with the end of a job and deletes the job. Returns `None` where the answer is sent once the end is durable.
+/// Answers a wait with the end of a job and deletes the job. Returns `None` where the answer is sent once the end is
+/// durable.
 fn take_ended(
     lifecycle: &mut JobLifecycle<'_>,
     wait: Wait,
@@ -79,7 +80,8 @@
     None
 }
 
-/// Waits for the ends of several jobs; deletes them then where `dispose` is set. Returns `None` where the answer comes later.
+/// Waits for the ends of several jobs; deletes them then where `dispose` is set. Returns `None` where the answer comes
+/// later.
 pub(super) fn synchronize(
     lifecycle: &mut JobLifecycle<'_>,
     now: Micros,
--- a/crates/core/src/requirements.rs
+++ b/crates/core/src/requirements.rs
@@ -149,9 +149,9 @@
     /// The requirements of a job with this template.
     ///
     /// # Errors
-    /// `DeniedByDrm` for a template without a command; `InvalidAttributeValue` for a template or service name that is too
-    /// long, for an unknown category, class or tenant, and for an invalid constraint; and those of [`Native::parse`] and
-    /// [`JobSpec::check`]. The constraint is also checked against `schema`, where one is given.
+    /// `DeniedByDrm` for a template without a command; `InvalidAttributeValue` for a template or service name that is
+    /// too long, for an unknown category, class or tenant, and for an invalid constraint; and those of
+    /// [`Native::parse`] and [`JobSpec::check`]. The constraint is also checked against `schema`, where one is given.
     pub fn new(spec: JobSpec, settings: &Settings, schema: Option<&Schema>) -> Result<Self> {
         check_template(&spec)?;
         let native = resolve_native(&spec, settings)?;
--- a/crates/core/src/sessions/session.rs
+++ b/crates/core/src/sessions/session.rs
@@ -156,7 +156,8 @@
     pub fn settle(&mut self, settled: u64) {
         if settled > self.settled {
             self.settled = settled;
-            // After a restart the placer must know that calls without a record were settled, and not carry them out again.
+            // After a restart the placer must know that calls without a record were settled, and not carry them out
+            // again.
             self.changes.extend([
                 Change::CallsDeletedBelow(self.number.0, settled),
                 self.row(),
@@ -180,8 +181,8 @@
         Ok(self.records.get(&call))
     }
 
-    /// Whether a call is settled or its answer is recorded. The ends of the jobs that it submitted were then returned, or
-    /// the jobs are in this session.
+    /// Whether a call is settled or its answer is recorded. The ends of the jobs that it submitted were then returned,
+    /// or the jobs are in this session.
     pub fn is_call_closed(&self, call: u64) -> bool {
         call < self.settled || self.records.contains_key(&call)
     }
@@ -207,7 +208,8 @@
         self.waiters.get(&call)
     }
 
-    /// Ends a call's wait and returns its response. The answer is recorded, since the response may not reach the client.
+    /// Ends a call's wait and returns its response. The answer is recorded, since the response may not reach the
+    /// client.
     pub(super) fn answer(&mut self, call: u64, result: Result<Answer>) -> Option<CompletedCall> {
         let waiter = self.waiters.remove(&call)?;
         self.record(call, CallRecord::Answer(result.clone()));
--- a/crates/core/src/sessions/waiter.rs
+++ b/crates/core/src/sessions/waiter.rs
@@ -14,8 +14,8 @@
     Any,
     /// The end of this job.
     Job(JobNumber),
-    /// The ends of all `jobs`, of which those in `unfinished` have not ended. Where `dispose` is set, the jobs are deleted
-    /// then.
+    /// The ends of all `jobs`, of which those in `unfinished` have not ended. Where `dispose` is set, the jobs are
+    /// deleted then.
     All {
         unfinished: BTreeSet<JobNumber>,
         jobs: Vec<JobNumber>,
