--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -155,7 +155,7 @@
 
     /// The loop or the disk was late by so much.
     pub fn note_lag(&mut self, now: Micros, late_us: Micros) {
-        self.lag.note(now, late_us);
+        self.lag.record(now, late_us);
     }
 
     /// How far the loop and the disk were behind lately.
--- a/crates/core/src/core/dispatch.rs
+++ b/crates/core/src/core/dispatch.rs
@@ -114,7 +114,7 @@
             Timer::StopTimeout(id) => lifecycle.stop_timed_out(now, id),
             Timer::ReattachTimeout { node, connection } => {
                 if lifecycle.nodes.is_still_down(node, connection) {
-                    lifecycle.node_unanswered(now, node);
+                    lifecycle.close_unanswered_attempts(now, node);
                 }
             }
             Timer::NodeLost { node, connection } => {
--- a/crates/core/src/decide.rs
+++ b/crates/core/src/decide.rs
@@ -293,9 +293,9 @@
 
 impl Lag {
     /// Records a lag. It is ignored where it is less than the current value.
-    pub fn note(&mut self, now: u64, late_us: u64) {
-        if late_us >= self.at(now) {
-            (self.worst_us, self.at_us) = (late_us, now);
+    pub fn record(&mut self, now: u64, lag_us: u64) {
+        if lag_us >= self.at(now) {
+            (self.worst_us, self.at_us) = (lag_us, now);
         }
     }
 
--- a/crates/core/src/decide/tests.rs
+++ b/crates/core/src/decide/tests.rs
@@ -188,8 +188,8 @@
     assert_eq!(answer_margin(2_000_000, 400_000), 500_000);
     assert_eq!(answer_margin(200_000, 0), 50_000);
     let mut lag = Lag::default();
-    lag.note(0, 400);
-    lag.note(1, 300);
+    lag.record(0, 400);
+    lag.record(1, 300);
     assert_eq!(
         (
             lag.at(2),
@@ -199,7 +199,7 @@
         ),
         (400, 200, 50, 0)
     );
-    lag.note(LAG_HALF_LIFE_US, 300);
+    lag.record(LAG_HALF_LIFE_US, 300);
     assert_eq!(lag.at(LAG_HALF_LIFE_US), 300);
 }
 
--- a/crates/core/src/lifecycle/adoption.rs
+++ b/crates/core/src/lifecycle/adoption.rs
@@ -244,7 +244,7 @@
         // The values of the offer apply, even where the settings have changed since.
         (requirements.cores, requirements.memory) = (task.cores, task.memory);
         requirements.service.clone_from(&task.service);
-        requirements.life_us = (task.expected_duration_ms > 0)
+        requirements.expected_run_time_us = (task.expected_duration_ms > 0)
             .then(|| task.expected_duration_ms.saturating_mul(1_000));
         let limit = self.cx.settings().limits.sessions;
         let session = self
--- a/crates/core/src/lifecycle/durability.rs
+++ b/crates/core/src/lifecycle/durability.rs
@@ -47,7 +47,7 @@
     }
 
     /// Retracts offers that wait for the disk and whose nodes are no longer ready.
-    pub fn retract_offers_to_closed_nodes(&mut self, now: Micros) {
+    pub fn retract_offers_to_unready_nodes(&mut self, now: Micros) {
         let nodes = &*self.nodes;
         let is_to_unready_node = |output: &Output| match output {
             Output::Send {
--- a/crates/core/src/lifecycle/offers.rs
+++ b/crates/core/src/lifecycle/offers.rs
@@ -152,7 +152,7 @@
             idempotency_key: job.key.0,
             cores: requirements.cores,
             memory: requirements.memory,
-            expected_duration_ms: requirements.life_us.unwrap_or(0) / 1_000,
+            expected_duration_ms: requirements.expected_run_time_us.unwrap_or(0) / 1_000,
             payload: serde_json::to_vec(&requirements.spec.at_index(job.name.index))
                 .unwrap_or_default(),
         })
--- a/crates/core/src/lifecycle/reconciliation.rs
+++ b/crates/core/src/lifecycle/reconciliation.rs
@@ -107,7 +107,7 @@
 
     /// Handles that a connection was down for too long: closes the node's offers and stops that were not answered,
     /// which may have run. If the node is listed as gone or no longer listed, its accepted attempts count as lost too.
-    pub fn node_unanswered(&mut self, now: Micros, number: NodeNumber) {
+    pub fn close_unanswered_attempts(&mut self, now: Micros, number: NodeNumber) {
         let Some(node) = self.nodes.get(number) else {
             return;
         };
--- a/crates/core/src/lifecycle/requests.rs
+++ b/crates/core/src/lifecycle/requests.rs
@@ -32,7 +32,7 @@
             service: service_id(class, &requirements.service),
             cores: requirements.cores,
             memory: requirements.memory,
-            life_us: requirements.life_us,
+            life_us: requirements.expected_run_time_us,
             again: job.is_retry,
         })
     }
--- a/crates/core/src/node_links.rs
+++ b/crates/core/src/node_links.rs
@@ -47,7 +47,7 @@
     };
     lifecycle.constraints.nodes_changed(lifecycle.nodes);
     lifecycle.blocks.nodes_changed();
-    lifecycle.retract_offers_to_closed_nodes(now);
+    lifecycle.retract_offers_to_unready_nodes(now);
     let ListChanges { links, collisions } = changes;
     for node in collisions {
         lifecycle.cx.log(Event::NodeNameCollision { node });
@@ -80,7 +80,7 @@
     if !node.has_attempts() {
         lifecycle.nodes.disconnect(number, lifecycle.cx);
     } else if !node.is_up() {
-        lifecycle.node_unanswered(now, number);
+        lifecycle.close_unanswered_attempts(now, number);
     }
 }
 
@@ -186,7 +186,7 @@
         node: name.to_owned(),
         draining: drained,
     });
-    lifecycle.retract_offers_to_closed_nodes(now);
+    lifecycle.retract_offers_to_unready_nodes(now);
     lifecycle.constraints.nodes_changed(lifecycle.nodes);
     lifecycle.nodes.announce(number, now, lifecycle.cx);
     let node = name.to_owned();
--- a/crates/core/src/persistence/rows.rs
+++ b/crates/core/src/persistence/rows.rs
@@ -18,7 +18,7 @@
         service: requirements.service.clone(),
         cores: requirements.cores,
         memory: requirements.memory,
-        run_time_us: requirements.life_us,
+        run_time_us: requirements.expected_run_time_us,
     }
 }
 
--- a/crates/core/src/requirements.rs
+++ b/crates/core/src/requirements.rs
@@ -31,7 +31,7 @@
     pub cores: f64,
     pub memory: f64,
     /// The expected run time in microseconds, if the template gives one.
-    pub life_us: Option<Micros>,
+    pub expected_run_time_us: Option<Micros>,
     /// The placement constraint, if the template has one.
     pub constraint: Option<Arc<JobConstraint>>,
     /// The job's own class and service, to which its constraint may refer.
@@ -65,7 +65,7 @@
             key: None,
             cores: 0.0,
             memory: 0.0,
-            life_us: None,
+            expected_run_time_us: None,
             constraint: None,
             own,
             topics,
@@ -141,7 +141,7 @@
         };
         (requirements.class, requirements.tenant) = (class as u16, tenant as u16);
         (requirements.cores, requirements.memory) = (row.cores, row.memory);
-        requirements.life_us = row.run_time_us;
+        requirements.expected_run_time_us = row.run_time_us;
         requirements.service.clone_from(&row.service);
         Ok(Arc::new(requirements))
     }
@@ -197,7 +197,7 @@
             key: native.key,
             cores: native.cores.unwrap_or(class_settings.cores),
             memory: native.memory.unwrap_or(class_settings.memory),
-            life_us: native.life_us,
+            expected_run_time_us: native.life_us,
             spec,
         })
     }
