--- a/crates/core/src/constraints/subject.rs
+++ b/crates/core/src/constraints/constrained_job.rs
@@ -1,34 +1,35 @@
-//! A job with a placement constraint, as far as constraints need to know it.
+//! The parts of a job that evaluating its placement constraint needs.
 
 use std::sync::Arc;
 
 use reedring_constraint::{Constraint, Own, Strength, Topic};
 
-/// The constraint of a submission, prepared once for all its jobs.
+/// The constraint of a submission, shared by all its jobs.
 #[derive(Debug, PartialEq)]
 pub(crate) struct JobConstraint {
     pub constraint: Constraint,
-    /// Its text as printed: jobs with the same text share the compiled form.
+    /// The constraint as printed. Constraints with the same text share one compiled form.
     pub text: String,
-    /// Whose copies it speaks of.
-    pub depends: Vec<Topic>,
+    /// The topics whose copies the constraint refers to.
+    pub referenced_topics: Vec<Topic>,
 }
 
 impl JobConstraint {
     pub fn new(constraint: Constraint, own: &Own) -> Self {
-        let depends = constraint
+        let referenced_topics = constraint
             .whose()
             .iter()
             .map(|who| own.topic(who))
             .collect();
         Self {
             text: constraint.to_string(),
-            depends,
+            referenced_topics,
             constraint,
         }
     }
 
-    /// Its machines change with every copy placed: requests with such a constraint are open one at a time.
+    /// Whether requests with this constraint are opened one at a time. True if the constraint refers to copies or has
+    /// preferences, because then placing one request can change the open machines of the next.
     pub fn takes_turns(&self) -> bool {
         self.constraint.is_about_copies()
             || self
@@ -39,11 +40,12 @@
     }
 }
 
-/// A job with a constraint.
+/// A job with a constraint, and what the constraint is evaluated for.
 #[derive(Clone, Debug)]
 pub(crate) struct ConstrainedJob {
     pub constraint: Arc<JobConstraint>,
+    /// The class and service of the job.
     pub own: Own,
-    /// What its copies count as for others' constraints.
+    /// The topics under which the job's copies are counted by the constraints of other jobs.
     pub topics: Arc<Vec<Topic>>,
 }
--- a/crates/core/src/constraints/placed.rs
+++ b/crates/core/src/constraints/placed.rs
@@ -1,21 +1,21 @@
-//! Placed jobs with a constraint: whether it is still satisfied.
+//! Placed jobs with a constraint, and which clauses of it are currently violated.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use reedring::Micros;
 use reedring_constraint::{Breach, Topic, broken};
 
+use super::constrained_job::ConstrainedJob;
 use super::site::SiteView;
-use super::subject::ConstrainedJob;
 use super::topic_index::TopicIndex;
 use crate::ids::{JobNumber, NodeNumber};
 
-/// A clause of a placed job's constraint that is violated, or satisfied again.
+/// A clause of a placed job's constraint that became violated, or became satisfied again.
 #[derive(Debug)]
 pub(crate) struct ClauseChange {
     pub job: JobNumber,
     pub breach: Breach,
-    /// Since when it was violated, where it is satisfied now.
+    /// If the clause is satisfied again, the time at which it was last found violated; `None` if it became violated.
     pub violated_since: Option<Micros>,
 }
 
@@ -23,27 +23,29 @@
 struct PlacedJob {
     job: ConstrainedJob,
     node: NodeNumber,
-    reached: BTreeMap<usize, u32>,
-    /// Violated clauses, and since when.
+    /// For each clause `spread ... at least`, by its index: the greatest number of places that the copies have occupied
+    /// so far, at most the number required. The clause is violated when they occupy fewer places than that.
+    spread_reached: BTreeMap<usize, u32>,
+    /// Indexes of the violated clauses, with the time at which each was last found violated.
     violated: BTreeMap<usize, Micros>,
 }
 
-/// Placed jobs with a constraint.
+/// All placed jobs that have a constraint.
 #[derive(Debug, Default)]
 pub(super) struct PlacedJobs {
     jobs: BTreeMap<JobNumber, PlacedJob>,
     by_topic: TopicIndex<JobNumber>,
-    /// Jobs to evaluate again.
+    /// Jobs whose constraints have to be evaluated again.
     stale: BTreeSet<JobNumber>,
 }
 
 impl PlacedJobs {
     pub fn add(&mut self, number: JobNumber, job: ConstrainedJob, node: NodeNumber) {
-        self.by_topic.add(&job.constraint.depends, number);
+        self.by_topic.add(&job.constraint.referenced_topics, number);
         let placed = PlacedJob {
             job,
             node,
-            reached: BTreeMap::new(),
+            spread_reached: BTreeMap::new(),
             violated: BTreeMap::new(),
         };
         self.jobs.insert(number, placed);
@@ -54,14 +56,17 @@
         let Some(placed) = self.jobs.remove(&number) else {
             return;
         };
-        self.by_topic.remove(&placed.job.constraint.depends, number);
+        self.by_topic
+            .remove(&placed.job.constraint.referenced_topics, number);
         self.stale.remove(&number);
     }
 
+    /// Marks the jobs whose constraints refer to copies of these topics.
     pub fn copies_changed(&mut self, topics: &[Topic]) {
-        self.stale.extend(self.by_topic.of(topics));
+        self.stale.extend(self.by_topic.referring_to(topics));
     }
 
+    /// Marks all jobs, because the node list or a node's health changed.
     pub fn site_changed(&mut self) {
         self.stale.extend(self.jobs.keys());
     }
@@ -70,7 +75,7 @@
         self.stale.is_empty()
     }
 
-    /// Clauses of a job that are violated now, with since when.
+    /// The text of each currently violated clause of a job, with the time at which it was last found violated.
     pub fn violated(&self, number: JobNumber) -> Vec<(String, Micros)> {
         let Some(placed) = self.jobs.get(&number) else {
             return Vec::new();
@@ -79,11 +84,11 @@
         placed
             .violated
             .iter()
-            .map(|(n, since)| (clauses[*n].to_string(), *since))
+            .map(|(clause, since)| (clauses[*clause].to_string(), *since))
             .collect()
     }
 
-    /// Evaluates the jobs that something relevant happened to. Each change is returned once.
+    /// Evaluates the jobs that are marked as stale. Returns each change of a clause once.
     pub fn evaluate(&mut self, now: Micros, site: &mut SiteView) -> Vec<ClauseChange> {
         let mut changes = Vec::new();
         for number in std::mem::take(&mut self.stale) {
@@ -113,14 +118,14 @@
             &self.job.own,
             &self.job.topics,
             self.node.index(),
-            &mut self.reached,
+            &mut self.spread_reached,
         );
         let node = site.fleet().lines().get(self.node.index());
-        // Of a copy on a node that is gone nobody knows whether it runs.
-        let is_gone = node.is_none_or(|line| line.dark);
-        if !is_gone {
+        // While a node is gone, it is unknown whether its copy runs: clauses are not reported as satisfied again.
+        let is_node_gone = node.is_none_or(|line| line.dark);
+        if !is_node_gone {
             let violated = breaches.iter().map(|breach| breach.clause).collect();
-            self.note_restored(job, &violated, changes);
+            self.record_restored(job, &violated, changes);
         }
         for breach in breaches {
             if self.violated.insert(breach.clause, now).is_none() {
@@ -133,19 +138,22 @@
         }
     }
 
-    /// Notes the clauses that are no longer violated.
-    fn note_restored(
+    /// Adds a change for each clause that was violated before and is not among `violated` any more.
+    fn record_restored(
         &mut self,
         job: JobNumber,
         violated: &BTreeSet<usize>,
         changes: &mut Vec<ClauseChange>,
     ) {
         let clauses = &self.job.constraint.constraint.clauses;
-        let restored = self.violated.iter().filter(|(n, _)| !violated.contains(n));
-        for (n, since) in restored {
-            let text = clauses[*n].to_string();
+        let restored = self
+            .violated
+            .iter()
+            .filter(|(clause, _)| !violated.contains(clause));
+        for (clause, since) in restored {
+            let text = clauses[*clause].to_string();
             let breach = Breach {
-                clause: *n,
+                clause: *clause,
                 text,
                 mends: String::new(),
             };
@@ -155,6 +163,6 @@
                 violated_since: Some(*since),
             });
         }
-        self.violated.retain(|n, _| violated.contains(n));
+        self.violated.retain(|clause, _| violated.contains(clause));
     }
 }
--- a/crates/core/src/constraints/site.rs
+++ b/crates/core/src/constraints/site.rs
@@ -1,4 +1,4 @@
-//! The site as constraints see it: the nodes, the copies on them, and constraints compiled for them.
+//! The data that constraints are evaluated against: the nodes, the copies on them, and a cache of compiled constraints.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -7,31 +7,33 @@
 use reedring_constraint::{Answer, Census, Compiled, Explanation, Fleet, Line, Topic};
 use reedring_settings::Health;
 
-use super::subject::{ConstrainedJob, JobConstraint};
+use super::constrained_job::{ConstrainedJob, JobConstraint};
 use crate::ids::NodeNumber;
 use crate::nodes::{Node, NodeRegistry};
 
-/// Compiled constraints that are cached: far more than a site's own, and a bound for clients that make up new ones.
+/// Maximum number of cached compiled constraints. A site uses far fewer; the limit bounds the memory that clients can
+/// fill by submitting ever new constraints.
 const MAX_COMPILED: usize = 4_096;
 
-/// What a new state of the node list or of nodes' health means for constraints.
+/// What an update of the site changed for constraints.
 pub(super) enum SiteChange {
     None,
-    /// Nodes are ready, draining or gone that were not before.
+    /// The health of some nodes changed, and nothing else.
     Health,
-    /// Nodes came, left, or have other attributes.
+    /// Nodes were added or removed, or have other attributes.
     Nodes,
 }
 
-/// The site as constraints see it.
+/// The nodes and copies that constraints are evaluated against.
 #[derive(Debug, Default)]
 pub(super) struct SiteView {
     fleet: Fleet,
+    /// The machine id of each node, by node number.
     machines: Vec<MachineId>,
-    /// Machines that get nothing new for now.
+    /// Machines that receive no new tasks for now.
     excluded: BTreeSet<MachineId>,
     census: Census,
-    /// Constraints compiled for this fleet, by text.
+    /// Constraints compiled for the current `fleet`, by their text.
     compiled: BTreeMap<String, Arc<Compiled>>,
 }
 
@@ -56,14 +58,17 @@
         self.census.remove(topics, node.index());
     }
 
-    /// Takes in the node list and nodes' health.
+    /// Updates the nodes and their health from the registry; returns what changed.
     pub fn update(&mut self, nodes: &NodeRegistry) -> SiteChange {
-        // Numbers of nodes are those of lines: nodes are numbered as they come, and never forgotten.
-        let lines: Vec<Line> = nodes.iter().map(|(_, node)| line_of(node, nodes)).collect();
+        // The index of a line is the node's number: the registry numbers nodes consecutively and never removes one.
+        let lines: Vec<Line> = nodes
+            .iter()
+            .map(|(_, node)| node_line(node, nodes))
+            .collect();
         let known = self.fleet.lines();
-        let is_alike =
+        let has_same_nodes =
             lines.len() == known.len() && lines.iter().zip(known).all(|(a, b)| same_node(a, b));
-        if !is_alike {
+        if !has_same_nodes {
             self.fleet = Fleet::new(lines);
             self.machines = nodes.iter().map(|(_, node)| node.machine()).collect();
             self.compiled.clear();
@@ -81,6 +86,7 @@
         SiteChange::Health
     }
 
+    /// The constraint compiled for the current fleet, from the cache if it is there.
     pub fn compiled(&mut self, constraint: &JobConstraint) -> Arc<Compiled> {
         if let Some(compiled) = self.compiled.get(&constraint.text) {
             return Arc::clone(compiled);
@@ -94,36 +100,39 @@
         compiled
     }
 
-    /// How a job's constraint is evaluated now.
+    /// Explains the current evaluation of a job's constraint, clause by clause.
     pub fn explain(&mut self, job: &ConstrainedJob) -> Explanation {
         self.compiled(&job.constraint)
             .explain(&self.fleet, &self.census, &job.own)
     }
 
-    /// Why no listed machine can ever take a job, if that is so.
+    /// Explains why no listed machine can ever satisfy the job's constraint; `None` if some machine can, or if no node
+    /// is listed.
     pub fn impossible(&mut self, job: &ConstrainedJob) -> Option<Explanation> {
         let compiled = self.compiled(&job.constraint);
-        let is_known = self.fleet.lines().iter().any(|line| line.listed);
-        (is_known && compiled.is_never())
+        let has_listed_nodes = self.fleet.lines().iter().any(|line| line.listed);
+        (has_listed_nodes && compiled.is_never())
             .then(|| compiled.explain(&self.fleet, &self.census, &job.own))
     }
 
-    /// The machines that are open to a job now, with its last preferences dropped.
+    /// The machines that are open to a job now, ignoring its last `dropped` preferences.
     pub fn open_now(&mut self, job: &ConstrainedJob, dropped: usize) -> Vec<MachineId> {
         let compiled = self.compiled(&job.constraint);
         let answer: Answer = compiled.open(&self.fleet, &self.census, &job.own, dropped);
         self.machine_ids(answer.machines.ones())
     }
 
-    /// The machines of a constraint that speaks neither of copies nor of preferences, whatever their health.
-    pub fn open_ever(&mut self, job: &ConstrainedJob) -> Vec<MachineId> {
+    /// The machines that satisfy a job's constraint, whatever their health. Only for constraints that neither refer to
+    /// copies nor have preferences.
+    pub fn eligible_ignoring_health(&mut self, job: &ConstrainedJob) -> Vec<MachineId> {
         let compiled = self.compiled(&job.constraint);
         self.machine_ids(compiled.ever())
     }
 
+    /// Maps node numbers to machine ids, without the excluded machines, in ascending order.
     fn machine_ids(&self, nodes: impl Iterator<Item = usize>) -> Vec<MachineId> {
         let mut ids: Vec<MachineId> = nodes
-            .filter_map(|n| self.machines.get(n).copied())
+            .filter_map(|node| self.machines.get(node).copied())
             .collect();
         ids.retain(|machine| !self.excluded.contains(machine));
         ids.sort_unstable();
@@ -131,10 +140,10 @@
     }
 }
 
-fn line_of(node: &Node, nodes: &NodeRegistry) -> Line {
+fn node_line(node: &Node, nodes: &NodeRegistry) -> Line {
     let (health, entry) = (node.health(), node.entry());
     let mut line = Line::named(node.name());
-    // Control machines run no tasks: no constraint counts them.
+    // Control machines run no tasks, so constraints treat them as not listed.
     line.listed = node.is_listed() && !entry.control;
     line.ready = health == Health::Ready && line.listed;
     line.dark = health == Health::Gone;
@@ -145,6 +154,7 @@
     line
 }
 
+/// Whether two lines are equal in everything but health.
 fn same_node(a: &Line, b: &Line) -> bool {
     (&a.name, &a.kind, &a.rack, &a.hall, &a.attrs, a.listed)
         == (&b.name, &b.kind, &b.rack, &b.hall, &b.attrs, b.listed)
--- a/crates/core/src/constraints/topic_index.rs
+++ b/crates/core/src/constraints/topic_index.rs
@@ -1,10 +1,10 @@
-//! From what copies count as to whose constraint speaks of it.
+//! An index of jobs or requests by the topics that their constraints refer to.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use reedring_constraint::Topic;
 
-/// Those whose constraint speaks of each topic.
+/// For each topic, the jobs or requests (`T`) whose constraints refer to it.
 #[derive(Debug)]
 pub(super) struct TopicIndex<T>(BTreeMap<Topic, BTreeSet<T>>);
 
@@ -15,25 +15,26 @@
 }
 
 impl<T: Copy + Ord> TopicIndex<T> {
-    pub fn add(&mut self, topics: &[Topic], who: T) {
+    pub fn add(&mut self, topics: &[Topic], id: T) {
         for topic in topics {
-            self.0.entry(topic.clone()).or_default().insert(who);
+            self.0.entry(topic.clone()).or_default().insert(id);
         }
     }
 
-    pub fn remove(&mut self, topics: &[Topic], who: T) {
+    pub fn remove(&mut self, topics: &[Topic], id: T) {
         for topic in topics {
-            let Some(all) = self.0.get_mut(topic) else {
+            let Some(ids) = self.0.get_mut(topic) else {
                 continue;
             };
-            all.remove(&who);
-            if all.is_empty() {
+            ids.remove(&id);
+            if ids.is_empty() {
                 self.0.remove(topic);
             }
         }
     }
 
-    pub fn of<'a>(&'a self, topics: &'a [Topic]) -> impl Iterator<Item = T> + 'a {
+    /// The jobs or requests whose constraints refer to any of these topics; one may occur more than once.
+    pub fn referring_to<'a>(&'a self, topics: &'a [Topic]) -> impl Iterator<Item = T> + 'a {
         topics
             .iter()
             .filter_map(|topic| self.0.get(topic))
--- a/crates/core/src/dispatch_blocks.rs
+++ b/crates/core/src/dispatch_blocks.rs
@@ -143,7 +143,7 @@
         if !std::mem::take(&mut self.changed) {
             return;
         }
-        constraints.exclude(&self.machines);
+        constraints.set_excluded(&self.machines);
         let any_blocked = !self.machines.is_empty();
         let unconstrained: Vec<RequestId> = if any_blocked {
             ledger
--- a/crates/core/src/ledger/job.rs
+++ b/crates/core/src/ledger/job.rs
@@ -1,4 +1,4 @@
-//! One job: what it waits for, the attempts made for it, and how it ended.
+//! One job: its phase, its requirements, the attempts made for it, and how it ended.
 
 use std::sync::Arc;
 
@@ -12,37 +12,39 @@
 use crate::ids::{NodeNumber, SessionNumber};
 use crate::requirements::JobRequirements;
 
-/// Attempts in the history of a job: those of a few placements.
+/// Maximum number of attempts kept in the history of a job, enough for a few placements. The oldest is dropped.
 const MAX_HISTORY: usize = 32;
 
-/// What a job waits for, or how it ended.
+/// The phase of a job's life cycle.
 #[derive(Clone, Debug)]
 pub(crate) enum Phase {
-    /// Its user put it on hold.
+    /// The user put the job on hold.
     OnHold,
-    /// It waits for its start time, or for the end of its backoff after it was lost.
+    /// The job waits for its start time, for the end of its backoff after it was lost, or for the recovery of its
+    /// placement after a restart.
     Delayed,
-    /// It waits for the decision module's answer to this request.
+    /// The job waits for the decision module's answer to this request.
     Requested(RequestId),
-    /// A node accepted this attempt.
+    /// A node accepted this attempt, and has not reported the task as started.
     Placed(AttemptId),
     Running(AttemptId),
     Suspended(AttemptId),
-    /// It is being ended: some copy may still run.
+    /// The job is being stopped; some copy of it may still run.
     Ending(Ending),
     Ended(Ending),
 }
 
-/// Where and when an attempt was made, and what became of it.
+/// An attempt in a job's history: where and when it was made, and its result.
 #[derive(Debug)]
 pub(crate) struct AttemptRecord {
     pub attempt: AttemptId,
     pub node: NodeNumber,
     pub sent: Micros,
+    /// The result in words, for operators; `out` until it is known.
     pub result: &'static str,
 }
 
-/// A job.
+/// A job of this placer, submitted to this incarnation or restored from a former one.
 #[derive(Debug)]
 pub(crate) struct Job {
     pub name: JobName,
@@ -50,35 +52,39 @@
     pub requirements: Arc<JobRequirements>,
     pub key: TaskKey,
     pub phase: Phase,
-    /// Attempts that are offered, or hold a copy.
+    /// The open attempts: those whose end is not known yet.
     pub attempts: Vec<AttemptId>,
+    /// The latest attempts, the oldest first; at most [`MAX_HISTORY`].
     pub history: Vec<AttemptRecord>,
-    /// Attempts made for it, also those that the history has lost.
+    /// Number of all attempts made for this job, including those dropped from `history`.
     pub attempt_count: u32,
-    /// The answer about its placement, once it has one.
+    /// The outcome of the job's placement; `None` until it is decided.
     pub outcome: Option<Outcome>,
-    /// It was placed and lost before, or submitted to a former incarnation.
+    /// The job was placed and lost before, or was submitted to a former incarnation.
     pub is_retry: bool,
-    /// An attempt that is closed may have run, and no placement came of it.
+    /// A closed attempt that did not lead to a placement may have run. Reset when a new placement is requested.
     pub may_have_run: bool,
-    /// It was being placed when a former incarnation ended, and what became of that is not known yet.
+    /// The job was being placed when a former incarnation ended, and the result is not known yet.
     pub recovering: bool,
-    /// The first batch that has its row; 0 where a former incarnation recorded it.
+    /// Number of the first batch that contains the job's row, or 0 if a former incarnation persisted it. `None` if no
+    /// batch contains it.
     pub recorded_in: Option<u64>,
-    /// The batch that has its end.
+    /// Number of the batch that contains the job's end, or 0 if a former incarnation persisted it. `None` if no
+    /// batch contains it.
     pub end_recorded_in: Option<u64>,
-    /// When its client gives up, while it is requested; when it is requested, while it is delayed.
+    /// While the job is requested or recovering: when its client gives up. While it is delayed: when its placement is
+    /// requested.
     pub until: Micros,
     pub submitted: Micros,
     pub placed: Option<Micros>,
     pub started: Option<Micros>,
     pub ended: Option<Micros>,
-    /// Clauses of its constraint that were violated when it ended.
+    /// The clauses of the job's constraint that were violated when it ended; `None` if there were none.
     pub violated: Option<String>,
 }
 
 impl Job {
-    /// A job that nothing has happened to.
+    /// A new job submitted at `now`, without attempts, in phase [`Phase::Delayed`].
     pub fn new(
         name: JobName,
         session: SessionNumber,
@@ -110,14 +116,14 @@
         }
     }
 
-    /// Its state as DRMAA names it.
+    /// The state of the job in the terms of DRMAA.
     pub const fn state(&self) -> JobState {
         match &self.phase {
             Phase::OnHold => JobState::UserOnHold,
             Phase::Delayed | Phase::Requested(_) | Phase::Placed(_) => JobState::QueuedActive,
             Phase::Running(_) => JobState::Running,
             Phase::Suspended(_) => JobState::UserSuspended,
-            // Its user asked for its end; whether it still runs is not known before its node reports.
+            // The job is being stopped; until its node reports, it is not known whether it still runs.
             Phase::Ending(_) => JobState::Undetermined,
             Phase::Ended(Ending {
                 end: End::Exited { .. },
@@ -135,7 +141,7 @@
         matches!(self.phase, Phase::Running(_) | Phase::Suspended(_))
     }
 
-    /// The request that the decision module has not answered.
+    /// The request that the decision module has not answered yet, if the job waits for one.
     pub const fn open_request(&self) -> Option<RequestId> {
         match self.phase {
             Phase::Requested(request) => Some(request),
@@ -143,7 +149,7 @@
         }
     }
 
-    /// The attempt that holds its accepted copy.
+    /// The accepted attempt of a job that is placed, running or suspended.
     pub const fn placed_attempt(&self) -> Option<AttemptId> {
         match self.phase {
             Phase::Placed(attempt) | Phase::Running(attempt) | Phase::Suspended(attempt) => {
@@ -153,7 +159,7 @@
         }
     }
 
-    /// An attempt was made.
+    /// Adds an attempt to the history and counts it.
     pub fn record_attempt(&mut self, attempt: AttemptId, node: NodeNumber, sent: Micros) {
         if self.history.len() >= MAX_HISTORY {
             self.history.remove(0);
@@ -167,7 +173,7 @@
         });
     }
 
-    /// What became of an attempt.
+    /// Records the result of an attempt, if it is still in the history.
     pub fn record_result(&mut self, attempt: AttemptId, result: &'static str) {
         let mut newest_first = self.history.iter_mut().rev();
         if let Some(record) = newest_first.find(|record| record.attempt == attempt) {
@@ -175,14 +181,20 @@
         }
     }
 
-    /// What `drmaa_wait` returns. `unix` turns the core's time into seconds since 1970.
-    pub fn info(&self, node: Option<&str>, unix: impl Fn(Micros) -> f64) -> Option<JobInfo> {
+    /// The information that `drmaa_wait` returns; `None` while the job has not ended.
+    ///
+    /// `node` is the name of the node to report, if any. `unix_seconds` converts the core's time into seconds since 1970.
+    pub fn info(
+        &self,
+        node: Option<&str>,
+        unix_seconds: impl Fn(Micros) -> f64,
+    ) -> Option<JobInfo> {
         let Phase::Ended(ending) = &self.phase else {
             return None;
         };
         let mut usage: Vec<(String, String)> = Vec::new();
         let mut add = |name: &str, value: String| usage.push((name.to_owned(), value));
-        let seconds = |at: Micros| format!("{:.6}", unix(at));
+        let seconds = |at: Micros| format!("{:.6}", unix_seconds(at));
         add("submission_time", seconds(self.submitted));
         self.placed
             .into_iter()
@@ -223,7 +235,7 @@
         })
     }
 
-    /// What operators see of it among others.
+    /// The job as one line of the job list for operators.
     pub fn line(&self, settings: &Settings, node: Option<&str>, now: Micros) -> JobLine {
         let requirements = &self.requirements;
         JobLine {
@@ -240,7 +252,7 @@
         }
     }
 
-    /// What operators see of it alone.
+    /// The details of the job for operators. The caller fills in `stands`.
     pub fn detail(&self, line: JobLine, node_name: impl Fn(NodeNumber) -> String) -> JobDetail {
         let reason = match &self.phase {
             Phase::Ending(ending) | Phase::Ended(ending) => ending.reason.clone(),
--- a/crates/core/src/ledger/job_name.rs
+++ b/crates/core/src/ledger/job_name.rs
@@ -1,12 +1,14 @@
-//! The name of a job.
+//! Job names, as clients and nodes use them.
 
 use std::fmt;
 use std::sync::Arc;
 
 use crate::ids::CallIndex;
 
-/// The name of a job: its session, the call that submitted it, its index there. The same in every incarnation of the
-/// placer, so that a job is known again by what a node holds.
+/// The name of a job: its session, the call that submitted it, and its index in that call.
+///
+/// The name is the same in every incarnation of the placer, so that a job can be identified by the tasks that a node
+/// holds.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct JobName {
     pub session: Arc<str>,
@@ -15,7 +17,7 @@
 }
 
 impl JobName {
-    /// Reads a name as `Display` writes it, and nothing else.
+    /// Parses a name exactly as `Display` writes it; `None` for any other text, such as one with leading zeros.
     pub fn parse(text: &str) -> Option<Self> {
         let mut parts = text.split('.');
         let (session, call, index) = (parts.next()?, parts.next()?, parts.next()?);
@@ -28,7 +30,7 @@
         parts.next().is_none().then_some(name)
     }
 
-    /// Which of its session's jobs it names.
+    /// The call and index of the job within its session.
     pub const fn place(&self) -> CallIndex {
         CallIndex {
             call: self.call,
--- a/crates/core/src/ledger/mod.rs
+++ b/crates/core/src/ledger/mod.rs
@@ -1,9 +1,9 @@
-//! The ledger of jobs and attempts: every job of this incarnation, its open attempts, and the requests that the
+//! The ledger: every job that this incarnation of the placer knows, its open attempts, and the requests that the
 //! decision module has not answered.
 //!
-//! It owns the rows and the indexes between them, and notes which rows changed since they were persisted last. What a
-//! change means for the rest of the placer is decided by [`lifecycle`](crate::lifecycle), its only writer beside
-//! recovery.
+//! The ledger owns these rows and the indexes between them, and records which rows have changed since they were last
+//! persisted. Only [`lifecycle`](crate::lifecycle), restoring at the start and persistence write to it; what a change
+//! means for the rest of the placer is decided in `lifecycle`.
 
 mod job;
 mod job_name;
@@ -28,17 +28,20 @@
     pub job: JobNumber,
     pub node: NodeNumber,
     pub machine: MachineId,
-    /// Its name on the wire: of another incarnation, or of another request, where it was adopted.
+    /// The id of the attempt in messages. For an adopted attempt it differs from the id in the ledger: it names another
+    /// incarnation, or another request.
     pub wire: wire::AttemptId,
     pub sent: Micros,
     pub state: AttemptState,
-    /// It was accepted before it was stopped.
+    /// The node accepted the attempt, which may have been stopped since.
     pub accepted: bool,
-    /// The decision module knows it. It does not know what a former incarnation offered and no node has accepted yet.
+    /// The decision module knows the attempt. It does not know an offer of a former incarnation that no node has
+    /// accepted yet.
     pub announced: bool,
-    /// Its node's incarnation when it was sent.
+    /// The incarnation of the node when the offer was sent, if it is known.
     pub node_incarnation: Option<u64>,
-    /// What its copy counts as; its job may be forgotten before its end is known.
+    /// The topics under which constraints count the copy. Stored here because the job may be removed from the ledger
+    /// before the end of the attempt is known.
     pub topics: Arc<Vec<Topic>>,
 }
 
@@ -46,36 +49,38 @@
 #[derive(Debug)]
 struct OpenRequest {
     job: JobNumber,
-    /// Attempts made at it.
+    /// Number of attempts made for this request.
     attempts: u16,
 }
 
-/// Every job and attempt of this incarnation.
+/// All jobs, open attempts and open requests of this incarnation.
 #[derive(Debug, Default)]
 pub(crate) struct Ledger {
     incarnation: u64,
     jobs: BTreeMap<JobNumber, Job>,
     attempts: BTreeMap<AttemptId, Attempt>,
-    /// Adopted attempts by their names on the wire.
+    /// Attempts whose wire id differs from their id in the ledger, by wire id.
     adopted: BTreeMap<wire::AttemptId, AttemptId>,
     requests: BTreeMap<RequestId, OpenRequest>,
     last_job: JobNumber,
     last_request: u64,
+    /// Number of jobs that have not ended.
     unfinished: usize,
-    /// Jobs whose rows are not as they were persisted last.
+    /// Jobs whose rows have changed since they were last persisted.
     changed: BTreeSet<JobNumber>,
-    /// Calls that lost a job since they were persisted last.
+    /// Calls from which a job has been removed since the last batch.
     forgotten: BTreeSet<(SessionNumber, u64)>,
-    /// Attempts of other incarnations that this one has closed: their nodes may report them once more.
+    /// Attempts of other incarnations that need no adoption if their nodes report them again, because this incarnation
+    /// has closed them.
     closed_foreign: BTreeSet<wire::AttemptId>,
-    /// Incarnations of this placer of which every job is known.
+    /// Former incarnations of this placer of which every job is known.
     complete_incarnations: BTreeSet<u64>,
-    /// Restored attempts whose constraints are evaluated once nodes are reconciled.
+    /// Restored placed attempts. Their constraints are evaluated once the nodes have reported the tasks they hold.
     restored_placements: Vec<(JobNumber, AttemptId)>,
 }
 
 impl Ledger {
-    /// The empty ledger of this incarnation.
+    /// An empty ledger for this incarnation of the placer.
     pub fn new(incarnation: u64) -> Self {
         Self {
             incarnation,
@@ -89,24 +94,24 @@
         self.jobs.get(&number)
     }
 
-    /// A job that is about to change.
+    /// A job for modification; its row is persisted with the next batch.
     pub fn job_mut(&mut self, number: JobNumber) -> Option<&mut Job> {
         let job = self.jobs.get_mut(&number)?;
         self.changed.insert(number);
         Some(job)
     }
 
-    /// A job that is about to be as its row is already.
+    /// A job for a modification that does not change its persisted row; it is not marked as changed.
     pub fn recorded_job_mut(&mut self, number: JobNumber) -> Option<&mut Job> {
         self.jobs.get_mut(&number)
     }
 
-    /// All jobs, by their numbers.
+    /// All jobs, in the order of their numbers.
     pub fn jobs(&self) -> impl Iterator<Item = (JobNumber, &Job)> {
         self.jobs.iter().map(|(number, job)| (*number, job))
     }
 
-    /// Jobs from this number on.
+    /// The jobs whose number is `first` or greater, in the order of their numbers.
     pub fn jobs_from(&self, first: JobNumber) -> impl Iterator<Item = (JobNumber, &Job)> {
         self.jobs.range(first..).map(|(number, job)| (*number, job))
     }
@@ -115,16 +120,17 @@
         self.jobs.len()
     }
 
-    /// How many jobs have not ended.
+    /// Number of jobs that have not ended.
     pub const fn unfinished(&self) -> usize {
         self.unfinished
     }
 
-    /// A job has ended.
+    /// Records that a job has ended.
     pub fn note_finished(&mut self) {
         self.unfinished = self.unfinished.saturating_sub(1);
     }
 
+    /// Adds a new job under the next free number.
     pub fn add(&mut self, job: Job) -> JobNumber {
         let number = JobNumber(self.last_job.0 + 1);
         self.restore(number, job);
@@ -132,13 +138,14 @@
         number
     }
 
-    /// A job of a former incarnation, under its number there.
+    /// Adds a job of a former incarnation under the number it had there, without marking it as changed.
     pub fn restore(&mut self, number: JobNumber, job: Job) {
         self.last_job = self.last_job.max(number);
         self.unfinished += usize::from(!job.is_ended());
         self.jobs.insert(number, job);
     }
 
+    /// Removes a job; its persisted row is deleted with the next batch.
     pub fn forget(&mut self, number: JobNumber) -> Option<Job> {
         let job = self.jobs.remove(&number)?;
         self.changed.insert(number);
@@ -153,28 +160,28 @@
         RequestId(self.last_request)
     }
 
-    /// The decision module is to answer this request.
+    /// Records a request for a job that the decision module has to answer.
     pub fn open_request(&mut self, request: RequestId, job: JobNumber) {
         self.requests
             .insert(request, OpenRequest { job, attempts: 0 });
     }
 
-    /// The decision module has answered, or need not; the job.
+    /// Removes a request that was answered or needs no answer any more; returns its job.
     pub fn close_request(&mut self, request: RequestId) -> Option<JobNumber> {
         self.requests.remove(&request).map(|open| open.job)
     }
 
-    /// The job of a request that the decision module has not answered.
+    /// The job of a request; `None` if the request is not open.
     pub fn request_job(&self, request: RequestId) -> Option<JobNumber> {
         self.requests.get(&request).map(|open| open.job)
     }
 
-    /// Requests that the decision module has not answered.
+    /// All requests that the decision module has not answered, in ascending order.
     pub fn open_requests(&self) -> impl Iterator<Item = RequestId> + '_ {
         self.requests.keys().copied()
     }
 
-    /// The next attempt at a request, and its job.
+    /// Allocates the id of the next attempt for an open request; returns it with the job.
     pub fn next_attempt(&mut self, request: RequestId) -> Option<(JobNumber, AttemptId)> {
         let open = self.requests.get_mut(&request)?;
         let id = AttemptId {
@@ -191,7 +198,7 @@
         self.attempts.get(&id)
     }
 
-    /// An attempt that is about to change.
+    /// An attempt for modification; the row of its job is persisted with the next batch.
     pub fn attempt_mut(&mut self, id: AttemptId) -> Option<&mut Attempt> {
         let attempt = self.attempts.get_mut(&id)?;
         self.changed.insert(attempt.job);
@@ -202,7 +209,7 @@
         self.attempt(id).map(|attempt| attempt.state)
     }
 
-    /// The first open attempt at a request.
+    /// The open attempt with the lowest number for a request.
     pub fn attempt_of(&self, request: RequestId) -> Option<AttemptId> {
         self.attempts
             .keys()
@@ -210,7 +217,7 @@
             .copied()
     }
 
-    /// The name on the wire of an attempt of this incarnation.
+    /// The wire id of an attempt that this incarnation made.
     pub const fn wire_id(&self, id: AttemptId) -> wire::AttemptId {
         wire::AttemptId {
             incarnation: self.incarnation,
@@ -219,7 +226,7 @@
         }
     }
 
-    /// The open attempt that the wire calls so.
+    /// The open attempt with this wire id.
     pub fn find(&self, id: wire::AttemptId) -> Option<AttemptId> {
         let own = AttemptId {
             request: RequestId(id.request),
@@ -233,11 +240,12 @@
             .filter(|id| self.attempts.contains_key(id))
     }
 
-    /// Whether another incarnation made an attempt.
+    /// Whether an attempt was made by another incarnation of this placer.
     pub const fn is_foreign(&self, id: wire::AttemptId) -> bool {
         id.incarnation != self.incarnation
     }
 
+    /// Adds an open attempt to the ledger and to its job.
     pub fn open(&mut self, id: AttemptId, attempt: Attempt) {
         if attempt.wire != self.wire_id(id) {
             self.adopted.insert(attempt.wire, id);
@@ -248,7 +256,7 @@
         self.attempts.insert(id, attempt);
     }
 
-    /// An attempt's end is known; its job has one copy less.
+    /// Removes an attempt whose end is known, and records `result` in the history of its job.
     pub fn close(&mut self, id: AttemptId, result: &'static str) -> Option<Attempt> {
         let attempt = self.attempts.remove(&id)?;
         self.adopted.remove(&attempt.wire);
@@ -260,26 +268,26 @@
         Some(attempt)
     }
 
-    /// An attempt that need not be adopted if a node reports it once more.
+    /// Records that an attempt of another incarnation must not be adopted if a node reports it again.
     pub fn note_closed(&mut self, id: wire::AttemptId) {
         if self.is_foreign(id) {
             self.closed_foreign.insert(id);
         }
     }
 
-    /// Whether this incarnation made an attempt, or has closed it.
+    /// Whether this incarnation made the attempt, or has closed it.
     pub fn is_known(&self, id: wire::AttemptId) -> bool {
         !self.is_foreign(id) || self.closed_foreign.contains(&id)
     }
 
     // ---- Former incarnations ----
 
-    /// Every job of these incarnations is known.
+    /// Sets the former incarnations of which every job is known.
     pub fn set_complete(&mut self, incarnations: BTreeSet<u64>) {
         self.complete_incarnations = incarnations;
     }
 
-    /// Whether every job of an incarnation is known.
+    /// Whether every job of a former incarnation is known.
     pub fn is_complete(&self, incarnation: u64) -> bool {
         self.complete_incarnations.contains(&incarnation)
     }
@@ -288,7 +296,8 @@
         self.complete_incarnations.iter().copied()
     }
 
-    /// The constraint of a restored job is evaluated once nodes are reconciled.
+    /// Records a restored placed attempt, whose job's constraint is evaluated once the nodes have reported the tasks they
+    /// hold.
     pub fn add_restored_placement(&mut self, job: JobNumber, id: AttemptId) {
         self.restored_placements.push((job, id));
     }
@@ -299,12 +308,12 @@
 
     // ---- Rows ----
 
-    /// Jobs whose rows changed since this was last asked.
+    /// Returns and clears the set of jobs whose rows have changed.
     pub fn take_changed(&mut self) -> BTreeSet<JobNumber> {
         std::mem::take(&mut self.changed)
     }
 
-    /// Calls that lost a job since this was last asked.
+    /// Returns and clears the set of calls from which a job has been removed.
     pub fn take_forgotten(&mut self) -> BTreeSet<(SessionNumber, u64)> {
         std::mem::take(&mut self.forgotten)
     }
--- a/crates/core/src/ledger/tests.rs
+++ b/crates/core/src/ledger/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 
 #[test]
-fn job_names_read_back_and_nothing_else_does() {
+fn only_job_names_in_the_exact_printed_form_are_parsed() {
     let name = JobName {
         session: "s-1".into(),
         call: 4,
         index: 7,
     };
     assert_eq!(JobName::parse(&name.to_string()), Some(name));
-    for odd in [
+    for invalid in [
         "",
         "s",
         "s.1",
@@ -18,7 +18,7 @@
         "s.+1.2",
         "s.1.99999999999999999999",
     ] {
-        assert_eq!(JobName::parse(odd), None, "{odd}");
+        assert_eq!(JobName::parse(invalid), None, "{invalid}");
     }
 }
 
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn an_attempt_is_found_by_its_name_on_the_wire_until_it_is_closed() {
+fn an_attempt_is_found_by_its_wire_id_until_it_is_closed() {
     let mut ledger = Ledger::new(2);
     let own = AttemptId {
         request: ledger.new_request(),
@@ -59,19 +59,19 @@
     assert_eq!(
         ledger.find(foreign),
         Some(adopted),
-        "the same request of another incarnation"
+        "the attempt of another incarnation with the same request number"
     );
     assert!(!ledger.is_known(foreign));
     ledger.close(adopted, "ended");
     assert_eq!(ledger.find(foreign), None);
     assert!(
         ledger.is_known(foreign),
-        "a report that comes once more is not adopted"
+        "a closed attempt that is reported again must not be adopted"
     );
 }
 
 #[test]
-fn each_attempt_at_an_open_request_has_its_own_number() {
+fn each_attempt_for_an_open_request_has_its_own_number() {
     let mut ledger = Ledger::new(1);
     let request = ledger.new_request();
     ledger.open_request(request, JobNumber(7));
--- a/crates/core/src/persistence/batches.rs
+++ b/crates/core/src/persistence/batches.rs
@@ -1,4 +1,5 @@
-//! Batches: the changes of a flush, and the outputs that leave with them or wait for them.
+//! Cutting batches: collects the changes of a flush into a batch, and sends the outputs of the flush or makes them wait
+//! for a batch.
 
 use std::collections::BTreeSet;
 
@@ -12,19 +13,20 @@
 use crate::ledger::Job;
 
 impl WriteAheadQueue {
-    /// Before the decision module decides: what requires nothing of this flush leaves, as a flush may be long.
+    /// Hands on the outputs that do not require the current batch, before the decision module runs: a flush may take
+    /// long.
     pub fn release(&mut self, now: Micros, cx: &mut Context) {
-        let (mut kept, mut behind) = (Vec::new(), BTreeSet::new());
+        let (mut kept, mut held_destinations) = (Vec::new(), BTreeSet::new());
         for pending in std::mem::take(&mut self.pending) {
-            let needs = match pending.requires {
+            let required_batch = match pending.requires {
                 Requires::CurrentBatch => None,
-                earlier => Some(self.batch_needed(earlier)),
+                earlier => Some(self.required_batch(earlier)),
             };
-            // Each destination keeps its order.
-            match needs.filter(|_| !behind.contains(&pending.to)) {
-                Some(needs) => self.pass(pending, needs, now, cx),
+            // Later outputs for the same destination are held back too, so that their order is kept.
+            match required_batch.filter(|_| !held_destinations.contains(&pending.to)) {
+                Some(required_batch) => self.send_when_durable(pending, required_batch, now, cx),
                 None => {
-                    behind.insert(pending.to);
+                    held_destinations.insert(pending.to);
                     kept.push(pending);
                 }
             }
@@ -32,10 +34,10 @@
         self.pending = kept;
     }
 
-    /// The end of a flush: its changes become a batch, its outputs leave or wait for it.
+    /// Ends a flush: its changes become a batch, and its outputs are sent or wait for a batch.
     pub fn cut(&mut self, now: Micros, sources: &mut RowSources<'_>, cx: &mut Context) {
         match self.mode {
-            Mode::On if self.rewrite => self.cut_everything(now, sources, cx),
+            Mode::On if self.rewrite => self.cut_rewrite(now, sources, cx),
             Mode::On => self.cut_changes(now, sources, cx),
             Mode::Off | Mode::Unavailable { .. } => {
                 sources.sessions.take_changes();
@@ -44,13 +46,13 @@
             }
         }
         for pending in std::mem::take(&mut self.pending) {
-            let needs = self.batch_needed(pending.requires);
-            self.pass(pending, needs, now, cx);
+            let required_batch = self.required_batch(pending.requires);
+            self.send_when_durable(pending, required_batch, now, cx);
         }
     }
 
-    /// The batch that must be durable, 0 for none.
-    fn batch_needed(&self, requires: Requires) -> u64 {
+    /// Number of the batch that must be durable; 0 if none has to be.
+    fn required_batch(&self, requires: Requires) -> u64 {
         match requires {
             _ if self.mode != Mode::On => 0,
             Requires::Nothing => 0,
@@ -59,20 +61,30 @@
         }
     }
 
-    fn pass(&mut self, pending: PendingOutput, needs: u64, now: Micros, cx: &mut Context) {
-        if let Some((_, output)) =
-            self.barrier
-                .admit(pending.to, BatchSequence(needs), (now, pending.output))
-        {
+    /// Sends an output at once, or hands it to the barrier if `required_batch` is not durable yet or if earlier outputs
+    /// wait for the same destination.
+    fn send_when_durable(
+        &mut self,
+        pending: PendingOutput,
+        required_batch: u64,
+        now: Micros,
+        cx: &mut Context,
+    ) {
+        if let Some((_, output)) = self.barrier.admit(
+            pending.to,
+            BatchSequence(required_batch),
+            (now, pending.output),
+        ) {
             cx.output(output);
         }
     }
 
+    /// Cuts a batch of the rows that have changed since the last one.
     fn cut_changes(&mut self, now: Micros, sources: &mut RowSources<'_>, cx: &mut Context) {
         let mut changes = std::mem::take(&mut self.changes);
         changes.append(&mut sources.sessions.take_changes());
         for number in sources.ledger.take_changed() {
-            self.job_changes(number, sources, &mut changes, cx);
+            self.push_job_changes(number, sources, &mut changes, cx);
         }
         for (session, call) in sources.ledger.take_forgotten() {
             let has_jobs = sources
@@ -86,8 +98,8 @@
         self.push_batch(now, changes, false, cx);
     }
 
-    /// A folder that is written anew gets every row.
-    fn cut_everything(&mut self, now: Micros, sources: &mut RowSources<'_>, cx: &mut Context) {
+    /// Cuts a batch that contains every row, for a state folder that is rewritten as a whole.
+    fn cut_rewrite(&mut self, now: Micros, sources: &mut RowSources<'_>, cx: &mut Context) {
         (self.rewrite, self.last_rewrite) = (false, self.last_batch + 1);
         self.recorded_calls.clear();
         sources.ledger.take_changed();
@@ -102,7 +114,7 @@
         changes.append(&mut sources.sessions.rows());
         let numbers: Vec<JobNumber> = sources.ledger.jobs().map(|(number, _)| number).collect();
         for number in numbers {
-            self.job_changes(number, sources, &mut changes, cx);
+            self.push_job_changes(number, sources, &mut changes, cx);
         }
         let drained = sources.nodes.iter().filter(|(_, node)| node.is_drained());
         changes.extend(drained.map(|(_, node)| Change::Drain {
@@ -112,7 +124,14 @@
         self.push_batch(now, changes, true, cx);
     }
 
-    fn push_batch(&mut self, now: Micros, changes: Vec<Change>, whole: bool, cx: &mut Context) {
+    /// Outputs a batch of these changes; does nothing if there are none.
+    fn push_batch(
+        &mut self,
+        now: Micros,
+        changes: Vec<Change>,
+        is_rewrite: bool,
+        cx: &mut Context,
+    ) {
         if !changes.is_empty() {
             self.last_batch += 1;
             self.in_flight.push_back((self.last_batch, now));
@@ -121,15 +140,12 @@
                 at: cx.clock().unix_us(now),
                 changes,
             };
-            cx.output(Output::Persist {
-                batch,
-                is_rewrite: whole,
-            });
+            cx.output(Output::Persist { batch, is_rewrite });
         }
     }
 
-    /// The rows of a job, which will be in the next batch.
-    fn job_changes(
+    /// Adds the rows of a job to the changes of the next batch, or the deletion if the job is no longer in the ledger.
+    fn push_job_changes(
         &mut self,
         number: JobNumber,
         sources: &mut RowSources<'_>,
@@ -147,13 +163,13 @@
         let row = rows::job_row(job, sources.ledger, sources.nodes, cx);
         changes.push(Change::Job(number.0, Some(Box::new(row))));
         if let Some(job) = sources.ledger.recorded_job_mut(number) {
-            note_recorded(job, self.last_batch + 1);
+            mark_recorded(job, self.last_batch + 1);
         }
     }
 }
 
-/// The rows of a job are in this batch, if they were in none before.
-fn note_recorded(job: &mut Job, batch: u64) {
+/// Records that `batch` contains the rows of a job, unless an earlier batch does.
+fn mark_recorded(job: &mut Job, batch: u64) {
     job.recorded_in.get_or_insert(batch);
     if job.is_ended() {
         job.end_recorded_in.get_or_insert(batch);
--- a/crates/core/src/persistence/rows.rs
+++ b/crates/core/src/persistence/rows.rs
@@ -1,4 +1,4 @@
-//! Jobs, attempts and requirements as the rows that are persisted.
+//! Converts jobs, attempts and requirements into the rows that are persisted.
 
 use reedring::{AttemptId, Micros};
 use reedring_state as state;
@@ -9,7 +9,7 @@
 use crate::nodes::NodeRegistry;
 use crate::requirements::JobRequirements;
 
-/// What the jobs of a submission require.
+/// The row of the requirements that all jobs of a submission share.
 pub(super) fn requirements_row(requirements: &JobRequirements, cx: &Context) -> state::JobTemplate {
     state::JobTemplate {
         template_json: serde_json::to_string(&requirements.spec).unwrap_or_default(),
@@ -22,7 +22,7 @@
     }
 }
 
-/// A job with its open attempts.
+/// The row of a job with its open attempts.
 pub(super) fn job_row(
     job: &Job,
     ledger: &Ledger,
--- a/crates/core/src/persistence/tests.rs
+++ b/crates/core/src/persistence/tests.rs
@@ -14,7 +14,7 @@
     }
 }
 
-/// The end of a flush.
+/// Cuts a batch as at the end of a flush; returns all outputs of the context.
 fn cut(queue: &mut WriteAheadQueue, cx: &mut Context) -> Vec<Output> {
     let (mut sessions, mut ledger) = (Sessions::default(), Ledger::new(1));
     let nodes = registry(&["node-0"]);
@@ -27,17 +27,17 @@
     outputs(cx)
 }
 
-/// A queue with a state folder.
-fn persisting(cx: &mut Context) -> WriteAheadQueue {
+/// A queue whose state folder is configured and can be written.
+fn persisting_queue(cx: &mut Context) -> WriteAheadQueue {
     let mut queue = WriteAheadQueue::default();
     queue.start(None, cx);
     queue
 }
 
 #[test]
-fn a_reply_leaves_once_its_batch_is_durable() {
+fn a_reply_is_sent_once_its_batch_is_durable() {
     let mut cx = context();
-    let mut queue = persisting(&mut cx);
+    let mut queue = persisting_queue(&mut cx);
     queue.reply(CLIENT, reply());
     let out = cut(&mut queue, &mut cx);
     assert!(
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn without_a_state_folder_nothing_waits() {
+fn without_a_state_folder_a_reply_is_sent_at_once() {
     let (mut queue, mut cx) = (WriteAheadQueue::default(), context());
     queue.reply(CLIENT, reply());
     let out = cut(&mut queue, &mut cx);
@@ -62,10 +62,10 @@
 }
 
 #[test]
-fn what_waits_for_a_connection_that_ended_is_void() {
+fn messages_that_wait_are_discarded_when_the_connection_ends() {
     let (mut cx, mut nodes) = (context(), registry(&["node-0"]));
     connect(&mut nodes, NODE);
-    let mut queue = persisting(&mut cx);
+    let mut queue = persisting_queue(&mut cx);
     queue.send(
         NODE,
         &nodes,
@@ -78,9 +78,9 @@
 }
 
 #[test]
-fn a_folder_that_fails_releases_what_waits_and_a_folder_that_is_back_gets_every_row() {
+fn a_failed_folder_releases_waiting_outputs_and_a_restored_folder_gets_every_row() {
     let mut cx = context();
-    let mut queue = persisting(&mut cx);
+    let mut queue = persisting_queue(&mut cx);
     queue.reply(CLIENT, reply());
     cut(&mut queue, &mut cx);
     let released = queue.suspend("full".to_owned(), false, &mut cx);
--- a/crates/core/src/restore.rs
+++ b/crates/core/src/restore.rs
@@ -1,8 +1,8 @@
-//! The start of a placer with a state folder: it takes up what its former incarnation persisted.
+//! Restores the state that the former incarnation of the placer persisted, at the start of a placer with a state folder.
 //!
-//! Jobs come back under their numbers. What was placed is announced to the decision module at once, as adopted. What
-//! was being placed waits for the nodes that were asked, and is then decided on by
-//! [`decide::recovery_action`](crate::decide::recovery_action).
+//! Jobs keep their numbers. Placed jobs are announced to the decision module at once, as adopted. Jobs that were being
+//! placed wait until the nodes that were offered them have reported;
+//! [`decide::recovery_action`](crate::decide::recovery_action) then decides how each goes on.
 
 mod jobs;
 
@@ -19,28 +19,30 @@
 use crate::requirements::{JobRequirements, UnusableRequirements};
 use crate::timers::Timer;
 
-/// Microseconds after the start at which finished jobs are looked through for the first time.
-const FIRST_FORGET_US: Micros = 1_000_000;
+/// Time after the start, in microseconds, of the first check for finished jobs to remove.
+const FIRST_FORGET_DELAY_US: Micros = 1_000_000;
 
-/// What a core is given of its state folder.
+/// The contents of the state folder at the start of a core.
 #[derive(Clone, Debug, Default)]
 pub struct Restored {
     /// The rows that were persisted.
     pub ledger: LedgerSnapshot,
-    /// The beliefs of the decision module, aged to this moment: those of nodes, and the rest.
+    /// The persisted beliefs of the decision module about single nodes and about the fleet, aged to the time of the
+    /// start.
     pub beliefs: AgedBeliefs,
-    /// Why the folder can't be written, if that is so from the start.
+    /// Why the state folder can't be written from the start; `None` if it can.
     pub unavailable: Option<String>,
 }
 
-/// What the jobs of a call require, or what is left of it.
+/// The requirements of the jobs of a call; `Err` with those that remain if the current settings do not allow them any
+/// more.
 type RestoredRequirements = Result<Arc<JobRequirements>, UnusableRequirements>;
 
-/// Starts to persist, and takes up what was persisted before.
+/// Starts persistence, and restores the jobs, sessions, nodes and beliefs that were persisted before.
 pub(crate) fn restore(lifecycle: &mut JobLifecycle<'_>, restored: Restored) {
     let now = lifecycle.cx.clock().started_at();
     lifecycle.queue.start(restored.unavailable, lifecycle.cx);
-    restore_image(lifecycle, now, &restored.ledger);
+    restore_ledger(lifecycle, now, &restored.ledger);
     let AgedBeliefs {
         nodes,
         fleet: beliefs,
@@ -55,45 +57,49 @@
         .for_each(|known| lifecycle.nodes.restore_beliefs(known));
 }
 
-fn restore_image(lifecycle: &mut JobLifecycle<'_>, now: Micros, image: &LedgerSnapshot) {
-    let incarnations = image.incarnations.iter().map(|record| record.incarnation);
+fn restore_ledger(lifecycle: &mut JobLifecycle<'_>, now: Micros, snapshot: &LedgerSnapshot) {
+    let incarnations = snapshot
+        .incarnations
+        .iter()
+        .map(|record| record.incarnation);
     lifecycle.ledger.set_complete(
         incarnations
-            .filter(|life| image.is_complete_for(*life))
+            .filter(|incarnation| snapshot.is_complete_for(*incarnation))
             .collect(),
     );
-    // Every offer to a node that was warming up was durable before it left, if nothing is missing.
+    // An offer to a node that was warming up was sent only once it was durable, so if no record is missing, all such
+    // offers are known.
     lifecycle
         .nodes
-        .set_budgets_restored(!image.incarnations.is_empty() && !image.incomplete);
-    for (number, session) in &image.sessions {
-        let calls = image.responses.get(number);
+        .set_budgets_restored(!snapshot.incarnations.is_empty() && !snapshot.incomplete);
+    for (number, session) in &snapshot.sessions {
+        let calls = snapshot.responses.get(number);
         lifecycle
             .sessions
             .restore(SessionNumber(*number), session, calls, now);
     }
-    restore_nodes(lifecycle, now, image);
-    restore_jobs(lifecycle, now, image);
-    if !image.incarnations.is_empty() {
-        lifecycle.cx.log(loaded_event(image));
+    restore_nodes(lifecycle, now, snapshot);
+    restore_jobs(lifecycle, now, snapshot);
+    if !snapshot.incarnations.is_empty() {
+        lifecycle.cx.log(loaded_event(snapshot));
     }
 }
 
-fn loaded_event(image: &LedgerSnapshot) -> Event {
-    let jobs = || image.jobs.values();
+fn loaded_event(snapshot: &LedgerSnapshot) -> Event {
+    let jobs = || snapshot.jobs.values();
     let is_unfinished = |job: &&state::Job| !matches!(job.phase, state::Phase::Ended(_));
     let is_unplaced = |job: &&state::Job| matches!(job.phase, state::Phase::Pending { .. });
     Event::StateLoaded {
-        sessions: image.sessions.len(),
-        jobs: image.jobs.len(),
+        sessions: snapshot.sessions.len(),
+        jobs: snapshot.jobs.len(),
         unfinished: jobs().filter(is_unfinished).count(),
         unplaced: jobs().filter(is_unplaced).count(),
-        incomplete: image.incomplete,
+        incomplete: snapshot.incomplete,
     }
 }
 
-fn restore_nodes(lifecycle: &mut JobLifecycle<'_>, now: Micros, image: &LedgerSnapshot) {
-    for node in &image.draining_nodes {
+fn restore_nodes(lifecycle: &mut JobLifecycle<'_>, now: Micros, snapshot: &LedgerSnapshot) {
+    for node in &snapshot.draining_nodes {
         lifecycle.nodes.restore(node);
         lifecycle.nodes.set_drained(node, true);
         lifecycle
@@ -101,7 +107,7 @@
             .log(Event::NodeStillDrained { node: node.clone() });
     }
     let window = lifecycle.cx.settings().site.cold_window_us.unwrap_or(0);
-    for (node, times) in &image.warm_up_offers {
+    for (node, times) in &snapshot.warm_up_offers {
         let clock = lifecycle.cx.clock();
         let age =
             |at: &u64| decide::former_offer_age(now.saturating_sub(clock.at_unix_us(*at)), window);
@@ -110,13 +116,13 @@
     }
 }
 
-fn restore_jobs(lifecycle: &mut JobLifecycle<'_>, now: Micros, image: &LedgerSnapshot) {
+fn restore_jobs(lifecycle: &mut JobLifecycle<'_>, now: Micros, snapshot: &LedgerSnapshot) {
     let mut requirements: BTreeMap<(u32, u64), RestoredRequirements> = BTreeMap::new();
-    let mut any_ended = false;
-    for (number, row) in &image.jobs {
+    let mut found_ended = false;
+    for (number, row) in &snapshot.jobs {
         let call = (row.session, row.call);
         let requirements = requirements.entry(call).or_insert_with(|| {
-            let row = image
+            let row = snapshot
                 .templates
                 .get(&call.0)
                 .and_then(|calls| calls.get(&call.1));
@@ -127,14 +133,14 @@
             continue;
         };
         let unusable = requirements.as_ref().err();
-        let is_certain = !image.incomplete || effect == Effect::Safe;
+        let is_certain = !snapshot.incomplete || effect == Effect::Safe;
         jobs::restore_job(lifecycle, now, number, row, unusable, is_certain);
         let has_ended = matches!(row.phase, state::Phase::Ended(_));
-        if has_ended && !any_ended {
-            any_ended = true;
+        if has_ended && !found_ended {
+            found_ended = true;
             lifecycle
                 .cx
-                .set_timer(now + FIRST_FORGET_US, Timer::ForgetFinished);
+                .set_timer(now + FIRST_FORGET_DELAY_US, Timer::ForgetFinished);
         }
     }
 }
--- a/crates/core/src/restore/jobs.rs
+++ b/crates/core/src/restore/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs and attempts of a former incarnation.
+//! Restores the jobs and attempts of a former incarnation from their rows.
 
 use std::sync::Arc;
 
@@ -16,7 +16,8 @@
 use crate::requirements::{JobRequirements, UnusableRequirements};
 use crate::timers::Timer;
 
-/// Adds a job as its row has it, but for its phase and its attempts; what a second start of it may do.
+/// Adds a job from its row, without its phase and its open attempts. Returns the effect of a second start of the job;
+/// `None`, and no job is added, if its session is unknown.
 pub(super) fn add_job(
     lifecycle: &mut JobLifecycle<'_>,
     now: Micros,
@@ -31,16 +32,16 @@
         call: row.call,
         index: row.index,
     };
-    let place = name.place();
+    let call_index = name.place();
     let requirements = match requirements {
         Ok(requirements) => Arc::clone(requirements),
         Err(unusable) => Arc::clone(&unusable.remaining),
     };
-    let job = job_of_row(row, name, requirements, lifecycle.cx.clock());
+    let job = job_from_row(row, name, requirements, lifecycle.cx.clock());
     let effect = lifecycle.effect(&job);
     lifecycle.ledger.restore(number, job);
     if let Some(session) = lifecycle.sessions.get_mut(session_number) {
-        session.add_job(place, number);
+        session.add_job(call_index, number);
         if matches!(row.phase, state::Phase::Ended(_)) {
             session.job_ended(number);
         }
@@ -49,7 +50,8 @@
     Some(effect)
 }
 
-fn job_of_row(
+/// The job of a row, without its phase and its open attempts.
+fn job_from_row(
     row: &state::Job,
     name: JobName,
     requirements: Arc<JobRequirements>,
@@ -73,7 +75,7 @@
     }
 }
 
-/// The history of a job names the node of its last attempt.
+/// Adds the last attempt of a job to its history, as far as the row has it: only its node is known.
 fn restore_last_node(
     lifecycle: &mut JobLifecycle<'_>,
     now: Micros,
@@ -93,7 +95,10 @@
     }
 }
 
-/// Brings a job to the phase of its row; `is_certain` if what happened since it was persisted can't matter.
+/// Restores the phase and the open attempts of a job from its row.
+///
+/// `unusable` is set if the current settings do not allow the job's requirements any more: an unfinished job then fails.
+/// `is_certain` is false if records may be missing and the job must not start twice.
 pub(super) fn restore_job(
     lifecycle: &mut JobLifecycle<'_>,
     now: Micros,
@@ -112,7 +117,7 @@
         }
     }
     let (mut phase, mut recover_until) = restore_phase(lifecycle, now, number, row, placed_attempt);
-    // What was decided while nothing could be persisted is not in the rows.
+    // Decisions made while the state folder could not be written are not in the rows: the job may have run since.
     let is_doubtful = !is_certain && placed_attempt.is_none();
     if is_doubtful && matches!(phase, Phase::OnHold | Phase::Delayed) {
         recover_until = recover_until.or(Some(now));
@@ -128,8 +133,9 @@
     let has_ended = matches!(row.phase, state::Phase::Ended(_));
     if let Some(unusable) = unusable.filter(|_| !has_ended) {
         let why = &unusable.reason;
-        let reason =
-            format!("failed: the placer's settings no longer know what it asks for: {why}");
+        let reason = format!(
+            "failed: the placer's settings no longer support the job's requirements: {why}"
+        );
         lifecycle.record_outcome(number, Outcome::Failed);
         return lifecycle.end_job(now, number, Ending::aborted(reason));
     }
@@ -141,7 +147,8 @@
     }
 }
 
-/// The phase of a job's row, and until when the job is recovered if it was being placed.
+/// The phase of a job according to its row. The time is set if the job was being placed and has to be recovered: it is
+/// the time at which its client gives up.
 fn restore_phase(
     lifecycle: &mut JobLifecycle<'_>,
     now: Micros,
@@ -168,7 +175,7 @@
         (state::Phase::Placed, Some(id)) => Phase::Placed(id),
         (state::Phase::Running, Some(id)) => Phase::Running(id),
         (state::Phase::Suspended, Some(id)) => Phase::Suspended(id),
-        // A row that says so without an attempt can't be; the job is recovered like one that was requested.
+        // A row of a placed job without an accepted attempt is not written; the job is recovered like a requested one.
         (state::Phase::Placed | state::Phase::Running | state::Phase::Suspended, None) => {
             return (Phase::Delayed, Some(now));
         }
@@ -184,12 +191,14 @@
     }
 }
 
+/// Schedules the recovery of a job that was being placed, now and for the last time before its client gives up.
 fn schedule_recovery(lifecycle: &mut JobLifecycle<'_>, now: Micros, job: JobNumber, until: Micros) {
     set_until(lifecycle, job, until);
-    // Nodes are waited for as long as the client waits; for a client that gave up a little longer.
-    let decide_at = until.saturating_sub(ANSWER_MARGIN_US);
-    let decide_at = if decide_at > now {
-        decide_at
+    // The nodes' reports are awaited until shortly before the client gives up. If that time is over, they are awaited
+    // until the end of the reconciliation period.
+    let before_give_up = until.saturating_sub(ANSWER_MARGIN_US);
+    let decide_at = if before_give_up > now {
+        before_give_up
     } else {
         lifecycle.nodes.reconcile_until()
     };
@@ -201,7 +210,7 @@
         .set_timer(now, Timer::Recover { job, last: false });
 }
 
-/// Announces a placed job to the decision module.
+/// Announces a placed job to the decision module, and sets the timer of its run limit if it runs.
 fn restore_placement(lifecycle: &mut JobLifecycle<'_>, number: JobNumber, id: AttemptId) {
     lifecycle.ledger.add_restored_placement(number, id);
     let machine = lifecycle.ledger.attempt(id).map(|attempt| attempt.machine);
@@ -215,6 +224,7 @@
     }
 }
 
+/// Restores an open attempt of a job from its row, under a new request; returns its id and state.
 fn restore_attempt(
     lifecycle: &mut JobLifecycle<'_>,
     now: Micros,
@@ -257,12 +267,13 @@
     lifecycle
         .nodes
         .restore_attempt(node, id, row.node_incarnation);
-    schedule_attempt(lifecycle, now, id, node, state);
+    schedule_attempt_timeout(lifecycle, now, id, node, state);
     (id, state)
 }
 
-/// A restored attempt is awaited as long as one of this incarnation would be.
-fn schedule_attempt(
+/// Sets the timeout of a restored attempt: an accepted one is lost if its node does not connect in time, and a stopped
+/// one if its node does not answer in time. For offers, the recovery of the job decides.
+fn schedule_attempt_timeout(
     lifecycle: &mut JobLifecycle<'_>,
     now: Micros,
     id: AttemptId,
@@ -273,6 +284,7 @@
     let (lost_after, stop_wait) = (links.lost_after_us, links.stop_wait_us);
     match state {
         AttemptState::Accepted => {
+            // No connection has been made in this incarnation yet.
             let connection = 0;
             lifecycle
                 .cx
