--- a/crates/core/benches/constraints.rs
+++ b/crates/core/benches/constraints.rs
@@ -1,6 +1,7 @@
-//! What constraints cost in a placer's core, without sockets: `cargo bench -p reedring-core`.
+//! Measures the run time that placement constraints add to a placer's core, without sockets:
+//! `cargo bench -p reedring-core --bench constraints`.
 //!
-//! A node here accepts each offer and ends it at once, in memory.
+//! The simulated nodes accept each offer and report the task as ended at once, in memory.
 
 use std::time::Instant;
 
@@ -16,17 +17,22 @@
     class = [{ name = "c", repeat = "safe", aim = "1s", give_up = "1h" }]
 "#;
 
+/// A core with connected nodes that end every task at once.
 struct Site {
     core: Core,
+    /// The current time in microseconds.
     now: u64,
-    list: Vec<NodeEntry>,
-    call: u64,
+    node_list: Vec<NodeEntry>,
+    /// Number of the last submission.
+    last_call: u64,
+    /// Number of offers that the core has sent.
     placed: u64,
 }
 
 impl Site {
     fn new(nodes: usize) -> Self {
-        let settings = Settings::parse(SETTINGS, "bench").expect("the bench's own settings");
+        let settings =
+            Settings::parse(SETTINGS, "bench").expect("the benchmark settings are valid");
         let core = Core::new(
             settings,
             Start {
@@ -43,22 +49,21 @@
         let mut site = Self {
             core,
             now: 0,
-            list: (0..nodes).map(entry).collect(),
-            call: 0,
+            node_list: (0..nodes).map(entry).collect(),
+            last_call: 0,
             placed: 0,
         };
-        site.tell_list();
+        site.send_node_list();
         for n in 0..nodes {
             let node = format!("n{n}");
-            let (called, life, up_ms, can_suspend) = (node.clone(), 1, 0, false);
             site.core.handle(
                 0,
                 Input::LinkUp {
                     node: node.clone(),
-                    reported_name: called,
-                    incarnation: life,
-                    up_ms,
-                    can_suspend,
+                    reported_name: node.clone(),
+                    incarnation: 1,
+                    up_ms: 0,
+                    can_suspend: false,
                     report: None,
                 },
             );
@@ -87,16 +92,18 @@
         site
     }
 
-    fn tell_list(&mut self) {
-        let nodes = self.list.clone();
+    /// Passes the node list to the core.
+    fn send_node_list(&mut self) {
+        let nodes = self.node_list.clone();
         self.core.handle(
             self.now,
             Input::NodeListChanged(NodeList { revision: 0, nodes }),
         );
     }
 
+    /// Submits `count` jobs in one call; `constraint` is added to their native specification.
     fn submit(&mut self, count: u64, constraint: &str) {
-        self.call += 1;
+        self.last_call += 1;
         let native = format!("service=s cores=0.001 memory=0.001 {constraint}");
         let job = Box::new(JobSpec {
             command: "x".into(),
@@ -105,7 +112,7 @@
         });
         let key = CallKey {
             session: "s".into(),
-            call: self.call,
+            call: self.last_call,
             settled: 0,
             sent_to: 1,
         };
@@ -122,17 +129,17 @@
             self.now,
             Input::Call {
                 conn: 1,
-                id: self.call,
+                id: self.last_call,
                 call,
             },
         );
     }
 
-    /// Lets the core run until it has nothing to do; each offer is accepted and over.
+    /// Runs the core until it has nothing to do. Each offer is accepted, and its task ends at once.
     fn run(&mut self) {
         loop {
             self.core.flush(self.now);
-            let mut came = Vec::new();
+            let mut inputs = Vec::new();
             while let Some(output) = self.core.poll() {
                 if let Output::Send {
                     node,
@@ -145,7 +152,7 @@
                         attempt,
                         report: report.clone(),
                     };
-                    came.push(Input::Message {
+                    inputs.push(Input::Message {
                         node: node.clone(),
                         message: accepted,
                     });
@@ -155,16 +162,17 @@
                         ran: true,
                         report,
                     };
-                    came.push(Input::Message {
+                    inputs.push(Input::Message {
                         node,
                         message: ended,
                     });
                 }
             }
-            if came.is_empty() && self.core.next_wake().is_none_or(|at| at > self.now) {
+            if inputs.is_empty() && self.core.next_wake().is_none_or(|at| at > self.now) {
                 return;
             }
-            came.into_iter()
+            inputs
+                .into_iter()
                 .for_each(|input| self.core.handle(self.now, input));
         }
     }
@@ -172,57 +180,57 @@
 
 fn main() {
     println!("placements in a core, 20 nodes, 20 jobs every 10 ms for 100 rounds");
-    let texts = [
+    let cases = [
         ("no constraint", ""),
         (
-            "of the list",
+            "on node list",
             "constraint='require hall in {\"h0\", \"h1\"} and name != n3'",
         ),
         (
-            "of copies",
+            "on copies",
             "constraint='require spread by machine at most 50'",
         ),
     ];
-    for (word, text) in texts {
+    for (label, constraint) in cases {
         let mut site = Site::new(20);
-        let began = Instant::now();
+        let started = Instant::now();
         for _ in 0..100 {
             site.now += 10_000;
-            site.submit(20, text);
+            site.submit(20, constraint);
             site.run();
         }
-        let each = began.elapsed().as_secs_f64() * 1e6 / site.placed.max(1) as f64;
+        let us_per_placement = started.elapsed().as_secs_f64() * 1e6 / site.placed.max(1) as f64;
         println!(
-            "{word:>14}: {each:.1} us a placement, {} placed",
+            "{label:>14}: {us_per_placement:.1} us per placement, {} placed",
             site.placed
         );
     }
-    println!("10,000 held jobs whose hall is dark, 20 nodes: one list update");
-    for (word, text) in [
-        ("of the list", "constraint='require hall = h1'"),
+    println!("one node list update with 10,000 queued jobs whose hall is drained, 20 nodes");
+    for (label, constraint) in [
+        ("on node list", "constraint='require hall = h1'"),
         (
-            "of copies",
+            "on copies",
             "constraint='require hall = h1; require apart from service z by machine'",
         ),
     ] {
         let mut site = Site::new(20);
-        site.list
+        site.node_list
             .iter_mut()
             .filter(|node| node.hall == "h1")
             .for_each(|node| node.health = Health::Draining);
-        site.tell_list();
+        site.send_node_list();
         site.run();
-        site.submit(10_000, text);
+        site.submit(10_000, constraint);
         site.run();
-        let held = site.placed;
-        // Another node's health, which opens nothing.
-        let began = Instant::now();
-        site.list[0].health = Health::Draining;
-        site.tell_list();
+        let placed = site.placed;
+        // The health of a node in the other hall changes, which opens no machine to the queued jobs.
+        let started = Instant::now();
+        site.node_list[0].health = Health::Draining;
+        site.send_node_list();
         site.core.flush(site.now);
         println!(
-            "{word:>14}: {:.2} ms, {held} placed",
-            began.elapsed().as_secs_f64() * 1e3
+            "{label:>14}: {:.2} ms, {placed} placed",
+            started.elapsed().as_secs_f64() * 1e3
         );
     }
 }
--- a/crates/core/benches/keep.rs
+++ b/crates/core/benches/persistence.rs
@@ -1,4 +1,5 @@
-//! What the state folder takes of the core's loop, without sockets or disk: `cargo bench -p reedring-core`.
+//! Measures the time that persistence takes in the core's loop, without sockets or disk:
+//! `cargo bench -p reedring-core --bench persistence`.
 
 use std::time::Instant;
 
@@ -14,15 +15,19 @@
     kind = [{ name = "k", cores = 1000.0, memory = 1000.0 }]
     class = [{ name = "c", repeat = "safe", aim = "1s", give_up = "1h" }]
 "#;
+/// Number of jobs to submit.
 const JOBS: u64 = 100_000;
 
-fn ms(began: Instant) -> f64 {
-    began.elapsed().as_secs_f64() * 1e3
+/// Milliseconds since `started`.
+fn ms_since(started: Instant) -> f64 {
+    started.elapsed().as_secs_f64() * 1e3
 }
 
-fn core(keeps: bool, image: LedgerSnapshot) -> Core {
-    let mut settings = Settings::parse(SETTINGS, "bench").expect("the bench's own settings");
-    settings.state = keeps.then(|| State::in_folder("state".into()));
+/// A core with this restored ledger if it `persists`, or without a state folder.
+fn core(persists: bool, snapshot: LedgerSnapshot) -> Core {
+    let mut settings =
+        Settings::parse(SETTINGS, "bench").expect("the benchmark settings are valid");
+    settings.state = persists.then(|| State::in_folder("state".into()));
     let start = Start {
         now: 1_000_000,
         unix_us: 1_000_000,
@@ -30,19 +35,20 @@
         seed: 1,
     };
     let restored = Restored {
-        ledger: image,
+        ledger: snapshot,
         ..Restored::default()
     };
-    if keeps {
+    if persists {
         Core::with_state(settings, start, restored)
     } else {
         Core::new(settings, start)
     }
 }
 
-/// Submits held jobs, a thousand at a time; the milliseconds of the longest flush, and the changes to keep.
-fn fill(core: &mut Core) -> (f64, Vec<Change>) {
-    let (mut longest, mut changes) = (0.0_f64, Vec::new());
+/// Submits [`JOBS`] jobs on hold, 1,000 per call and flush. Returns the duration of the longest flush in milliseconds,
+/// and the changes to persist.
+fn submit_jobs(core: &mut Core) -> (f64, Vec<Change>) {
+    let (mut longest_ms, mut changes) = (0.0_f64, Vec::new());
     core.handle(
         1_000_000,
         Input::Call {
@@ -78,9 +84,9 @@
                 call: Call::RunBulkJobs { key, job, range },
             },
         );
-        let began = Instant::now();
+        let started = Instant::now();
         core.flush(1_000_000);
-        longest = longest.max(ms(began));
+        longest_ms = longest_ms.max(ms_since(started));
         while let Some(output) = core.poll() {
             if let Output::Persist { batch, .. } = output {
                 core.handle(1_000_000, Input::Durable(batch.sequence.0));
@@ -88,7 +94,7 @@
             }
         }
     }
-    (longest, changes)
+    (longest_ms, changes)
 }
 
 fn main() {
@@ -96,16 +102,20 @@
         "{} cores",
         std::thread::available_parallelism().map_or(1, usize::from)
     );
-    for keeps in [false, true] {
-        let mut core = core(keeps, LedgerSnapshot::default());
-        let began = Instant::now();
-        let (longest, changes) = fill(&mut core);
-        let word = if keeps { "kept" } else { "not kept" };
+    for persists in [false, true] {
+        let mut core = core(persists, LedgerSnapshot::default());
+        let started = Instant::now();
+        let (longest_ms, changes) = submit_jobs(&mut core);
+        let label = if persists {
+            "persisted"
+        } else {
+            "not persisted"
+        };
         println!(
-            "{JOBS} jobs, {word}: {:.0} ms, the longest flush of 1,000 jobs {longest:.2} ms",
-            ms(began)
+            "{JOBS} jobs submitted, {label}: {:.0} ms, longest flush of 1,000 jobs: {longest_ms:.2} ms",
+            ms_since(started)
         );
-        if !keeps {
+        if !persists {
             continue;
         }
         core.handle(
@@ -116,54 +126,54 @@
             },
         );
         core.handle(1_000_000, Input::StateAvailable);
-        let began = Instant::now();
+        let started = Instant::now();
         core.flush(1_000_000);
         println!(
-            "every row anew, after a loss: the loop stands for {:.1} ms",
-            ms(began)
+            "rewrite of all rows after the state folder failed: the loop is blocked for {:.1} ms",
+            ms_since(started)
         );
-        let mut image = LedgerSnapshot::default();
+        let mut snapshot = LedgerSnapshot::default();
         for change in changes {
             match change {
-                Change::Session(number, Some(row)) => drop(image.sessions.insert(number, row)),
+                Change::Session(number, Some(row)) => drop(snapshot.sessions.insert(number, row)),
                 Change::Template(session, call, Some(row)) => {
-                    image
+                    snapshot
                         .templates
                         .entry(session)
                         .or_default()
                         .insert(call, row);
                 }
-                Change::Job(number, Some(row)) => drop(image.jobs.insert(number, *row)),
+                Change::Job(number, Some(row)) => drop(snapshot.jobs.insert(number, *row)),
                 _ => {}
             }
         }
-        let began = Instant::now();
-        let mut next = self::core(true, image);
-        next.flush(1_000_000);
-        println!("a core with them taken up: {:.0} ms", ms(began));
+        let started = Instant::now();
+        let mut restarted = self::core(true, snapshot);
+        restarted.flush(1_000_000);
+        println!(
+            "start of a core that restores these jobs: {:.0} ms",
+            ms_since(started)
+        );
     }
     for machines in [110, 6_400_u64] {
-        let settings = Settings::parse(SETTINGS, "bench").expect("the bench's own settings");
+        let settings =
+            Settings::parse(SETTINGS, "bench").expect("the benchmark settings are valid");
         let mut placer = Placer::new(settings.module(None), 1);
-        let line = |id| Machine {
+        let machine = |id| Machine {
             id: MachineId(id),
             health: reedring::Health::Ready,
             free_cores: Some(500.0),
             free_memory: Some(500.0),
             ..Machine::default()
         };
-        let lines = (0..machines).map(line).collect();
-        placer.step(
-            1,
-            &[Event::Listed(Listing::Snapshot(lines))],
-            &mut Vec::new(),
-        );
-        let began = Instant::now();
+        let listed = (0..machines).map(machine).collect();
+        placer.step(1, &[Event::Listed(Listing::Snapshot(listed))], &mut Vec::new());
+        let started = Instant::now();
         let beliefs = placer.beliefs(2);
         println!(
-            "beliefs of {} machines told: {:.2} ms",
+            "export of the beliefs about {} machines: {:.2} ms",
             beliefs.machines.len(),
-            ms(began)
+            ms_since(started)
         );
     }
 }
--- a/crates/core/src/constraints/mod.rs
+++ b/crates/core/src/constraints/mod.rs
@@ -1,8 +1,8 @@
 //! Placement constraints of jobs: which machines are open to each queued request, and whether the constraints of
 //! placed jobs are still satisfied. Both are updated as copies, the node list and the nodes' health change.
 //!
-//! A *copy* is a task of a job at a node that is being placed, runs, or may still run. A *topic* is what copies are counted by: the
-//! service within a class, the service across classes, or a label with its value.
+//! A *copy* is a task of a job at a node that is being placed, runs, or may still run. A *topic* is what copies are
+//! counted by: the service within a class, the service across classes, or a label with its value.
 
 mod constrained_job;
 mod placed;
--- a/crates/core/src/constraints/queued.rs
+++ b/crates/core/src/constraints/queued.rs
@@ -1,7 +1,7 @@
 //! Queued requests with a constraint: which machines are open to each.
 //!
 //! If a constraint refers to copies or has preferences, placing one request can change the open machines of another.
-//! Such requests therefore take turns: each is open for a single step of the decision module, and closed to all machines
+//! Such requests therefore take turns: each is open for a single step of the decision module, and has no open machine
 //! otherwise. For all other requests the machines are announced when they are queued, and again when the node list
 //! changes.
 
--- a/crates/core/src/context.rs
+++ b/crates/core/src/context.rs
@@ -1,8 +1,8 @@
-//! What every component is given beside its own state: the settings, the clock, and the places for its effects.
+//! The context that is passed to every component: the settings, the clock, and queues for the component's effects.
 //!
-//! A component changes its own state and nothing else. Whatever else is to happen it pushes here, as a typed value:
-//! an [`Output`] for the shell, a [`Timer`], or an event for the decision module. The order in which components push
-//! is the order in which effects take place.
+//! A component changes only its own state. It adds any other effect to the context as a typed value: an [`Output`] for
+//! the shell, a [`Timer`], or an event for the decision module. Effects take place in the order in which they were
+//! added.
 
 use std::collections::VecDeque;
 
@@ -16,24 +16,24 @@
 use crate::io::{Output, Start};
 use crate::timers::Timer;
 
-/// The time of this incarnation beside the time of day.
+/// Converts between the monotonic time of this incarnation ([`Micros`]) and the time since 1970.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Clock {
     start: Start,
 }
 
 impl Clock {
-    /// When this incarnation started.
+    /// The time at which this incarnation started.
     pub const fn started_at(&self) -> Micros {
         self.start.now
     }
 
-    /// This incarnation of the placer.
+    /// The number of this incarnation of the placer.
     pub const fn incarnation(&self) -> u64 {
         self.start.incarnation
     }
 
-    /// Microseconds since 1970 at a moment.
+    /// Converts a time into microseconds since 1970.
     pub const fn unix_us(&self, at: Micros) -> u64 {
         self.start
             .unix_us
@@ -41,13 +41,14 @@
             .saturating_sub(self.start.now)
     }
 
-    /// Seconds since 1970 at a moment.
+    /// Converts a time into seconds since 1970.
     pub fn unix_seconds(&self, at: Micros) -> f64 {
-        let since = at as f64 - self.start.now as f64;
-        (self.start.unix_us as f64 + since) / 1e6
+        let since_start = at as f64 - self.start.now as f64;
+        (self.start.unix_us as f64 + since_start) / 1e6
     }
 
-    /// The moment of a time of day, also of one long before the start where the clock began late enough.
+    /// Converts microseconds since 1970 into the time of this incarnation. The result may be before the start, but not
+    /// before 0.
     pub const fn at_unix_us(&self, unix_us: u64) -> Micros {
         self.start
             .now
@@ -55,21 +56,24 @@
             .saturating_sub(self.start.unix_us)
     }
 
-    /// The moment of a time of day, or the start where that is later.
+    /// Converts microseconds since 1970 into the time of this incarnation; the time of the start if that is later.
     pub const fn at_unix_us_or_start(&self, unix_us: u64) -> Micros {
         self.start.now + unix_us.saturating_sub(self.start.unix_us)
     }
 }
 
-/// The settings, the clock, and the places for effects.
+/// The settings, the clock, and the queues for effects.
 pub(crate) struct Context {
     settings: Settings,
     clock: Clock,
     timers: Timers<Timer>,
+    /// Events for the next step of the decision module.
     module_events: Vec<ModuleEvent>,
+    /// Outputs that the shell has not taken yet.
     outbox: VecDeque<Output>,
+    /// How late the loop and the disk were recently.
     lag: Lag,
-    /// Counters for operators; they decide nothing.
+    /// Counters for operators; no decision depends on them.
     pub stats: Stats,
 }
 
@@ -86,17 +90,17 @@
         }
     }
 
-    /// The settings in use: those of the settings file, bound by the active configuration.
+    /// The settings in use: those of the settings file, restricted by the active configuration.
     pub const fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// A class of the settings in use, by its number there.
+    /// A class, by its index in the settings in use.
     pub fn class(&self, class: u16) -> &Class {
         &self.settings.classes[usize::from(class)]
     }
 
-    /// Uses other settings from now on.
+    /// Replaces the settings in use.
     pub fn replace_settings(&mut self, settings: Settings) {
         self.settings = settings;
     }
@@ -107,38 +111,38 @@
 
     // ---- Effects ----
 
-    /// Has the shell carry something out.
+    /// Adds an output for the shell to carry out.
     pub fn output(&mut self, output: Output) {
         self.outbox.push_back(output);
     }
 
-    /// Records an event for operators.
+    /// Outputs a log event for operators.
     pub fn log(&mut self, event: Event) {
         self.output(Output::Event(event));
     }
 
-    /// Has a timer come due.
+    /// Sets a timer that comes due at `at`.
     pub fn set_timer(&mut self, at: Micros, timer: Timer) {
         self.timers.set(at, timer);
     }
 
-    /// Has the decision module decide on an event, with the next flush.
+    /// Adds an event for the decision module, which handles it in its next step.
     pub fn notify_module(&mut self, event: ModuleEvent) {
         self.module_events.push(event);
     }
 
-    // ---- What the loop takes out ----
+    // ---- Taking effects out, for the loop of the core ----
 
     pub fn next_output(&mut self) -> Option<Output> {
         self.outbox.pop_front()
     }
 
-    /// When the next timer is due.
+    /// The time at which the next timer is due; `None` if no timer is set.
     pub fn next_timer_at(&self) -> Option<Micros> {
         self.timers.next()
     }
 
-    /// The next timer that is due.
+    /// Removes and returns the next timer that is due at `now`.
     pub fn next_timer(&mut self, now: Micros) -> Option<Timer> {
         self.timers.pop(now)
     }
@@ -151,14 +155,14 @@
         std::mem::take(&mut self.module_events)
     }
 
-    // ---- How far the placer is behind ----
+    // ---- How late the placer is ----
 
-    /// The loop or the disk was late by so much.
+    /// Records that the loop or the disk was `late_us` microseconds late.
     pub fn note_lag(&mut self, now: Micros, late_us: Micros) {
         self.lag.record(now, late_us);
     }
 
-    /// How far the loop and the disk were behind lately.
+    /// How late the loop and the disk were recently, in microseconds.
     pub fn lag(&self, now: Micros) -> Micros {
         self.lag.at(now)
     }
--- a/crates/core/src/dispatch_blocks.rs
+++ b/crates/core/src/dispatch_blocks.rs
@@ -1,5 +1,7 @@
-//! Nodes to which nothing new is dispatched for now, and why: one set of reasons a node, which reaches the decision
-//! module as sets of open machines, in the way that constraints do.
+//! Nodes to which nothing new is dispatched for now, with a set of reasons for each node.
+//!
+//! The decision module does not know these reasons. Like constraints, they are announced to it as the set of machines
+//! that are open to each request.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,43 +14,45 @@
 use crate::ledger::Ledger;
 use crate::nodes::NodeRegistry;
 
-/// Why nothing is dispatched to a node. There may be several reasons at once.
+/// A reason why nothing is dispatched to a node. A node can have several at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum BlockReason {
-    /// It is warming up, and offers to it were answered late or not at all: they may all reach it at once.
+    /// The node is warming up, and earlier offers to it were answered late or not at all. These may still reach it, all
+    /// at once, so it gets no more.
     SlowStartOverdue,
-    /// The active configuration does not allow it.
+    /// The active configuration does not allow dispatch to the node.
     Configuration(DispatchBlock),
 }
 
 impl BlockReason {
-    /// For whoever asks why a task got no place.
+    /// The reason in words, for explaining why a task has no place.
     const fn describe(self) -> &'static str {
         match self {
             Self::SlowStartOverdue => "cold, and late to answer",
-            Self::Configuration(hold) => hold.description(),
+            Self::Configuration(block) => block.description(),
         }
     }
 }
 
-/// Which nodes are blocked.
+/// The blocked nodes, and the requests that are kept away from them.
 #[derive(Debug, Default)]
 pub(crate) struct DispatchBlocks {
     reasons: BTreeMap<NodeNumber, BTreeSet<BlockReason>>,
-    machines: BTreeSet<MachineId>,
-    /// Requests without a constraint that were restricted to the open machines.
+    /// The machines of the nodes in `reasons`.
+    blocked_machines: BTreeSet<MachineId>,
+    /// Requests without a constraint that are currently restricted to the open machines.
     restricted_requests: BTreeSet<RequestId>,
-    /// What the decision module was told is not what is so.
+    /// The open machines have changed since they were last announced to the decision module.
     changed: bool,
 }
 
 impl DispatchBlocks {
-    /// Whether nothing is dispatched to this machine.
+    /// Whether nothing is dispatched to this machine for now.
     pub fn is_blocked(&self, machine: MachineId) -> bool {
-        self.machines.contains(&machine)
+        self.blocked_machines.contains(&machine)
     }
 
-    /// A node is blocked for this reason from now on, or no longer is.
+    /// Adds (`blocked`) or removes a reason for blocking a node.
     pub fn set(
         &mut self,
         node: NodeNumber,
@@ -64,24 +68,24 @@
         };
         if reasons.is_empty() {
             self.reasons.remove(&node);
-            self.changed |= self.machines.remove(&machine);
+            self.changed |= self.blocked_machines.remove(&machine);
         } else if changed {
-            self.changed |= self.machines.insert(machine);
+            self.changed |= self.blocked_machines.insert(machine);
         }
     }
 
-    /// The reason by the active configuration, in place of any other of that kind.
+    /// Sets or clears the reason that the active configuration gives for blocking a node, in place of any earlier one.
     pub fn set_configuration(
         &mut self,
         node: NodeNumber,
         machine: MachineId,
-        hold: Option<DispatchBlock>,
+        block: Option<DispatchBlock>,
     ) {
         let is_configuration =
             |reason: &BlockReason| matches!(reason, BlockReason::Configuration(_));
         let reasons = self.reasons.get(&node);
         let before = reasons.and_then(|reasons| reasons.iter().copied().find(is_configuration));
-        let now = hold.map(BlockReason::Configuration);
+        let now = block.map(BlockReason::Configuration);
         if before != now {
             now.into_iter()
                 .for_each(|reason| self.set(node, machine, reason, true));
@@ -91,38 +95,38 @@
         }
     }
 
-    /// A request is answered, or withdrawn.
+    /// Removes a request that was answered or withdrawn.
     pub fn request_closed(&mut self, request: RequestId) {
         self.restricted_requests.remove(&request);
     }
 
-    /// The node list changed: requests that were restricted are told anew.
+    /// Has the open machines of the restricted requests announced again, because the node list changed.
     pub fn nodes_changed(&mut self) {
         self.changed |= !self.restricted_requests.is_empty();
     }
 
-    /// The reasons in words, with how many nodes each blocks; empty where none is.
+    /// The reasons in words, each with the number of nodes that it blocks; empty if no node is blocked.
     pub fn describe(&self) -> String {
         let mut counts: BTreeMap<BlockReason, usize> = BTreeMap::new();
         for reason in self.reasons.values().flatten() {
             *counts.entry(*reason).or_default() += 1;
         }
         let counts = counts.into_iter();
-        let words =
+        let descriptions =
             counts.map(|(reason, count)| format!("{count} held back ({})", reason.describe()));
-        words.collect::<Vec<_>>().join(", ")
+        descriptions.collect::<Vec<_>>().join(", ")
     }
 
-    /// A request without a constraint is queued: it is restricted to the open machines, if some are blocked.
+    /// Restricts a newly queued request without a constraint to the open machines, if any machine is blocked.
     pub fn restrict(&mut self, request: RequestId, nodes: &NodeRegistry, cx: &mut Context) {
-        if !self.machines.is_empty() {
+        if !self.blocked_machines.is_empty() {
             self.restricted_requests.insert(request);
             let machines = self.open_machines(nodes);
             cx.notify_module(ModuleEvent::EligibilityChanged { request, machines });
         }
     }
 
-    /// Machines that are open to a request without a constraint, in the order of their ids.
+    /// The machines that are not blocked, in the order of their ids.
     fn open_machines(&self, nodes: &NodeRegistry) -> Vec<MachineId> {
         let machines = nodes.iter().map(|(_, node)| node.machine());
         let mut open: Vec<MachineId> = machines
@@ -132,7 +136,7 @@
         open
     }
 
-    /// Tells the decision module which machines are open, where that has changed.
+    /// Announces the open machines to the decision module and to the constraints, if they have changed.
     pub fn announce(
         &mut self,
         constraints: &mut ConstraintTracker,
@@ -143,8 +147,8 @@
         if !std::mem::take(&mut self.changed) {
             return;
         }
-        constraints.set_excluded(&self.machines);
-        let any_blocked = !self.machines.is_empty();
+        constraints.set_excluded(&self.blocked_machines);
+        let any_blocked = !self.blocked_machines.is_empty();
         let unconstrained: Vec<RequestId> = if any_blocked {
             ledger
                 .open_requests()
--- a/crates/core/src/dispatch_blocks/tests.rs
+++ b/crates/core/src/dispatch_blocks/tests.rs
@@ -7,7 +7,7 @@
 const SUSPENDED: DispatchBlock = DispatchBlock::Suspended(SuspendReason::NoQuorum);
 
 #[test]
-fn a_node_is_blocked_until_its_last_reason_is_gone() {
+fn a_node_is_blocked_until_its_last_reason_is_removed() {
     let (nodes, mut blocks) = (registry(&["node-0"]), DispatchBlocks::default());
     let machine = nodes.machine(NODE).unwrap();
     blocks.set(NODE, machine, BlockReason::SlowStartOverdue, true);
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_new_reason_of_the_configuration_takes_the_place_of_the_one_before() {
+fn a_new_configuration_reason_replaces_the_previous_one() {
     let (nodes, mut blocks) = (registry(&["node-0"]), DispatchBlocks::default());
     let machine = nodes.machine(NODE).unwrap();
     for reason in [SuspendReason::NoQuorum, SuspendReason::Pinned] {
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_queued_request_is_restricted_to_the_open_machines_and_freed_again() {
+fn a_queued_request_is_restricted_to_the_open_machines_while_a_node_is_blocked() {
     let (nodes, mut cx) = (registry(&["node-0", "node-1"]), context());
     let (mut blocks, mut constraints) = (DispatchBlocks::default(), ConstraintTracker::default());
     let (ledger, request) = (Ledger::new(1), RequestId(1));
@@ -55,5 +55,9 @@
         [ModuleEvent::EligibilityChanged { request, machines }]
     );
     blocks.announce(&mut constraints, &ledger, &nodes, &mut cx);
-    assert_eq!(cx.take_module_events(), [], "nothing has changed since");
+    assert_eq!(
+        cx.take_module_events(),
+        [],
+        "nothing has changed since the last announcement"
+    );
 }
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -1,7 +1,7 @@
-//! The log events of the core: what operators are told, as typed values.
+//! The log events of the core for operators, as typed values.
 //!
-//! The shell records each event with its name, its level, its fields and its message, so that logs can be
-//! searched by event. A name is stable: dashboards and `docs/on-call.md` refer to it.
+//! The placer process logs each event with its name, level, fields and message, so that logs can be searched by event.
+//! Event names are stable: dashboards and `docs/on-call.md` refer to them.
 
 mod message;
 
@@ -11,21 +11,22 @@
 use reedring_node_protocol::{AttemptId, ConfigVersion};
 use reedring_plan::SuspendReason;
 
-/// How much an event matters to operators.
+/// The log level of an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Level {
-    /// Something is wrong with the site, a node or this placer.
+    /// A problem with the cluster, a node or this placer.
     Warn,
-    /// A change of state that is worth a line.
+    /// A change of state that operators may want to know of.
     Info,
 }
 
-/// What the settings file says beside the committed configuration, as far as operators have to act on it.
+/// How the configuration in the settings file stands in relation to the committed one, as far as operators have to act.
+/// Displayed as a suffix to the message of an event; empty if there is nothing to do.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FileStatus {
-    /// The configuration of the settings file, where an equally old or newer one is committed.
+    /// The version in the settings file, if a different one that is as new or newer is committed.
     pub superseded: Option<ConfigVersion>,
-    /// Why the configuration of the settings file can't be proposed.
+    /// Why the configuration in the settings file can't be proposed, if that is so.
     pub rejected: Option<String>,
 }
 
@@ -43,20 +44,21 @@
     }
 }
 
-/// Something that operators are told. Each variant says what it means, what causes it, and the first action.
+/// An event that is logged for operators. The comment on each variant states its meaning, its cause, and the first
+/// action to take.
 #[derive(Clone, Debug, PartialEq, Eq)]
 #[expect(
     missing_docs,
     reason = "each field is named after what it holds, and each variant is documented"
 )]
 pub enum Event {
-    /// An older node list was ignored. Cause: a copy of the list with a lower revision was put in place. First
-    /// action: put the newest list in place at every placer.
+    /// An older node list was ignored. Cause: the list was replaced by a copy with a lower revision. First action:
+    /// install the newest list at every placer.
     NodeListOutdated { revision: u64, known_revision: u64 },
-    /// A listed node is ignored. Cause: its name has the same machine id as another node's. First action: rename
-    /// the node.
+    /// A listed node is ignored. Cause: the machine id computed from its name equals that of another node. First
+    /// action: rename the node.
     NodeNameCollision { node: String },
-    /// A node is not used. Cause: what answers at its address names itself otherwise. First action: correct the
+    /// A node is not used. Cause: the node that answers at its address reports another name. First action: correct the
     /// node list or the node's own configuration.
     NodeNameMismatch {
         node: String,
@@ -64,8 +66,8 @@
         reported: String,
     },
     /// The connection to a node was lost, or could not be made. Not reported for a node that is drained or not
-    /// listed, nor again while it stays down; decided by `node_links`. Cause: the reason in the event; a restart, a
-    /// crash or the network. First action: check the node's process, then the network to it.
+    /// listed, nor repeated while it stays down; `node_links` decides this. Cause: the reason in the event; a restart,
+    /// a crash or the network. First action: check the node's process, then the network to it.
     NodeDisconnected { node: String, reason: String },
     /// A node gets no new tasks. Cause: an operator drains it. First action: none.
     NodeDrained { node: String },
@@ -82,31 +84,32 @@
         attempt: AttemptId,
         reason: String,
     },
-    /// A placed job waits for a place again. Cause: its attempt was lost, and its class allows another. First
-    /// action: none for single jobs; for many, look for the node's own events.
+    /// A placed job is queued for placement again. Cause: its attempt was lost, and its class allows another. First
+    /// action: none for single jobs; for many, check the events of the node.
     JobRequeued {
         job: String,
         node: String,
         attempt: AttemptId,
         reason: &'static str,
     },
-    /// A job failed because the decision module did not answer in time. Cause: a defect, or a machine far
-    /// overloaded. First action: check the load of the placer's machine, then report the defect.
+    /// A job failed because the decision module did not answer in time. Cause: a defect, or a severely overloaded
+    /// machine. First action: check the load of the placer's machine, then report the defect.
     RequestOverdue { request: u64, job: String },
     /// A running job's placement constraint is violated. Cause: copies, the node list or labels changed. First
-    /// action: what the event names as the remedy.
+    /// action: the remedy that the event names.
     ConstraintViolated {
         job: String,
         clause: String,
         remedy: String,
     },
-    /// A violated placement constraint is satisfied again. Cause: the site changed back. First action: none.
+    /// A violated placement constraint is satisfied again. Cause: copies, the node list or labels changed. First
+    /// action: none.
     ConstraintRestored {
         job: String,
         clause: String,
         violated_us: u64,
     },
-    /// Nothing is persisted from the start on. Cause: the state folder could not be opened. First action: correct
+    /// This placer persists nothing since its start. Cause: the state folder could not be opened. First action: resolve
     /// the reason in the event, and restart the placer.
     StateUnavailable { reason: String },
     /// Nothing is persisted for now; tasks that must not start twice are rejected. Cause: a write to the state
@@ -114,8 +117,8 @@
     StateWriteFailed { reason: String },
     /// Everything is persisted again. Cause: the state folder takes writes again. First action: none.
     StateWriteRestored,
-    /// A restarted placer loaded its state. Cause: a restart. First action: none if complete; where it is not,
-    /// expect failed jobs of classes that must not start twice.
+    /// A restarted placer loaded its state. Cause: a restart. First action: none if the state is complete; otherwise
+    /// expect failed jobs of classes whose tasks must not start twice.
     StateLoaded {
         sessions: usize,
         jobs: usize,
@@ -123,7 +126,7 @@
         unplaced: usize,
         incomplete: bool,
     },
-    /// Changed tables of the settings file are not applied. Cause: these tables are read at the start alone.
+    /// Changed tables of the settings file are not applied. Cause: these tables are read only at the start.
     /// First action: restart the placer to apply them.
     SettingsRestartRequired { tables: Vec<&'static str> },
     /// A change of the settings file is not applied. Cause: the placer was started without a `[plan]` table.
@@ -138,8 +141,8 @@
     /// A configuration delta that a node sent is discarded, and the whole text is fetched. Cause: it does not
     /// yield its version. First action: none for one; if a node repeats it, update or replace the node.
     ConfigurationDeltaInvalid { node: String, reason: String },
-    /// The placer uses its settings file alone. Cause: most nodes speak a protocol without configurations. First
-    /// action: update the nodes.
+    /// The placer uses only its settings file, and no committed configuration. Cause: most nodes use a protocol version
+    /// without configurations. First action: update the nodes.
     ConfigurationUnsupported { file: FileStatus },
     /// The placer dispatches nothing for now. Cause: the reason in the event, most often no majority of voters
     /// within the lease. First action: check the network to the voters; it resumes by itself.
@@ -147,9 +150,10 @@
         reason: SuspendReason,
         file: FileStatus,
     },
-    /// The placer accepts and dispatches nothing until an operator acts. While no majority answers it reports
-    /// `dispatch_suspended` instead, and accepts. Cause: its file is pinned to another configuration, or it can't
-    /// use the committed one. First action: unpin or update the file, or update the build, and restart the placer.
+    /// The placer accepts and dispatches no jobs until an operator acts. If no majority of voters answers, it reports
+    /// `dispatch_suspended` instead, and accepts jobs. Cause: its settings file is pinned to another configuration, or
+    /// it can't use the committed one. First action: unpin or update the file, or update the build, and restart the
+    /// placer.
     PlacerFenced {
         reason: SuspendReason,
         committed: ConfigVersion,
@@ -157,21 +161,22 @@
         detail: Option<String>,
         file: FileStatus,
     },
-    /// The first configuration is chosen and in use. Cause: the first start with a `[plan]` table. First action:
+    /// The first configuration was chosen and is in use. Cause: the first start with a `[plan]` table. First action:
     /// none.
     ConfigurationFirst {
         config_version: ConfigVersion,
         file: FileStatus,
     },
     /// A configuration change is under way: the stricter of both configurations applies. Cause: a placer proposed
-    /// its file's. First action: none; if it lasts, look for lagging placers with `reedring nodes`.
+    /// the configuration in its settings file. First action: none; if it lasts, look for lagging placers with
+    /// `reedring nodes`.
     ConfigurationJoint {
         config_version: ConfigVersion,
         previous: ConfigVersion,
         file: FileStatus,
     },
-    /// One configuration is committed and in use. Cause: a start, or the end of a change. First action: none; where
-    /// the settings file is behind or rejected, correct it as the event says.
+    /// One configuration is committed and in use. Cause: a start, or the end of a change. First action: none; if the
+    /// event reports that the settings file is behind or rejected, correct the file.
     ConfigurationActive {
         config_version: ConfigVersion,
         file: FileStatus,
@@ -185,12 +190,12 @@
     },
     /// Connection attempts to a zone are no longer rate limited. Cause: its nodes answer again. First action: none.
     ZoneReconnectsRestored { zone: String, silent: usize },
-    /// A line of the decision module. Cause: the module's own. First action: as the line says.
+    /// A log message of the decision module. Cause and first action: see the message.
     ModuleMessage { text: String },
 }
 
 impl Event {
-    /// The names of all events, in the order of the variants.
+    /// The stable names of all events, in the order of the variants.
     pub const NAMES: &'static [&'static str] = &[
         "node_list_outdated",
         "node_name_collision",
@@ -260,7 +265,7 @@
         }
     }
 
-    /// How much it matters to operators.
+    /// The log level of the event.
     pub const fn level(&self) -> Level {
         match self {
             Self::NodeDrained { .. }
@@ -278,7 +283,7 @@
         }
     }
 
-    /// The node that it is about, by its name in the node list.
+    /// The name in the node list of the node that the event concerns, if it concerns one.
     pub fn node(&self) -> Option<&str> {
         match self {
             Self::NodeNameCollision { node }
@@ -295,7 +300,7 @@
         }
     }
 
-    /// The job that it is about.
+    /// The name of the job that the event concerns, if it concerns one.
     pub fn job(&self) -> Option<&str> {
         match self {
             Self::AttemptNotAdopted { job, .. }
@@ -307,7 +312,7 @@
         }
     }
 
-    /// The attempt that it is about, as the wire names it.
+    /// The wire id of the attempt that the event concerns, if it concerns one.
     pub const fn attempt(&self) -> Option<AttemptId> {
         match self {
             Self::AttemptNotAdopted { attempt, .. } | Self::JobRequeued { attempt, .. } => {
@@ -317,7 +322,7 @@
         }
     }
 
-    /// The zone that it is about.
+    /// The zone that the event concerns, if it concerns one.
     pub fn zone(&self) -> Option<&str> {
         match self {
             Self::ZoneReconnectsLimited { zone, .. }
@@ -326,7 +331,7 @@
         }
     }
 
-    /// The configuration that the placer uses, or is fenced by.
+    /// The configuration that came into use with this event, or the committed one by which the placer is fenced.
     pub const fn config_version(&self) -> Option<ConfigVersion> {
         match self {
             Self::ConfigurationFirst { config_version, .. }
--- a/crates/core/src/event/message.rs
+++ b/crates/core/src/event/message.rs
@@ -1,4 +1,4 @@
-//! The message of each event, in plain English.
+//! The log message of each event.
 
 use std::fmt;
 
@@ -14,13 +14,13 @@
             } => {
                 write!(
                     f,
-                    "node list ignored: its revision {revision} is older than {known_revision}"
+                    "node list ignored: its revision {revision} is lower than the known revision {known_revision}"
                 )
             }
             Self::NodeNameCollision { node } => {
                 write!(
                     f,
-                    "node {node}: its name has the machine id of another node; rename it"
+                    "node {node} ignored: its name yields the machine id of another node; rename it"
                 )
             }
             Self::NodeNameMismatch {
@@ -30,7 +30,8 @@
             } => {
                 write!(
                     f,
-                    "node {node}: {address} names itself `{reported}`; correct the list or the node"
+                    "node {node} not used: the node at {address} reports the name `{reported}`; correct the node list \
+                     or the node's configuration"
                 )
             }
             Self::NodeDisconnected { node, reason } => write!(f, "node {node}: {reason}"),
@@ -46,7 +47,7 @@
             } => {
                 write!(
                     f,
-                    "node {node} runs job {job}, which can't be adopted: {reason}"
+                    "node {node} holds a task of job {job} that can't be adopted and is stopped: {reason}"
                 )
             }
             Self::JobRequeued {
@@ -57,7 +58,7 @@
             Self::RequestOverdue { request, job } => {
                 write!(
                     f,
-                    "request {request} was not answered in time; job {job} failed"
+                    "the decision module did not answer request {request} in time; job {job} failed"
                 )
             }
             Self::ConstraintViolated {
@@ -87,13 +88,13 @@
             Self::StateWriteFailed { reason } => {
                 write!(
                     f,
-                    "state: {reason}; nothing is persisted until the folder can be written again"
+                    "state: {reason}; nothing is persisted until the state folder can be written again"
                 )
             }
             Self::StateWriteRestored => {
                 write!(
                     f,
-                    "state: the folder can be written again; everything is persisted anew"
+                    "state: the state folder can be written again; all records are rewritten"
                 )
             }
             Self::StateLoaded {
@@ -111,8 +112,8 @@
                 if *incomplete {
                     write!(
                         f,
-                        "; records of the last incarnation are missing, tasks that must not start twice fail where \
-                         no node reports what became of them"
+                        "; records of the last incarnation may be missing: a job that must not start twice fails \
+                         unless a node reports its outcome"
                     )?;
                 }
                 Ok(())
@@ -120,7 +121,7 @@
             Self::SettingsRestartRequired { tables } => {
                 write!(
                     f,
-                    "settings: [{}] changed and needs a restart; the old values apply",
+                    "settings: [{}] changed, which takes effect only after a restart; the old values apply",
                     tables.join("], [")
                 )
             }
@@ -131,7 +132,7 @@
             Self::SettingsChangeRejected { reason } => {
                 write!(
                     f,
-                    "settings: the changed file can't be applied, the old one stays in use: {reason}"
+                    "settings: the changed file can't be applied, the old settings stay in use: {reason}"
                 )
             }
             Self::ConfigurationTextInvalid { node, reason }
@@ -141,7 +142,7 @@
             Self::ConfigurationUnsupported { file } => {
                 write!(
                     f,
-                    "configuration: most nodes store none; the settings file alone is used{file}"
+                    "configuration: most nodes store none; only the settings file is used{file}"
                 )
             }
             Self::DispatchSuspended { reason, file } => {
@@ -172,7 +173,10 @@
                 config_version,
                 file,
             } => {
-                write!(f, "configuration: {config_version} is the first one{file}")
+                write!(
+                    f,
+                    "configuration: {config_version} is the first one chosen and is in use{file}"
+                )
             }
             Self::ConfigurationJoint {
                 config_version,
@@ -180,7 +184,7 @@
                 file,
             } => write!(
                 f,
-                "configuration: {config_version} follows {previous}; the stricter of both applies{file}"
+                "configuration: changing from {previous} to {config_version}; the stricter of both applies{file}"
             ),
             Self::ConfigurationActive {
                 config_version,
@@ -199,7 +203,7 @@
             ),
             Self::ZoneReconnectsRestored { zone, silent } => write!(
                 f,
-                "zone {zone}: it answers again, {silent} nodes do not; connection attempts are no longer limited"
+                "zone {zone}: nodes answer again, {silent} still do not; connection attempts are no longer rate limited"
             ),
             Self::ModuleMessage { text } => f.write_str(text),
         }
--- a/crates/core/src/event/tests.rs
+++ b/crates/core/src/event/tests.rs
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn messages_name_what_their_fields_hold() {
+fn each_message_contains_the_node_job_zone_and_version_of_its_event() {
     for event in one_of_each() {
         let message = event.to_string();
         assert!(!message.is_empty(), "{event:?}");
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_settings_file_that_is_behind_is_part_of_the_message() {
+fn the_message_names_a_settings_file_that_is_superseded_or_rejected() {
     let file = FileStatus {
         superseded: Some(version(1)),
         rejected: Some(text("site.placers: 3 of 4")),
--- a/crates/core/src/health_checks.rs
+++ b/crates/core/src/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks: the decision module asks for one, a node answers it in time or not.
+//! Health checks: the decision module requests one, a probe is sent to the node, and the result is reported back.
 
 use std::collections::BTreeMap;
 
@@ -11,21 +11,23 @@
 use crate::persistence::{Requires, WriteAheadQueue};
 use crate::timers::Timer;
 
+/// A health check that was sent to a node, and the time at which it was sent.
 #[derive(Debug)]
 struct HealthCheck {
     node: NodeNumber,
     sent: Micros,
 }
 
-/// Health checks that are not answered yet.
+/// The health checks that are not answered yet.
 #[derive(Debug, Default)]
 pub(crate) struct HealthChecks {
+    /// The checks by the nonce of their probe.
     pending: BTreeMap<u64, HealthCheck>,
     last_nonce: u64,
 }
 
 impl HealthChecks {
-    /// Checks a node. One that is not connected fails at once.
+    /// Sends a health check to a node and sets its timeout. The check of a node that is not connected fails at once.
     pub fn start(
         &mut self,
         now: Micros,
@@ -51,7 +53,7 @@
         }
     }
 
-    /// A node answered with its load report.
+    /// Reports that a node answered a check, with its load report.
     pub fn answered(
         &mut self,
         now: Micros,
@@ -63,11 +65,12 @@
         self.complete(now, nonce, Some(report), nodes, cx);
     }
 
-    /// A node did not answer in time.
+    /// Reports that a check failed. Does nothing if it was answered before.
     pub fn failed(&mut self, now: Micros, nonce: u64, nodes: &NodeRegistry, cx: &mut Context) {
         self.complete(now, nonce, None, nodes, cx);
     }
 
+    /// Removes a pending check and reports its result to the decision module; no load report means that it failed.
     fn complete(
         &mut self,
         now: Micros,
--- a/crates/core/src/health_checks/tests.rs
+++ b/crates/core/src/health_checks/tests.rs
@@ -5,7 +5,7 @@
 const NODE: NodeNumber = NodeNumber(0);
 
 #[test]
-fn a_node_that_is_not_connected_fails_at_once() {
+fn a_check_of_a_node_that_is_not_connected_fails_at_once() {
     let (nodes, mut cx) = (registry(&["node-0"]), context());
     let (mut checks, mut queue) = (HealthChecks::default(), WriteAheadQueue::default());
     let machine = nodes.machine(NODE).unwrap();
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_check_is_answered_once_and_not_failed_by_its_timer_afterwards() {
+fn an_answered_check_is_reported_once_and_its_timeout_does_not_fail_it() {
     let (mut nodes, mut cx) = (registry(&["node-0"]), context());
     let (mut checks, mut queue) = (HealthChecks::default(), WriteAheadQueue::default());
     connect(&mut nodes, NODE);
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -1,4 +1,4 @@
-//! What comes into the core, and what it puts out.
+//! The inputs and outputs of the core.
 
 use std::net::SocketAddr;
 
@@ -10,139 +10,142 @@
 
 use crate::event::Event;
 
-/// What a core needs at its start.
+/// The values that a core needs at its start.
 #[derive(Clone, Copy, Debug)]
 pub struct Start {
-    /// The time of its clock, in microseconds; it never goes back.
+    /// The current time of the monotonic clock whose times all inputs carry, in microseconds.
     pub now: Micros,
-    /// Microseconds since 1970 at that time.
+    /// The same time in microseconds since 1970.
     pub unix_us: u64,
-    /// This incarnation of the placer: another number at each start.
+    /// The number of this incarnation of the placer, different at each start.
     pub incarnation: u64,
     /// Seed of the decision module's random numbers.
     pub seed: u64,
 }
 
-/// A client's connection, as the shell numbers it.
+/// The number that the shell assigned to a client's connection.
 pub type ConnectionId = u64;
 
-/// Something that happened.
+/// An event that the shell reports to the core.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A client calls.
+    /// A client sent a call.
     Call {
-        /// Its connection.
+        /// The client's connection.
         conn: ConnectionId,
-        /// The id of the call on that connection.
+        /// The id of the call on that connection, which the response repeats.
         id: u64,
-        /// The call.
+        /// The method and its arguments.
         call: Call,
     },
-    /// A client's connection ended; it will ask again for what it waited for.
+    /// A client's connection ended. The client is expected to repeat its unanswered calls on a new connection.
     ClientDisconnected(ConnectionId),
-    /// The whole node list. A node that is not in it is no longer listed.
+    /// The node list was read for the first time or has changed. It is complete: a node that is not in it is no longer
+    /// listed.
     NodeListChanged(NodeList),
-    /// The settings file has changed; it was read and checked as a whole.
+    /// The settings file has changed; these are its parsed and validated contents.
     SettingsChanged(Box<Settings>),
-    /// The handshake with a node is done. What it holds follows as messages.
+    /// The handshake with a node is done. The tasks that the node holds follow as messages.
     LinkUp {
-        /// The node, by its name in the list.
+        /// The name of the node in the node list.
         node: String,
-        /// Its own name, which must be the same.
+        /// The name that the node reported in the handshake, which must be the same.
         reported_name: String,
-        /// Its incarnation.
+        /// The incarnation of the node.
         incarnation: u64,
-        /// Milliseconds since its start.
+        /// Milliseconds since the node started.
         up_ms: u64,
-        /// It can suspend tasks.
+        /// Whether the node can suspend tasks.
         can_suspend: bool,
-        /// What it stores of configurations; none where it speaks version 1 of the protocol.
+        /// The node's stored configurations; `None` if the node uses version 1 of the protocol.
         report: Option<AcceptorReport>,
     },
-    /// A message of a node. Messages of a connection come after its `LinkUp` and before its `LinkDown`.
+    /// A message from a node. Messages of a connection are reported after its `LinkUp` and before its `LinkDown`.
     Message {
-        /// The node.
+        /// The name of the node in the node list.
         node: String,
-        /// The message.
+        /// The received message.
         message: Message,
     },
     /// A connection to a node ended, or could not be made.
     LinkDown {
-        /// The node.
+        /// The name of the node in the node list.
         node: String,
-        /// Why, for operators.
+        /// Why the connection ended or failed, for operators.
         reason: String,
     },
-    /// These offers were meant for a connection that ended before they were written: no node will ever read them.
+    /// The connection for these offers ended before they were written, so no node can have received them.
     OffersUnwritten(Vec<AttemptId>),
-    /// The ledger is durable up to this batch.
+    /// All batches up to this number are durable in the state folder.
     Durable(u64),
-    /// The ledger can't be written.
+    /// The state folder can't be written.
     StateUnavailable {
-        /// Why, for operators.
+        /// Why the folder can't be written, for operators.
         reason: String,
-        /// The folder itself says that it is incomplete.
+        /// The folder carries a mark that records are missing, which the next incarnation will find.
         marked_incomplete: bool,
     },
-    /// The ledger can be written again, and waits for every row.
+    /// The state folder can be written again, and expects a batch with every row.
     StateAvailable,
-    /// Nothing but time passed.
+    /// Only time has passed.
     Tick,
 }
 
-/// Something to do, in order.
+/// An action for the shell. Actions must be carried out in the order in which the core outputs them.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Answer a client.
+    /// Send a response to a client.
     Reply {
-        /// Its connection.
+        /// The client's connection.
         conn: ConnectionId,
-        /// The answer.
+        /// The response to send.
         response: Response,
     },
-    /// Keep a connection to this node: connect, do the handshake, and connect again when it breaks.
+    /// Maintain a connection to this node: connect, do the handshake, and reconnect when the connection breaks.
     Connect {
-        /// The node.
+        /// The name of the node in the node list.
         node: String,
-        /// Where it listens.
+        /// The address at which the node listens.
         address: SocketAddr,
-        /// Its zone: the `hall` of the list. Nodes of a zone that do not answer share a rate of attempts.
+        /// The zone of the node: its `hall` in the node list. Unresponsive nodes of a zone share a rate limit for
+        /// connection attempts.
         zone: String,
     },
-    /// The list names another zone for a node; its connection stays as it is.
+    /// The zone of a node changed in the node list; the connection stays as it is.
     ChangeZone {
-        /// The node.
+        /// The name of the node in the node list.
         node: String,
-        /// Its zone from now on.
+        /// The new zone of the node.
         zone: String,
     },
-    /// Keep no connection to this node any more.
+    /// Close the connection to this node and do not reconnect.
     Disconnect {
-        /// The node.
+        /// The name of the node in the node list.
         node: String,
     },
-    /// Send a message on a node's connection. If that has ended meanwhile the message is dropped.
+    /// Send a message on a node's connection. If the connection has ended meanwhile, the message is dropped.
     Send {
-        /// The node.
+        /// The name of the node in the node list.
         node: String,
-        /// The message.
+        /// The message to send.
         message: Message,
     },
-    /// Make these changes durable, in order, and report it with [`Input::Durable`].
+    /// Write this batch to the state folder, after those before it, and report with [`Input::Durable`] when it is
+    /// durable.
     Persist {
-        /// The changes.
+        /// The numbered batch of changes.
         batch: Batch,
-        /// They are every row, for a ledger that is written anew.
+        /// The batch contains every row, and replaces the contents of the state folder.
         is_rewrite: bool,
     },
-    /// Replace the file of the decision module's beliefs. Nothing waits for it.
+    /// Replace the file with the beliefs of the decision module. No other output waits for this.
     PersistBeliefs(Box<BeliefSnapshot>),
-    /// By what the placer acts from now on; its handshakes name it.
+    /// The configuration that the placer follows from now on, to be sent in its handshakes.
     ActiveConfiguration(VersionStamp),
-    /// The settings in use from now on; the node list is read by them.
+    /// The settings in use from now on, to be used for reading the node list.
     Settings(Box<Settings>),
-    /// It accepts nothing new until an operator acts, or does again.
+    /// Whether the placer is fenced from now on. A fenced placer accepts no new jobs until an operator acts.
     Fenced(bool),
-    /// Record an event for operators.
+    /// Log an event for operators.
     Event(Event),
 }
--- a/crates/core/src/ledger/job.rs
+++ b/crates/core/src/ledger/job.rs
@@ -183,7 +183,8 @@
 
     /// The information that `drmaa_wait` returns; `None` while the job has not ended.
     ///
-    /// `node` is the name of the node to report, if any. `unix_seconds` converts the core's time into seconds since 1970.
+    /// `node` is the name of the node to report, if any. `unix_seconds` converts the core's time into seconds since
+    /// 1970.
     pub fn info(
         &self,
         node: Option<&str>,
--- a/crates/core/src/ledger/mod.rs
+++ b/crates/core/src/ledger/mod.rs
@@ -296,8 +296,8 @@
         self.complete_incarnations.iter().copied()
     }
 
-    /// Records a restored placed attempt, whose job's constraint is evaluated once the nodes have reported the tasks they
-    /// hold.
+    /// Records a restored placed attempt, whose job's constraint is evaluated once the nodes have reported the tasks
+    /// they hold.
     pub fn add_restored_placement(&mut self, job: JobNumber, id: AttemptId) {
         self.restored_placements.push((job, id));
     }
--- a/crates/core/src/module.rs
+++ b/crates/core/src/module.rs
@@ -1,16 +1,16 @@
-//! The decision module: it decides where tasks go, by the events that it is told.
+//! The decision module, which chooses nodes for tasks based on the events it receives.
 
 use reedring::{Action, Beliefs, Micros, Placer};
 
 use crate::context::Context;
 
-/// A clock in nanoseconds.
+/// A function that returns the current time of some monotonic clock, in nanoseconds.
 type Stopwatch = fn() -> u64;
 
-/// The decision module, and how long it takes.
+/// Runs the decision module, and measures its run time.
 pub(crate) struct DecisionModule {
     placer: Placer,
-    /// Times the module for the counters; decides nothing.
+    /// Measures the run time for the counters, if it is set; no decision depends on it.
     stopwatch: Option<Stopwatch>,
     spent_ns: u64,
 }
@@ -28,24 +28,24 @@
         self.stopwatch = Some(stopwatch);
     }
 
-    /// Nanoseconds spent deciding.
+    /// Total run time of the decision module in nanoseconds; 0 if no stopwatch is set.
     pub const fn spent_ns(&self) -> u64 {
         self.spent_ns
     }
 
-    /// Decides on all that it was told since the last step.
+    /// Runs one step of the decision module on the events since the last step; returns the actions to carry out.
     pub fn step(&mut self, now: Micros, cx: &mut Context) -> Vec<Action> {
         let (events, mut actions) = (cx.take_module_events(), Vec::new());
-        let from = self.stopwatch.map(|clock| clock());
+        let started_ns = self.stopwatch.map(|clock| clock());
         self.placer.step(now, &events, &mut actions);
-        if let Some((clock, from)) = self.stopwatch.zip(from) {
-            self.spent_ns += clock().saturating_sub(from);
+        if let Some((clock, started_ns)) = self.stopwatch.zip(started_ns) {
+            self.spent_ns += clock().saturating_sub(started_ns);
         }
         cx.stats.module_steps += 1;
         actions
     }
 
-    /// What it has learned of nodes and of the site.
+    /// The beliefs of the decision module at `now`: its estimates about single nodes and about the fleet.
     pub fn beliefs(&self, now: Micros) -> Beliefs {
         self.placer.beliefs(now)
     }
--- a/crates/core/src/persistence/mod.rs
+++ b/crates/core/src/persistence/mod.rs
@@ -1,16 +1,17 @@
-//! Persistence: collects changed rows into batches, and holds outputs back until the batches they depend on are durable.
+//! Persistence: collects changed rows into batches, and holds outputs back until the batches they depend on are
+//! durable.
 //!
 //! All changes between two flushes become one batch. These outputs wait for a batch:
 //!
 //! - replies to clients,
 //! - acknowledgements of ended tasks, because a node forgets an end once it is acknowledged,
-//! - offers that the next incarnation of the placer must know of: the first offer of each job, offers of tasks that must
-//!   not start twice, and offers to nodes that are warming up.
+//! - offers that the next incarnation of the placer must know of: the first offer of each job, offers of tasks that
+//!   must not start twice, and offers to nodes that are warming up.
 //!
 //! All other outputs are sent at once.
 //!
-//! [`WriteAheadQueue`] owns the batches and the outputs that wait. If the state folder fails, it hands the waiting
-//! outputs to [`lifecycle`](crate::lifecycle), which decides what becomes of them.
+//! [`WriteAheadQueue`] owns the batches and the outputs that wait. [`lifecycle`](crate::lifecycle) decides what becomes
+//! of an output that can't wait any longer, for example because the state folder failed.
 
 mod batches;
 mod rows;
@@ -286,8 +287,8 @@
         released(self.barrier.advance(BatchSequence(seq)))
     }
 
-    /// Removes and returns the deferred acknowledgements that may be sent once batch `seq` is durable; empty if they have
-    /// to wait longer.
+    /// Removes and returns the deferred acknowledgements that may be sent once batch `seq` is durable; empty if they
+    /// have to wait longer.
     pub fn take_deferred_acknowledgements(
         &mut self,
         seq: u64,
--- a/crates/core/src/restore.rs
+++ b/crates/core/src/restore.rs
@@ -1,4 +1,4 @@
-//! Restores the state that the former incarnation of the placer persisted, at the start of a placer with a state folder.
+//! Restores the state that the former incarnation of the placer persisted, when a placer with a state folder starts.
 //!
 //! Jobs keep their numbers. Placed jobs are announced to the decision module at once, as adopted. Jobs that were being
 //! placed wait until the nodes that were offered them have reported;
--- a/crates/core/src/restore/jobs.rs
+++ b/crates/core/src/restore/jobs.rs
@@ -97,7 +97,8 @@
 
 /// Restores the phase and the open attempts of a job from its row.
 ///
-/// `unusable` is set if the current settings do not allow the job's requirements any more: an unfinished job then fails.
+/// `unusable` is set if the current settings do not support the job's requirements any more: an unfinished job then
+/// fails.
 /// `is_certain` is false if records may be missing and the job must not start twice.
 pub(super) fn restore_job(
     lifecycle: &mut JobLifecycle<'_>,
@@ -148,7 +149,7 @@
 }
 
 /// The phase of a job according to its row. The time is set if the job was being placed and has to be recovered: it is
-/// the time at which its client gives up.
+/// when the client gives up, or `now` if the row does not have that.
 fn restore_phase(
     lifecycle: &mut JobLifecycle<'_>,
     now: Micros,
--- a/crates/core/src/test_support.rs
+++ b/crates/core/src/test_support.rs
@@ -1,4 +1,4 @@
-//! What the tests of several components set up.
+//! Set-up functions shared by the unit tests of several components.
 
 use reedring_settings::{NodeEntry, NodeList, Settings};
 
@@ -7,17 +7,17 @@
 use crate::io::{Output, Start};
 use crate::nodes::NodeRegistry;
 
-/// Microseconds at which the tests' placer starts.
+/// The time in microseconds at which the placer under test starts, on its own clock and since 1970.
 pub(crate) const START: u64 = 1_000_000;
 
-/// A context of a placer that has just started.
+/// The context of a placer that has just started.
 pub(crate) fn context() -> Context {
     let text = r#"
         placer = { name = "p", listen = "127.0.0.1:0", nodes = "nodes.toml" }
         kind = [{ name = "k", cores = 16.0, memory = 64.0 }]
         class = [{ name = "c", repeat = "safe", aim = "1s", give_up = "8s" }]
     "#;
-    let settings = Settings::parse(text, "test").expect("the test's own settings");
+    let settings = Settings::parse(text, "test").expect("the test settings are valid");
     Context::new(
         settings,
         Start {
@@ -29,12 +29,12 @@
     )
 }
 
-/// An entry of the node list.
+/// An entry of the node list for a node with this name.
 pub(crate) fn entry(name: &str) -> NodeEntry {
     NodeEntry::at(name, ([127, 0, 0, 1], 7_000).into())
 }
 
-/// A registry whose node list has these nodes, numbered in this order.
+/// A registry whose node list contains nodes with these names, numbered from 0 in this order.
 pub(crate) fn registry(names: &[&str]) -> NodeRegistry {
     let mut nodes = NodeRegistry::new(vec!["k".to_owned()], START, START);
     let list = NodeList {
@@ -45,7 +45,7 @@
     nodes
 }
 
-/// Brings the connection to a node up: its handshake is done, and it holds nothing.
+/// Connects a node: its handshake is done, and it has reported that it holds no tasks.
 pub(crate) fn connect(nodes: &mut NodeRegistry, number: NodeNumber) {
     nodes.handshake_done(number, START, 1, 0, true);
     assert_eq!(
@@ -54,7 +54,7 @@
     );
 }
 
-/// All outputs of a context, in order.
+/// Removes and returns all outputs of a context, in order.
 pub(crate) fn outputs(cx: &mut Context) -> Vec<Output> {
     std::iter::from_fn(|| cx.next_output()).collect()
 }
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -1,44 +1,47 @@
-//! What the core's timers are for.
+//! The purposes of the core's timers.
 
 use reedring::AttemptId;
 
 use crate::ids::{JobNumber, NodeNumber, SessionNumber};
 
-/// What a timer is for. None is ever withdrawn: whether it still applies is checked when it comes due.
+/// The purpose of a timer. Timers are never cancelled: whether one still applies is checked when it comes due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Timer {
-    /// One of the decision module's own.
+    /// A timer that the decision module set, with the token to pass back to it.
     Module(u64),
-    /// An offer is unanswered for as long as the decision module allows.
+    /// The time that the decision module allows a node for answering an offer is over.
     OfferTimeout(AttemptId),
     /// A node's answer to the stop of an attempt is overdue.
     StopTimeout(AttemptId),
-    /// What was unanswered on a lost connection counts as unknown now; the number is the connection's.
+    /// The outcome of unanswered offers counts as unknown if the node has not reconnected since `connection`, the
+    /// number of the lost connection.
     ReattachTimeout { node: NodeNumber, connection: u64 },
-    /// What was accepted over a connection that is still down counts as lost now.
+    /// Accepted tasks count as lost if the node has not reconnected since `connection`, the number of the lost
+    /// connection.
     NodeLost { node: NodeNumber, connection: u64 },
-    /// Nodes that were withheld from the decision module after the start are announced.
+    /// Announce the nodes that were withheld from the decision module after the start.
     AnnounceNodes,
-    /// The agreement on the configuration is advanced.
+    /// Advance the agreement on the configuration.
     Configuration,
-    /// The offers of a node that is warming up are evaluated again.
+    /// Evaluate the offers to a node that is warming up again.
     SlowStart(NodeNumber),
-    /// A health check is overdue.
+    /// The health check with this nonce is overdue.
     HealthCheck(u64),
-    /// A job's start time has come, or its backoff after a loss is over.
+    /// The start time of a job is reached, or its backoff after a loss is over.
     RequestPlacement(JobNumber),
-    /// A job's deadline to be placed.
+    /// The deadline for placing a job is reached, if it still waits for this request.
     PlacementDeadline { job: JobNumber, request: u64 },
-    /// A job has run for as long as its template allows.
+    /// A job has reached the run time that its template allows.
     RunLimit(JobNumber),
-    /// A client's wait has timed out.
+    /// The wait of a client for a job has timed out.
     WaitTimeout { session: SessionNumber, call: u64 },
-    /// Nodes have had their time to report what they hold.
+    /// The time for nodes to report the tasks they hold, after the start, is over.
     ReconciliationDeadline,
-    /// Finished jobs that nobody waited for are forgotten.
+    /// Remove jobs that ended long ago and that no client has waited for, and sessions unused since.
     ForgetFinished,
-    /// The decision module's beliefs are persisted.
+    /// Persist the beliefs of the decision module.
     PersistBeliefs,
-    /// A job of a former incarnation is decided on, for the last time or not.
+    /// Decide how a job goes on that was being placed when a former incarnation ended. With `last` it may not wait any
+    /// longer.
     Recover { job: JobNumber, last: bool },
 }
