--- a/crates/core/src/constraints/mod.rs
+++ b/crates/core/src/constraints/mod.rs
@@ -78,8 +78,8 @@
 
     /// Explains why no listed machine can ever satisfy the job's constraint; `None` if some machine can, or if no node
     /// is listed.
-    pub fn impossible(&mut self, job: &ConstrainedJob) -> Option<Explanation> {
-        self.site.impossible(job)
+    pub fn explain_impossible(&mut self, job: &ConstrainedJob) -> Option<Explanation> {
+        self.site.explain_impossible(job)
     }
 
     /// Explains the current evaluation of a job's constraint, clause by clause.
--- a/crates/core/src/constraints/site.rs
+++ b/crates/core/src/constraints/site.rs
@@ -108,7 +108,7 @@
 
     /// Explains why no listed machine can ever satisfy the job's constraint; `None` if some machine can, or if no node
     /// is listed.
-    pub fn impossible(&mut self, job: &ConstrainedJob) -> Option<Explanation> {
+    pub fn explain_impossible(&mut self, job: &ConstrainedJob) -> Option<Explanation> {
         let compiled = self.compiled(&job.constraint);
         let has_listed_nodes = self.fleet.lines().iter().any(|line| line.listed);
         (has_listed_nodes && compiled.is_never())
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -204,7 +204,7 @@
             cx,
             ..
         } = self;
-        queue.cut(
+        queue.cut_batch(
             now,
             &mut RowSources {
                 sessions,
--- a/crates/core/src/core/dispatch.rs
+++ b/crates/core/src/core/dispatch.rs
@@ -81,7 +81,7 @@
             }
             Action::Fail(request) => lifecycle.answer(now, request, Outcome::Failed, None),
             Action::Move(request) => {
-                if let Some(id) = lifecycle.ledger.attempt_of(request) {
+                if let Some(id) = lifecycle.ledger.first_open_attempt(request) {
                     lifecycle.stop(now, id);
                 }
             }
--- a/crates/core/src/ledger/job_name.rs
+++ b/crates/core/src/ledger/job_name.rs
@@ -31,7 +31,7 @@
     }
 
     /// The call and index of the job within its session.
-    pub const fn place(&self) -> CallIndex {
+    pub const fn call_index(&self) -> CallIndex {
         CallIndex {
             call: self.call,
             index: self.index,
--- a/crates/core/src/ledger/mod.rs
+++ b/crates/core/src/ledger/mod.rs
@@ -210,7 +210,7 @@
     }
 
     /// The open attempt with the lowest number for a request.
-    pub fn attempt_of(&self, request: RequestId) -> Option<AttemptId> {
+    pub fn first_open_attempt(&self, request: RequestId) -> Option<AttemptId> {
         self.attempts
             .keys()
             .find(|id| id.request == request)
@@ -227,7 +227,7 @@
     }
 
     /// The open attempt with this wire id.
-    pub fn find(&self, id: wire::AttemptId) -> Option<AttemptId> {
+    pub fn find_by_wire_id(&self, id: wire::AttemptId) -> Option<AttemptId> {
         let own = AttemptId {
             request: RequestId(id.request),
             number: id.number,
@@ -246,7 +246,7 @@
     }
 
     /// Adds an open attempt to the ledger and to its job.
-    pub fn open(&mut self, id: AttemptId, attempt: Attempt) {
+    pub fn open_attempt(&mut self, id: AttemptId, attempt: Attempt) {
         if attempt.wire != self.wire_id(id) {
             self.adopted.insert(attempt.wire, id);
         }
@@ -257,7 +257,7 @@
     }
 
     /// Removes an attempt whose end is known, and records `result` in the history of its job.
-    pub fn close(&mut self, id: AttemptId, result: &'static str) -> Option<Attempt> {
+    pub fn close_attempt(&mut self, id: AttemptId, result: &'static str) -> Option<Attempt> {
         let attempt = self.attempts.remove(&id)?;
         self.adopted.remove(&attempt.wire);
         if let Some(job) = self.job_mut(attempt.job) {
--- a/crates/core/src/ledger/tests.rs
+++ b/crates/core/src/ledger/tests.rs
@@ -53,17 +53,17 @@
         request: own.request.0,
         number: 0,
     };
-    ledger.open(own, attempt(JobNumber(1), ledger.wire_id(own)));
-    ledger.open(adopted, attempt(JobNumber(2), foreign));
-    assert_eq!(ledger.find(ledger.wire_id(own)), Some(own));
+    ledger.open_attempt(own, attempt(JobNumber(1), ledger.wire_id(own)));
+    ledger.open_attempt(adopted, attempt(JobNumber(2), foreign));
+    assert_eq!(ledger.find_by_wire_id(ledger.wire_id(own)), Some(own));
     assert_eq!(
-        ledger.find(foreign),
+        ledger.find_by_wire_id(foreign),
         Some(adopted),
         "the attempt of another incarnation with the same request number"
     );
     assert!(!ledger.is_known(foreign));
-    ledger.close(adopted, "ended");
-    assert_eq!(ledger.find(foreign), None);
+    ledger.close_attempt(adopted, "ended");
+    assert_eq!(ledger.find_by_wire_id(foreign), None);
     assert!(
         ledger.is_known(foreign),
         "a closed attempt that is reported again must not be adopted"
--- a/crates/core/src/lifecycle/adoption.rs
+++ b/crates/core/src/lifecycle/adoption.rs
@@ -117,7 +117,7 @@
                 recovering,
                 &InFlightState::Running,
             )
-            && let Some(id) = self.ledger.find(attempt)
+            && let Some(id) = self.ledger.find_by_wire_id(attempt)
         {
             self.attempt_ended(now, id, end, ran, Vec::new());
         }
@@ -184,7 +184,7 @@
             node_incarnation: self.nodes.incarnation(node),
             topics,
         };
-        self.ledger.open(id, attempt);
+        self.ledger.open_attempt(id, attempt);
         self.nodes.add_attempt(node, id);
         if let Some(entry) = self.ledger.job_mut(job) {
             entry.record_attempt(id, node, now);
--- a/crates/core/src/lifecycle/durability.rs
+++ b/crates/core/src/lifecycle/durability.rs
@@ -43,7 +43,7 @@
             && self
                 .nodes
                 .is_warming_up(number, now, &self.cx.settings().site);
-        is_ready && !is_late && self.ledger.find(attempt).is_some()
+        is_ready && !is_late && self.ledger.find_by_wire_id(attempt).is_some()
     }
 
     /// Retracts offers that wait for the disk and whose nodes are no longer ready.
@@ -65,7 +65,7 @@
 
     /// Closes the attempt of an offer that was not sent.
     fn offer_retracted(&mut self, now: Micros, output: &Output, label: &'static str) {
-        let id = offered_attempt(output).and_then(|attempt| self.ledger.find(attempt));
+        let id = offered_attempt(output).and_then(|attempt| self.ledger.find_by_wire_id(attempt));
         if let Some(id) = id {
             self.attempt_unplaced(now, id, AttemptEnd::new(AttemptOutcome::Unsent, label));
         }
@@ -94,7 +94,7 @@
                 ) if task.idempotency != wire::Idempotency::Idempotent
                     && !self.queue.may_offer(Effect::Unsafe, self.cx) =>
                 {
-                    if let Some(id) = self.ledger.find(*attempt) {
+                    if let Some(id) = self.ledger.find_by_wire_id(*attempt) {
                         self.reject_unpersisted(now, id);
                     }
                 }
--- a/crates/core/src/lifecycle/jobs.rs
+++ b/crates/core/src/lifecycle/jobs.rs
@@ -26,7 +26,7 @@
 impl JobLifecycle<'_> {
     /// Adds a job to the ledger and to its session.
     pub fn add_job(&mut self, job: Job) -> JobNumber {
-        let (session, place) = (job.session, job.name.place());
+        let (session, place) = (job.session, job.name.call_index());
         let number = self.ledger.add(job);
         if let Some(session) = self.sessions.get_mut(session) {
             session.add_job(place, number);
@@ -39,7 +39,7 @@
     pub fn job_named(&self, name: &str) -> Option<JobNumber> {
         let name = JobName::parse(name)?;
         let session = self.sessions.get(self.sessions.find(&name.session).ok()?)?;
-        session.job(name.place())
+        session.job(name.call_index())
     }
 
     /// Whether a former incarnation with a complete ledger made this attempt, and the end of its job was returned to
@@ -50,7 +50,7 @@
         }
         let is_settled = JobName::parse(name).and_then(|name| {
             let session = self.sessions.get(self.sessions.find(&name.session).ok()?)?;
-            Some(session.is_call_closed(name.call) && session.job(name.place()).is_none())
+            Some(session.is_call_closed(name.call) && session.job(name.call_index()).is_none())
         });
         is_settled.unwrap_or(false)
     }
@@ -215,7 +215,7 @@
         if let Some(job) = self.ledger.forget(number)
             && let Some(session) = self.sessions.get_mut(job.session)
         {
-            session.remove_job(job.name.place(), number);
+            session.remove_job(job.name.call_index(), number);
         }
     }
 
--- a/crates/core/src/lifecycle/offers.rs
+++ b/crates/core/src/lifecycle/offers.rs
@@ -90,7 +90,7 @@
             node_incarnation: self.nodes.incarnation(node),
             topics,
         };
-        self.ledger.open(id, attempt);
+        self.ledger.open_attempt(id, attempt);
         self.nodes.add_attempt(node, id);
         true
     }
@@ -251,7 +251,7 @@
             if let Some(node) = self.constraints.attempt_resolved(*attempt) {
                 self.evaluate_slow_start(now, node);
             }
-            if let Some(id) = self.ledger.find(*attempt) {
+            if let Some(id) = self.ledger.find_by_wire_id(*attempt) {
                 self.attempt_unplaced(now, id, AttemptEnd::new(Outcome::Unsent, "never sent"));
             }
         }
@@ -265,7 +265,7 @@
         label: &'static str,
         is_unresolved: bool,
     ) -> Option<Attempt> {
-        let attempt = self.ledger.close(id, label)?;
+        let attempt = self.ledger.close_attempt(id, label)?;
         let (topics, node) = (&attempt.topics, attempt.node);
         if is_unresolved {
             self.constraints
--- a/crates/core/src/lifecycle/reconciliation.rs
+++ b/crates/core/src/lifecycle/reconciliation.rs
@@ -37,7 +37,7 @@
         self.constraints.resolve_except(number, &reported_ids);
         self.offer_answered(now, number, now);
         for task in reported {
-            if self.ledger.find(task.attempt).is_none() {
+            if self.ledger.find_by_wire_id(task.attempt).is_none() {
                 self.unknown_attempt_reported(now, number, task);
             }
         }
--- a/crates/core/src/lifecycle/reports.rs
+++ b/crates/core/src/lifecycle/reports.rs
@@ -16,7 +16,7 @@
 impl JobLifecycle<'_> {
     /// The open attempt that a node reports on; `None` where the attempt is closed or was offered to another node.
     fn reported_attempt(&self, node: NodeNumber, attempt: wire::AttemptId) -> Option<AttemptId> {
-        let id = self.ledger.find(attempt)?;
+        let id = self.ledger.find_by_wire_id(attempt)?;
         self.ledger
             .attempt(id)
             .filter(|attempt| attempt.node == node)
--- a/crates/core/src/lifecycle/requests.rs
+++ b/crates/core/src/lifecycle/requests.rs
@@ -78,7 +78,7 @@
             .and_then(|job| job.requirements.constrained_job());
         if let Some(explanation) = constrained
             .as_ref()
-            .and_then(|job| self.constraints.impossible(job))
+            .and_then(|job| self.constraints.explain_impossible(job))
         {
             self.record_outcome(job, Outcome::Refused);
             return self.end_job(now, job, Ending::aborted(format!("refused: {explanation}")));
--- a/crates/core/src/lifecycle/sending.rs
+++ b/crates/core/src/lifecycle/sending.rs
@@ -56,7 +56,7 @@
         }
         let attempt = self
             .ledger
-            .find(attempt)
+            .find_by_wire_id(attempt)
             .and_then(|id| self.ledger.attempt(id));
         let job = attempt.and_then(|attempt| self.ledger.job(attempt.job));
         job.is_some_and(|job| job.recorded_in.is_none() && self.effect(job) == Effect::Safe)
--- a/crates/core/src/persistence/batches.rs
+++ b/crates/core/src/persistence/batches.rs
@@ -35,7 +35,7 @@
     }
 
     /// Ends a flush: its changes become a batch, and its outputs are sent or wait for a batch.
-    pub fn cut(&mut self, now: Micros, sources: &mut RowSources<'_>, cx: &mut Context) {
+    pub fn cut_batch(&mut self, now: Micros, sources: &mut RowSources<'_>, cx: &mut Context) {
         match self.mode {
             Mode::On if self.rewrite => self.cut_rewrite(now, sources, cx),
             Mode::On => self.cut_changes(now, sources, cx),
--- a/crates/core/src/persistence/tests.rs
+++ b/crates/core/src/persistence/tests.rs
@@ -23,7 +23,7 @@
         ledger: &mut ledger,
         nodes: &nodes,
     };
-    queue.cut(START, &mut sources, cx);
+    queue.cut_batch(START, &mut sources, cx);
     outputs(cx)
 }
 
--- a/crates/core/src/requests/mod.rs
+++ b/crates/core/src/requests/mod.rs
@@ -264,7 +264,7 @@
         let session = lifecycle.sessions.get(number);
         session
             .filter(|session| *session.name() == parsed.session)?
-            .job(parsed.place())
+            .job(parsed.call_index())
     });
     found.ok_or_else(|| {
         let text = format!("`{name}` is no job of this session, or its end was told");
--- a/crates/core/src/restore/jobs.rs
+++ b/crates/core/src/restore/jobs.rs
@@ -32,7 +32,7 @@
         call: row.call,
         index: row.index,
     };
-    let call_index = name.place();
+    let call_index = name.call_index();
     let requirements = match requirements {
         Ok(requirements) => Arc::clone(requirements),
         Err(unusable) => Arc::clone(&unusable.remaining),
@@ -264,7 +264,7 @@
         node_incarnation: row.node_incarnation,
         topics,
     };
-    lifecycle.ledger.open(id, attempt);
+    lifecycle.ledger.open_attempt(id, attempt);
     lifecycle
         .nodes
         .restore_attempt(node, id, row.node_incarnation);
