--- a/crates/core/src/restore.rs
+++ b/crates/core/src/restore.rs
@@ -2,7 +2,7 @@
 //!
 //! Jobs keep their numbers. Placed jobs are announced to the decision module at once, as adopted. Jobs that were being
 //! placed wait until the nodes that were offered them have reported;
-//! [`decide::recovery_action`](crate::decide::recovery_action) then decides how each goes on.
+//! [`decide::recovery_action`] then decides how each goes on.
 
 mod jobs;
 
--- a/crates/core/src/timers.rs
+++ b/crates/core/src/timers.rs
@@ -23,7 +23,7 @@
     AnnounceNodes,
     /// Advance the agreement on the configuration.
     Configuration,
-    /// Evaluate the offers to a node that is warming up again.
+    /// Evaluate once more whether the offers to a node that is warming up are overdue.
     SlowStart(NodeNumber),
     /// The health check with this nonce is overdue.
     HealthCheck(u64),
