--- a/crates/platform/src/run/control.rs
+++ b/crates/platform/src/run/control.rs
@@ -1,4 +1,4 @@
-//! Signals: the exit, and the configuration read again.
+//! Handles signals: shutdown and reload of the configuration.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,11 +12,11 @@
 
 use super::{log, read_config};
 
-/// The delay before a configuration that can't be used is read again.
+/// Delay before a configuration that was rejected is read again.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Answers signals until the placer exits. A configuration that can't be used leaves the former one in force and is
-/// read again until it can.
+/// Handles signals until the placer exits. On a reload only the address of discovery is applied. A configuration that
+/// is rejected leaves the previous one in force, and the file is read again until it is valid.
 pub(super) async fn handle_signals(
     mut signals: mpsc::Receiver<SignalRequest>,
     path: PathBuf,
--- a/crates/platform/src/run/event_loop.rs
+++ b/crates/platform/src/run/event_loop.rs
@@ -1,4 +1,4 @@
-//! The loop around the engine: inputs are taken in, the engine decides, and its outputs are carried out.
+//! The loop around the engine: passes inputs to the engine, runs it and executes its outputs.
 
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -20,22 +20,25 @@
 use super::control::handle_signals;
 use super::shell::{Shell, ShellSettings};
 
-/// Items taken from the channel at once.
+/// Maximum number of items handled from the input channel at once.
 const BATCH: usize = 64;
-/// Items that wait for the engine; a sender of one more waits. One of a client may hold 32 KiB of messages.
+/// Capacity of the input channel; senders wait while it is full. One item of a client may hold 32 KiB of messages.
 pub(super) const INPUT_QUEUE: usize = 128;
-/// If so much input came at once, or requests wait to be submitted, all input that there is is taken in before the
-/// decision module decides: in so many passes over the sockets, and up to so many inputs.
+/// If this many inputs were handled since the decision module last ran, or if requests wait to be submitted, more input
+/// is received before it runs again, up to [`MAX_PASSES`] passes and until [`MAX_INPUTS`] inputs are handled.
 const BUSY_INPUTS: usize = 16;
+/// Maximum number of batches of input handled before the decision module runs.
 const MAX_PASSES: usize = 8;
+/// No further pass begins once this many inputs were handled.
 const MAX_INPUTS: usize = 1_024;
-/// Answers of discovery that wait for the engine.
+/// Capacity of the channel on which the discovery task sends updates and failures.
 pub(super) const DISCOVERY_QUEUE: usize = 4;
-/// Bytes that wait to be written may hold this part of the memory, and at least [`MIN_WRITE_BYTES`].
-const WRITE_MEMORY_PART: usize = 8;
+/// Unwritten bytes may use the configured memory divided by this, but at least [`MIN_WRITE_BYTES`].
+const WRITE_MEMORY_DIVISOR: usize = 8;
+/// Lower bound of the limit on unwritten bytes.
 const MIN_WRITE_BYTES: usize = 64 * 1024;
 
-/// Microseconds since 1970, on a clock that never goes back.
+/// Microseconds since the Unix epoch, on a monotonic clock: the system clock is read once, at the start.
 struct Clock {
     started: Instant,
     started_unix_us: u64,
@@ -57,7 +60,9 @@
     }
 }
 
-/// Serves on a listener until it is asked to exit, by `signals` in place of the process's signals.
+/// Serves on a listener until `signals` requests shutdown; `signals` replaces the signals of the process.
+///
+/// `path` is the configuration file, which is read again on a reload.
 pub async fn serve(
     path: &Path,
     config: Config,
@@ -69,19 +74,20 @@
         .await;
 }
 
-/// The engine, its shell, and the channels on which input comes.
+/// The engine, its shell, and the channels that deliver input.
 struct EventLoop {
     clock: Clock,
     engine: Engine,
     shell: Shell,
     incoming: mpsc::Receiver<Incoming>,
-    /// Updates of the endpoint list go before all other input: a drain counts from when discovery published it.
+    /// Updates of the endpoint list are handled before all other input, as a drain counts from when discovery published
+    /// it.
     discovery: mpsc::Receiver<Input>,
     batch: Vec<Incoming>,
 }
 
 impl EventLoop {
-    /// Makes the engine, and starts the tasks for discovery, signals and the listener.
+    /// Creates the engine, and starts the tasks for discovery, signals and the listener.
     fn start(
         path: &Path,
         config: Config,
@@ -105,7 +111,7 @@
             incoming: sender.clone(),
         };
         tokio::spawn(acceptor.run(listener, stopped));
-        let write_bytes = config.limits.memory_mb as usize * 1024 * 1024 / WRITE_MEMORY_PART;
+        let write_bytes = config.limits.memory_mb as usize * 1024 * 1024 / WRITE_MEMORY_DIVISOR;
         let shell = Shell::new(ShellSettings {
             connect_timeout: Duration::from_micros(connect_timeout_us(&config.settings)),
             permits,
@@ -135,11 +141,11 @@
         loop {
             self.engine.flush(self.clock.now());
             while let Some(output) = self.engine.poll() {
-                // Input that came before the exit is answered, however far behind the loop is.
+                // Input that was received before the exit is still answered, even if the loop lags behind.
                 if matches!(output, Output::MayExit) && self.incoming.is_empty() {
                     return self.shell.write_all().await;
                 }
-                self.shell.carry_out(self.clock.now(), output);
+                self.shell.execute(self.clock.now(), output);
             }
             self.shell.flush();
             let wake = self.engine.next_wake();
@@ -151,43 +157,45 @@
                 wake,
             )
             .await;
-            let mut taken = 0;
+            let mut handled = 0;
             for update in updates {
-                taken += self.take_in(Incoming::Input(update));
+                handled += self.handle_incoming(Incoming::Input(update));
             }
-            self.take_in_batches(taken).await;
+            self.handle_batches(handled).await;
         }
     }
 
-    /// Takes in the batch; when it is busy, all input that there is, as cancellations may be among it.
-    async fn take_in_batches(&mut self, mut taken: usize) {
+    /// Handles the batch. Under load, further input is received and handled first, as it may contain cancellations of
+    /// requests in the batch.
+    async fn handle_batches(&mut self, mut handled: usize) {
         for pass in 0..MAX_PASSES {
-            // Put back afterwards, so that its memory is used again.
+            // Put back after the loop, so that its allocation is reused.
             let mut batch = std::mem::take(&mut self.batch);
             for incoming in batch.drain(..) {
-                taken += self.take_in(incoming);
+                handled += self.handle_incoming(incoming);
             }
             self.batch = batch;
-            let is_busy = self.engine.has_backlog() || taken >= BUSY_INPUTS;
-            if taken >= MAX_INPUTS || pass + 1 == MAX_PASSES || !is_busy {
+            let is_busy = self.engine.has_backlog() || handled >= BUSY_INPUTS;
+            if handled >= MAX_INPUTS || pass + 1 == MAX_PASSES || !is_busy {
                 break;
             }
             tokio::task::yield_now().await;
-            let waiting = std::iter::from_fn(|| self.incoming.try_recv().ok());
-            self.batch.extend(waiting.take(INPUT_QUEUE));
+            let pending = std::iter::from_fn(|| self.incoming.try_recv().ok());
+            self.batch.extend(pending.take(INPUT_QUEUE));
             if self.batch.is_empty() {
                 break;
             }
         }
     }
 
-    fn take_in(&mut self, incoming: Incoming) -> usize {
+    fn handle_incoming(&mut self, incoming: Incoming) -> usize {
         self.shell
-            .take_in(&mut self.engine, self.clock.now(), incoming)
+            .handle_incoming(&mut self.engine, self.clock.now(), incoming)
     }
 }
 
-/// Waits for input or for the time to wake: all updates of the endpoint list, which go first, and a batch of the rest.
+/// Waits for input, or until `wake` has elapsed. Returns all pending updates of the endpoint list, which are handled
+/// first, and appends up to [`BATCH`] other inputs to `batch`.
 pub(super) async fn next_input(
     discovery: &mut mpsc::Receiver<Input>,
     incoming: &mut mpsc::Receiver<Incoming>,
--- a/crates/platform/src/run/log.rs
+++ b/crates/platform/src/run/log.rs
@@ -1,4 +1,4 @@
-//! The operators' log: each event with its name and fields, so that it can be searched for.
+//! The operators' log: each event is written with its name and fields, so that logs can be searched by them.
 
 use std::net::SocketAddr;
 
@@ -6,23 +6,24 @@
 
 use super::RunError;
 
-/// Events of all kinds that are written in one second of the clock at most.
+/// Maximum number of events, of all kinds together, written per second of the clock.
 const MAX_EVENTS_PER_SECOND: u32 = 50;
 
-/// Writes a bounded number of events: a flood of invalid input does not flood the log.
+/// Writes a bounded number of events per second, so that a flood of invalid input does not flood the log.
 ///
 /// All kinds of [`LogEvent`] share the limit of [`MAX_EVENTS_PER_SECOND`], so a flood of one kind also hides the others
-/// until the second is over. What is over the limit is dropped: no record and no counter tells how many events were.
-/// [`configuration_reloaded`] and [`configuration_rejected`] are written past the limit.
+/// until the second is over. Events over the limit are dropped; neither a log record nor a counter shows how many.
+/// [`configuration_reloaded`] and [`configuration_rejected`] are not limited.
 #[derive(Default)]
 pub(super) struct RateLimitedLog {
-    /// The second of the last event, since 1970.
+    /// Second of the last event, since the Unix epoch.
     second: u64,
-    /// How many events there were in it, dropped ones included.
+    /// Number of events in that second, including dropped ones.
     count: u32,
 }
 
 impl RateLimitedLog {
+    /// Writes the event unless the limit is reached; `now` is in microseconds since the Unix epoch.
     pub(super) fn write(&mut self, now: u64, event: &LogEvent) {
         let second = now / 1_000_000;
         if self.second != second {
--- a/crates/platform/src/run/mod.rs
+++ b/crates/platform/src/run/mod.rs
@@ -1,4 +1,4 @@
-//! The shell: sockets, signals, the clock and the configuration file around the engine, in one thread.
+//! The shell around the engine: runs sockets, signals, the clock and the configuration file on one thread.
 
 mod control;
 mod event_loop;
@@ -18,38 +18,38 @@
 
 pub use event_loop::serve;
 
-/// Signals that wait to be answered.
+/// Capacity of the channel between the signal handlers and [`control::handle_signals`].
 const SIGNAL_QUEUE: usize = 4;
 
-/// Why a placer did not start.
+/// Reason why a placer did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// Its configuration can't be opened.
+    /// The configuration file can't be read.
     #[error("{path}: {error}; name a file that can be read")]
     Read {
-        /// The file.
+        /// Path of the configuration file.
         path: PathBuf,
-        /// What went wrong.
+        /// Error that reading the file returned.
         error: io::Error,
     },
-    /// Its configuration is invalid.
+    /// The configuration file is invalid.
     #[error("{path}: {error}")]
     Config {
-        /// The file.
+        /// Path of the configuration file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Why the content is invalid.
         error: config::Error,
     },
-    /// Its address can't be listened on.
+    /// The listening socket can't be bound.
     #[error("can't listen on {address}: {error}; give it an address of this machine that is free")]
     Listen {
-        /// The address.
+        /// Address that was to be listened on.
         address: SocketAddr,
-        /// What went wrong.
+        /// Error that binding returned.
         error: io::Error,
     },
-    /// Its runtime can't be made.
-    #[error("can't start: {0}")]
+    /// The tokio runtime or the signal handlers can't be set up.
+    #[error("can't set up the tokio runtime or the signal handlers: {0}")]
     Runtime(#[from] io::Error),
 }
 
@@ -64,7 +64,9 @@
     })
 }
 
-/// Serves until a signal asks the placer to exit.
+/// Reads the configuration file at `path` and serves until a signal requests shutdown.
+///
+/// `listen`, if given, replaces the listen address of the file.
 ///
 /// # Errors
 /// See [`RunError`].
@@ -75,7 +77,8 @@
         .enable_all()
         .build()?;
     let served = runtime.block_on(async {
-        // Signals are handled before the listener exists: whoever can connect can also ask for the exit.
+        // Signal handlers are installed before the listener is bound, so that a placer that accepts connections can
+        // already be shut down by a signal.
         let mut signals = Signals::new()?;
         let (send, requests) = mpsc::channel::<SignalRequest>(SIGNAL_QUEUE);
         tokio::spawn(async move { while send.send(signals.next().await).await.is_ok() {} });
--- a/crates/platform/src/run/shell.rs
+++ b/crates/platform/src/run/shell.rs
@@ -1,4 +1,4 @@
-//! Carries the engine's outputs out: connections, messages and log events.
+//! Executes the engine's outputs: connections, messages and log events.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,23 +18,24 @@
 
 use super::log::RateLimitedLog;
 
-/// How long the last answers may take to be written at the exit, and the interval at which that is checked.
+/// Maximum time at the exit for the last messages to clients to be written.
 const WRITE_ALL_LIMIT: Duration = Duration::from_millis(300);
+/// Interval at which the exit checks whether all messages are written.
 const WRITE_ALL_POLL: Duration = Duration::from_millis(5);
 
-/// What a [`Shell`] needs at its start.
+/// Parameters of [`Shell::new`].
 pub(super) struct ShellSettings {
     pub connect_timeout: Duration,
     pub permits: ConnectionPermits,
     pub budget: WriteBudget,
-    /// Bytes that may wait to be written.
+    /// Limit on the unwritten bytes of all connections together.
     pub max_pending_bytes: usize,
-    /// Dropped when no new connections are to be accepted any more.
+    /// Dropped to stop accepting new connections.
     pub stop_listening: oneshot::Sender<()>,
     pub incoming: mpsc::Sender<Incoming>,
 }
 
-/// The connections of clients and the links to hosts, by their numbers.
+/// Holds the writers of client connections and of links to hosts, by their numbers.
 pub(super) struct Shell {
     pub(super) clients: BTreeMap<ConnId, MessageWriter>,
     pub(super) links: BTreeMap<LinkId, MessageWriter>,
@@ -42,8 +43,9 @@
     permits: ConnectionPermits,
     pub(super) budget: WriteBudget,
     max_pending_bytes: usize,
-    /// Connections that were sent something which is not written yet.
+    /// Client connections with messages added since the last [`Shell::flush`].
     unflushed_clients: Vec<ConnId>,
+    /// Links with messages added since the last [`Shell::flush`].
     unflushed_links: Vec<LinkId>,
     stop_listening: Option<oneshot::Sender<()>>,
     incoming: mpsc::Sender<Incoming>,
@@ -67,8 +69,13 @@
         }
     }
 
-    /// Passes what came on to the engine; how many inputs it was.
-    pub(super) fn take_in(&mut self, engine: &mut Engine, now: u64, incoming: Incoming) -> usize {
+    /// Passes received input to the engine; returns the number of inputs.
+    pub(super) fn handle_incoming(
+        &mut self,
+        engine: &mut Engine,
+        now: u64,
+        incoming: Incoming,
+    ) -> usize {
         match incoming {
             Incoming::Client(conn, writer) => {
                 self.clients.insert(conn, writer);
@@ -103,7 +110,7 @@
         engine.handle(now, input);
     }
 
-    pub(super) fn carry_out(&mut self, now: u64, output: Output) {
+    pub(super) fn execute(&mut self, now: u64, output: Output) {
         message_log::write(|| message_log::output_line(&output));
         match output {
             Output::ToClient(conn, message) => {
@@ -126,7 +133,7 @@
             Output::Connect(link, address) => self.connect(link, address),
             Output::ToHost(link, message) => self.send_to_host(now, link, &message),
             Output::CloseLink(link) => {
-                // Attempts on it are given up with it, before they are sent elsewhere.
+                // Closing the link gives up its attempts, which must happen before they are sent on another link.
                 if let Some(writer) = self.links.remove(&link) {
                     writer.flush();
                     writer.abort();
@@ -165,14 +172,14 @@
         ) {
             self.unflushed_links.push(link);
         } else if !writer.flush() {
-            // An attempt is to be given up before it is sent elsewhere: a host that takes nothing any more sees the
-            // connection end instead.
+            // The host must learn that the attempt is given up before the request is sent elsewhere. If the release
+            // can't be written now, the link is shut down instead.
             writer.abort();
         }
         self.limit_pending_bytes(now);
     }
 
-    /// Writes what was sent since the last call.
+    /// Writes the messages that were added since the last call.
     pub(super) fn flush(&mut self) {
         for link in self.unflushed_links.drain(..) {
             self.links.get(&link).map(MessageWriter::flush);
@@ -182,8 +189,7 @@
         }
     }
 
-    /// If too much waits to be written, the connection for which most of it waits is ended: its other end does not
-    /// read.
+    /// If the unwritten bytes exceed the limit, closes the connection with the most of them, as its peer does not read.
     fn limit_pending_bytes(&mut self, now: u64) {
         if self.budget.pending() <= self.max_pending_bytes {
             return;
@@ -209,7 +215,7 @@
         }
     }
 
-    /// Lets the last messages be written.
+    /// Waits up to [`WRITE_ALL_LIMIT`] until the last messages to clients are written.
     pub(super) async fn write_all(&mut self) {
         let clients = std::mem::take(&mut self.clients);
         let written = async {
--- a/crates/platform/src/run/tests.rs
+++ b/crates/platform/src/run/tests.rs
@@ -1,4 +1,4 @@
-//! The order in which the loop takes input in and writes.
+//! The order in which the event loop handles input and writes messages.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,9 +18,9 @@
 use crate::sockets::{ConnectionPermits, Incoming};
 use crate::write_buffer::{WriteBudget, WriteBuffer};
 
-/// A drain counts from when discovery published it, however much input waits before it.
+/// A drain counts from when discovery published it, so its update must not queue behind other input.
 #[tokio::test]
-async fn updates_of_discovery_go_before_all_input_that_waits() {
+async fn discovery_updates_are_handled_before_other_pending_input() {
     for _ in 0..32 {
         let (updates, mut discovery) = mpsc::channel(DISCOVERY_QUEUE);
         let (sender, mut incoming) = mpsc::channel(INPUT_QUEUE);
@@ -38,10 +38,11 @@
     }
 }
 
-/// Seen on split+mass: the release of an attempt was written after the next attempt on another link, as the task of the
-/// first link waited for the engine. Nothing but the loop may be needed to write it, and it writes it first.
+/// Guards against two live attempts of one request. If the release of an attempt were written by its link's task, which
+/// may be waiting for the engine, the next attempt could be written on another link first. The event loop must write
+/// the release itself, before the next attempt.
 #[tokio::test]
-async fn an_attempt_is_given_up_before_the_next_one_is_sent() {
+async fn the_release_of_an_attempt_is_written_before_the_next_attempt() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let (sender, _incoming) = mpsc::channel(4);
@@ -59,14 +60,14 @@
         stop_listening,
         incoming: sender,
     });
-    let mut ends = Vec::new();
+    let mut host_sides = Vec::new();
     for link in [1, 2] {
         let WriteBuffer { writer, queue } = WriteBuffer::new(&shell.budget);
         let stream = Arc::new(TcpStream::connect(address).await.unwrap());
         stream.writable().await.unwrap();
         queue.attach(&stream, Vec::new());
         shell.links.insert(link, writer);
-        ends.push((listener.accept().await.unwrap().0, queue));
+        host_sides.push((listener.accept().await.unwrap().0, queue));
     }
     let request = ToHost::PlacementRequest {
         id: 7,
@@ -76,8 +77,8 @@
         left_ms: 100,
         description: "x".to_owned(),
     };
-    // Both in one pass of the loop, whatever else was sent on the second before.
-    shell.carry_out(
+    // Release and next attempt are sent in one pass of the loop, after a health check on the second link.
+    shell.execute(
         0,
         Output::ToHost(
             2,
@@ -87,7 +88,7 @@
             },
         ),
     );
-    shell.carry_out(
+    shell.execute(
         0,
         Output::ToHost(
             1,
@@ -97,27 +98,27 @@
             },
         ),
     );
-    shell.carry_out(0, Output::ToHost(2, request));
+    shell.execute(0, Output::ToHost(2, request));
     let mut bytes = [0; 256];
-    let count = ends[0].0.read(&mut bytes).await.unwrap();
+    let count = host_sides[0].0.read(&mut bytes).await.unwrap();
     assert!(
         std::str::from_utf8(&bytes[..count])
             .unwrap()
             .contains("release")
     );
     assert_eq!(
-        ends[1].1.messages_begun(),
+        host_sides[1].1.messages_begun(),
         0,
-        "the request waits for the end of the pass"
+        "the request must not be written before the end of the pass"
     );
     shell.flush();
-    let count = ends[1].0.read(&mut bytes).await.unwrap();
+    let count = host_sides[1].0.read(&mut bytes).await.unwrap();
     assert!(
         std::str::from_utf8(&bytes[..count])
             .unwrap()
             .contains("setup")
     );
-    // A connection that is closed has ended for its host before anything else is done.
-    shell.carry_out(0, Output::CloseLink(2));
-    assert_eq!(ends[1].0.read(&mut bytes).await.unwrap(), 0);
+    // Closing a link shuts its connection down at once.
+    shell.execute(0, Output::CloseLink(2));
+    assert_eq!(host_sides[1].0.read(&mut bytes).await.unwrap(), 0);
 }
--- a/crates/platform/src/sockets/client.rs
+++ b/crates/platform/src/sockets/client.rs
@@ -1,4 +1,4 @@
-//! Clients' connections: accepted, read and written.
+//! Accepts, reads and writes the connections of clients.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,18 +8,18 @@
 use tokio::sync::{OwnedSemaphorePermit, mpsc, oneshot};
 use tokio::time::Instant;
 
-use super::{ConnectionPermits, Incoming, Read, WRITE_STALL_LIMIT, limit_over, read, write};
+use super::{ConnectionPermits, Incoming, Read, WRITE_STALL_LIMIT, deadline, read, write};
 use crate::errors::ClientReadError;
 use crate::ids::ConnId;
 use crate::io::Input;
 use crate::write_buffer::{WriteBudget, WriteBuffer, WriteQueue};
 
-/// A message that has begun must end in this time.
+/// Maximum time between the first part of a message and its end.
 const MESSAGE_LIMIT: Duration = Duration::from_millis(2_400);
-/// How many buffers are read of a client at once.
+/// Maximum number of buffers read from a client before its inputs are reported.
 const MAX_READS: usize = 2;
 
-/// Accepts clients' connections.
+/// Accepts client connections.
 pub(crate) struct Acceptor {
     pub permits: ConnectionPermits,
     pub budget: WriteBudget,
@@ -27,7 +27,7 @@
 }
 
 impl Acceptor {
-    /// Accepts until it is told to stop; connections that the system accepted by then are taken as well.
+    /// Accepts until `stopped` resolves; connections in the accept queue at that time are still accepted.
     pub async fn run(self, listener: TcpListener, mut stopped: oneshot::Receiver<()>) {
         let mut last: ConnId = 0;
         loop {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Reports a new connection and starts its task; whether the loop still runs.
+    /// Reports a new connection and starts its task. Returns `false` if the event loop has ended.
     async fn admit(
         &self,
         conn: ConnId,
@@ -83,37 +83,38 @@
     }
 }
 
-/// What was read of a client at once.
+/// Result of reading all that a client has sent, up to [`MAX_READS`] buffers.
 enum ReadOutcome {
-    /// Its messages, and whether nothing more is to be read from it.
+    /// Inputs for the engine; `is_last` is set if nothing more is to be read from the client.
     Read { inputs: Vec<Input>, is_last: bool },
-    /// Its connection broke.
+    /// The connection failed.
     Broken,
 }
 
-/// What happened to a connection.
+/// Reason why a client's task woke up.
 enum Wake {
+    /// The socket may have data to read.
     Readable,
-    /// Something may be written.
+    /// The socket may accept more bytes, or the write buffer changed.
     Writable,
-    /// A message did not end in time.
+    /// A message was not complete within [`MESSAGE_LIMIT`].
     MessageOverdue,
-    /// The connection broke, or its other end does not read.
+    /// The connection failed, or the client does not read.
     Broken,
 }
 
-/// The task of a client's connection.
+/// The task that reads and writes one client connection.
 pub(super) struct ClientTask<'a> {
     conn: ConnId,
     stream: &'a TcpStream,
     queue: WriteQueue,
     incoming: &'a mpsc::Sender<Incoming>,
     reader: client::Reader,
-    /// Since when a message waits for its rest.
+    /// Time since which the current message has been incomplete.
     message_since: Option<Instant>,
-    /// Since when bytes wait for the client to read.
+    /// Time since which pending bytes could not be written.
     stalled_since: Option<Instant>,
-    /// The client may still send something.
+    /// Whether input of the client is still read.
     is_reading: bool,
 }
 
@@ -140,7 +141,7 @@
     pub(super) async fn run(mut self) {
         let _ = self.stream.set_nodelay(true);
         loop {
-            let may_go_on = match self.wake().await {
+            let stays_open = match self.wake().await {
                 Wake::Broken => false,
                 Wake::Writable => true,
                 Wake::Readable => self.read_and_report().await,
@@ -151,7 +152,7 @@
                         .await
                 }
             };
-            if !may_go_on {
+            if !stays_open {
                 return;
             }
             match write(&self.queue, self.stalled_since) {
@@ -165,7 +166,7 @@
     }
 
     async fn wake(&self) -> Wake {
-        // A connection that is to be closed as idle may have sent something meanwhile: that is read first.
+        // Before a connection is closed as idle, input that arrived in the meantime is read.
         let must_read = self.is_reading && self.queue.is_closing_if_idle();
         let (stalled, message) = (self.stalled_since, self.message_since);
         tokio::select! {
@@ -177,18 +178,18 @@
                 if ready.is_ok() { Wake::Writable } else { Wake::Broken }
             }
             () = self.queue.changed() => Wake::Writable,
-            () = limit_over(stalled, WRITE_STALL_LIMIT), if stalled.is_some() => Wake::Broken,
-            () = limit_over(message, MESSAGE_LIMIT), if message.is_some() => Wake::MessageOverdue,
+            () = deadline(stalled, WRITE_STALL_LIMIT), if stalled.is_some() => Wake::Broken,
+            () = deadline(message, MESSAGE_LIMIT), if message.is_some() => Wake::MessageOverdue,
         }
     }
 
-    /// Reads what there is and reports it; whether the connection goes on.
+    /// Reads the available input and reports it. Returns `false` if the connection is to be closed.
     async fn read_and_report(&mut self) -> bool {
         let ReadOutcome::Read { inputs, is_last } = self.read() else {
             return false;
         };
         let has_input = !inputs.is_empty();
-        // What the client was promised is still written to it after its end of stream.
+        // Answers are still written after the client's end of stream.
         self.is_reading &= !is_last;
         let is_partial = self.is_reading && self.reader.is_partial();
         let since = if has_input { None } else { self.message_since };
@@ -202,7 +203,8 @@
         !has_input || self.report(inputs).await
     }
 
-    /// Reads all that there is, up to a limit: what a client sends, cancels and ends at once is reported together.
+    /// Reads up to [`MAX_READS`] buffers, so that requests, their cancellations and an end of stream that a client
+    /// sends in one go are reported together.
     fn read(&mut self) -> ReadOutcome {
         let mut inputs = Vec::new();
         let mut has_more = false;
@@ -249,7 +251,7 @@
         Ok(())
     }
 
-    /// Passes inputs on; whether the loop still runs.
+    /// Sends inputs to the event loop. Returns `false` if the loop has ended.
     async fn report(&self, inputs: Vec<Input>) -> bool {
         self.incoming.send(Incoming::Inputs(inputs)).await.is_ok()
     }
--- a/crates/platform/src/sockets/host.rs
+++ b/crates/platform/src/sockets/host.rs
@@ -1,4 +1,4 @@
-//! Links to hosts: connected, read and written.
+//! Connects, reads and writes links to hosts.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,19 +10,19 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout};
 
-use super::{ConnectionPermits, Incoming, Read, WRITE_STALL_LIMIT, limit_over, read, write};
+use super::{ConnectionPermits, Incoming, Read, WRITE_STALL_LIMIT, deadline, read, write};
 use crate::decide::LinkEnd;
 use crate::ids::LinkId;
 use crate::io::Input;
 use crate::log_event::LogEvent;
 use crate::write_buffer::WriteQueue;
 
-/// The delay before a connection is tried again while no descriptor is left.
+/// Delay before a connection that failed because no descriptor was free is tried again.
 const DESCRIPTOR_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// Error numbers of the system: no descriptor is left in the machine (ENFILE), or in the process (EMFILE).
+/// System error numbers for no free descriptor in the machine (ENFILE) or in the process (EMFILE).
 const NO_DESCRIPTOR_ERRORS: [i32; 2] = [23, 24];
 
-/// Connects a link and serves it to its end.
+/// Connects a link and serves it until it ends.
 pub(crate) struct HostConnector {
     pub link: LinkId,
     pub address: SocketAddr,
@@ -32,9 +32,11 @@
 }
 
 impl HostConnector {
-    /// Keeps the link from the connection to its end, which is reported unless nobody wants the link any more.
+    /// Connects the link and serves it until it ends. The end is not reported if the engine closed the link before it
+    /// was served, or if the event loop has ended.
     pub async fn run(self, queue: WriteQueue) {
-        // That the placer has no descriptor for it for a moment is no sign of the host's.
+        // The connect timeout starts only once there is a permit: a shortage of descriptors in the placer must not count
+        // as a failure of the host.
         let permit = tokio::select! {
             permit = self.permits.for_link() => permit,
             () = closed(&queue) => return,
@@ -73,7 +75,7 @@
         LinkEnd::ConnectFailed
     }
 
-    /// Reports that the link is up and serves it; `None` if the loop runs no more.
+    /// Reports that the link is up and serves it until it ends. Returns `None` if the event loop has ended.
     async fn serve(&self, stream: &TcpStream, queue: &WriteQueue) -> Option<LinkEnd> {
         let up = Incoming::Input(Input::LinkUp(self.link));
         self.incoming.send(up).await.ok()?;
@@ -82,7 +84,7 @@
         let mut stalled_since: Option<Instant> = None;
         loop {
             tokio::select! {
-                // What the host sent or did is processed before anything more is written to it.
+                // Input and errors of the host are processed before more is written to it.
                 biased;
                 ready = stream.readable() => {
                     let read = match ready {
@@ -100,11 +102,11 @@
                     }
                 }
                 () = queue.changed() => {}
-                () = limit_over(stalled_since, WRITE_STALL_LIMIT), if stalled_since.is_some() => {
+                () = deadline(stalled_since, WRITE_STALL_LIMIT), if stalled_since.is_some() => {
                     return Some(LinkEnd::Reset);
                 }
             }
-            // After a reset that came already, nothing is read any more.
+            // Checked before writing: the socket may have been reset already.
             if !matches!(stream.take_error(), Ok(None)) {
                 return Some(LinkEnd::Reset);
             }
@@ -118,7 +120,10 @@
         }
     }
 
-    /// Reads once and reports all messages that are complete; how the link ended, if it did.
+    /// Reads once and reports all complete messages.
+    ///
+    /// # Errors
+    /// How the link ended.
     async fn read(&self, stream: &TcpStream, reader: &mut host::Reader) -> Result<(), LinkEnd> {
         match read(stream, |bytes| reader.push(bytes)) {
             Ok(Read::Nothing) => return Ok(()),
@@ -149,14 +154,14 @@
     }
 }
 
-/// Waits until nobody wants the link any more.
+/// Waits until the engine has closed the link.
 async fn closed(queue: &WriteQueue) {
     while !queue.is_closed() {
         queue.changed().await;
     }
 }
 
-/// Connects; that the placer has no descriptor left for a moment is no sign of the host's.
+/// Connects, and tries again while the placer has no free descriptor, as that is no failure of the host.
 async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     loop {
         match TcpStream::connect(address).await {
--- a/crates/platform/src/sockets/mod.rs
+++ b/crates/platform/src/sockets/mod.rs
@@ -1,4 +1,5 @@
-//! Connections of clients and links to hosts: one task each, which moves bytes and decides nothing.
+//! Connections of clients and links to hosts. Each has a task that reads, decodes and writes; the engine makes all
+//! decisions.
 
 mod client;
 mod host;
@@ -22,44 +23,44 @@
 pub(crate) use host::HostConnector;
 pub(crate) use permits::ConnectionPermits;
 
-/// A connection on which nothing can be written for so long is ended: its other end does not read.
+/// A connection on which nothing could be written for this long is closed, as its peer does not read.
 const WRITE_STALL_LIMIT: Duration = Duration::from_millis(2_400);
-/// The size of the buffer through which all input goes.
+/// Size of the buffer into which all sockets are read.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// What the tasks of connections, discovery and signals send to the loop around the engine.
+/// Items that the tasks of connections and signals send to the event loop.
 pub(crate) enum Incoming {
-    /// A client connected; its messages are written by this writer.
+    /// A client connected; the writer sends messages to it.
     Client(ConnId, MessageWriter),
     /// An input for the engine.
     Input(Input),
-    /// What was read of a client at once.
+    /// Inputs of a client that were read together.
     Inputs(Vec<Input>),
     /// An event for the operators' log.
     Log(LogEvent),
 }
 
 thread_local! {
-    /// All input goes through one buffer, whatever the number of connections.
+    /// Shared by all connections of the thread, so that its memory doesn't grow with their number.
     static BUFFER: RefCell<Vec<u8>> = RefCell::new(vec![0; READ_BUFFER_BYTES]);
 }
 
-/// What a read of a socket gave.
+/// Result of one read of a socket.
 enum Read {
-    /// There is nothing to read now.
+    /// The read would block.
     Nothing,
-    /// Some bytes were passed on.
+    /// At least one byte was read.
     Bytes,
-    /// The other end sends nothing more.
+    /// The peer has closed its sending side.
     EndOfStream,
 }
 
-/// Reads once what there is, and passes it on.
-fn read(stream: &TcpStream, pass_on: impl FnOnce(&[u8])) -> io::Result<Read> {
+/// Reads once without waiting and passes the bytes to `on_bytes`.
+fn read(stream: &TcpStream, on_bytes: impl FnOnce(&[u8])) -> io::Result<Read> {
     BUFFER.with_borrow_mut(|buffer| match stream.try_read(buffer) {
         Ok(0) => Ok(Read::EndOfStream),
         Ok(count) => {
-            pass_on(&buffer[..count]);
+            on_bytes(&buffer[..count]);
             Ok(Read::Bytes)
         }
         Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(Read::Nothing),
@@ -67,12 +68,13 @@
     })
 }
 
-/// Waits until a time limit is over that began at `since`.
-async fn limit_over(since: Option<Instant>, limit: Duration) {
+/// Waits until `limit` has elapsed since `since`; an absent `since` counts as now.
+async fn deadline(since: Option<Instant>, limit: Duration) {
     tokio::time::sleep_until(since.unwrap_or_else(Instant::now) + limit).await;
 }
 
-/// Writes what the other end takes; since when it takes nothing, if something waits.
+/// Writes as much as the socket accepts. Returns the time since which it has accepted nothing, or `None` if nothing is
+/// pending.
 fn write(queue: &WriteQueue, stalled_since: Option<Instant>) -> io::Result<Option<Instant>> {
     let before = queue.len();
     queue.write()?;
--- a/crates/platform/src/sockets/permits.rs
+++ b/crates/platform/src/sockets/permits.rs
@@ -1,4 +1,4 @@
-//! Permits for file descriptors: a connection that has none waits, so that none ever fails for want of a descriptor.
+//! Permits for file descriptors: a connection waits for a permit, so that none fails because descriptors run out.
 
 use std::sync::Arc;
 
@@ -6,10 +6,10 @@
 
 use crate::bounds::Bounds;
 
-/// Connections of clients beyond those that are served: they are closed as soon as the engine learns of them.
+/// Client connections accepted beyond those that are served; the engine closes them as soon as they are reported.
 pub(super) const EXCESS_CLIENTS: usize = 8;
 
-/// Descriptors that connections may hold: all of them together, and those of clients alone.
+/// Limits the descriptors held by all connections together, and by client connections alone.
 #[derive(Clone, Debug)]
 pub(crate) struct ConnectionPermits {
     all: Arc<Semaphore>,
@@ -26,12 +26,12 @@
         }
     }
 
-    /// Waits for the permit of one more link, which is held until it is closed.
+    /// Waits for the permit of one more link, which the link holds until it is closed.
     pub(super) async fn for_link(&self) -> Option<OwnedSemaphorePermit> {
         Arc::clone(&self.all).acquire_owned().await.ok()
     }
 
-    /// Waits for the permits of one more connection of a client.
+    /// Waits for the permits of one more client connection.
     pub(super) async fn for_client(&self) -> Option<Vec<OwnedSemaphorePermit>> {
         let client = Arc::clone(&self.clients).acquire_owned().await.ok()?;
         Some(vec![client, self.for_link().await?])
--- a/crates/platform/src/sockets/tests.rs
+++ b/crates/platform/src/sockets/tests.rs
@@ -1,4 +1,4 @@
-//! Which connections are accepted, and what is read at once.
+//! Accepting client connections, closing them as idle, and reporting their input.
 
 use std::sync::Arc;
 
@@ -29,9 +29,9 @@
     }
 }
 
-/// A placer that exits has taken the connections that the system accepted, however late its own turn comes.
+/// Guards against dropping connections at the exit that the system has accepted and the placer has not yet.
 #[tokio::test]
-async fn connections_that_wait_when_listening_stops_are_accepted() {
+async fn queued_connections_are_accepted_after_listening_stops() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let mut clients = Vec::new();
@@ -46,20 +46,20 @@
     }
     assert!(
         TcpStream::connect(address).await.is_err(),
-        "and none after that"
+        "connections must be refused after the acceptor ended"
     );
 }
 
-/// A client's connection, and the placer's end of it.
-struct Served {
+/// A client's connection, and the placer's side of it.
+struct ServedClient {
     client: TcpStream,
     writer: MessageWriter,
     incoming: mpsc::Receiver<Incoming>,
     task: tokio::task::JoinHandle<()>,
 }
 
-/// A client's connection whose other end is served by its task.
-async fn served() -> Served {
+/// Connects a client and starts the placer's task for it.
+async fn serve_client() -> ServedClient {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let client = TcpStream::connect(listener.local_addr().unwrap())
         .await
@@ -69,7 +69,7 @@
     queue.attach(&stream, Vec::new());
     let (sender, incoming) = mpsc::channel(16);
     let task = tokio::spawn(async move { ClientTask::new(1, &stream, queue, &sender).run().await });
-    Served {
+    ServedClient {
         client,
         writer,
         incoming,
@@ -77,66 +77,72 @@
     }
 }
 
-/// A test of a placer: 11 bytes, and the cause.
-const TEST: [u8; 15] = [0, 13, 52, 0, 0, 0, 0, 0, 0, 0, 9, 194, 0, 1, 0];
+/// An encoded health check of a placer: the length 13, 9 bytes of type and ID, and a cause parameter of 4 bytes.
+const HEALTH_CHECK: [u8; 15] = [0, 13, 52, 0, 0, 0, 0, 0, 0, 0, 9, 194, 0, 1, 0];
 
-/// A client's message lies in the socket's buffer when the engine closes the connection as idle: it is read, and the
-/// connection stays.
+/// Guards against losing a message that is in the socket's receive buffer when the engine closes the connection as
+/// idle: it is read, and the connection stays open.
 #[tokio::test]
 async fn a_message_that_crosses_an_idle_close_is_read() {
     for _ in 0..16 {
-        let Served {
+        let ServedClient {
             client,
             writer,
             mut incoming,
             task,
-        } = served().await;
+        } = serve_client().await;
         client.writable().await.unwrap();
-        assert_eq!(client.try_write(&TEST).unwrap(), TEST.len());
+        assert_eq!(client.try_write(&HEALTH_CHECK).unwrap(), HEALTH_CHECK.len());
         writer.close_if_idle();
-        let received = incoming.recv().await.expect("it is not closed");
+        let received = incoming
+            .recv()
+            .await
+            .expect("the connection was closed though a message had arrived");
         assert!(
             matches!(received, Incoming::Inputs(inputs) if matches!(inputs[0], Input::ClientMessage(1, Ok(_))))
         );
-        // With nothing more to read it ends.
+        // With nothing left to read, the next idle close ends the connection.
         writer.close_if_idle();
         tokio::time::timeout(Duration::from_secs(20), task)
             .await
-            .expect("the close")
+            .expect("the connection was not closed within 20 s")
             .unwrap();
     }
 }
 
-/// A part of a message lies there: the rest is waited for.
+/// If part of a message has arrived when the connection is closed as idle, the connection stays open for the rest.
 #[tokio::test]
 async fn a_partial_message_that_crosses_an_idle_close_may_be_completed() {
-    let Served {
+    let ServedClient {
         mut client,
         writer,
         mut incoming,
         task: _task,
-    } = served().await;
+    } = serve_client().await;
     client.writable().await.unwrap();
-    assert_eq!(client.try_write(&TEST[..5]).unwrap(), 5);
+    assert_eq!(client.try_write(&HEALTH_CHECK[..5]).unwrap(), 5);
     writer.close_if_idle();
     tokio::task::yield_now().await;
-    tokio::io::AsyncWriteExt::write_all(&mut client, &TEST[5..])
+    tokio::io::AsyncWriteExt::write_all(&mut client, &HEALTH_CHECK[5..])
         .await
         .unwrap();
     assert!(matches!(incoming.recv().await, Some(Incoming::Inputs(_))));
 }
 
-/// What a client sends, cancels and ends at once is reported together.
+/// Messages and an end of stream that a client sends in one go are reported in one batch.
 #[tokio::test]
 async fn messages_and_the_end_of_stream_are_reported_together() {
-    let Served {
+    let ServedClient {
         mut client,
         writer: _writer,
         mut incoming,
         task: _task,
-    } = served().await;
+    } = serve_client().await;
     client.writable().await.unwrap();
-    assert_eq!(client.try_write(&TEST.repeat(3)).unwrap(), 3 * TEST.len());
+    assert_eq!(
+        client.try_write(&HEALTH_CHECK.repeat(3)).unwrap(),
+        3 * HEALTH_CHECK.len()
+    );
     SockRef::from(&client)
         .shutdown(std::net::Shutdown::Write)
         .unwrap();
@@ -155,60 +161,63 @@
     drop(tokio::io::AsyncWriteExt::shutdown(&mut client).await);
 }
 
-/// Connections of clients wait in the accept queue, not in descriptors, once all permits are taken.
+/// Once all permits are writers, client connections wait in the accept queue and use no descriptors.
 #[tokio::test]
-async fn no_more_are_accepted_than_there_are_permits() {
+async fn no_more_connections_are_accepted_than_there_are_permits() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let ((_stop, stopped), (sender, mut incoming)) = (oneshot::channel(), mpsc::channel(512));
     tokio::spawn(acceptor(sender).run(listener, stopped));
-    let most = bounds().clients + bounds().client_overflow + EXCESS_CLIENTS;
+    let max_accepted = bounds().clients + bounds().client_overflow + EXCESS_CLIENTS;
     let mut clients = Vec::new();
-    for _ in 0..most + 20 {
+    for _ in 0..max_accepted + 20 {
         clients.push(TcpStream::connect(address).await.unwrap());
     }
-    let mut taken = Vec::new();
-    for _ in 0..most {
+    let mut writers = Vec::new();
+    for _ in 0..max_accepted {
         let Some(Incoming::Client(_, writer)) = incoming.recv().await else {
-            panic!("one is not accepted")
+            panic!("a connection was not accepted though a permit was free")
         };
-        taken.push(writer);
+        writers.push(writer);
     }
     for _ in 0..100 {
         tokio::task::yield_now().await;
     }
     assert!(
         incoming.try_recv().is_err(),
-        "more were accepted than there are permits"
+        "more connections were accepted than there are permits"
     );
-    // When one ends the next is accepted.
-    drop(taken.pop());
+    // When one connection ends, the next one is accepted.
+    drop(writers.pop());
     while !matches!(incoming.recv().await, Some(Incoming::Client(..))) {}
 }
 
-/// What still waits for an idle client is written before its connection is closed.
+/// Bytes pending for a client are written before its connection is closed as idle.
 #[tokio::test]
 async fn pending_bytes_are_written_before_an_idle_close() {
-    let Served {
+    let ServedClient {
         mut client,
         writer,
         incoming: _incoming,
         task,
-    } = served().await;
+    } = serve_client().await;
     let all = vec![7; 8 * 1024 * 1024];
     writer.send(&all);
     writer.flush();
-    assert!(writer.len() > 0, "more than the sockets take");
+    assert!(
+        writer.len() > 0,
+        "the message must exceed the socket buffers"
+    );
     writer.close_if_idle();
     let mut read = vec![0; all.len()];
-    let whole = tokio::io::AsyncReadExt::read_exact(&mut client, &mut read);
-    tokio::time::timeout(Duration::from_secs(20), whole)
+    let read_all = tokio::io::AsyncReadExt::read_exact(&mut client, &mut read);
+    tokio::time::timeout(Duration::from_secs(20), read_all)
         .await
-        .expect("all of it")
+        .expect("the read_all message was not received within 20 s")
         .unwrap();
     assert_eq!(read, all);
     tokio::time::timeout(Duration::from_secs(20), task)
         .await
-        .expect("the close")
+        .expect("the connection was not closed within 20 s")
         .unwrap();
 }
--- a/crates/platform/src/write_buffer/mod.rs
+++ b/crates/platform/src/write_buffer/mod.rs
@@ -1,10 +1,10 @@
-//! Bytes that wait to be written to the other end of a connection, so that many messages leave in one write. A burst of
-//! messages is no reason to close a connection whose other end reads; what counts is the memory that all of them hold
-//! together, which one [`WriteBudget`] counts.
+//! Write buffers of connections, which let many messages be written with one system call. A single connection has no
+//! limit of its own, so that a burst of messages doesn't close a connection whose peer reads; one [`WriteBudget`] counts
+//! the bytes of all connections together.
 //!
-//! The loop around the engine writes itself, in the order of the engine's outputs: an attempt must not be sent before
-//! the release of the previous one was written on another connection. The connection's own task writes only what the
-//! other end did not take then.
+//! The event loop writes to the sockets itself, in the order of the engine's outputs, as an attempt must not be sent
+//! before the release of the previous one was written on another connection. The connection's own task writes only the
+//! bytes that the socket did not accept then.
 
 mod pending;
 
@@ -19,12 +19,12 @@
 
 use pending::PendingBytes;
 
-/// Counts the bytes in all write buffers of a placer.
+/// Counts the unwritten bytes in all write buffers of a placer.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct WriteBudget(Arc<AtomicUsize>);
 
 impl WriteBudget {
-    /// Bytes that wait now.
+    /// Unwritten bytes of all connections.
     pub fn pending(&self) -> usize {
         self.0.load(Ordering::Relaxed)
     }
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 struct Connection {
     stream: Arc<TcpStream>,
-    /// Released once the connection is closed.
+    /// Held only to be released when the connection is closed.
     _permits: Vec<OwnedSemaphorePermit>,
 }
 
@@ -52,7 +52,7 @@
         self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Writes what the other end takes now.
+    /// Writes as much as the socket accepts without blocking; does nothing before the connection is established.
     fn write(&self) -> io::Result<()> {
         let Some(connection) = self.connection.get() else {
             return Ok(());
@@ -71,7 +71,7 @@
         Ok(())
     }
 
-    /// Discards what waits, and all that is added later.
+    /// Discards the pending bytes, and all that is added later.
     fn discard(&self) {
         let mut pending = self.pending();
         self.budget.0.fetch_sub(pending.len(), Ordering::Relaxed);
@@ -79,11 +79,11 @@
     }
 }
 
-/// The engine's side: adds messages. Once it is dropped, the connection ends as soon as all is written.
+/// The event loop's side, which adds messages. Once it is dropped, the connection is closed when all bytes are written.
 #[derive(Debug)]
 pub(crate) struct MessageWriter(Arc<Shared>);
 
-/// The side of the connection's task, which writes what is left.
+/// The side of the connection's task, which writes the bytes that the event loop could not write.
 #[derive(Debug)]
 pub(crate) struct WriteQueue(Arc<Shared>);
 
@@ -94,7 +94,7 @@
 }
 
 impl WriteBuffer {
-    /// An empty buffer of a connection that is being made.
+    /// Creates an empty buffer; [`WriteQueue::attach`] sets its connection once that is established.
     pub fn new(budget: &WriteBudget) -> Self {
         let shared = Arc::new(Shared {
             connection: OnceLock::new(),
@@ -120,9 +120,10 @@
         self.0.budget.0.fetch_add(message.len(), Ordering::Relaxed);
     }
 
-    /// Writes what the other end takes now, and leaves the rest to the connection's task; whether there is none.
+    /// Writes as much as the socket accepts and leaves the rest to the connection's task. Returns whether all was
+    /// written.
     pub fn flush(&self) -> bool {
-        // The connection's task learns of an error as well.
+        // After an error too: the connection's task writes again and gets the same error.
         let is_empty = self.0.write().is_ok() && self.len() == 0;
         if !is_empty {
             self.0.changed.notify_one();
@@ -130,22 +131,23 @@
         is_empty
     }
 
-    /// Bytes that wait.
+    /// Number of pending bytes.
     pub fn len(&self) -> usize {
         self.0.pending().len()
     }
 
-    /// The connection is to end unless its other end sends something before it learns of that.
+    /// Asks the connection's task to close the connection, unless input arrives before the task does so.
     pub fn close_if_idle(&self) {
         self.0.pending().is_closing_if_idle = true;
         self.0.changed.notify_one();
     }
 
-    /// Discards what waits and ends the connection at once.
+    /// Discards the pending bytes and shuts the connection down at once.
     pub fn abort(&self) {
         self.0.discard();
         if let Some(connection) = self.0.connection.get() {
-            // The other end is to see it before anything that is written elsewhere after this.
+            // Shut down here and not in the connection's task: the peer must see it before anything that is written on
+            // another connection afterwards.
             let _ = SockRef::from(&*connection.stream).shutdown(Shutdown::Both);
         }
         self.0.changed.notify_one();
@@ -160,7 +162,7 @@
 }
 
 impl WriteQueue {
-    /// The connection is established, and holds these permits until it is closed.
+    /// Sets the established connection, which holds `permits` until it is closed.
     pub fn attach(&self, stream: &Arc<TcpStream>, permits: Vec<OwnedSemaphorePermit>) {
         let connection = Connection {
             stream: stream.clone(),
@@ -169,45 +171,45 @@
         let _ = self.0.connection.set(connection);
     }
 
-    /// Waits until something changes on the writer's side, if nothing did since the last call.
+    /// Waits until the writer's side has changed since the last call.
     pub async fn changed(&self) {
         self.0.changed.notified().await;
     }
 
-    /// Bytes that wait.
+    /// Number of pending bytes.
     pub fn len(&self) -> usize {
         self.0.pending().len()
     }
 
-    /// Whether the writer is done with the connection, whatever still waits.
+    /// Whether the writer was dropped or has aborted the connection, even if bytes are pending.
     pub fn is_closed(&self) -> bool {
         let pending = self.0.pending();
         pending.is_finished || pending.is_discarded
     }
 
-    /// Whether the connection is to end unless its other end sent something.
+    /// Whether the connection is to be closed as idle: that was requested, and no bytes are pending.
     pub fn is_closing_if_idle(&self) -> bool {
         let pending = self.0.pending();
         pending.is_closing_if_idle && pending.len() == 0
     }
 
-    /// The other end sent something: the connection stays.
+    /// Cancels the idle close, as input has arrived.
     pub fn keep_open(&self) {
         self.0.pending().is_closing_if_idle = false;
     }
 
-    /// Whether the connection ends: nothing more is added, and what waited was written or discarded.
+    /// Whether the connection is to be closed: no more messages are added, and all bytes were written or discarded.
     pub fn is_done(&self) -> bool {
         let pending = self.0.pending();
         pending.is_discarded || pending.is_finished && pending.len() == 0
     }
 
-    /// Messages of which at least one byte was written.
+    /// Number of messages of which at least one byte was written.
     pub fn messages_begun(&self) -> u64 {
         self.0.pending().messages_begun()
     }
 
-    /// Writes what the other end takes now.
+    /// Writes as much as the socket accepts without blocking.
     pub fn write(&self) -> io::Result<()> {
         self.0.write()
     }
--- a/crates/platform/src/write_buffer/pending.rs
+++ b/crates/platform/src/write_buffer/pending.rs
@@ -1,29 +1,30 @@
-//! The bytes of one write buffer, and which messages they belong to.
+//! The bytes of one write buffer, and the boundaries of their messages.
 
 use std::collections::VecDeque;
 
 #[derive(Debug, Default)]
 pub(super) struct PendingBytes {
     bytes: Vec<u8>,
-    /// Bytes of `bytes` that were written.
+    /// Number of bytes at the start of `bytes` that were written.
     start: usize,
-    /// Bytes that were written, ever.
+    /// Number of bytes written since the connection was made.
     total_written: u64,
-    /// Where the messages end that were not written whole, counted from the first byte ever.
+    /// End offsets of the messages that are not completely written, counted from the connection's first byte.
     message_ends: VecDeque<u64>,
-    /// Messages that were written whole, and where the last of them ended.
+    /// Number of completely written messages.
     messages_written: u64,
+    /// End offset of the last completely written message, counted from the connection's first byte.
     written_up_to: u64,
-    /// Nothing more is added.
+    /// The writer was dropped: no more messages are added.
     pub is_finished: bool,
-    /// What waits is written no more.
+    /// The pending bytes were discarded, and nothing more is written.
     pub is_discarded: bool,
-    /// The connection ends, unless its other end sends something first.
+    /// The connection is to be closed, unless its peer sends something first.
     pub is_closing_if_idle: bool,
 }
 
 impl PendingBytes {
-    /// Bytes that wait.
+    /// Number of unwritten bytes.
     pub fn len(&self) -> usize {
         self.bytes.len() - self.start
     }
@@ -38,7 +39,7 @@
         self.message_ends.push_back(end);
     }
 
-    /// The next `count` bytes were written.
+    /// Records that the next `count` bytes were written.
     pub fn written(&mut self, count: usize) {
         self.start += count;
         self.total_written += count as u64;
@@ -50,7 +51,7 @@
             (self.messages_written, self.written_up_to) = (self.messages_written + 1, end);
         }
         if self.start == self.bytes.len() {
-            // An idle connection keeps no buffer.
+            // Frees the buffers, so that an idle connection holds none.
             (self.bytes, self.message_ends) = (Vec::new(), VecDeque::new());
             self.start = 0;
         } else if self.start > self.bytes.len() / 2 {
@@ -63,7 +64,7 @@
         (self.bytes, self.start, self.is_discarded) = (Vec::new(), 0, true);
     }
 
-    /// Messages of which at least one byte was written.
+    /// Number of messages of which at least one byte was written.
     pub fn messages_begun(&self) -> u64 {
         self.messages_written + u64::from(self.total_written > self.written_up_to)
     }
--- a/crates/platform/src/write_buffer/tests.rs
+++ b/crates/platform/src/write_buffer/tests.rs
@@ -1,11 +1,11 @@
-//! Counts of written messages, and what is written after the writer is dropped.
+//! Counting written messages, and writing pending bytes after the writer is dropped or has aborted.
 
 use tokio::net::TcpListener;
 
 use super::*;
 
 #[test]
-fn messages_of_which_a_byte_was_written_are_counted() {
+fn messages_begun_counts_messages_with_at_least_one_byte_written() {
     let budget = WriteBudget::default();
     let WriteBuffer { writer, queue } = WriteBuffer::new(&budget);
     for message in ["abc", "de", "fgh"] {
