--- a/crates/platform/tests/digest.rs
+++ b/crates/platform/tests/digest.rs
@@ -249,7 +249,7 @@
         ("as it is", base),
         ("another seed", short_run(3, &|_, _| ())),
         (
-            "one more set-up",
+            "one more request",
             short_run(1, &|world, conn| {
                 world.send_request(conn, placement_request(2, "print", 1_000))
             }),
--- a/crates/platform/tests/layers.rs
+++ b/crates/platform/tests/layers.rs
@@ -1,8 +1,8 @@
-//! Modules import one way: each only from the layers below its own.
+//! Guards against import cycles: each module may import only from layers below its own.
 
 use std::path::{Path, PathBuf};
 
-/// The layers, from the top; the modules of one layer import none of each other.
+/// The layers from the top, by the first component of a module's path; modules of one layer do not import each other.
 const LAYERS: [&[&str]; 11] = [
     &["run"],
     &["sockets", "discovery", "message_log"],
@@ -17,23 +17,26 @@
     &["decide", "ids"],
 ];
 
+/// Index of the layer that lists the module.
 fn layer(module: &str) -> usize {
     let found = LAYERS.iter().position(|modules| modules.contains(&module));
-    found.unwrap_or_else(|| panic!("{module} stands in no layer"))
+    found.unwrap_or_else(|| panic!("module {module} is not listed in LAYERS"))
 }
 
-fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
+/// Collects all files below `folder`.
+fn collect_sources(folder: &Path, found: &mut Vec<PathBuf>) {
     for entry in std::fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
         if path.is_dir() {
-            sources(&path, found);
+            collect_sources(&path, found);
         } else {
             found.push(path);
         }
     }
 }
 
-/// The first name of each path that begins at the crate's root; a list in braces has none, and so stands in no layer.
+/// The first component of each path that begins with `crate::`. For a list in braces it is empty, which is in no layer
+/// and so fails the test.
 fn imports(text: &str) -> Vec<String> {
     let name = |rest: &str| {
         rest.chars()
@@ -47,8 +50,8 @@
 fn modules_import_only_from_layers_below() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("src");
     let mut files = Vec::new();
-    sources(&root, &mut files);
-    let (mut modules, mut seen) = (std::collections::BTreeSet::new(), 0);
+    collect_sources(&root, &mut files);
+    let (mut modules, mut import_count) = (std::collections::BTreeSet::new(), 0);
     for file in files {
         let first = file.strip_prefix(&root).unwrap().iter().next().unwrap();
         let module = first.to_str().unwrap().trim_end_matches(".rs").to_owned();
@@ -59,17 +62,17 @@
             let inside = import == module;
             assert!(
                 inside || layer(&import) > layer(&module),
-                "{} imports {import}",
+                "{} imports {import}, which is not in a lower layer",
                 file.display()
             );
-            seen += 1;
+            import_count += 1;
         }
         modules.insert(module);
     }
-    // Every layer's module was looked at, and what is counted is not nothing.
+    // Every listed module was found, and the search for imports found some.
     assert_eq!(
         modules.len(),
         LAYERS.iter().map(|layer| layer.len()).sum::<usize>()
     );
-    assert!(seen > modules.len(), "{seen}");
+    assert!(import_count > modules.len(), "{import_count}");
 }
