--- a/crates/cli/tests/churn.rs
+++ b/crates/cli/tests/churn.rs
@@ -1,14 +1,14 @@
 //! Churn on sockets: hosts and clients that come and go leave no descriptor and no memory behind. The placer is the
 //! program itself, so that only what it holds is counted; sizes of maps over a longer churn are in the engine's tests.
 
-#[path = "../../platform/tests/standins/mod.rs"]
-mod standins;
+#[path = "../../platform/tests/simulated_peers/mod.rs"]
+mod simulated_peers;
 
 use std::net::SocketAddr;
 use std::path::Path;
 
 use reedring_test_processes::{Launch, Program};
-use standins::{Client, Discovery, Host, config, message, setup, soon};
+use simulated_peers::{Client, Discovery, Host, config, message, placement_request, wait_for};
 
 const ROUNDS: u64 = 60;
 /// Rounds after which everything that is made once is there.
@@ -46,9 +46,9 @@
 #[tokio::test]
 async fn hosts_and_clients_that_came_and_went_leave_nothing_behind() {
     let mut host = Host::new().await;
-    let line = |host: &Host, n: u64, health: &str| host.line(&format!("h-{n}"), "east", health);
+    let line = |host: &Host, n: u64, health: &str| host.entry(&format!("h-{n}"), "east", health);
     let (discovery, first) = (Discovery::new().await, vec![line(&host, 0, "active")]);
-    discovery.tell(true, first.clone());
+    discovery.publish(true, first.clone());
     // A port that is free now.
     let address: SocketAddr = Host::new().await.address;
     let folder = tempfile::tempdir().expect("a folder");
@@ -70,35 +70,35 @@
     );
     // It polls from after it listens.
     discovery
-        .until_asked(|asks| asks.iter().any(|ask| ask.contains("watch=1&")))
+        .wait_for_requests(|asks| asks.iter().any(|ask| ask.contains("watch=1&")))
         .await;
     let mut settled = (0, 0);
     for n in 1..=ROUNDS {
         let new = Host::new().await;
-        discovery.tell(
+        discovery.publish(
             false,
             vec![line(&new, n, "active"), line(&host, n - 1, "left")],
         );
         // It has taken that in once it asks for what comes after.
         let next = format!("watch={}&", n + 1);
         discovery
-            .until_asked(|asks| asks.iter().any(|ask| ask.contains(&next)))
+            .wait_for_requests(|asks| asks.iter().any(|ask| ask.contains(&next)))
             .await;
         host = new;
         for passer in 0..PASSERS {
             let mut client = Client::connect(address).await;
             client.send(&message(52, passer + 1, &[(194, &[0])])).await;
-            assert_eq!(client.got().await.expect("a test's answer").kind, 53);
+            assert_eq!(client.receive().await.expect("a test's answer").kind, 53);
         }
         let mut client = Client::connect(address).await;
-        client.send(&setup(n, "play", 1_500, "")).await;
+        client.send(&placement_request(n, "play", 1_500, "")).await;
         // The second connection is the one kept ahead.
-        let (mut link, _spare) = (host.link().await, host.link().await);
-        let line = link.line().await.expect("a set-up");
+        let (mut link, _spare) = (host.accept_link().await, host.accept_link().await);
+        let line = link.receive_line().await.expect("a set-up");
         link.answer(&line["id"], "x").await;
-        assert_eq!(client.got().await.expect("an answer").kind, 9);
+        assert_eq!(client.receive().await.expect("an answer").kind, 9);
         link.release(&line["id"], 16).await;
-        assert_eq!(client.got().await.expect("an end").cause(), Some(16));
+        assert_eq!(client.receive().await.expect("an end").cause(), Some(16));
         // Heard, so that it is not told again as this connection closes.
         client.send(&message(16, n, &[])).await;
         if n == SETTLED {
@@ -106,7 +106,7 @@
         }
     }
     let (descriptors, memory) = settled;
-    soon("the last connections' ends", async {
+    wait_for("the last connections' ends", async {
         while placer.descriptors() > descriptors + 4 {
             tokio::task::yield_now().await;
         }
--- a/crates/cli/tests/descriptors.rs
+++ b/crates/cli/tests/descriptors.rs
@@ -1,14 +1,14 @@
 //! Idle clients that fill the descriptors while discovery is down: the program itself, under a limit of the system's.
 
-#[path = "../../platform/tests/standins/mod.rs"]
-mod standins;
+#[path = "../../platform/tests/simulated_peers/mod.rs"]
+mod simulated_peers;
 
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
 
 use reedring_test_processes::{Launch, free_address};
-use standins::{Client, Discovery, Host, LONG, config_at, message, setup};
+use simulated_peers::{Client, Discovery, Host, WAIT_LIMIT, config_at, message, placement_request};
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
@@ -30,8 +30,8 @@
     for tries in 1..200 {
         let mut client = Client::connect(address).await;
         client.send(&message(52, id, &[(194, &[0])])).await;
-        client.send(&setup(id, "play", 5_000, "")).await;
-        let (Some(test), Some(answer)) = (client.got().await, client.got().await) else {
+        client.send(&placement_request(id, "play", 5_000, "")).await;
+        let (Some(test), Some(answer)) = (client.receive().await, client.receive().await) else {
             continue;
         };
         assert_eq!((test.kind, answer.kind), (53, 9));
@@ -43,8 +43,8 @@
 #[tokio::test]
 async fn who_says_nothing_keeps_nobody_out_while_discovery_is_down() {
     let host = Host::new().await;
-    let hosts = vec![host.line("h-1", "east", "active")];
-    let _asked = host.obliging();
+    let hosts = vec![host.entry("h-1", "east", "active")];
+    let _asked = host.answer_all_requests();
     let (address, discovery) = (free_address().unwrap(), free_address().unwrap());
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("config.json");
@@ -63,7 +63,7 @@
         .start()
         .unwrap();
     placer
-        .wait_line(0, "that discovery is down", LONG, |line| {
+        .wait_line(0, "that discovery is down", WAIT_LIMIT, |line| {
             line.contains("refused")
         })
         .unwrap();
@@ -77,7 +77,7 @@
             .count()
     };
     // They fill what there is for clients.
-    standins::soon("the crowd", async {
+    simulated_peers::wait_for("the crowd", async {
         while most() < SOCKETS / 2 {
             tokio::task::yield_now().await;
         }
@@ -90,8 +90,8 @@
     }
     // Discovery comes back and is asked, whoever sits at the door.
     let discovery = Discovery::at(discovery).await;
-    discovery.tell(true, hosts);
-    discovery.until_asked(|asks| asks.len() >= 2).await;
+    discovery.publish(true, hosts);
+    discovery.wait_for_requests(|asks| asks.len() >= 2).await;
     is_served(address, 11).await;
     let short =
         |line: &String| line.contains("could not be accepted") || line.contains("no descriptor");
@@ -103,7 +103,7 @@
     // Asked to end it does, with all places taken and more at the door.
     let ended = tokio::task::spawn_blocking(move || placer.terminate(Duration::from_secs(10)));
     assert_eq!(
-        standins::soon("the end", ended)
+        simulated_peers::wait_for("the end", ended)
             .await
             .unwrap()
             .unwrap()
--- a/crates/platform/tests/client_departure_loopback.rs
+++ b/crates/platform/tests/client_departure_loopback.rs
@@ -1,11 +1,11 @@
 //! Clients that close their sending side or reset the connection while a request is pending, with the whole placer.
 
-mod standins;
+mod simulated_peers;
 
 use std::time::{Duration, Instant};
 
 use reedring_platform_protocol::FULL;
-use standins::{Client, Host, host_placer_client, message, placer, setup};
+use simulated_peers::{Client, Host, host_placer_client, message, placement_request, start_placer};
 use tokio::io::AsyncWriteExt;
 
 const ANSWER: u8 = 9;
@@ -16,21 +16,23 @@
 #[tokio::test]
 async fn a_waiting_request_is_refused_when_its_client_closes_its_sending_side() {
     let host = Host::new().await;
-    let placer = placer(vec![host.line("h-1", "east", "leaving")]).await;
+    let placer = start_placer(vec![host.entry("h-1", "east", "leaving")]).await;
     let mut client = Client::connect(placer.address).await;
-    client.send(&setup(1, "print", 15_000, "")).await;
+    client
+        .send(&placement_request(1, "print", 15_000, ""))
+        .await;
     // The request was handled once the health check after it is answered.
     client.send(&message(52, 2, &[(194, &[0])])).await;
-    assert_eq!(client.got().await.unwrap().kind, 53);
+    assert_eq!(client.receive().await.unwrap().kind, 53);
     let began = Instant::now();
     client.stream.shutdown().await.unwrap();
-    let answer = client.got().await.expect("an answer");
+    let answer = client.receive().await.expect("an answer");
     assert_eq!(
         (answer.kind, answer.id, answer.cause()),
         (RELEASE, 1, Some(FULL))
     );
     assert_eq!(
-        client.got().await,
+        client.receive().await,
         None,
         "the connection must be closed after the answer"
     );
@@ -46,44 +48,47 @@
 #[tokio::test]
 async fn no_attempt_follows_after_the_client_closed_its_sending_side() {
     let (host, placer, mut client) = host_placer_client().await;
-    client.send(&setup(1, "play", 15_000, "")).await;
-    let mut link = host.link().await;
-    link.line().await.unwrap();
+    client.send(&placement_request(1, "play", 15_000, "")).await;
+    let mut link = host.accept_link().await;
+    link.receive_line().await.unwrap();
     client.stream.shutdown().await.unwrap();
     // The placer has handled the end of stream once a client that connected later is answered.
     let mut other = Client::connect(placer.address).await;
     other.send(&message(52, 2, &[(194, &[0])])).await;
-    assert_eq!(other.got().await.unwrap().kind, 53);
+    assert_eq!(other.receive().await.unwrap().kind, 53);
     link.reset();
-    let answer = client.got().await.expect("an answer");
+    let answer = client.receive().await.expect("an answer");
     assert_eq!((answer.kind, answer.id), (RELEASE, 1));
-    assert_eq!(client.got().await, None);
+    assert_eq!(client.receive().await, None);
     // The next request that the host receives is the other client's.
-    other.send(&setup(2, "play", 15_000, "")).await;
-    let mut link = host.link().await;
+    other.send(&placement_request(2, "play", 15_000, "")).await;
+    let mut link = host.accept_link().await;
     let line = loop {
-        match link.line().await {
+        match link.receive_line().await {
             Some(line) if line["type"] == "setup" => break line,
             Some(_) => {}
-            None => link = host.link().await,
+            None => link = host.accept_link().await,
         }
     };
     assert_eq!(line["id"], "0000000000000002");
     link.answer(&line["id"], "x").await;
-    assert_eq!(other.got().await.unwrap().kind, ANSWER);
+    assert_eq!(other.receive().await.unwrap().kind, ANSWER);
 }
 
 /// When its client is_reset the connection, the attempt is given up by a release to the host.
 #[tokio::test]
 async fn an_attempt_is_released_at_its_host_when_its_client_resets_the_connection() {
     let (host, _placer, mut client) = host_placer_client().await;
-    client.send(&setup(1, "play", 15_000, "")).await;
-    let mut link = host.link().await;
-    let line = link.line().await.unwrap();
+    client.send(&placement_request(1, "play", 15_000, "")).await;
+    let mut link = host.accept_link().await;
+    let line = link.receive_line().await.unwrap();
     client.stream.set_zero_linger().unwrap();
     drop(client);
     loop {
-        let message = link.line().await.expect("a release before the close");
+        let message = link
+            .receive_line()
+            .await
+            .expect("a release before the close");
         if message["type"] == "release" {
             assert_eq!(
                 (&message["id"], &message["cause"]),
--- a/crates/platform/tests/shutdown_and_partial_answers.rs
+++ b/crates/platform/tests/shutdown_and_partial_answers.rs
@@ -1,11 +1,13 @@
 //! Shutdown of the placer during other activity, and answers of hosts that arrive in parts or incompletely.
 
-mod standins;
+mod simulated_peers;
 
 use reedring_connection::SignalRequest;
 use reedring_platform_protocol::FULL;
 use serde_json::json;
-use standins::{Client, DiscoveryBehavior, host_placer_client, message, setup, soon};
+use simulated_peers::{
+    Client, DiscoveryBehavior, host_placer_client, message, placement_request, wait_for,
+};
 
 const ANSWER: u8 = 9;
 const RELEASE: u8 = 12;
@@ -16,9 +18,9 @@
 async fn shutdown_during_a_failed_reload_with_silent_discovery_answers_all_and_exits() {
     let (host, placer, mut client) = host_placer_client().await;
     placer.discovery.set_behavior(DiscoveryBehavior::Silent);
-    client.send(&setup(1, "print", 8_000, "")).await;
-    let mut link = host.link().await;
-    let first = link.line().await.unwrap();
+    client.send(&placement_request(1, "print", 8_000, "")).await;
+    let mut link = host.accept_link().await;
+    let first = link.receive_line().await.unwrap();
     std::fs::write(&placer.path, "{").unwrap();
     for signal in [
         SignalRequest::Reload,
@@ -30,23 +32,25 @@
     }
     client.wait_for_failing_health_check().await;
     let mut late = Client::connect(placer.address).await;
-    late.send(&setup(3, "print", 8_000, "")).await;
-    let second = link.line().await.unwrap();
+    late.send(&placement_request(3, "print", 8_000, "")).await;
+    let second = link.receive_line().await.unwrap();
     link.answer(&second["id"], "late").await;
     link.answer(&first["id"], "first").await;
-    assert_eq!(client.got().await.unwrap().description(), b"first");
-    assert_eq!(late.got().await.unwrap().description(), b"late");
-    soon("the exit of the placer", placer.task).await.unwrap();
-    assert!(late.got().await.is_none());
+    assert_eq!(client.receive().await.unwrap().description(), b"first");
+    assert_eq!(late.receive().await.unwrap().description(), b"late");
+    wait_for("the exit of the placer", placer.task)
+        .await
+        .unwrap();
+    assert!(late.receive().await.is_none());
 }
 
 /// A client sends while the placer exits: it receives all that was written to it, and its connection is closed.
 #[tokio::test]
 async fn the_last_answers_are_written_to_a_client_that_keeps_sending() {
     let (host, placer, mut client) = host_placer_client().await;
-    client.send(&setup(1, "play", 8_000, "")).await;
-    let mut link = host.link().await;
-    let line = link.line().await.unwrap();
+    client.send(&placement_request(1, "play", 8_000, "")).await;
+    let mut link = host.accept_link().await;
+    let line = link.receive_line().await.unwrap();
     placer.signals.send(SignalRequest::Shutdown).await.unwrap();
     let (read, mut write) = client.stream.into_split();
     // Sends health checks until the connection is closed.
@@ -60,7 +64,7 @@
         }
     });
     link.answer(&line["id"], "whole").await;
-    let all = soon("the end of the connection", async {
+    let all = wait_for("the end of the connection", async {
         let (mut read, mut all) = (read, Vec::new());
         let mut chunk = [0; 4_096];
         while let Ok(count @ 1..) = tokio::io::AsyncReadExt::read(&mut read, &mut chunk).await {
@@ -70,7 +74,9 @@
     })
     .await;
     assert!(all.windows(5).any(|bytes| bytes == b"whole"));
-    soon("the exit of the placer", placer.task).await.unwrap();
+    wait_for("the exit of the placer", placer.task)
+        .await
+        .unwrap();
     sends.abort();
 }
 
@@ -78,9 +84,9 @@
 #[tokio::test]
 async fn an_answer_that_arrives_byte_by_byte_is_one_answer() {
     let (host, _placer, mut client) = host_placer_client().await;
-    client.send(&setup(1, "print", 8_000, "")).await;
-    let mut link = host.link().await;
-    let line = link.line().await.unwrap();
+    client.send(&placement_request(1, "print", 8_000, "")).await;
+    let mut link = host.accept_link().await;
+    let line = link.receive_line().await.unwrap();
     let answer = format!(
         "{}\n",
         json!({"type": "answer", "id": line["id"], "fields": {}, "sdp": "slow"})
@@ -89,24 +95,24 @@
         link.send_bytes(&[byte]).await;
         // The health check result shows that the placer was running since the byte was sent.
         client.send(&message(52, 2, &[(194, &[0])])).await;
-        let got = client.got().await.unwrap();
-        if got.kind == ANSWER {
-            assert_eq!(got.description(), b"slow");
+        let received = client.receive().await.unwrap();
+        if received.kind == ANSWER {
+            assert_eq!(received.description(), b"slow");
             break;
         }
     }
     link.answer(&line["id"], "a second one").await;
-    client.send(&setup(2, "print", 8_000, "")).await;
-    let next = link.line().await.unwrap();
+    client.send(&placement_request(2, "print", 8_000, "")).await;
+    let next = link.receive_line().await.unwrap();
     link.answer(&next["id"], "next").await;
     let mut answers = Vec::new();
     while answers
         .last()
         .is_none_or(|answer: &Vec<u8>| answer != b"next")
     {
-        let got = client.got().await.unwrap();
-        if got.kind == ANSWER {
-            answers.push(got.description());
+        let received = client.receive().await.unwrap();
+        if received.kind == ANSWER {
+            answers.push(received.description());
         }
     }
     assert!(!answers.contains(&b"a second one".to_vec()), "{answers:?}");
@@ -118,9 +124,9 @@
 async fn an_incomplete_answer_fails_an_unsafe_request() {
     for is_reset in [false, true] {
         let (host, _placer, mut client) = host_placer_client().await;
-        client.send(&setup(1, "print", 8_000, "")).await;
-        let mut link = host.link().await;
-        let line = link.line().await.unwrap();
+        client.send(&placement_request(1, "print", 8_000, "")).await;
+        let mut link = host.accept_link().await;
+        let line = link.receive_line().await.unwrap();
         link.send_bytes(format!("{{\"type\":\"answer\",\"id\":{}", line["id"]).as_bytes())
             .await;
         if is_reset {
@@ -128,7 +134,7 @@
         } else {
             drop(link);
         }
-        let failed = client.got().await.unwrap();
+        let failed = client.receive().await.unwrap();
         assert!(
             (failed.kind, failed.id) == (RELEASE, 1) && failed.cause() != Some(FULL),
             "{failed:?}"
--- a/crates/platform/tests/standins/mod.rs
+++ b/crates/platform/tests/simulated_peers/mod.rs
@@ -21,16 +21,16 @@
 pub use wire::message;
 
 /// Limit for each wait in a test; a test whose wait takes longer fails.
-pub const LONG: Duration = Duration::from_secs(20);
+pub const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
-/// Waits for `wait`.
+/// Waits for `future`; `what` names it in the message of a panic.
 ///
 /// # Panics
-/// After [`LONG`], with `what` in the message.
-pub async fn soon<T>(what: &str, wait: impl Future<Output = T>) -> T {
-    timeout(LONG, wait)
+/// After [`WAIT_LIMIT`].
+pub async fn wait_for<T>(what: &str, future: impl Future<Output = T>) -> T {
+    timeout(WAIT_LIMIT, future)
         .await
-        .unwrap_or_else(|_| panic!("{what}: not within {LONG:?}"))
+        .unwrap_or_else(|_| panic!("{what}: not within {WAIT_LIMIT:?}"))
 }
 
 // ---- Client ----
@@ -65,7 +65,7 @@
 
 /// An encoded placement request. `left_ms` is the time until its deadline; `extras` is appended to the resource
 /// figures.
-pub fn setup(id: u64, class: &str, left_ms: u64, extras: &str) -> Vec<u8> {
+pub fn placement_request(id: u64, class: &str, left_ms: u64, extras: &str) -> Vec<u8> {
     let (left, key) = (left_ms.to_string(), format!("{:016x}", id ^ 0xabc));
     let extras = format!("cores:0.5;memory:1;service:0000000000000007{extras}");
     let description = format!("v=0\r\no={id} \u{e9}\r\n");
@@ -87,7 +87,7 @@
 impl Client {
     pub async fn connect(address: SocketAddr) -> Self {
         Self {
-            stream: soon("the connection to the placer", TcpStream::connect(address))
+            stream: wait_for("the connection to the placer", TcpStream::connect(address))
                 .await
                 .expect("the placer must accept connections"),
         }
@@ -102,10 +102,10 @@
 
     /// Sends health checks until the placer reports failure, as it does once it is shutting down.
     pub async fn wait_for_failing_health_check(&mut self) {
-        soon("a failing health check", async {
+        wait_for("a failing health check", async {
             loop {
                 self.send(&message(52, 2, &[(194, &[0])])).await;
-                if self.got().await.expect("a health check result").cause() == Some(0) {
+                if self.receive().await.expect("a health check result").cause() == Some(0) {
                     return;
                 }
             }
@@ -114,8 +114,8 @@
     }
 
     /// Receives the next message; `None` once the placer has closed the connection.
-    pub async fn got(&mut self) -> Option<ReceivedMessage> {
-        soon("a message", async {
+    pub async fn receive(&mut self) -> Option<ReceivedMessage> {
+        wait_for("a message", async {
             let length = self.stream.read_u16().await.ok()?;
             let mut body = vec![0; usize::from(length)];
             self.stream.read_exact(&mut body).await.ok()?;
@@ -146,8 +146,8 @@
 
 impl Link {
     /// Receives the next line; `None` once the placer has closed the connection.
-    pub async fn line(&mut self) -> Option<Value> {
-        let line = soon("a line", self.lines.next_line())
+    pub async fn receive_line(&mut self) -> Option<Value> {
+        let line = wait_for("a line", self.lines.next_line())
             .await
             .ok()
             .flatten()?;
@@ -200,8 +200,8 @@
     }
 
     /// Accepts the next link.
-    pub async fn link(&self) -> Link {
-        let (stream, _) = soon("a connection", self.listener.accept())
+    pub async fn accept_link(&self) -> Link {
+        let (stream, _) = wait_for("a connection", self.listener.accept())
             .await
             .expect("the listener must accept");
         let (read, write) = stream.into_split();
@@ -212,17 +212,17 @@
     }
 
     /// The host's entry in an endpoint list.
-    pub fn line(&self, id: &str, site: &str, health: &str) -> Value {
+    pub fn entry(&self, id: &str, site: &str, health: &str) -> Value {
         json!({"host": id, "dial": self.address, "site": site, "class": "std", "block": 1, "health": health,
             "share": 1, "born_ms": 0, "room": [64, 256]})
     }
 
     /// Serves all links, and answers each placement request with its ID. Returns all messages received from the placer.
-    pub fn obliging(self) -> mpsc::UnboundedReceiver<Value> {
+    pub fn answer_all_requests(self) -> mpsc::UnboundedReceiver<Value> {
         let (sender, messages) = mpsc::unbounded_channel();
         tokio::spawn(async move {
             loop {
-                let mut link = self.accept_link().await;
+                let mut link = self.accept_link_untimed().await;
                 let sender = sender.clone();
                 tokio::spawn(async move {
                     while let Ok(Some(line)) = link.lines.next_line().await {
@@ -240,7 +240,7 @@
     }
 
     /// Accepts the next link, without a time limit.
-    async fn accept_link(&self) -> Link {
+    async fn accept_link_untimed(&self) -> Link {
         let (stream, _) = self
             .listener
             .accept()
@@ -366,8 +366,8 @@
     }
 
     /// Waits until the paths of all requests so far satisfy `is_enough`.
-    pub async fn until_asked(&self, is_enough: impl Fn(&[String]) -> bool) {
-        soon("a request to discovery", async {
+    pub async fn wait_for_requests(&self, is_enough: impl Fn(&[String]) -> bool) {
+        wait_for("a request to discovery", async {
             while !is_enough(&self.requests.lock().expect("the lock must not be poisoned")) {
                 tokio::task::yield_now().await;
             }
@@ -380,7 +380,7 @@
     }
 
     /// Publishes one more event: the list of all hosts if `whole`, else changed entries only.
-    pub fn tell(&self, whole: bool, hosts: Vec<Value>) {
+    pub fn publish(&self, whole: bool, hosts: Vec<Value>) {
         self.state.send_modify(|state| {
             state
                 .1
@@ -436,9 +436,9 @@
 }
 
 /// Starts a placer on loopback whose configuration and discovery list these hosts.
-pub async fn placer(hosts: Vec<Value>) -> RunningPlacer {
+pub async fn start_placer(hosts: Vec<Value>) -> RunningPlacer {
     let discovery = Discovery::new().await;
-    discovery.tell(true, hosts.clone());
+    discovery.publish(true, hosts.clone());
     let listener = TcpListener::bind("127.0.0.1:0")
         .await
         .expect("the address must be free");
@@ -476,7 +476,7 @@
 /// Starts a host, a placer that knows only this host, and a client of the placer.
 pub async fn host_placer_client() -> (Host, RunningPlacer, Client) {
     let host = Host::new().await;
-    let placer = placer(vec![host.line("h-1", "east", "active")]).await;
+    let placer = start_placer(vec![host.entry("h-1", "east", "active")]).await;
     let client = Client::connect(placer.address).await;
     (host, placer, client)
 }
@@ -484,6 +484,6 @@
 /// Starts a placer with one host that answers every placement request; returns the messages that the host receives.
 pub async fn placer_with_answering_host() -> (mpsc::UnboundedReceiver<Value>, RunningPlacer) {
     let host = Host::new().await;
-    let line = host.line("h-1", "east", "active");
-    (host.obliging(), placer(vec![line]).await)
+    let line = host.entry("h-1", "east", "active");
+    (host.answer_all_requests(), start_placer(vec![line]).await)
 }
--- a/crates/platform/tests/world/mod.rs
+++ b/crates/platform/tests/world/mod.rs
@@ -22,7 +22,7 @@
 pub const SECOND: u64 = 1_000 * MS;
 
 /// Class `play` is safe to repeat, `take` is deduplicated by zone, `print` is unsafe to repeat.
-const SETTINGS: &str = include_str!("../standins/settings.json");
+const SETTINGS: &str = include_str!("../simulated_peers/settings.json");
 
 /// A host's JSON entry in an endpoint list of discovery; `port` is on the loopback address.
 pub fn host_entry(id: &str, port: u16, site: &str, health: &str, born_ms: u64) -> String {
