--- a/crates/platform/src/run/event_loop.rs
+++ b/crates/platform/src/run/event_loop.rs
@@ -20,7 +20,7 @@
 use super::control::handle_signals;
 use super::shell::{Shell, ShellSettings};
 
-/// Maximum number of items handled from the input channel at once.
+/// Maximum number of items taken from the input channel at once.
 const BATCH: usize = 64;
 /// Capacity of the input channel; senders wait while it is full. One item of a client may hold 32 KiB of messages.
 pub(super) const INPUT_QUEUE: usize = 128;
--- a/crates/platform/src/sockets/client.rs
+++ b/crates/platform/src/sockets/client.rs
@@ -14,7 +14,7 @@
 use crate::io::Input;
 use crate::write_buffer::{WriteBudget, WriteBuffer, WriteQueue};
 
-/// Maximum time between the first part of a message and its end.
+/// Maximum time for which a message may be incomplete.
 const MESSAGE_LIMIT: Duration = Duration::from_millis(2_400);
 /// Maximum number of buffers read from a client before its inputs are reported.
 const MAX_READS: usize = 2;
--- a/crates/platform/src/sockets/tests.rs
+++ b/crates/platform/src/sockets/tests.rs
@@ -161,7 +161,7 @@
     drop(tokio::io::AsyncWriteExt::shutdown(&mut client).await);
 }
 
-/// Once all permits are writers, client connections wait in the accept queue and use no descriptors.
+/// Once all permits are taken, client connections wait in the accept queue and use no descriptors.
 #[tokio::test]
 async fn no_more_connections_are_accepted_than_there_are_permits() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/crates/platform/tests/client_departure.rs
+++ b/crates/platform/tests/client_departure.rs
@@ -270,7 +270,7 @@
 fn a_flood_that_is_cancelled_in_unread_input_causes_no_attempt() {
     use reedring_platform_protocol::client::FromClient;
     let mut world = world("active");
-    let (flood, usual) = (world.connect_client(), world.connect_client());
+    let (flood, other) = (world.connect_client(), world.connect_client());
     let requests_sent_up_to = |world: &World, last: u64| {
         let of = |message: &ToHost| matches!(message, ToHost::PlacementRequest { id, .. } if *id <= last);
         world
@@ -297,7 +297,7 @@
     let request = FromClient::PlacementRequest(Box::new(placement_request(9_000, "play", 5_000)));
     world
         .engine
-        .handle(world.now, Input::ClientMessage(usual, Ok(request)));
+        .handle(world.now, Input::ClientMessage(other, Ok(request)));
     world.run(20 * MS);
     assert_eq!(
         requests_sent_up_to(&world, count),
@@ -339,7 +339,7 @@
 fn a_flood_takes_turns_with_other_clients_and_its_pending_requests_are_bounded() {
     use reedring_platform_protocol::client::FromClient;
     let mut world = world("active");
-    let (flood, usual) = (world.connect_client(), world.connect_client());
+    let (flood, other) = (world.connect_client(), world.connect_client());
     let send = |world: &mut World, conn, id| {
         let request = FromClient::PlacementRequest(Box::new(placement_request(id, "play", 5_000)));
         world
@@ -348,7 +348,7 @@
     };
     let count = 6_000;
     (1..=count).for_each(|id| send(&mut world, flood, id));
-    send(&mut world, usual, 9_000);
+    send(&mut world, other, 9_000);
     world.engine.flush(world.now);
     let mut outputs = Vec::new();
     while let Some(output) = world.engine.poll() {
--- a/crates/platform/tests/client_departure_loopback.rs
+++ b/crates/platform/tests/client_departure_loopback.rs
@@ -75,7 +75,7 @@
     assert_eq!(other.receive().await.unwrap().kind, ANSWER);
 }
 
-/// When its client is_reset the connection, the attempt is given up by a release to the host.
+/// When its client resets the connection, the attempt is given up by a release to the host.
 #[tokio::test]
 async fn an_attempt_is_released_at_its_host_when_its_client_resets_the_connection() {
     let (host, _placer, mut client) = host_placer_client().await;
--- a/crates/platform/tests/engine.rs
+++ b/crates/platform/tests/engine.rs
@@ -1,5 +1,5 @@
-//! The engine in simulated time: each request gets one final answer, has at most one attempt in flight, and leaves no
-//! state behind.
+//! The engine in simulated time: each request gets at most one final answer and has at most one attempt in flight, and
+//! the engine's state stays bounded.
 
 mod world;
 
--- a/crates/platform/tests/shutdown_and_partial_answers.rs
+++ b/crates/platform/tests/shutdown_and_partial_answers.rs
@@ -93,7 +93,7 @@
     );
     for byte in answer.bytes() {
         link.send_bytes(&[byte]).await;
-        // The health check result shows that the placer was running since the byte was sent.
+        // Waits for a health check result, so that the placer reads the byte before the next one is sent.
         client.send(&message(52, 2, &[(194, &[0])])).await;
         let received = client.receive().await.unwrap();
         if received.kind == ANSWER {
