--- a/crates/system-tests/tests/control.rs
+++ b/crates/system-tests/tests/control.rs
@@ -27,11 +27,25 @@
 
 /// One placer comes back with the plan of this number, for three placers.
 fn bring(fleet: &mut Fleet, name: &str, number: u64) {
+    bring_settings(fleet, name, &settings(number, 3));
+}
+
+/// Restarts one placer with these settings.
+fn bring_settings(fleet: &mut Fleet, name: &str, settings: &str) {
     fleet.end_placer(name).unwrap();
-    fleet.settings_of(name, &settings(number, 3));
+    fleet.settings_of(name, settings);
     fleet.start_placer(name).unwrap();
 }
 
+/// The settings of this number for three placers, under which a node warms up for longer than any test runs. Only
+/// learners that are warming up are asked to raise their floor, and so report it to a placer that has connected already.
+fn settings_with_long_warm_up(number: u64) -> String {
+    let usual = settings(number, 3);
+    let long = usual.replace("warm_after = \"18s\"", "warm_after = \"10m\"");
+    assert_ne!(long, usual, "the settings state no warm-up of 18 s");
+    long
+}
+
 fn comes_in_force(fleet: &Fleet, from: &[(String, usize)], number: u64) {
     for (name, mark) in from {
         acts_by(fleet, name, *mark, number, SETTLES).unwrap();
@@ -187,7 +201,7 @@
     });
     let loads = work(&fleet);
     let from = marks(&fleet);
-    bring(&mut fleet, "placer-1", 2);
+    bring_settings(&mut fleet, "placer-1", &settings_with_long_warm_up(2));
     comes_in_force(&fleet, &from[1..], 2);
     all_told(loads);
     fleet
