--- a/crates/core/benches/persistence.rs
+++ b/crates/core/benches/persistence.rs
@@ -167,7 +167,11 @@
             ..Machine::default()
         };
         let listed = (0..machines).map(machine).collect();
-        placer.step(1, &[Event::Listed(Listing::Snapshot(listed))], &mut Vec::new());
+        placer.step(
+            1,
+            &[Event::Listed(Listing::Snapshot(listed))],
+            &mut Vec::new(),
+        );
         let started = Instant::now();
         let beliefs = placer.beliefs(2);
         println!(
--- a/crates/core/src/lifecycle/durability.rs
+++ b/crates/core/src/lifecycle/durability.rs
@@ -127,8 +127,9 @@
             false => (Outcome::Refused, "refused"),
         };
         self.record_outcome(job, outcome);
-        let reason =
-            format!("{word}: its start can't be recorded ({why}), and it must not start twice");
+        let reason = format!(
+            "{word}: its start can't be kept over a restart ({why}), and it must not start twice"
+        );
         self.end_job(now, job, Ending::aborted(reason));
     }
 }
--- a/crates/core/src/lifecycle/jobs.rs
+++ b/crates/core/src/lifecycle/jobs.rs
@@ -102,7 +102,7 @@
                 signal: "SIGXCPU".to_owned(),
                 core_dump: false,
             };
-            let reason = Some("it reached the run time limit of its template".to_owned());
+            let reason = Some("it ran for as long as its template allows".to_owned());
             self.terminate(
                 now,
                 job,
--- a/crates/core/src/lifecycle/requests.rs
+++ b/crates/core/src/lifecycle/requests.rs
@@ -66,11 +66,7 @@
         };
         if grace_us == 0 {
             self.record_outcome(job, Outcome::Refused);
-            return self.end_job(
-                now,
-                job,
-                Ending::aborted("its drmaa_deadline_time has passed"),
-            );
+            return self.end_job(now, job, Ending::aborted("its drmaa_deadline_time is over"));
         }
         let constrained = self
             .ledger
--- a/crates/core/src/restore/jobs.rs
+++ b/crates/core/src/restore/jobs.rs
@@ -134,9 +134,8 @@
     let has_ended = matches!(row.phase, state::Phase::Ended(_));
     if let Some(unusable) = unusable.filter(|_| !has_ended) {
         let why = &unusable.reason;
-        let reason = format!(
-            "failed: the placer's settings no longer support the job's requirements: {why}"
-        );
+        let reason =
+            format!("failed: the placer's settings no longer know what it asks for: {why}");
         lifecycle.record_outcome(number, Outcome::Failed);
         return lifecycle.end_job(now, number, Ending::aborted(reason));
     }
