--- a/crates/core/tests/configuration_world/mod.rs
+++ b/crates/core/tests/configuration_world/mod.rs
@@ -94,7 +94,7 @@
     pub clock_offsets: BTreeMap<usize, u64>,
     /// The events for operators, each with its placer.
     pub events: Vec<(usize, Event)>,
-    /// The number of the plan by which each placer acts, and since when. Joint configurations don't count.
+    /// The number of the plan that each placer put out as active, and since when. Joint configurations don't count.
     pub active_plans: Vec<(u64, u64)>,
     /// The number of each placer's current start, which is the last digit of the numbers of its links at the node
     /// models.
--- a/crates/core/tests/control_machines.rs
+++ b/crates/core/tests/control_machines.rs
@@ -17,8 +17,8 @@
 /// too.
 const VOTE_AFTER: u64 = 31 * SECOND;
 
-/// Runs for two seconds and checks that all placers act by plan 1, by their events: `World::active_plans` may have it
-/// earlier.
+/// Runs for two seconds and checks by their events that all placers act by plan 1. `World::active_plans` also counts a
+/// plan that a placer only has from its settings file.
 fn check_first_plan_active(world: &mut World) {
     world.run_until_active(9, 2 * SECOND);
     for placer in 0..world.cores.len() {
--- a/crates/core/tests/world/mod.rs
+++ b/crates/core/tests/world/mod.rs
@@ -126,6 +126,7 @@
 /// What happened to a job's copies at the nodes.
 #[derive(Debug, Default)]
 pub struct Copies {
+    /// `None` until a node holds a copy.
     pub idempotency: Option<Idempotency>,
     /// Attempts that some node accepted, without those that it returned before they started.
     pub ran: BTreeSet<AttemptId>,
@@ -189,7 +190,8 @@
     state_disk: Option<StateDisk>,
     /// The time until which messages to each node are delayed; they then arrive together.
     stalled_until: BTreeMap<usize, u64>,
-    /// Microseconds from a batch's output until it is durable. `None` draws a random time for each.
+    /// Microseconds from the output of the first pending batch until all pending batches are written. `None` draws a
+    /// random time for each write.
     pub write_latency_us: Option<u64>,
     /// When each offer arrived, and at which node.
     pub arrivals: Vec<(u64, usize)>,
