--- a/crates/placer/src/clients/connection.rs
+++ b/crates/placer/src/clients/connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection: requests in, responses out.
+//! One client connection: reads requests and writes responses.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,39 +16,39 @@
 use crate::listener::ClientStream;
 use crate::tasks::{CancelHandle, CancelToken};
 
-/// Requests of one connection that are not answered yet; it is not read further before one is. A client that sends and
-/// never reads uses no more memory than these.
+/// Maximum number of unanswered requests of one connection. At the limit, no further request is submitted until one is
+/// answered. This bounds the memory used for a client that sends requests and never reads responses.
 const MAX_UNANSWERED: u32 = 32;
-/// Bytes that are read at once.
+/// Size of the read buffer, in bytes.
 const READ_BUFFER: usize = 16 * 1024;
-/// How long a client that has closed its side may take to read the responses that were queued by then.
+/// Time that a client has, after it closed its side of the connection, to read the responses that are already queued.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
-/// What a client beyond the limit of connections is told.
+/// Error message for a client beyond the connection limit.
 const TOO_MANY_CONNECTIONS: &str = "the placer has as many connections as it takes; try later";
 
-/// One client's connection.
+/// State shared by the reader and the writer of one client connection.
 #[derive(Clone)]
 pub(super) struct ClientConnection {
     conn: ConnectionId,
     context: Arc<PlacerContext>,
     inbound: InboundSender,
-    /// One permit for each request that may still be read before another is answered.
-    unanswered: Arc<Semaphore>,
+    /// One permit for each request that may be submitted before another is answered.
+    request_permits: Arc<Semaphore>,
 }
 
 impl ClientConnection {
-    /// The connection of this number.
+    /// Creates the state of the connection with this number.
     pub fn new(conn: ConnectionId, context: Arc<PlacerContext>, inbound: InboundSender) -> Self {
-        let unanswered = Arc::new(Semaphore::new(MAX_UNANSWERED as usize));
+        let request_permits = Arc::new(Semaphore::new(MAX_UNANSWERED as usize));
         Self {
             conn,
             context,
             inbound,
-            unanswered,
+            request_permits,
         }
     }
 
-    /// Serves the client until it disconnects, or sends what is no frame.
+    /// Serves the client until it disconnects or sends an invalid frame.
     pub async fn run(self, stream: ClientStream) {
         let (responses, queue) = mpsc::unbounded_channel();
         let close = CancelHandle::new();
@@ -68,13 +68,14 @@
                 .send(InboundEvent::Core(Input::ClientDisconnected(self.conn)))
                 .await;
         }
-        // What was answered by now is written, unless the client does not read it.
+        // Responses that are queued by now are still written, if the client reads them within the timeout.
         close.cancel();
         let _ = tokio::time::timeout(FLUSH_TIMEOUT, writer.join_next()).await;
         writer.shutdown().await;
         self.context.trace.client_disconnected(self.conn);
     }
 
+    /// Reads requests until the client closes its side or sends an invalid frame, or the placer shuts down.
     async fn read_requests(&self, mut stream: impl AsyncRead + Unpin) {
         let (mut frames, mut buffer) = (Reader::new(MAX_REQUEST), vec![0; READ_BUFFER]);
         loop {
@@ -96,12 +97,13 @@
         }
     }
 
-    /// Hands a request to the event loop; false where the placer shuts down.
+    /// Sends a request to the event loop once fewer than [`MAX_UNANSWERED`] requests are unanswered; one that can't
+    /// be parsed is replaced by its error response. Returns false if the placer is shutting down.
     async fn submit(&self, body: &[u8]) -> bool {
         self.context
             .trace
             .client_frame_read(self.conn, || wrap(body));
-        match self.unanswered.acquire().await {
+        match self.request_permits.acquire().await {
             Ok(permit) => permit.forget(),
             Err(_) => return false,
         }
@@ -112,7 +114,7 @@
                 id: request.id,
                 call: request.call,
             }),
-            Err(response) => InboundEvent::ClientAnswered {
+            Err(response) => InboundEvent::RequestRejected {
                 conn,
                 response: *response,
             },
@@ -120,23 +122,25 @@
         self.inbound.send(event).await.is_ok()
     }
 
-    /// Answers what is no frame. Returns once all answers are written: the connection is closed then.
+    /// Answers an invalid frame with an error. Returns once all responses are written, as the caller then closes the
+    /// connection.
     async fn reject(&self, error: &FrameError) {
         let response = Response::fault(None, INVALID_REQUEST, error.to_string());
-        if let Ok(permit) = self.unanswered.acquire().await {
+        if let Ok(permit) = self.request_permits.acquire().await {
             permit.forget();
         }
         let _ = self
             .inbound
-            .send(InboundEvent::ClientAnswered {
+            .send(InboundEvent::RequestRejected {
                 conn: self.conn,
                 response,
             })
             .await;
-        let _ = self.unanswered.acquire_many(MAX_UNANSWERED).await;
+        let _ = self.request_permits.acquire_many(MAX_UNANSWERED).await;
     }
 
-    /// Writes responses until they end. Once `closing` is cancelled only those that are queued are written.
+    /// Writes responses until the queue is closed or a write fails. Once `closing` is cancelled, only responses that
+    /// are already queued are written.
     async fn write_responses(
         self,
         mut stream: impl AsyncWrite + Unpin,
@@ -159,18 +163,22 @@
             {
                 return;
             }
-            self.unanswered.add_permits(1);
+            self.request_permits.add_permits(1);
         }
     }
 }
 
-/// Tells a client beyond the limit of connections to try later.
-pub(super) async fn refuse(conn: ConnectionId, stream: ClientStream, context: Arc<PlacerContext>) {
+/// Answers a client beyond the connection limit with the DRMAA error `TRY_LATER`, and closes the connection.
+pub(super) async fn reject_connection(
+    conn: ConnectionId,
+    stream: ClientStream,
+    context: Arc<PlacerContext>,
+) {
     let ClientStream { reader, mut writer } = stream;
     drop(reader);
     let code = DRMAA_BASE + i64::from(ErrorCode::TryLater.number());
     let response = Response::fault(None, code, TOO_MANY_CONNECTIONS);
-    // A client that has gone needs no answer.
+    // An error means that the client has disconnected.
     let _ = write_response(&mut writer, conn, &response, &context).await;
 }
 
--- a/crates/placer/src/clients/mod.rs
+++ b/crates/placer/src/clients/mod.rs
@@ -1,6 +1,7 @@
-//! The DRMAA front: JSON-RPC over TCP or a Unix socket.
+//! Connections of DRMAA clients: JSON-RPC over TCP or a Unix socket.
 //!
-//! [`ClientAcceptor`] owns the listener and a task for each connection; [`ClientRegistry`] is the event loop's side.
+//! [`ClientAcceptor`] owns the listener and a task for each connection. [`ClientRegistry`] belongs to the event loop,
+//! which sends responses through it.
 
 mod connection;
 mod registry;
@@ -13,18 +14,19 @@
 use reedring_core::ConnectionId;
 use tokio::sync::Semaphore;
 
-use self::connection::{ClientConnection, refuse};
+use self::connection::{ClientConnection, reject_connection};
 pub(crate) use self::registry::ClientRegistry;
 use crate::context::PlacerContext;
 use crate::inbound::InboundSender;
 use crate::listener::{ClientStream, Listener};
 use crate::tasks::{CancelToken, TaskGroup};
 
-/// Accepts clients, and owns the tasks of their connections.
+/// Accepts client connections, and owns their tasks.
 pub(crate) struct ClientAcceptor {
     listener: Listener,
-    /// One for each connection that may still be served.
+    /// One permit for each further connection that may be served.
     permits: Arc<Semaphore>,
+    /// Number of the latest connection; 0 before the first.
     last_conn: ConnectionId,
     tasks: TaskGroup,
     context: Arc<PlacerContext>,
@@ -32,7 +34,7 @@
 }
 
 impl ClientAcceptor {
-    /// Accepts on this listener, and serves up to `max_connections` at a time.
+    /// Creates an acceptor for this listener that serves at most `max_connections` connections at a time.
     pub fn new(
         listener: Listener,
         max_connections: usize,
@@ -50,7 +52,7 @@
         }
     }
 
-    /// Accepts until the token is cancelled; cancels and joins the connections' tasks then.
+    /// Accepts connections until the token is cancelled, then cancels and joins the tasks of all connections.
     pub async fn run(mut self, token: CancelToken) {
         token.run(self.accept_all()).await;
         self.tasks.shutdown().await;
@@ -68,7 +70,7 @@
         }
     }
 
-    /// Serves a client; one beyond the limit is asked to try later.
+    /// Spawns a task that serves the client, or rejects it if the connection limit is reached.
     fn serve(&mut self, stream: ClientStream) {
         self.last_conn += 1;
         let (conn, context) = (self.last_conn, Arc::clone(&self.context));
@@ -80,7 +82,7 @@
                     drop(permit);
                 });
             }
-            Err(_) => self.tasks.spawn(refuse(conn, stream, context)),
+            Err(_) => self.tasks.spawn(reject_connection(conn, stream, context)),
         }
     }
 }
--- a/crates/placer/src/clients/tests.rs
+++ b/crates/placer/src/clients/tests.rs
@@ -9,16 +9,16 @@
 use super::*;
 use crate::inbound::{InboundEvent, ResponseSender};
 
-/// A client's end of a connection that is served, and what the event loop gets of it.
-struct Served {
+/// The client's end of a connection, and the event loop's ends of its queues.
+struct ServedConnection {
     client: DuplexStream,
     events: mpsc::Receiver<InboundEvent>,
     responses: ResponseSender,
 }
 
-/// Serves a connection that carries so many bytes before the client reads.
-async fn serve(carries: usize) -> Served {
-    let (client, server) = tokio::io::duplex(carries);
+/// Serves a connection that buffers `capacity` bytes in each direction.
+async fn serve(capacity: usize) -> ServedConnection {
+    let (client, server) = tokio::io::duplex(capacity);
     let (reader, writer) = tokio::io::split(server);
     let (inbound, mut events) = mpsc::channel(8);
     let connection = ClientConnection::new(1, Arc::new(PlacerContext::for_tests()), inbound);
@@ -27,33 +27,33 @@
         writer: Box::new(writer),
     }));
     let Some(InboundEvent::ClientConnected { conn: 1, responses }) = events.recv().await else {
-        panic!("no connection")
+        panic!("the first event is not a client connection with number 1")
     };
-    Served {
+    ServedConnection {
         client,
         events,
         responses,
     }
 }
 
-/// An answer of some hundred bytes.
+/// A response of more than 100 bytes, which exceeds the capacity of the connection.
 fn response(text: &str) -> Response {
     Response::fault(None, INVALID_REQUEST, text.repeat(100))
 }
 
 #[tokio::test]
-async fn responses_that_wait_when_a_client_closes_its_side_are_written() {
-    let mut served = serve(64).await;
+async fn responses_queued_when_a_client_closes_its_side_are_written() {
+    let mut connection = serve(64).await;
     for text in ["a", "b"] {
-        served.responses.send(response(text)).unwrap();
+        connection.responses.send(response(text)).unwrap();
     }
-    served.client.shutdown().await.unwrap();
+    connection.client.shutdown().await.unwrap();
     assert!(matches!(
-        served.events.recv().await,
+        connection.events.recv().await,
         Some(InboundEvent::Core(Input::ClientDisconnected(1)))
     ));
     let mut bytes = Vec::new();
-    served.client.read_to_end(&mut bytes).await.unwrap();
+    connection.client.read_to_end(&mut bytes).await.unwrap();
     let mut frames = Reader::new(bytes.len());
     frames.push(&bytes);
     for text in ["a", "b"] {
@@ -61,16 +61,16 @@
         assert!(body.contains(&text.repeat(100)), "{body}");
     }
     assert_eq!(frames.next_body(), Ok(None));
-    assert!(served.responses.is_closed());
+    assert!(connection.responses.is_closed());
 }
 
 #[tokio::test]
-async fn a_client_that_closes_its_side_and_reads_nothing_is_left_after_a_second() {
-    let mut served = serve(64).await;
-    served.responses.send(response("a")).unwrap();
-    served.client.shutdown().await.unwrap();
+async fn a_connection_is_closed_a_second_after_its_client_closes_its_side_without_reading() {
+    let mut connection = serve(64).await;
+    connection.responses.send(response("a")).unwrap();
+    connection.client.shutdown().await.unwrap();
     let started = Instant::now();
-    tokio::time::timeout(Duration::from_secs(10), served.responses.closed())
+    tokio::time::timeout(Duration::from_secs(10), connection.responses.closed())
         .await
         .unwrap();
     assert!(
--- a/crates/placer/src/context.rs
+++ b/crates/placer/src/context.rs
@@ -1,4 +1,4 @@
-//! What every task of a placer may read: who the placer is, and the configuration that it acts by.
+//! Data that every task of a placer may read: its identity and its active configuration.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -8,24 +8,26 @@
 
 use crate::trace::PlacerTrace;
 
-/// Shared by all tasks of one placer. Only the event loop changes it.
+/// Data shared by all tasks of one placer. Only the event loop changes it.
 pub(crate) struct PlacerContext {
     /// The placer's name.
     pub name: String,
-    /// This incarnation of the placer: its start, in microseconds since 1970.
+    /// Number of this start of the placer: its time in microseconds since 1970, or one more than the number of the last
+    /// start if the clock went back.
     pub incarnation: u64,
-    /// The time that connecting to a node may take, and each step of the handshake with it.
+    /// Time limit for the TCP connection to a node, and for each answer of the node during the handshake.
     pub connect_timeout: Duration,
-    /// Where frames are recorded.
+    /// Records frames in the trace.
     pub trace: PlacerTrace,
-    /// Counters of the messages on the links, by node.
+    /// Counters of the messages on links, by node; `None` if they are not counted.
     pub traffic: Option<Arc<PeerTraffic>>,
+    /// `None` while the placer has no configuration.
     active_config: Mutex<Option<VersionStamp>>,
 }
 
 impl PlacerContext {
-    /// Of a placer with these settings. Until the core says otherwise it acts by the configuration in them, if they have
-    /// one.
+    /// Creates the context of a placer. Its active configuration is that of its settings, if they have one, until the
+    /// core activates another.
     pub fn new(
         settings: &Settings,
         incarnation: u64,
@@ -42,7 +44,7 @@
         }
     }
 
-    /// Of a placer `p` without a configuration.
+    /// Creates the context of a placer `p` without a configuration.
     #[cfg(test)]
     pub fn for_tests() -> Self {
         Self {
@@ -55,19 +57,19 @@
         }
     }
 
-    fn locked_config(&self) -> MutexGuard<'_, Option<VersionStamp>> {
+    fn lock_config(&self) -> MutexGuard<'_, Option<VersionStamp>> {
         self.active_config
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The configuration that the placer acts by; each hello to a node states it.
+    /// The configuration by which the placer acts, which each version 2 hello to a node names; `None` if it has none.
     pub fn active_config(&self) -> Option<VersionStamp> {
-        *self.locked_config()
+        *self.lock_config()
     }
 
-    /// The placer acts by this configuration from now on.
+    /// Sets the configuration by which the placer acts from now on.
     pub fn set_active_config(&self, stamp: VersionStamp) {
-        *self.locked_config() = Some(stamp);
+        *self.lock_config() = Some(stamp);
     }
 }
--- a/crates/placer/src/control.rs
+++ b/crates/placer/src/control.rs
@@ -1,4 +1,4 @@
-//! What the owner of a running placer asks of its event loop.
+//! Commands and the shutdown request from the owner of a running placer to its event loop.
 
 use std::time::Duration;
 
@@ -7,43 +7,45 @@
 /// A command to a running placer.
 #[derive(Debug)]
 pub(crate) enum PlacerCommand {
-    /// Handle no event for so long, as a placer does whose host is overloaded.
+    /// Handle no event for this time, like a placer on an overloaded host.
     Stall(Duration),
 }
 
-/// How a placer ends.
+/// How a placer is shut down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ShutdownMode {
-    /// At once, as if its process were killed: what waits to be written to its ledger is lost.
+    /// At once, as if its process were killed: what is not yet written to its ledger is lost.
     Kill,
-    /// In order: its ledger and its beliefs are written first.
+    /// Orderly: its ledger and beliefs are written first.
     Stop,
 }
 
-/// The owner's side.
+/// The owner's end of a [`ControlChannel`].
 pub(crate) struct ControlSender {
     commands: mpsc::UnboundedSender<PlacerCommand>,
+    /// `None` once a shutdown was requested.
     shutdown: Option<oneshot::Sender<ShutdownMode>>,
 }
 
-/// The event loop's side.
+/// The event loop's end of a [`ControlChannel`].
 pub(crate) struct ControlReceiver {
-    /// Commands, in order.
+    /// Receives commands in the order in which they were sent.
     pub commands: mpsc::UnboundedReceiver<PlacerCommand>,
-    /// The end of the placer; an error counts as [`ShutdownMode::Kill`].
+    /// Resolves when a shutdown is requested. An error means that the owner dropped the channel, and counts as
+    /// [`ShutdownMode::Kill`].
     pub shutdown: oneshot::Receiver<ShutdownMode>,
 }
 
-/// Both sides.
+/// A channel from the owner of a placer to its event loop.
 pub(crate) struct ControlChannel {
-    /// For the placer's owner.
+    /// The owner's end.
     pub sender: ControlSender,
-    /// For its event loop.
+    /// The event loop's end.
     pub receiver: ControlReceiver,
 }
 
 impl ControlChannel {
-    /// A channel of one placer.
+    /// Creates the channel of one placer.
     pub fn new() -> Self {
         let (commands, received) = mpsc::unbounded_channel();
         let (shutdown, requested) = oneshot::channel();
@@ -61,12 +63,12 @@
 }
 
 impl ControlSender {
-    /// Sends a command; a placer that has ended takes none.
+    /// Sends a command; has no effect if the placer has ended.
     pub fn send(&self, command: PlacerCommand) {
         let _ = self.commands.send(command);
     }
 
-    /// Requests the end of the placer. Only the first request counts.
+    /// Requests a shutdown. Requests after the first have no effect.
     pub fn shut_down(&mut self, mode: ShutdownMode) {
         if let Some(shutdown) = self.shutdown.take() {
             let _ = shutdown.send(mode);
--- a/crates/placer/src/error.rs
+++ b/crates/placer/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a placer could not be started.
+//! Errors that prevent the start of a placer.
 
 use std::io;
 
@@ -7,30 +7,30 @@
 /// Why a placer did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// Its runtime or thread could not be made.
-    #[error("placer {name}: can't start its runtime: {error}")]
+    /// The runtime or thread of the placer could not be created, or the thread ended before the listener was bound.
+    #[error("placer {name}: can't start its runtime or thread: {error}")]
     Runtime {
-        /// The placer.
+        /// Name of the placer.
         name: String,
-        /// What the system answered.
+        /// Error of the operating system.
         error: io::Error,
     },
-    /// Its address can't be listened on.
+    /// The placer can't listen on its address.
     #[error("placer {name}: can't listen on {address}: {error}")]
     Listen {
-        /// The placer.
+        /// Name of the placer.
         name: String,
-        /// The address.
+        /// Address of the settings: a TCP address or the path of a Unix socket.
         address: String,
-        /// What the system answered.
+        /// Error of the operating system.
         error: io::Error,
     },
-    /// Its state folder can't be used.
+    /// The placer's state folder can't be used.
     #[error("placer {name}: {error}")]
     State {
-        /// The placer.
+        /// Name of the placer.
         name: String,
-        /// Why, and what to do.
+        /// The reason, and what an operator can do.
         error: StateError,
     },
 }
--- a/crates/placer/src/event_loop.rs
+++ b/crates/placer/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! The main loop: hands what happened to the core, and carries out what the core answers.
+//! The event loop: passes inputs to the core and executes the core's outputs.
 
 use reedring_core::{Core, Input};
 use tokio::sync::mpsc;
@@ -12,24 +12,24 @@
 use crate::settings_file::SettingsUpdate;
 use crate::tasks::TaskGroup;
 
-/// Inbound events that the core takes in before the decision module decides on them.
+/// Maximum number of inbound events that the core handles before the decision module decides on them.
 const MAX_BATCH: usize = 512;
 
-/// Where the loop's events come from.
+/// The receiving ends of the queues that the event loop reads.
 pub(crate) struct EventSources {
-    /// What clients, links and the ledger's thread report.
+    /// Events of clients, links and the ledger thread.
     pub inbound: mpsc::Receiver<InboundEvent>,
-    /// Changes of the node list.
+    /// Updates of the node list.
     pub node_lists: mpsc::Receiver<NodeListUpdate>,
-    /// Changes of the settings file.
+    /// Updates of the settings file.
     pub settings: mpsc::Receiver<SettingsUpdate>,
-    /// Commands of the placer's owner.
+    /// Commands and the shutdown request of the placer's owner.
     pub control: ControlReceiver,
 }
 
-/// Why the loop goes round.
-enum Wake {
-    /// Inbound events are in the batch.
+/// What the event loop woke up for.
+enum WakeReason {
+    /// Inbound events were received into the batch.
     Inbound,
     NodeList(NodeListUpdate),
     Settings(SettingsUpdate),
@@ -39,19 +39,20 @@
     Timer,
 }
 
-/// The main loop. It alone touches the core.
+/// The event loop. No other code accesses the core.
 pub(crate) struct EventLoop {
     core: Core,
     clock: CoreClock,
     sources: EventSources,
     dispatcher: OutputDispatcher,
-    /// The tasks that feed the sources, beside the links' own.
+    /// The tasks that send to the sources, except those of the links.
     tasks: TaskGroup,
+    /// Inbound events that were received and not yet handled; its memory is reused.
     batch: Vec<InboundEvent>,
 }
 
 impl EventLoop {
-    /// Of a core whose sources are fed by `tasks`.
+    /// Creates the loop for a core. `tasks` are the tasks that send to the sources.
     pub fn new(
         core: Core,
         clock: CoreClock,
@@ -72,25 +73,26 @@
     /// Runs until the placer is shut down.
     pub async fn run(mut self) {
         loop {
-            match self.next().await {
-                Wake::Inbound => self.handle_batch(),
-                Wake::NodeList(update) => self.handle_node_list(update),
-                Wake::Settings(update) => self.handle_settings(update),
-                Wake::Command(PlacerCommand::Stall(duration)) => {
+            match self.wait().await {
+                WakeReason::Inbound => self.handle_batch(),
+                WakeReason::NodeList(update) => self.handle_node_list(update),
+                WakeReason::Settings(update) => self.handle_settings(update),
+                WakeReason::Command(PlacerCommand::Stall(duration)) => {
                     self.dispatcher.context.trace.placer_stalled(duration);
                     std::thread::sleep(duration);
                 }
-                Wake::Shutdown(mode) => return self.shut_down(mode).await,
-                Wake::Timer => {}
+                WakeReason::Shutdown(mode) => return self.shut_down(mode).await,
+                WakeReason::Timer => {}
             }
             self.core.release(self.clock.now_us());
-            self.carry_out_all();
+            self.dispatch_outputs();
             self.core.flush(self.clock.now_us());
-            self.carry_out_all();
+            self.dispatch_outputs();
         }
     }
 
-    async fn next(&mut self) -> Wake {
+    /// Waits for events, or until a timer of the core is due.
+    async fn wait(&mut self) -> WakeReason {
         let timer = self.core.next_wake().map(|at| self.clock.until(at));
         let EventSources {
             inbound,
@@ -99,12 +101,12 @@
             control,
         } = &mut self.sources;
         tokio::select! {
-            _ = inbound.recv_many(&mut self.batch, MAX_BATCH) => Wake::Inbound,
-            Some(update) = node_lists.recv() => Wake::NodeList(update),
-            Some(update) = settings.recv() => Wake::Settings(update),
-            Some(command) = control.commands.recv() => Wake::Command(command),
-            mode = &mut control.shutdown => Wake::Shutdown(mode.unwrap_or(ShutdownMode::Kill)),
-            () = tokio::time::sleep(timer.unwrap_or_default()), if timer.is_some() => Wake::Timer,
+            _ = inbound.recv_many(&mut self.batch, MAX_BATCH) => WakeReason::Inbound,
+            Some(update) = node_lists.recv() => WakeReason::NodeList(update),
+            Some(update) = settings.recv() => WakeReason::Settings(update),
+            Some(command) = control.commands.recv() => WakeReason::Command(command),
+            mode = &mut control.shutdown => WakeReason::Shutdown(mode.unwrap_or(ShutdownMode::Kill)),
+            () = tokio::time::sleep(timer.unwrap_or_default()), if timer.is_some() => WakeReason::Timer,
         }
     }
 
@@ -121,7 +123,7 @@
             InboundEvent::ClientConnected { conn, responses } => {
                 self.dispatcher.clients.add(conn, responses)
             }
-            InboundEvent::ClientAnswered { conn, response } => {
+            InboundEvent::RequestRejected { conn, response } => {
                 self.dispatcher.clients.respond(conn, response)
             }
             InboundEvent::LinkEstablished {
@@ -145,7 +147,7 @@
     fn handle_node_list(&mut self, update: NodeListUpdate) {
         match update {
             NodeListUpdate::List { list, text } => {
-                self.dispatcher.context.trace.node_list(&text);
+                self.dispatcher.context.trace.node_list_changed(&text);
                 self.core
                     .handle(self.clock.now_us(), Input::NodeListChanged(list));
             }
@@ -173,19 +175,19 @@
         }
     }
 
-    fn carry_out_all(&mut self) {
+    fn dispatch_outputs(&mut self) {
         while let Some(output) = self.core.poll() {
-            self.dispatcher.carry_out(output);
+            self.dispatcher.dispatch(output);
         }
     }
 
-    /// Ends the loop and all tasks. Stopped in order, the placer writes its ledger and beliefs first.
+    /// Ends the loop and all tasks. In [`ShutdownMode::Stop`] the placer writes its ledger and beliefs first.
     async fn shut_down(mut self, mode: ShutdownMode) {
         match mode {
             ShutdownMode::Stop => {
                 self.core.output_beliefs(self.clock.now_us());
                 self.core.flush(self.clock.now_us());
-                self.carry_out_all();
+                self.dispatch_outputs();
             }
             ShutdownMode::Kill => self
                 .dispatcher
@@ -193,7 +195,8 @@
                 .iter()
                 .for_each(LedgerThread::abandon),
         }
-        // The ledger's thread is joined below, and must not wait for room in the queue.
+        // Dropping `ledger` joins the ledger thread. With the queue closed, its sends fail instead of blocking on a
+        // full queue for ever.
         self.sources.inbound.close();
         let OutputDispatcher {
             clients,
--- a/crates/placer/src/inbound.rs
+++ b/crates/placer/src/inbound.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a placer hand to its event loop.
+//! Events that the tasks of a placer send to its event loop.
 
 use reedring_core::{ConnectionId, Input};
 use reedring_drmaa::rpc::Response;
@@ -7,69 +7,69 @@
 
 use crate::link_number::LinkNumber;
 
-/// Events that wait for the event loop; a task that brings one more waits.
+/// Capacity of the queue of events to the event loop. A task that sends to a full queue waits until there is room.
 pub(crate) const QUEUE_CAPACITY: usize = 8_192;
 
-/// Where tasks send what happened. A send fails once the placer shuts down.
+/// Sends events to the event loop. A send fails once the placer is shutting down.
 pub(crate) type InboundSender = mpsc::Sender<InboundEvent>;
 
-/// Where the responses for one client connection go.
+/// Queues responses for one client connection.
 pub(crate) type ResponseSender = mpsc::UnboundedSender<Response>;
 
-/// Something that happened outside the event loop.
+/// An event that a task reports to the event loop.
 #[derive(Debug)]
 pub(crate) enum InboundEvent {
-    /// A client has connected; its responses go to `responses`.
+    /// A client has connected.
     ClientConnected {
-        /// Its connection.
+        /// Number of the client's connection.
         conn: ConnectionId,
-        /// Where its responses go.
+        /// Queues responses for the client.
         responses: ResponseSender,
     },
-    /// A request was answered without the core, as it could not be read.
-    ClientAnswered {
-        /// The client's connection.
+    /// A client sent a frame or request that can't be read, which is answered without the core.
+    RequestRejected {
+        /// Number of the client's connection.
         conn: ConnectionId,
-        /// The answer.
+        /// The error response for the client.
         response: Response,
     },
     /// A link to a node is established.
     LinkEstablished {
-        /// The node, by its name in the node list.
+        /// Name of the node in the node list.
         node: String,
-        /// The link.
+        /// Number of the link.
         link: LinkNumber,
         /// The node's answer to the hello.
         welcome: NodeWelcome,
     },
-    /// An input that the core handles as it is.
+    /// An input that is passed to the core unchanged.
     Core(Input),
 }
 
 /// A node's answer to the hello of a link.
 #[derive(Debug)]
 pub(crate) struct NodeWelcome {
-    /// The node's own name.
+    /// Name that the node reports for itself.
     pub name: String,
-    /// Its incarnation.
+    /// Number of this start of the node.
     pub incarnation: u64,
-    /// Milliseconds since its start.
+    /// Milliseconds since the node's start.
     pub up_ms: u64,
-    /// It can suspend tasks.
+    /// Whether the node can suspend tasks.
     pub can_suspend: bool,
-    /// Its acceptor state; none where it speaks version 1 of the protocol.
-    pub record: Option<AcceptorReport>,
+    /// State of the node's acceptor; `None` if the welcome has the form of version 1 of the protocol.
+    pub acceptor_report: Option<AcceptorReport>,
 }
 
 impl NodeWelcome {
-    /// The core's input for a link to this node.
+    /// Returns the core's input for a new link; `node` is the node's name in the node list.
     pub fn into_input(self, node: String) -> Input {
         let Self {
             name,
             incarnation,
             up_ms,
             can_suspend,
-            record,
+            acceptor_report,
         } = self;
         Input::LinkUp {
             node,
@@ -77,7 +77,7 @@
             incarnation,
             up_ms,
             can_suspend,
-            report: record,
+            report: acceptor_report,
         }
     }
 }
--- a/crates/placer/src/ledger/mod.rs
+++ b/crates/placer/src/ledger/mod.rs
@@ -1,4 +1,4 @@
-//! The placer's state folder: opening it, and the thread that writes it.
+//! The placer's state folder: opens it, and runs the thread that writes it.
 
 #[cfg(test)]
 mod tests;
@@ -17,27 +17,33 @@
 /// Why a state folder can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum StateError {
-    /// It is another placer's, or can't be made.
+    /// Another placer has locked the folder.
     #[error(transparent)]
     Lock(#[from] LockError),
-    /// Its ledger can't be read.
+    /// Its ledger can't be used: it is damaged, belongs to another placer or was written by a newer program.
     #[error(transparent)]
     Store(#[from] StoreError),
 }
 
-/// A state folder that was opened, before its thread starts.
+/// An opened state folder, before its thread is started.
 pub(crate) struct LedgerFolder {
-    /// None where the folder can't be written.
+    /// `None` if the folder could not be opened because of an I/O error.
     writer: Option<LedgerWriter<Disk>>,
+    /// What the folder held; empty once it has been taken.
     restored: Restored,
+    /// Time between two attempts to write again to a folder that can't be written.
     retry_interval: Duration,
 }
 
 impl LedgerFolder {
-    /// Opens the folder of the settings.
+    /// Opens the state folder that the settings name.
     ///
-    /// A folder that can't be written is no reason not to start: what is stored there stays, and the core is notified.
-    /// One that can't be read is, as a placer that starts without its state may break promises.
+    /// An I/O error doesn't prevent the start: what is stored in the folder stays there, and the core is notified by
+    /// [`Restored::unavailable`].
+    ///
+    /// # Errors
+    /// If another placer has locked the folder, or its ledger can't be used: a placer that started without its state
+    /// could break promises that an earlier incarnation made.
     pub fn open(settings: &Settings, state: &State, now_unix_us: u64) -> Result<Self, StateError> {
         let retry_interval = Duration::from_micros(state.retry_us);
         let unwritable = |reason: String| {
@@ -71,7 +77,7 @@
                 event = "belief_file_skipped",
                 placer = settings.name,
                 %error,
-                "belief file skipped, as it can't be used"
+                "belief file skipped because it can't be used"
             );
         }
         let half_lives = BeliefHalfLives::from_settings(settings);
@@ -90,23 +96,24 @@
         })
     }
 
-    /// The last incarnation that the ledger knows of.
+    /// The greatest incarnation of the placer that the ledger records; 0 if there is none.
     pub fn last_incarnation(&self) -> u64 {
         self.restored.ledger.last_incarnation()
     }
 
-    /// Takes out what was stored.
+    /// Takes what the folder held, for the start of the core.
     pub fn take_restored(&mut self) -> Restored {
         std::mem::take(&mut self.restored)
     }
 
-    /// Starts the thread. Where the folder can't be written there is none, and what is to be written is dropped.
+    /// Starts the thread that writes the folder. If the folder could not be opened, no thread is started, and
+    /// everything that is to be written is dropped.
     ///
     /// # Errors
-    /// Where the system makes no thread.
+    /// If the system can't create the thread.
     pub fn start(self, inbound: InboundSender) -> std::io::Result<LedgerThread> {
         match self.writer {
-            None => Ok(LedgerThread::without_folder()),
+            None => Ok(LedgerThread::disabled()),
             Some(writer) => LedgerThread::spawn(|commands, abandoned| {
                 LedgerLoop::new(writer, commands, self.retry_interval, inbound, abandoned)
             }),
--- a/crates/placer/src/ledger/tests.rs
+++ b/crates/placer/src/ledger/tests.rs
@@ -23,9 +23,10 @@
     })
 }
 
-/// Beliefs that are saved all the while do not put off the next try of a folder that can't be written.
+/// Guards against commands that postpone the retry of a folder: if each command restarted the wait for the retry, the
+/// retry would never come while beliefs are saved more often than the retry interval.
 #[test]
-fn a_folder_is_tried_again_however_much_is_saved_meanwhile() {
+fn a_folder_is_retried_although_beliefs_are_saved_more_often_than_the_retry_interval() {
     let folder = SimFolder::default();
     let OpenedLedger { writer, .. } = LedgerWriter::open(folder.clone(), "p").unwrap();
     let (commands, queue) = channel();
@@ -46,30 +47,33 @@
             changes: vec![Change::IncarnationStarted(1)],
         };
         commands.send(LedgerCommand::Append(batch)).unwrap();
-        let lost = events.blocking_recv().unwrap();
+        let unavailable = events.blocking_recv().unwrap();
         assert!(matches!(
-            lost,
+            unavailable,
             InboundEvent::Core(Input::StateUnavailable {
                 marked_incomplete: true,
                 ..
             })
         ));
         let started = Instant::now();
-        let back = loop {
+        let available = loop {
             if let Ok(event) = events.try_recv() {
                 break event;
             }
             assert!(
                 started.elapsed() < Duration::from_secs(20),
-                "it was never tried again"
+                "the folder was not reported as available again within 20 s"
             );
             commands
                 .send(LedgerCommand::SaveBeliefs(no_beliefs()))
                 .unwrap();
-            // Well under the time between two tries.
+            // Much shorter than the retry interval.
             std::thread::sleep(Duration::from_millis(5));
         };
-        assert!(matches!(back, InboundEvent::Core(Input::StateAvailable)));
+        assert!(matches!(
+            available,
+            InboundEvent::Core(Input::StateAvailable)
+        ));
         drop(commands);
     });
 }
--- a/crates/placer/src/ledger/thread.rs
+++ b/crates/placer/src/ledger/thread.rs
@@ -13,29 +13,32 @@
 
 use crate::inbound::{InboundEvent, InboundSender};
 
-/// Commands that are carried out in one transaction at most, beside the first.
+/// Maximum number of queued commands that are executed together with the first one. Their appended batches are
+/// written in one transaction.
 const MAX_GROUP: usize = 1_024;
 
-/// What the thread is asked to do, in order.
+/// A command to the thread. Commands are executed in order.
 pub(super) enum LedgerCommand {
-    /// Write these changes.
+    /// Append these changes to the ledger.
     Append(Batch),
-    /// Write a new ledger, of which these are all rows.
+    /// Replace the ledger with a new one that holds exactly these rows.
     Rewrite(Batch),
     /// Replace the belief file.
     SaveBeliefs(Box<BeliefSnapshot>),
 }
 
-/// The owner of the thread. Dropping it waits until all that was asked is written.
+/// Owns the thread. Dropping it joins the thread, which first executes all queued commands unless it was abandoned.
 pub(crate) struct LedgerThread {
+    /// `None` without a thread.
     commands: Option<Sender<LedgerCommand>>,
     thread: Option<JoinHandle<()>>,
+    /// Set when the thread must end without executing queued commands.
     abandoned: Arc<AtomicBool>,
 }
 
 impl LedgerThread {
-    /// No thread: the folder can't be written.
-    pub(super) fn without_folder() -> Self {
+    /// Creates a handle without a thread, for a folder that could not be opened; commands are dropped.
+    pub(super) fn disabled() -> Self {
         Self {
             commands: None,
             thread: None,
@@ -43,7 +46,8 @@
         }
     }
 
-    /// Starts a thread for the loop that `new_loop` makes of the thread's commands and the sign to give up.
+    /// Starts the thread. `new_loop` creates its loop from the receiver of commands and the flag that tells the
+    /// thread to end without executing queued commands.
     pub(super) fn spawn<F: Folder + Send + 'static>(
         new_loop: impl FnOnce(Receiver<LedgerCommand>, Arc<AtomicBool>) -> LedgerLoop<F>,
     ) -> std::io::Result<Self> {
@@ -59,29 +63,30 @@
         })
     }
 
-    /// Writes changes; [`Input::Durable`] follows once they are on disk.
+    /// Appends changes to the ledger. [`Input::Durable`] is sent once they are on disk, or
+    /// [`Input::StateUnavailable`] if the write fails.
     pub fn append(&self, batch: Batch) {
         self.send(LedgerCommand::Append(batch));
     }
 
-    /// Writes a new ledger of these rows; [`Input::Durable`] follows once it is on disk.
+    /// Replaces the ledger with a new one that holds exactly these rows. The result is sent as for [`Self::append`].
     pub fn rewrite(&self, batch: Batch) {
         self.send(LedgerCommand::Rewrite(batch));
     }
 
-    /// Replaces the belief file. Nothing follows.
+    /// Replaces the belief file. The core is not notified of the result; a failure is logged.
     pub fn save_beliefs(&self, beliefs: Box<BeliefSnapshot>) {
         self.send(LedgerCommand::SaveBeliefs(beliefs));
     }
 
     fn send(&self, command: LedgerCommand) {
         if let Some(commands) = &self.commands {
-            // The thread ends only with this handle.
+            // Fails only after `abandon`, when the command is to be dropped.
             let _ = commands.send(command);
         }
     }
 
-    /// Ends as if the placer had been killed: what waits is not written.
+    /// Makes the thread end without executing queued commands, as if the placer's process had been killed.
     pub fn abandon(&self) {
         self.abandoned.store(true, Ordering::Relaxed);
     }
@@ -96,19 +101,19 @@
     }
 }
 
-/// What the thread runs.
+/// The loop that the thread runs.
 pub(super) struct LedgerLoop<F: Folder> {
     writer: LedgerWriter<F>,
     commands: Receiver<LedgerCommand>,
     retry_interval: Duration,
     inbound: InboundSender,
     abandoned: Arc<AtomicBool>,
-    /// When the folder is tried again; set while it can't be written.
+    /// When the next attempt to write to the folder again is due; `None` while the folder can be written.
     next_retry: Option<Instant>,
 }
 
 impl<F: Folder> LedgerLoop<F> {
-    /// Over an open folder that can be written.
+    /// Creates the loop for an open folder.
     pub fn new(
         writer: LedgerWriter<F>,
         commands: Receiver<LedgerCommand>,
@@ -126,7 +131,7 @@
         }
     }
 
-    /// Carries out commands until their sender is dropped, or all is abandoned.
+    /// Executes commands until their sender is dropped or the thread is abandoned.
     pub fn run(mut self) {
         loop {
             let received = self.receive();
@@ -134,14 +139,14 @@
                 return;
             }
             match received {
-                Ok(first) => self.carry_out(first),
+                Ok(first) => self.execute(first),
                 Err(RecvTimeoutError::Timeout) => self.retry(),
                 Err(RecvTimeoutError::Disconnected) => return self.writer.close(),
             }
         }
     }
 
-    /// The next command; a timeout where the folder is due to be tried again before.
+    /// Waits for the next command; returns a timeout if an attempt to write to the folder again is due before.
     fn receive(&self) -> Result<LedgerCommand, RecvTimeoutError> {
         match self.next_retry {
             None => self
@@ -154,7 +159,7 @@
         }
     }
 
-    /// Tries whether a folder that was lost can be written again.
+    /// Checks whether a folder that could not be written can be written again, and notifies the core if so.
     fn retry(&mut self) {
         match self.writer.prepare_replacement() {
             Ok(()) => {
@@ -165,8 +170,9 @@
         }
     }
 
-    /// Carries out a command and those that wait behind it, changes in one transaction.
-    fn carry_out(&mut self, first: LedgerCommand) {
+    /// Executes a command and those that are queued behind it. Appended batches are written in one transaction; those
+    /// before a rewrite are dropped, as the rewrite holds every row.
+    fn execute(&mut self, first: LedgerCommand) {
         let mut appended = Vec::new();
         let mut written = None;
         for command in std::iter::once(first).chain(self.commands.try_iter().take(MAX_GROUP)) {
@@ -177,7 +183,7 @@
                     written = Some(self.writer.write_replacement(batch));
                 }
                 LedgerCommand::SaveBeliefs(beliefs) => {
-                    // While the folder is lost the staff know already.
+                    // While a retry is pending, the failure of the folder has already been reported to the core.
                     if let (Err(error), None) =
                         (self.writer.save_beliefs(&beliefs), self.next_retry)
                     {
@@ -194,6 +200,7 @@
         }
     }
 
+    /// Notifies the core of the result of a write, and schedules a retry after a failure.
     fn report(&mut self, written: Result<BatchSequence, LedgerWriteError>) {
         match written {
             Ok(BatchSequence(sequence)) => self.notify(Input::Durable(sequence)),
@@ -208,7 +215,7 @@
         }
     }
 
-    /// Notifies the core. One that has ended waits for no answer any more.
+    /// Sends an input to the core. Fails without effect once the event loop has ended.
     fn notify(&self, input: Input) {
         let _ = self.inbound.blocking_send(InboundEvent::Core(input));
     }
--- a/crates/placer/src/link_number.rs
+++ b/crates/placer/src/link_number.rs
@@ -1,25 +1,26 @@
-//! Numbers of links, by which a node tells a newer link from an older one.
+//! Link numbers, by which a node distinguishes a newer link of a placer from an older one.
 
-/// Links that one task may establish before its numbers would meet those of the next task.
+/// Distance between the first link numbers of two successive tasks for a node: more links than one task ever
+/// attempts, so that their numbers don't overlap.
 const LINKS_PER_TASK: u64 = 1 << 32;
 
-/// The number of one link to a node, as the placer's hello states it. It only increases for a node, also over the
-/// tasks that keep a link to it: the node takes the larger number for the newer link.
+/// The number of one link to a node, which the placer's hello carries. For each node the numbers only increase, also
+/// from one link task to the next, because the node takes the greater number to be the newer link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct LinkNumber(u64);
 
 impl LinkNumber {
-    /// The number as the wire and the trace have it.
+    /// Returns the number as it is written to the wire and to the trace.
     pub const fn get(self) -> u64 {
         self.0
     }
 
-    /// The number from which the next task for the same node counts.
+    /// Returns the number from which the next task for the same node counts up.
     pub const fn next_task(self) -> Self {
         Self(self.0 + LINKS_PER_TASK)
     }
 
-    /// The number of the next link of the same task.
+    /// Returns the number of the next link of the same task.
     pub const fn next_link(self) -> Self {
         Self(self.0 + 1)
     }
--- a/crates/placer/src/links/connection.rs
+++ b/crates/placer/src/links/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a node: frames in and out, from the connect to the end of the link.
+//! One TCP connection to a node: connecting, and reading and writing frames until the link ends.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,20 +16,20 @@
 use crate::inbound::{InboundEvent, InboundSender};
 use crate::link_number::LinkNumber;
 
-/// Bytes that are read at once before the link is established.
+/// Size of the read buffer during the handshake, in bytes.
 const HANDSHAKE_BUFFER: usize = 4 * 1024;
-/// Bytes that are read at once from then on.
+/// Size of the read buffer once the link is established, or while a version probe runs, in bytes.
 const READ_BUFFER: usize = 64 * 1024;
 
-/// Whose connection it is, and where its frames are recorded and counted.
+/// Identifies a connection, and records its frames in the trace and in the traffic counters.
 pub(super) struct LinkObserver {
-    /// The placer.
+    /// Context of the placer that connects; it holds the trace and the connect timeout.
     pub context: Arc<PlacerContext>,
-    /// The node.
+    /// Name of the node in the node list.
     pub node: String,
-    /// The link.
+    /// Number of the link, which the hello carries.
     pub link: LinkNumber,
-    /// Counters of this node's messages.
+    /// Counters of the messages exchanged with this node; `None` if they are not counted.
     pub traffic: Option<Arc<Traffic>>,
 }
 
@@ -65,14 +65,14 @@
 }
 
 impl FrameReader {
-    /// Reads more bytes; how many, zero where the node has closed the connection.
+    /// Reads more bytes and returns their number, which is 0 if the node has closed the connection.
     async fn fill(&mut self) -> io::Result<usize> {
         let count = self.stream.read(&mut self.buffer).await?;
         self.frames.push(&self.buffer[..count]);
         Ok(count)
     }
 
-    /// The next message that was read whole, with its frame.
+    /// Returns the next complete message with its frame; `None` while more bytes are needed.
     fn next_message(&mut self) -> Result<Option<(Message, &[u8])>, FrameError> {
         self.frames.next_message()
     }
@@ -84,6 +84,7 @@
 }
 
 impl FrameWriter {
+    /// Records the messages, then writes them with one call.
     async fn write(&mut self, messages: &[Message], observer: &LinkObserver) -> io::Result<()> {
         let mut bytes = Vec::new();
         for message in messages {
@@ -95,7 +96,7 @@
     }
 }
 
-/// A connection to a node.
+/// A TCP connection to a node, before or after the handshake.
 pub(super) struct Connection {
     reader: FrameReader,
     writer: FrameWriter,
@@ -103,7 +104,7 @@
 }
 
 impl Connection {
-    /// Connects within the placer's connect timeout.
+    /// Connects to the node; fails if that takes longer than the placer's connect timeout.
     pub async fn open(address: SocketAddr, observer: LinkObserver) -> Result<Self, ConnectError> {
         let limit = observer.context.connect_timeout;
         let connected = tokio::time::timeout(limit, TcpStream::connect(address)).await;
@@ -123,12 +124,12 @@
         })
     }
 
-    /// The placer, for the handshake.
+    /// Context of the placer, which the handshake reads.
     pub fn context(&self) -> &PlacerContext {
         &self.observer.context
     }
 
-    /// The link's number.
+    /// Number of the link, which the hello carries.
     pub fn link(&self) -> LinkNumber {
         self.observer.link
     }
@@ -138,7 +139,7 @@
         self.writer.write(&[message], &self.observer).await
     }
 
-    /// The first message of the node; none where it closed the connection instead.
+    /// Reads the node's first message; returns `None` if the node closes the connection without one.
     pub async fn read_first_message(&mut self) -> Result<Option<Message>, ConnectError> {
         loop {
             if let Some((message, frame)) = self.reader.next_message()? {
@@ -157,8 +158,8 @@
         }
     }
 
-    /// Reads until a message of the node is the wanted one; false where the connection ends before. What is read is
-    /// counted and not recorded: it belongs to no link.
+    /// Reads messages until `is_wanted` matches one; returns false if the connection ends first. The messages are
+    /// counted but not recorded in the trace, as they are not part of an established link.
     pub async fn read_until(&mut self, is_wanted: impl Fn(&Message) -> bool) -> bool {
         self.reader.buffer.resize(READ_BUFFER, 0);
         loop {
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Carries messages both ways until the link ends.
+    /// Reads and writes messages until the link ends, and returns why it ended.
     pub async fn run(self, messages: &mut MessageQueue, inbound: &InboundSender) -> Disconnect {
         let Self {
             mut reader,
@@ -195,7 +196,9 @@
     }
 }
 
-/// Hands the node's messages to the event loop; returns only with the reason of the end.
+/// Sends the node's messages to the event loop until the link ends, and returns why it ended.
+///
+/// An error of the connection is returned as `Err`, so that `?` can be used; both variants mean the end of the link.
 async fn read_messages(
     reader: &mut FrameReader,
     observer: &LinkObserver,
@@ -219,10 +222,11 @@
     }
 }
 
-/// Writes what the core sends; returns only with the reason of the end.
+/// Writes the core's messages until the link ends, and returns why it ended.
 ///
-/// Messages that the core meant for an older link are discarded, also where it learns late that this link is established:
-/// an offer among them would reach the node after the node has reported its running tasks, and count as never sent.
+/// Messages that the core addressed to an older link are discarded, including those that it sends before it has handled
+/// that this link is established. An offer among them would reach the node after the node has reported its running
+/// tasks, when the core already counts the offer as never sent.
 async fn write_messages(
     writer: &mut FrameWriter,
     observer: &LinkObserver,
--- a/crates/placer/src/links/handshake.rs
+++ b/crates/placer/src/links/handshake.rs
@@ -1,4 +1,4 @@
-//! The handshake on a new connection: the placer's hello, the node's welcome, and a version probe where it is needed.
+//! The handshake on a new connection: the placer's hello, the node's welcome and, if necessary, a version probe.
 
 use reedring_node_protocol::{ConfigRequest, Message, VersionInfo};
 
@@ -7,10 +7,11 @@
 use super::versions::VersionNegotiation;
 use crate::inbound::NodeWelcome;
 
-/// Greets the node and reads its welcome, each within the placer's connect timeout.
+/// Sends the hello and reads the welcome. The wait for the welcome, and for the answer to a version probe, is limited
+/// to the placer's connect timeout each.
 ///
-/// After a version probe the connection has to be closed: [`ConnectError::SpeaksVersion1`] and
-/// [`ConnectError::SpeaksVersion2`] say what it showed.
+/// After a version probe the connection can't be used for a link. The probe's result is returned as
+/// [`ConnectError::SpeaksVersion1`] or [`ConnectError::SpeaksVersion2`], and the caller connects again.
 pub(super) async fn handshake(
     connection: &mut Connection,
     versions: &mut VersionNegotiation,
@@ -35,13 +36,17 @@
         None if is_version_2 => return Err(ConnectError::HelloRejected),
         None => return Err(ConnectError::ClosedBeforeWelcome),
     };
-    if in_version_1 && welcome.record.is_none() && versions.needs_probe(welcome.incarnation) {
+    if in_version_1
+        && welcome.acceptor_report.is_none()
+        && versions.needs_probe(welcome.incarnation)
+    {
         return Err(probe(connection, versions, welcome.incarnation).await);
     }
     Ok(welcome)
 }
 
-/// The hello; in version 2 it states the configuration that the placer acts by, if there is one.
+/// Builds the hello. In version 2 it names the placer's active configuration; a placer without one sends the form of
+/// version 1.
 fn hello(connection: &Connection, in_version_1: bool) -> Message {
     let context = connection.context();
     let active_config = if in_version_1 {
@@ -60,28 +65,30 @@
     }
 }
 
+/// Reads the node's first message, which must be a welcome.
 fn welcome(message: Message) -> Result<NodeWelcome, ConnectError> {
     let Message::Welcome {
         node: name,
         incarnation,
         up_ms,
         can_suspend,
-        acceptor_report: record,
+        acceptor_report,
     } = message
     else {
-        return Err(ConnectError::NoWelcome);
+        return Err(ConnectError::UnexpectedAnswer);
     };
     Ok(NodeWelcome {
         name,
         incarnation,
         up_ms,
         can_suspend,
-        record,
+        acceptor_report,
     })
 }
 
-/// Finds out whether a node that was greeted in version 1 speaks version 2. Connections end for many reasons, so that a
-/// node speaks version 1 alone is believed only once it has closed the connection on this question.
+/// Finds out whether a node that answered a version 1 hello supports version 2. Connections close for many reasons,
+/// so a node is taken to support only version 1 if it closes the connection on this probe, and not after rejected
+/// version 2 hellos alone.
 async fn probe(
     connection: &mut Connection,
     versions: &mut VersionNegotiation,
@@ -101,7 +108,8 @@
     }
 }
 
-/// Asks what only a node that speaks version 2 can answer; another closes the connection.
+/// Sends a request that only a node with version 2 can answer; a node without it closes the connection. Returns whether
+/// the node answered.
 async fn answers_version_2(connection: &mut Connection) -> bool {
     let stamp = connection.context().active_config().unwrap_or_default();
     if connection
--- a/crates/placer/src/links/mod.rs
+++ b/crates/placer/src/links/mod.rs
@@ -1,14 +1,14 @@
-//! Links to nodes. [`LinkSupervisor`] owns a [`LinkTask`] for each node that the core wants a link to.
+//! Links to nodes. [`LinkSupervisor`] runs a [`LinkTask`] for each node to which the core requests a link.
 //!
-//! | module | what it decides or owns |
+//! | module | responsibility |
 //! | --- | --- |
-//! | this one | which tasks run, for which address; each task is cancelled and joined here |
-//! | [`task`] | one node's loop: connect, carry messages, wait for the permit to reconnect |
-//! | [`connection`] | one connection's frames, both ways |
-//! | [`handshake`] | hello, welcome, version probe |
-//! | [`versions`] | the protocol version of the next hello |
-//! | [`outbox`] | messages that wait, and the report on those that are never written |
-//! | [`error`] | why a link could not be established, or ended |
+//! | this one | starts, replaces, cancels and joins the link tasks |
+//! | [`task`] | loop for one node: connect, exchange messages, wait until the next attempt may begin |
+//! | [`connection`] | reads and writes the frames of one connection |
+//! | [`handshake`] | hello, welcome and version probe |
+//! | [`versions`] | protocol version of the next hello |
+//! | [`outbox`] | queued messages, and the report on offers that are never written |
+//! | [`error`] | reasons why a link could not be established, or ended |
 
 mod connection;
 mod error;
@@ -37,31 +37,34 @@
 use crate::reconnect::ReconnectScheduler;
 use crate::tasks::{CancelHandle, TaskGroup};
 
-/// Where a node is.
+/// Address and zone of a node.
 #[derive(Clone, Debug)]
 pub(crate) struct NodeLocation {
-    /// Where it listens.
+    /// Address on which the node listens for placers.
     pub address: SocketAddr,
-    /// Its zone, in which reconnects are rate limited together.
+    /// Zone of the node; the nodes of a zone share a rate limit for reconnects.
     pub zone: String,
 }
 
-/// The supervisor's side of a link task.
+/// The supervisor's handle of a link task.
 struct LinkHandle {
+    /// Id of the link at the reconnect scheduler.
     id: LinkId,
     location: NodeLocation,
-    /// The last established link that the core was notified of.
+    /// Latest established link of which the core has been notified; `None` before the first.
     established: Option<LinkNumber>,
     messages: mpsc::Sender<AddressedMessage>,
     cancel: CancelHandle,
+    /// Resolves when the task has ended.
     finished: oneshot::Receiver<()>,
 }
 
-/// Owns the link tasks of a placer.
+/// Owns the link tasks of a placer, and the scheduler of their reconnects.
 pub(crate) struct LinkSupervisor {
     links: BTreeMap<String, LinkHandle>,
-    /// The numbers from which the last task for each node counts.
-    first_numbers: BTreeMap<String, LinkNumber>,
+    /// The link number from which the latest task for each node counts up. It is kept for nodes without a link, too, so
+    /// that link numbers never decrease.
+    base_link_numbers: BTreeMap<String, LinkNumber>,
     scheduler: Arc<ReconnectScheduler>,
     tasks: TaskGroup,
     context: Arc<PlacerContext>,
@@ -69,14 +72,14 @@
 }
 
 impl LinkSupervisor {
-    /// A supervisor without links. It is made within the placer's runtime.
+    /// Creates a supervisor without links. Must be called within the placer's runtime, as it spawns a task.
     pub fn new(context: Arc<PlacerContext>, inbound: InboundSender) -> Self {
         let scheduler = ReconnectScheduler::new(&context.name, context.incarnation);
         let mut tasks = TaskGroup::new();
         tasks.spawn(Arc::clone(&scheduler).run());
         Self {
             links: BTreeMap::new(),
-            first_numbers: BTreeMap::new(),
+            base_link_numbers: BTreeMap::new(),
             scheduler,
             tasks,
             context,
@@ -84,17 +87,17 @@
         }
     }
 
-    /// Keeps a link to a node from now on, in place of the one before.
+    /// Keeps a link to a node from now on; a previous link to it is replaced.
     pub fn connect(&mut self, node: String, location: NodeLocation) {
         self.replace(node, location, None);
     }
 
-    /// Keeps no link to a node any more.
+    /// Closes the link to a node and stops reconnecting to it.
     pub fn disconnect(&mut self, node: &str) {
         drop(self.cancel(node));
     }
 
-    /// A node is in another zone; its link stays.
+    /// Records that a node has moved to another zone; its link stays open.
     pub fn change_zone(&mut self, node: &str, zone: String) {
         if let Some(link) = self.links.get_mut(node) {
             self.scheduler.change_zone(link.id, &zone);
@@ -102,14 +105,16 @@
         }
     }
 
-    /// The core is notified now that this link is established: what it sends from here on is meant for it.
+    /// Addresses the core's following messages to this link. Called just before the core is notified that the link is
+    /// established.
     pub fn link_established(&mut self, node: &str, number: LinkNumber) {
         if let Some(link) = self.links.get_mut(node) {
             link.established = Some(number);
         }
     }
 
-    /// Queues a message for a node. A link whose node reads nothing is closed, and made anew.
+    /// Queues a message for a node. The message is dropped if no link to the node is kept. If the queue is full
+    /// because the node doesn't read, the message is dropped, too, and the link is replaced.
     pub fn send(&mut self, node: &str, message: Message) {
         let Some(link) = self.links.get(node) else {
             return;
@@ -125,36 +130,43 @@
             return;
         }
         let location = link.location.clone();
-        let why =
-            format!("the node does not read: {QUEUE_CAPACITY} messages wait; closing the link");
+        let reason = format!(
+            "the node does not read: {QUEUE_CAPACITY} messages are queued; closing the link"
+        );
         let down = Input::LinkDown {
             node: node.to_owned(),
-            reason: why,
+            reason,
         };
         self.replace(node.to_owned(), location, Some(InboundEvent::Core(down)));
     }
 
-    /// Cancels all tasks and joins them.
+    /// Cancels and joins all link tasks and the reconnect scheduler.
     pub async fn shutdown(self) {
         self.tasks.shutdown().await;
     }
 
-    /// Starts a task in place of the one before, once that has ended; `first` is sent before all that it reports.
-    fn replace(&mut self, node: String, location: NodeLocation, first: Option<InboundEvent>) {
+    /// Cancels a node's task, if there is one, and starts a new task once it has ended. `initial_event` is sent to the
+    /// event loop before any event of the new task.
+    fn replace(
+        &mut self,
+        node: String,
+        location: NodeLocation,
+        initial_event: Option<InboundEvent>,
+    ) {
         let previous = self.cancel(&node);
         let (messages, queue) = mpsc::channel(QUEUE_CAPACITY);
         let cancel = CancelHandle::new();
         let token = cancel.token();
         let (finish, finished) = oneshot::channel::<()>();
-        let task = self.link_task(&node, &location);
+        let task = self.new_link_task(&node, &location);
         let id = task.permit.id();
         self.tasks.spawn(async move {
-            // Dropped with this task, also where that is cancelled: the next one waits for it.
+            // Dropped when this task ends or is cancelled; the node's next task waits for that.
             let _finish = finish;
             if let Some(previous) = previous {
                 let _ = previous.await;
             }
-            token.run(report_and_run(first, task, queue)).await;
+            token.run(send_and_run(initial_event, task, queue)).await;
         });
         self.links.insert(
             node,
@@ -169,8 +181,8 @@
         );
     }
 
-    fn link_task(&mut self, node: &str, location: &NodeLocation) -> LinkTask {
-        let number = self.first_numbers.entry(node.to_owned()).or_default();
+    fn new_link_task(&mut self, node: &str, location: &NodeLocation) -> LinkTask {
+        let number = self.base_link_numbers.entry(node.to_owned()).or_default();
         *number = number.next_task();
         LinkTask {
             node: node.to_owned(),
@@ -184,7 +196,8 @@
         }
     }
 
-    /// Cancels a node's task. What is returned resolves when that has ended.
+    /// Cancels a node's task, and returns a receiver that resolves when the task has ended; `None` if the node has no
+    /// task.
     fn cancel(&mut self, node: &str) -> Option<oneshot::Receiver<()>> {
         self.tasks.reap();
         let link = self.links.remove(node)?;
@@ -194,9 +207,10 @@
     }
 }
 
-async fn report_and_run(first: Option<InboundEvent>, task: LinkTask, queue: MessageQueue) {
-    if let Some(first) = first {
-        let _ = task.inbound.send(first).await;
+/// Sends the event to the event loop, if there is one, then runs the task.
+async fn send_and_run(initial_event: Option<InboundEvent>, task: LinkTask, queue: MessageQueue) {
+    if let Some(event) = initial_event {
+        let _ = task.inbound.send(event).await;
     }
     task.run(queue).await;
 }
--- a/crates/placer/src/links/task.rs
+++ b/crates/placer/src/links/task.rs
@@ -1,4 +1,4 @@
-//! The task that keeps a link to one node: connects, carries messages, and connects again when the link ends.
+//! The task that keeps a link to one node: connects, exchanges messages, and reconnects when the link ends.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -17,28 +17,28 @@
 use crate::link_number::LinkNumber;
 use crate::reconnect::ReconnectPermit;
 
-/// Keeps a link to one node.
+/// State of the task that keeps a link to one node.
 pub(super) struct LinkTask {
-    /// The node.
+    /// Name of the node in the node list.
     pub node: String,
-    /// Where it listens.
+    /// Address on which the node listens for placers.
     pub address: SocketAddr,
-    /// The last link that was tried.
+    /// Number of the latest link that was attempted.
     pub link: LinkNumber,
-    /// The placer.
+    /// Context of the placer.
     pub context: Arc<PlacerContext>,
-    /// Where the core's inputs go.
+    /// Sends events to the event loop.
     pub inbound: InboundSender,
-    /// When it may reconnect.
+    /// Reports the results of attempts to the reconnect scheduler, and waits until it permits the next attempt.
     pub permit: ReconnectPermit,
-    /// The versions that the node speaks.
+    /// What is known about the protocol versions that the node supports.
     pub versions: VersionNegotiation,
-    /// Counters of this node's messages.
+    /// Counters of the messages exchanged with this node; `None` if they are not counted.
     pub traffic: Option<Arc<Traffic>>,
 }
 
 impl LinkTask {
-    /// Keeps a link to the node, one after another, until it is cancelled or the placer shuts down.
+    /// Connects to the node again and again, until the task is cancelled or the placer shuts down.
     pub async fn run(mut self, mut messages: MessageQueue) {
         loop {
             self.link = self.link.next_link();
@@ -59,7 +59,7 @@
         }
     }
 
-    /// One link from its start to its end.
+    /// Attempts one link. Returns why it ended, or an error if it could not be established.
     async fn run_link(&mut self, messages: &mut MessageQueue) -> Result<Disconnect, ConnectError> {
         match self.establish().await {
             Ok(connection) => {
@@ -76,6 +76,7 @@
         }
     }
 
+    /// Connects, performs the handshake and notifies the reconnect scheduler and the event loop of the new link.
     async fn establish(&mut self) -> Result<Connection, ConnectError> {
         let observer = LinkObserver {
             context: Arc::clone(&self.context),
@@ -98,17 +99,18 @@
         Ok(connection)
     }
 
-    /// Reports that there is no link; false where the placer shuts down.
-    async fn report_down(&self, why: String) -> bool {
-        self.context.trace.link_down(&self.node, self.link, &why);
+    /// Reports to the core that there is no link; returns false if the placer is shutting down.
+    async fn report_down(&self, reason: String) -> bool {
+        self.context.trace.link_down(&self.node, self.link, &reason);
         let down = Input::LinkDown {
             node: self.node.clone(),
-            reason: why,
+            reason,
         };
         self.inbound.send(InboundEvent::Core(down)).await.is_ok()
     }
 
-    /// Waits for the next attempt. There is no link meanwhile, so what is to be sent was meant for one that has ended.
+    /// Waits until the next attempt may begin. There is no link meanwhile, so messages that arrive were addressed to
+    /// a link that has ended; they are discarded, and their offers are reported as unwritten.
     async fn discard_until(
         &self,
         next_attempt: impl Future<Output = ()>,
--- a/crates/placer/src/links/tests.rs
+++ b/crates/placer/src/links/tests.rs
@@ -8,15 +8,15 @@
 
 use super::*;
 
-/// The last link of the task under test, before its first one here.
-const LAST_LINK: u64 = 4;
+/// Number of the link before the first link of the task under test.
+const PREVIOUS_LINK: u64 = 4;
 
-/// The task of a link to a node behind this listener.
-fn task_of(listener: &TcpListener, inbound: InboundSender) -> LinkTask {
+/// A link task for a node that accepts connections on this listener.
+fn link_task_to(listener: &TcpListener, inbound: InboundSender) -> LinkTask {
     LinkTask {
         node: "n".into(),
         address: listener.local_addr().unwrap(),
-        link: LinkNumber::from(LAST_LINK),
+        link: LinkNumber::from(PREVIOUS_LINK),
         context: Arc::new(PlacerContext::for_tests()),
         inbound,
         permit: ReconnectScheduler::new("p", 1).add_link(""),
@@ -25,7 +25,7 @@
     }
 }
 
-async fn listen() -> TcpListener {
+async fn bind_listener() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").await.unwrap()
 }
 
@@ -40,7 +40,7 @@
     node.write_all(&encode(&welcome)).await.unwrap();
 }
 
-/// A message for the link of this number.
+/// A message that the core addressed to the link of this number.
 fn addressed(link: u64, message: Message) -> AddressedMessage {
     AddressedMessage {
         link: Some(LinkNumber::from(link)),
@@ -48,7 +48,7 @@
     }
 }
 
-/// The first messages that a node reads.
+/// Reads the first `count` messages that the placer sends to a node.
 async fn read_messages(node: &mut TcpStream, count: usize) -> Vec<Message> {
     let (mut reader, mut buffer, mut messages) = (FrameDecoder::default(), [0; 256], Vec::new());
     while messages.len() < count {
@@ -62,23 +62,24 @@
     messages
 }
 
-/// A core behind a backlog sends on for an older link after the newer one has reported what its node runs.
+/// Guards against a core with a backlog: it handles the new link late, and until then sends messages that are
+/// addressed to the older link, although the node has already reported its running tasks on the new one.
 #[tokio::test]
 async fn a_message_for_an_older_link_is_not_written_to_a_newer_one() {
-    let listener = listen().await;
+    let listener = bind_listener().await;
     let (inbound, mut events) = mpsc::channel(8);
-    let task = task_of(&listener, inbound);
+    let task = link_task_to(&listener, inbound);
     let (out, messages) = mpsc::channel(8);
-    out.send(addressed(LAST_LINK, Message::Probe { nonce: 1 }))
+    out.send(addressed(PREVIOUS_LINK, Message::Probe { nonce: 1 }))
         .await
         .unwrap();
     let running = tokio::spawn(task.run(messages));
     let (mut node, _) = listener.accept().await.unwrap();
     send_welcome(&mut node).await;
     let Some(InboundEvent::LinkEstablished { link, .. }) = events.recv().await else {
-        panic!("no link")
+        panic!("the first event is not an established link")
     };
-    out.send(addressed(LAST_LINK, Message::Probe { nonce: 2 }))
+    out.send(addressed(PREVIOUS_LINK, Message::Probe { nonce: 2 }))
         .await
         .unwrap();
     out.send(addressed(link.get(), Message::Probe { nonce: 3 }))
@@ -95,7 +96,7 @@
     running.abort();
 }
 
-fn offer_of(attempt: AttemptId) -> Message {
+fn offer(attempt: AttemptId) -> Message {
     Message::Offer {
         attempt,
         task: Box::default(),
@@ -104,26 +105,27 @@
     }
 }
 
-/// Such an attempt does not run, and the core must not count it for longer than it takes to learn so.
+/// An attempt whose offer is never written can't run. Without the report the core would go on counting it as pending.
 #[tokio::test]
 async fn offers_that_are_never_written_are_reported_to_the_core() {
     for is_reachable in [true, false] {
-        let listener = listen().await;
+        let listener = bind_listener().await;
         let (inbound, mut events) = mpsc::channel(8);
-        let task = task_of(&listener, inbound);
+        let task = link_task_to(&listener, inbound);
         let (out, messages) = mpsc::channel(8);
         let attempt = AttemptId {
             incarnation: 1,
             request: 1,
             number: 0,
         };
-        out.send(addressed(LAST_LINK, offer_of(attempt)))
+        out.send(addressed(PREVIOUS_LINK, offer(attempt)))
             .await
             .unwrap();
-        out.send(addressed(LAST_LINK, Message::Probe { nonce: 1 }))
+        out.send(addressed(PREVIOUS_LINK, Message::Probe { nonce: 1 }))
             .await
             .unwrap();
-        // Either the next link is established and finds what was meant for the one before, or none can be.
+        // If the node is reachable, the next link is established and discards messages that were addressed to the
+        // previous one. Otherwise no link is established, and the messages are discarded while the task waits.
         let listener = is_reachable.then_some(listener);
         let running = tokio::spawn(task.run(messages));
         let mut node = None;
@@ -138,14 +140,14 @@
         );
         let report = tokio::time::timeout(Duration::from_secs(10), events.recv()).await;
         let Ok(Some(InboundEvent::Core(Input::OffersUnwritten(attempts)))) = report else {
-            panic!("not reported")
+            panic!("the offer was not reported as unwritten within 10 s")
         };
         assert_eq!(attempts, [attempt]);
         running.abort();
     }
 }
 
-/// Answers every hello, for as long as the task runs.
+/// Spawns a task that sends a welcome on every connection, and keeps the connections open until it is aborted.
 fn spawn_nodes(listener: TcpListener) -> JoinHandle<()> {
     tokio::spawn(async move {
         let mut connected = Vec::new();
@@ -156,13 +158,14 @@
     })
 }
 
-/// How many links were established, and how many attempts failed.
+/// Number of links that were established, and of attempts that failed.
 #[derive(Debug, Default)]
 struct LinkCounts {
     established: usize,
     failed: usize,
 }
 
+/// Counts the events of links until the deadline.
 async fn count_until(events: &mut mpsc::Receiver<InboundEvent>, deadline: Instant) -> LinkCounts {
     let mut counts = LinkCounts::default();
     while let Ok(Some(event)) = tokio::time::timeout_at(deadline, events.recv()).await {
@@ -175,12 +178,14 @@
     counts
 }
 
-/// A hundred nodes of a zone behind one address, which refuses connections and then no longer does.
+/// A hundred nodes of one zone share an address that first refuses connections and later accepts them. Guards against
+/// retries of an unreachable zone above its rate, and against links that stay down after the zone has returned.
 #[tokio::test]
-async fn a_zone_that_is_cut_off_is_tried_at_its_own_rate_and_reached_as_soon_as_it_returns() {
+async fn an_unreachable_zone_is_retried_at_its_rate_limit_and_reconnected_within_2_s_of_its_return()
+{
     use reedring_core::reconnect::{ZONE_BURST, ZONE_RATE};
     const NODES: usize = 100;
-    let listener = listen().await;
+    let listener = bind_listener().await;
     let address = listener.local_addr().unwrap();
     drop(listener);
     let (inbound, mut events) = mpsc::channel(1_024);
@@ -197,12 +202,12 @@
     }
     let counts = count_until(&mut events, started + Duration::from_secs(3)).await;
     assert_eq!(counts.established, 0);
-    let most = NODES + (ZONE_BURST + 3 * ZONE_RATE) as usize + 1;
+    let max_failed = NODES + (ZONE_BURST + 3 * ZONE_RATE) as usize + 1;
     assert!(
-        (NODES + 30..=most).contains(&counts.failed),
-        "{counts:?}, {most} attempts at most"
+        (NODES + 30..=max_failed).contains(&counts.failed),
+        "{counts:?}, expected at most {max_failed} failed attempts"
     );
-    // A link that nobody wants any more is not tried.
+    // The link to this node is no longer requested, so it must not be attempted.
     links.disconnect("node-0");
     let listener = TcpListener::bind(address).await.unwrap();
     let nodes = spawn_nodes(listener);
@@ -210,7 +215,7 @@
     assert_eq!(
         counts.established,
         NODES - 1,
-        "all others are reached within 2 s"
+        "all other nodes are connected within 2 s"
     );
     nodes.abort();
 }
--- a/crates/placer/src/listener.rs
+++ b/crates/placer/src/listener.rs
@@ -1,4 +1,4 @@
-//! The socket on which clients connect.
+//! The socket on which the placer accepts client connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,32 +10,32 @@
 
 use crate::error::StartError;
 
-/// The two halves of a client's connection.
+/// The two halves of a client connection.
 pub(crate) struct ClientStream {
-    /// What the client sends.
+    /// Reads what the client sends.
     pub reader: Box<dyn AsyncRead + Send + Unpin>,
-    /// What it is sent.
+    /// Writes to the client.
     pub writer: Box<dyn AsyncWrite + Send + Unpin>,
 }
 
-/// A bound socket.
+/// A bound listening socket.
 pub(crate) enum Listener {
-    /// TCP.
+    /// A TCP socket.
     Tcp(TcpListener),
     /// A Unix socket.
     Unix(UnixListener),
 }
 
-/// A bound socket, and the contact string by which clients find it.
+/// A bound listening socket, and the contact string with which clients connect to it.
 pub(crate) struct BoundListener {
-    /// The socket.
+    /// The listening socket.
     pub listener: Listener,
-    /// The contact string.
+    /// Contact string: `tcp:` or `unix:`, and the address.
     pub contact: String,
 }
 
 impl Listener {
-    /// Binds the address of the settings.
+    /// Binds the address that the settings name.
     pub async fn bind(settings: &Settings) -> Result<BoundListener, StartError> {
         let (bound, address) = match &settings.listen {
             Address::Tcp(address) => (bind_tcp(*address).await, address.to_string()),
@@ -48,7 +48,7 @@
         })
     }
 
-    /// The next connection.
+    /// Accepts the next connection.
     pub async fn accept(&self) -> io::Result<ClientStream> {
         match self {
             Self::Tcp(listener) => {
@@ -82,7 +82,7 @@
 }
 
 fn bind_unix(path: &Path) -> io::Result<BoundListener> {
-    // A socket that nobody answers on is left from a placer that was killed.
+    // A socket file that refuses connections was left behind by a placer that was killed.
     if path.exists() && std::os::unix::net::UnixStream::connect(path).is_err() {
         let _ = std::fs::remove_file(path);
     }
--- a/crates/placer/src/log_events.rs
+++ b/crates/placer/src/log_events.rs
@@ -1,8 +1,8 @@
-//! Records the events of the core as `tracing` events: the event's name and fields beside its message.
+//! Logs the core's events as `tracing` events, with the event's name and fields.
 
 use reedring_core::event::{Event, Level};
 
-/// Records an event of this placer.
+/// Logs an event of this placer.
 pub(crate) fn record(placer: &str, logged: &Event) {
     let (event, node, zone, job) = (logged.name(), logged.node(), logged.zone(), logged.job());
     let attempt = logged
--- a/crates/placer/src/node_source.rs
+++ b/crates/placer/src/node_source.rs
@@ -1,4 +1,4 @@
-//! Where the node list comes from.
+//! Sources of the node list.
 
 use std::future::Future;
 use std::path::PathBuf;
@@ -9,48 +9,48 @@
 
 use crate::watched_file::{self, FileReadError, FileSnapshot, POLL_INTERVAL};
 
-/// A change of the node list.
+/// An update of the node list.
 #[derive(Debug)]
 pub enum NodeListUpdate {
-    /// The whole list.
+    /// The whole new list.
     List {
-        /// The list.
+        /// The parsed list.
         list: NodeList,
-        /// Its text, for the trace.
+        /// Text of the list, which is recorded in the trace.
         text: String,
     },
-    /// The list can't be read or is not valid; the list before stays active.
+    /// The list can't be read or is not valid; the previous list stays active.
     Rejected(NodeListError),
 }
 
 /// Why a node list can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeListError {
-    /// Its file can't be read.
+    /// The file of the list can't be read.
     #[error(transparent)]
     Read(#[from] FileReadError),
-    /// Its text is not valid.
+    /// The text of the list is not valid.
     #[error(transparent)]
     Invalid(#[from] Problems),
 }
 
 /// A source of the node list.
 pub trait NodeListSource: Send + 'static {
-    /// Sends the list as soon as it is known, and again each time that it changes. The future ends when the receiver is
-    /// dropped; the placer may drop it at any await point before.
+    /// Sends the list as soon as it is known, and again whenever it changes. The future ends when the receiver is
+    /// dropped; the placer may drop the future at any await point before that.
     fn run(
         self: Box<Self>,
         updates: mpsc::Sender<NodeListUpdate>,
     ) -> Pin<Box<dyn Future<Output = ()> + Send>>;
 
-    /// Where to send the settings that are active, if the source checks the list against them. The source reads the list
-    /// again whenever they change.
+    /// Returns the sender through which the placer passes its active settings, if the source checks the list against
+    /// them. The source reads the list again whenever they change.
     fn settings(&self) -> Option<watch::Sender<Settings>> {
         None
     }
 }
 
-/// The node list of a TOML file, which is read again when it changes.
+/// Reads the node list from a TOML file, and watches the file for changes.
 #[derive(Debug)]
 pub struct FileNodeSource {
     path: PathBuf,
@@ -58,7 +58,7 @@
 }
 
 impl FileNodeSource {
-    /// The list in this file, checked against the kinds of the settings.
+    /// Creates a source that reads this file and checks the list against the machine kinds of the settings.
     pub fn new(path: PathBuf, settings: Settings) -> Self {
         Self {
             path,
@@ -77,22 +77,22 @@
     }
 
     async fn watch(self, updates: mpsc::Sender<NodeListUpdate>) {
-        let mut reported: Option<FileSnapshot> = None;
+        let mut last_reported: Option<FileSnapshot> = None;
         let mut settings = self.settings.subscribe();
         loop {
             let snapshot = watched_file::read(&self.path).await;
-            if reported.as_ref() != Some(&snapshot) {
+            if last_reported.as_ref() != Some(&snapshot) {
                 let update = self
                     .parse(snapshot.clone())
                     .unwrap_or_else(NodeListUpdate::Rejected);
                 if updates.send(update).await.is_err() {
                     return;
                 }
-                reported = Some(snapshot);
+                last_reported = Some(snapshot);
             }
             tokio::select! {
                 () = tokio::time::sleep(POLL_INTERVAL) => {}
-                _ = settings.changed() => reported = None,
+                _ = settings.changed() => last_reported = None,
                 () = updates.closed() => return,
             }
         }
--- a/crates/placer/src/options.rs
+++ b/crates/placer/src/options.rs
@@ -1,4 +1,4 @@
-//! What a placer is started with beside its settings.
+//! Options of a placer that are not part of its settings.
 
 use std::sync::Arc;
 
@@ -8,18 +8,18 @@
 use crate::node_source::NodeListSource;
 use crate::settings_file::SettingsFile;
 
-/// What a placer is started with beside its settings.
+/// Options with which a placer is started, in addition to its settings.
 pub struct PlacerOptions {
-    /// Where its node list comes from.
+    /// Source of the node list.
     pub source: Box<dyn NodeListSource>,
-    /// Records what crosses its sockets.
+    /// Records the frames on the placer's sockets, its start and its end; `None` writes no trace.
     pub recorder: Option<Arc<Recorder>>,
-    /// Counts the messages of its links by node.
+    /// Counts the messages on links by node; `None` counts nothing.
     pub traffic: Option<Arc<PeerTraffic>>,
-    /// The settings file, if changes of its configuration are followed while the placer runs.
+    /// Settings file that is watched for changes while the placer runs; `None` if it isn't watched.
     pub settings_file: Option<SettingsFile>,
-    /// The settings' text, for the trace.
+    /// Text of the settings, which is recorded in the trace.
     pub settings_text: String,
-    /// Threads of its runtime; 1 runs the sockets on the core's thread.
+    /// Worker threads of the placer's runtime; with 0 or 1 the sockets are served on the core's thread.
     pub threads: usize,
 }
--- a/crates/placer/src/output.rs
+++ b/crates/placer/src/output.rs
@@ -1,4 +1,4 @@
-//! Carries out what the core answers.
+//! Executes the core's outputs.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,25 +13,25 @@
 use crate::links::{LinkSupervisor, NodeLocation};
 use crate::log_events;
 
-/// Owns what the core's outputs act on.
+/// Executes the core's outputs, and owns what they act on.
 pub(crate) struct OutputDispatcher {
-    /// The clients, for responses.
+    /// Client connections, to which responses are sent.
     pub clients: ClientRegistry,
-    /// The links, for messages to nodes.
+    /// Links to nodes, on which messages are sent.
     pub links: LinkSupervisor,
-    /// The state folder, where the settings name one.
+    /// Thread that writes the state folder; `None` if the settings name no folder.
     pub ledger: Option<LedgerThread>,
-    /// Where the node list's source learns which settings are active, if it needs them.
+    /// Passes the active settings to the source of the node list; `None` if the source doesn't use them.
     pub active_settings: Option<watch::Sender<Settings>>,
-    /// Whether the placer is fenced, for its owner.
+    /// Set while the placer is fenced; read by its owner.
     pub is_fenced: Arc<AtomicBool>,
-    /// What the tasks read.
+    /// Context that the placer's tasks read.
     pub context: Arc<PlacerContext>,
 }
 
 impl OutputDispatcher {
-    /// Carries out one output.
-    pub fn carry_out(&mut self, output: Output) {
+    /// Executes one output.
+    pub fn dispatch(&mut self, output: Output) {
         match output {
             Output::Reply { conn, response } => self.clients.respond(conn, response),
             Output::Connect {
@@ -42,21 +42,18 @@
             Output::ChangeZone { node, zone } => self.links.change_zone(&node, zone),
             Output::Disconnect { node } => self.links.disconnect(&node),
             Output::Send { node, message } => self.links.send(&node, message),
-            Output::Persist {
-                batch,
-                is_rewrite: whole,
-            } => {
+            Output::Persist { batch, is_rewrite } => {
                 if let Some(ledger) = &self.ledger {
-                    if whole {
+                    if is_rewrite {
                         ledger.rewrite(batch)
                     } else {
                         ledger.append(batch)
                     }
                 }
             }
-            Output::PersistBeliefs(learned) => {
+            Output::PersistBeliefs(beliefs) => {
                 if let Some(ledger) = &self.ledger {
-                    ledger.save_beliefs(learned);
+                    ledger.save_beliefs(beliefs);
                 }
             }
             Output::ActiveConfiguration(stamp) => self.context.set_active_config(stamp),
--- a/crates/placer/src/placer.rs
+++ b/crates/placer/src/placer.rs
@@ -1,4 +1,4 @@
-//! The handle of a running placer: its thread, its runtime, and its end.
+//! The handle of a running placer: starts its thread and runtime, and shuts it down.
 
 use std::io;
 use std::path::PathBuf;
@@ -19,21 +19,22 @@
 use crate::startup::Startup;
 use crate::trace::PlacerTrace;
 
-/// A running placer. Dropping it ends it as [`Placer::kill`] does.
+/// A running placer. Dropping the handle ends the placer as [`Placer::kill`] does.
 pub struct Placer {
     name: String,
     contact: String,
     incarnation: u64,
     control: ControlSender,
+    /// `None` once the placer has ended.
     thread: Option<JoinHandle<()>>,
     trace: PlacerTrace,
-    /// The Unix socket that it listens on, which is removed when it ends.
+    /// Path of the Unix socket on which the placer listens, which is removed when the placer ends; `None` for TCP.
     socket: Option<PathBuf>,
     is_fenced: Arc<AtomicBool>,
 }
 
 impl Placer {
-    /// Starts a placer in a thread and a runtime of its own.
+    /// Starts a placer in its own thread and runtime, and returns once it listens for clients.
     ///
     /// # Errors
     /// See [`StartError`].
@@ -44,11 +45,11 @@
             error,
         };
         let runtime = build_runtime(options.threads).map_err(runtime_error)?;
-        let unix = SystemTime::now()
+        let unix_time = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
-        let ledger = open_ledger(&settings, unix)?;
-        let incarnation = incarnation(unix, ledger.as_ref());
+        let ledger = open_ledger(&settings, unix_time)?;
+        let incarnation = incarnation(unix_time, ledger.as_ref());
         let socket = match &settings.listen {
             Address::Unix(path) => Some(path.clone()),
             Address::Tcp(_) => None,
@@ -59,7 +60,7 @@
         let startup = Startup {
             settings,
             options,
-            unix,
+            unix_time,
             incarnation,
             ledger,
             trace: trace.clone(),
@@ -71,9 +72,11 @@
         let thread = thread
             .spawn(move || run_thread(runtime, startup, &ready))
             .map_err(runtime_error)?;
-        let contact = started
-            .recv()
-            .map_err(|_| runtime_error(io::Error::other("its thread ended")))??;
+        let contact = started.recv().map_err(|_| {
+            runtime_error(io::Error::other(
+                "its thread ended before the listener was bound",
+            ))
+        })??;
         let (control, thread) = (sender, Some(thread));
         Ok(Self {
             name,
@@ -87,37 +90,38 @@
         })
     }
 
-    /// Its name.
+    /// The placer's name in its settings.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Its contact string for DRMAA clients.
+    /// The contact string with which DRMAA clients connect: `tcp:` or `unix:`, and the address.
     pub fn contact(&self) -> &str {
         &self.contact
     }
 
-    /// Its incarnation: larger than that of any former start with the same state folder.
+    /// The number of this start: greater than that of any earlier start with the same state folder.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// It accepts no new work until its staff act: its configuration is not the cluster's, and it can't adopt that one.
+    /// Whether the placer is fenced: it accepts no new work until an operator acts, because its configuration differs
+    /// from the cluster's and it can't adopt that one.
     pub fn is_fenced(&self) -> bool {
         self.is_fenced.load(Ordering::Relaxed)
     }
 
-    /// Makes it handle no event for so long.
+    /// Blocks the event loop for this time, as on an overloaded host.
     pub fn stall(&self, duration: Duration) {
         self.control.send(PlacerCommand::Stall(duration));
     }
 
-    /// Ends it at once; what it had not written to its state folder is lost.
+    /// Ends the placer at once; what is not yet written to its state folder is lost.
     pub fn kill(mut self) {
         self.end(ShutdownMode::Kill);
     }
 
-    /// Ends it after its ledger and beliefs are written, where it has a state folder.
+    /// Ends the placer once its ledger and beliefs are written to its state folder, if it has one.
     pub fn stop(mut self) {
         self.end(ShutdownMode::Stop);
     }
@@ -152,25 +156,28 @@
     builder.enable_all().build()
 }
 
-fn open_ledger(settings: &Settings, unix: Duration) -> Result<Option<LedgerFolder>, StartError> {
+fn open_ledger(
+    settings: &Settings,
+    unix_time: Duration,
+) -> Result<Option<LedgerFolder>, StartError> {
     let Some(state) = &settings.state else {
         return Ok(None);
     };
-    let opened = LedgerFolder::open(settings, state, unix.as_micros() as u64);
+    let opened = LedgerFolder::open(settings, state, unix_time.as_micros() as u64);
     opened.map(Some).map_err(|error| StartError::State {
         name: settings.name.clone(),
         error,
     })
 }
 
-/// The time of day, or one more than the last incarnation where the clock went back: nodes and clients take the greater
-/// incarnation for the newer one.
-fn incarnation(unix: Duration, ledger: Option<&LedgerFolder>) -> u64 {
-    let now = unix.as_micros() as u64;
+/// Returns the number of this start: the time in microseconds since 1970, or one more than the last incarnation if
+/// the clock went back, because nodes and clients take the greater incarnation to be the newer one.
+fn incarnation(unix_time: Duration, ledger: Option<&LedgerFolder>) -> u64 {
+    let now = unix_time.as_micros() as u64;
     ledger.map_or(now, |folder| now.max(folder.last_incarnation() + 1))
 }
 
-/// Binds the listener, says so, and runs the placer to its end.
+/// Binds the listener, reports its contact string or the error to `ready`, and runs the placer until it ends.
 fn run_thread(
     runtime: Runtime,
     startup: Startup,
@@ -185,7 +192,7 @@
             Err(error) => drop(ready.send(Err(error))),
         }
     });
-    // Blocking calls that still run, such as reads of a watched file, are not waited for.
+    // Does not wait for blocking calls that still run, such as reads of a watched file.
     runtime.shutdown_background();
 }
 
@@ -198,7 +205,7 @@
                 event = "ledger_thread_failed",
                 placer,
                 %error,
-                "the placer ends: the thread for its state folder could not be started"
+                "placer ends: the thread that writes its state folder could not be started"
             );
         }
     }
--- a/crates/placer/src/reconnect.rs
+++ b/crates/placer/src/reconnect.rs
@@ -1,4 +1,5 @@
-//! Permits to reconnect: runs the core's [`ReconnectPacing`] on the real clock, and wakes the links that it lets try.
+//! Schedules reconnects: runs the core's [`ReconnectPacing`] with real time, and wakes links when they may attempt to
+//! connect.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -9,24 +10,24 @@
 
 use crate::log_events;
 
-/// Grants permits to reconnect, at the rates of `reedring_core::reconnect`.
+/// Permits links to reconnect, at the rates defined in `reedring_core::reconnect`.
 pub(crate) struct ReconnectScheduler {
-    /// The placer, for log records.
+    /// Name of the placer, for log records.
     placer: String,
     started: Instant,
     state: Mutex<SchedulerState>,
-    /// Notified when a link reported something that may let a link try sooner.
+    /// Notified when a link reported a result, after which the next attempt of some link may be due sooner.
     changed: Notify,
 }
 
 struct SchedulerState {
     pacing: ReconnectPacing,
-    /// Notified when the link may try.
+    /// For each link, notified when it may make its next attempt.
     granted: BTreeMap<LinkId, Arc<Notify>>,
 }
 
 impl ReconnectScheduler {
-    /// For this incarnation of a placer.
+    /// Creates the scheduler of a placer. The incarnation seeds the jitter.
     pub fn new(placer: &str, incarnation: u64) -> Arc<Self> {
         let state = SchedulerState {
             pacing: ReconnectPacing::new(incarnation),
@@ -44,14 +45,14 @@
         self.started.elapsed().as_micros() as u64
     }
 
-    fn state(&self) -> MutexGuard<'_, SchedulerState> {
+    fn lock_state(&self) -> MutexGuard<'_, SchedulerState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds a link to a node of this zone, which may try at once.
+    /// Adds a link to a node of this zone. Its first attempt may begin at once.
     pub fn add_link(self: &Arc<Self>, zone: &str) -> ReconnectPermit {
         let granted = Arc::new(Notify::new());
-        let mut state = self.state();
+        let mut state = self.lock_state();
         let id = state.pacing.add(zone);
         state.granted.insert(id, Arc::clone(&granted));
         ReconnectPermit {
@@ -61,19 +62,19 @@
         }
     }
 
-    /// Removes a link, which gets no permit any more.
+    /// Removes a link, which is never permitted another attempt.
     pub fn remove_link(&self, id: LinkId) {
-        let mut state = self.state();
+        let mut state = self.lock_state();
         state.granted.remove(&id);
         state.pacing.remove(id);
     }
 
-    /// The node of this link is in another zone.
+    /// Moves a link to another zone, as its node has moved.
     pub fn change_zone(&self, id: LinkId, zone: &str) {
-        self.state().pacing.change_zone(id, zone);
+        self.lock_state().pacing.change_zone(id, zone);
     }
 
-    /// Grants permits when they are due, for as long as the placer runs.
+    /// Permits attempts when they are due; never returns.
     pub async fn run(self: Arc<Self>) {
         loop {
             let wait = self.grant_due();
@@ -85,9 +86,10 @@
         }
     }
 
-    /// Wakes the links that may try now; how long until the next one may.
+    /// Wakes the links that may make an attempt now. Returns the time until the next attempt is due, `None` if no
+    /// link is waiting.
     fn grant_due(&self) -> Option<Duration> {
-        let mut state = self.state();
+        let mut state = self.lock_state();
         let now = self.now_us();
         for id in state.pacing.due(now) {
             if let Some(granted) = state.granted.get(&id) {
@@ -102,7 +104,7 @@
     }
 }
 
-/// One link's right to reconnect.
+/// Held by one link task: reports the results of the link's attempts, and waits until the next one is permitted.
 pub(crate) struct ReconnectPermit {
     id: LinkId,
     granted: Arc<Notify>,
@@ -110,36 +112,39 @@
 }
 
 impl ReconnectPermit {
-    /// The link's id at the scheduler.
+    /// Id of the link at the scheduler.
     pub fn id(&self) -> LinkId {
         self.id
     }
 
-    /// The link is established.
+    /// Reports that the link is established.
     pub fn link_established(&self) {
         let now = self.scheduler.now_us();
-        self.scheduler.state().pacing.connected(now, self.id);
+        self.scheduler.lock_state().pacing.connected(now, self.id);
         self.scheduler.changed.notify_one();
     }
 
-    /// An established link has ended; returns when the next attempt may begin.
+    /// Reports that an established link has ended, and waits until the next attempt may begin.
     pub async fn wait_after_disconnect(&self) {
         let now = self.scheduler.now_us();
-        self.scheduler.state().pacing.disconnected(now, self.id);
-        self.wait().await;
+        self.scheduler
+            .lock_state()
+            .pacing
+            .disconnected(now, self.id);
+        self.wait_for_permit().await;
     }
 
     /// An attempt has failed; returns when the next may begin.
     pub async fn wait_after_failure(&self, failure: ConnectFailure) {
         let now = self.scheduler.now_us();
         self.scheduler
-            .state()
+            .lock_state()
             .pacing
             .attempt_failed(now, self.id, failure);
-        self.wait().await;
+        self.wait_for_permit().await;
     }
 
-    async fn wait(&self) {
+    async fn wait_for_permit(&self) {
         self.scheduler.changed.notify_one();
         self.granted.notified().await;
     }
--- a/crates/placer/src/settings_file.rs
+++ b/crates/placer/src/settings_file.rs
@@ -10,65 +10,68 @@
 #[cfg(test)]
 mod tests;
 
-/// A change of the settings file.
+/// An update of the settings file.
 #[derive(Debug)]
 pub(crate) enum SettingsUpdate {
-    /// The file has other settings, which are valid.
+    /// The file holds new, valid settings.
     Changed(Box<Settings>),
-    /// The file can't be used; the settings before stay active.
+    /// The file can't be read or is not valid; the previous settings stay active.
     Rejected(SettingsFileError),
 }
 
 /// Why the settings file can't be used.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum SettingsFileError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error(transparent)]
     Read(#[from] FileReadError),
-    /// Its text is not valid.
+    /// The text of the file is not valid.
     #[error(transparent)]
     Invalid(#[from] Problems),
 }
 
-/// Detects changes of a file that is polled. A text counts once two polls in a row have found it: a file that is being
-/// written may end early and be valid all the same.
+/// Detects changes of a file that is polled. A change is reported only after two polls in a row found the same content,
+/// because a file that is only partly written may be valid, too.
 #[derive(Debug)]
 struct FileChangeDetector {
-    reported: FileSnapshot,
+    /// Content that was reported last, or known at the start.
+    last_reported: FileSnapshot,
+    /// Content that the previous poll found.
     previous: FileSnapshot,
 }
 
 impl FileChangeDetector {
-    /// Of a file whose text is known.
+    /// Creates a detector for a file whose current text is known.
     fn new(text: String) -> Self {
         Self {
-            reported: Ok(text.clone()),
+            last_reported: Ok(text.clone()),
             previous: Ok(text),
         }
     }
 
-    /// Takes in what a poll found; returns what is to be reported, once for each change.
+    /// Takes the result of a poll, and returns it if it is a change that has to be reported. Each change is returned
+    /// once.
     fn observe(&mut self, snapshot: FileSnapshot) -> Option<FileSnapshot> {
-        let is_settled = snapshot == self.previous;
+        let is_stable = snapshot == self.previous;
         self.previous = snapshot;
-        if !is_settled || self.previous == self.reported {
+        if !is_stable || self.previous == self.last_reported {
             return None;
         }
-        self.reported = self.previous.clone();
+        self.last_reported = self.previous.clone();
         Some(self.previous.clone())
     }
 }
 
-/// The settings file of a placer that follows changes of its configuration while it runs.
+/// A settings file that is watched for changes while the placer runs.
 #[derive(Debug)]
 pub struct SettingsFile {
     path: PathBuf,
-    /// The text that the placer started with.
+    /// Text of the file with which the placer was started.
     text: String,
 }
 
 impl SettingsFile {
-    /// The file at this path, with the text that the placer starts with.
+    /// Creates a settings file; `text` is the content with which the placer is started.
     pub fn new(path: PathBuf, text: String) -> Self {
         Self { path, text }
     }
--- a/crates/placer/src/settings_file/tests.rs
+++ b/crates/placer/src/settings_file/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_text_counts_once_two_polls_have_found_it_and_is_reported_once() {
+fn a_change_is_reported_once_after_two_polls_in_a_row_found_the_same_content() {
     let mut detector = FileChangeDetector::new("one".to_owned());
     for (snapshot, is_reported) in [
         (text("one"), false),
--- a/crates/placer/src/startup.rs
+++ b/crates/placer/src/startup.rs
@@ -1,4 +1,4 @@
-//! Puts a placer together: its core, its tasks and its event loop.
+//! Assembles a placer: its core, its tasks and its event loop.
 
 use std::io;
 use std::sync::Arc;
@@ -25,46 +25,46 @@
 use crate::tasks::TaskGroup;
 use crate::trace::PlacerTrace;
 
-/// Updates of a file that wait for the event loop.
+/// Capacity of the queue of updates from one watched file to the event loop.
 const UPDATE_QUEUE: usize = 4;
 
-/// What a placer is made of.
+/// Everything that the event loop of a placer is assembled from, except the listener.
 pub(crate) struct Startup {
-    /// Its settings.
+    /// Settings with which the placer starts.
     pub settings: Settings,
-    /// What it is started with beside them.
+    /// Options with which the placer starts.
     pub options: PlacerOptions,
-    /// When it started, since 1970.
-    pub unix: Duration,
-    /// Its incarnation.
+    /// Start of the placer, as time since 1970.
+    pub unix_time: Duration,
+    /// Number of this start of the placer.
     pub incarnation: u64,
-    /// Its state folder, if it has one.
+    /// The opened state folder, if the settings name one.
     pub ledger: Option<LedgerFolder>,
-    /// Its records in the trace.
+    /// Writes the placer's records to the trace.
     pub trace: PlacerTrace,
-    /// What its owner asks of it.
+    /// Receives commands and the shutdown request of the placer's owner.
     pub control: ControlReceiver,
-    /// Where its owner reads whether it is fenced.
+    /// Set while the placer is fenced; read by its owner.
     pub is_fenced: Arc<AtomicBool>,
 }
 
 impl Startup {
-    /// Makes the event loop, and starts the tasks that feed it. It is called within the placer's runtime.
+    /// Creates the event loop, and starts the tasks that send events to it. Must be called within the placer's runtime.
     ///
     /// # Errors
-    /// Where the system makes no thread for the state folder.
+    /// If the system can't create the thread that writes the state folder.
     pub fn into_event_loop(self, listener: Listener) -> io::Result<EventLoop> {
         let Self {
             settings,
             options,
-            unix,
+            unix_time,
             incarnation,
             ledger,
             trace,
             control,
             is_fenced,
         } = self;
-        let clock = CoreClock::start(unix);
+        let clock = CoreClock::start(unix_time);
         trace.placer_started(incarnation, &options.settings_text);
         let context = Arc::new(PlacerContext::new(
             &settings,
@@ -114,7 +114,8 @@
     }
 }
 
-/// The core, with what its state folder held, and the thread that writes that folder.
+/// Creates the core, with the content of the state folder if there is one, and starts the thread that writes the
+/// folder.
 fn open_core(
     settings: Settings,
     start: Start,
--- a/crates/placer/src/tasks.rs
+++ b/crates/placer/src/tasks.rs
@@ -8,37 +8,38 @@
 #[cfg(test)]
 mod tests;
 
-/// Requests that the tasks which hold its [`CancelToken`]s stop. Dropping it requests that too.
+/// Cancels the tasks that hold its [`CancelToken`]s. Dropping the handle cancels them, too.
 pub(crate) struct CancelHandle(watch::Sender<bool>);
 
-/// Tells a task when it is to stop.
+/// Notifies a task that it is cancelled.
 pub(crate) struct CancelToken(watch::Receiver<bool>);
 
 impl CancelHandle {
-    /// A handle that has requested nothing yet.
+    /// Creates a handle that is not cancelled.
     pub fn new() -> Self {
         Self(watch::Sender::new(false))
     }
 
-    /// A token for a task that is to stop on request.
+    /// Creates a token for a task that this handle can cancel.
     pub fn token(&self) -> CancelToken {
         CancelToken(self.0.subscribe())
     }
 
-    /// Requests that the tasks stop.
+    /// Cancels all tasks that hold a token of this handle.
     pub fn cancel(&self) {
         self.0.send_replace(true);
     }
 }
 
 impl CancelToken {
-    /// Returns once a stop was requested.
+    /// Waits until the token is cancelled.
     pub async fn cancelled(&mut self) {
-        // An error means that the handle was dropped, which is a request as well.
+        // An error means that the handle was dropped, which cancels the token, too.
         let _ = self.0.wait_for(|cancelled| *cancelled).await;
     }
 
-    /// Runs a future to its end, or drops it at its next await point once a stop was requested.
+    /// Runs a future to its end and returns its output. If the token is cancelled first, drops the future at its next
+    /// await point and returns `None`.
     pub async fn run<T>(mut self, future: impl Future<Output = T>) -> Option<T> {
         tokio::select! {
             biased;
@@ -48,14 +49,14 @@
     }
 }
 
-/// Tasks with one owner.
+/// A group of tasks that are cancelled and joined together.
 pub(crate) struct TaskGroup {
     tasks: JoinSet<()>,
     cancel: CancelHandle,
 }
 
 impl TaskGroup {
-    /// A group without tasks.
+    /// Creates a group without tasks.
     pub fn new() -> Self {
         Self {
             tasks: JoinSet::new(),
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Spawns a task, which is dropped at its next await point when the group shuts down.
+    /// Spawns a task, which is dropped at its next await point when the group is shut down.
     pub fn spawn(&mut self, task: impl Future<Output = ()> + Send + 'static) {
         let token = self.cancel.token();
         self.tasks.spawn(async move {
@@ -71,7 +72,8 @@
         });
     }
 
-    /// Spawns a task that ends by itself when its token is cancelled, after it has joined its own tasks.
+    /// Spawns a task that is given a token and must end by itself once that is cancelled, so that it can join its own
+    /// tasks first.
     pub fn spawn_with_token<F>(&mut self, task: impl FnOnce(CancelToken) -> F)
     where
         F: Future<Output = ()> + Send + 'static,
@@ -79,12 +81,12 @@
         self.tasks.spawn(task(self.cancel.token()));
     }
 
-    /// Joins the tasks that have ended.
+    /// Joins the tasks that have already ended, without waiting.
     pub fn reap(&mut self) {
         while self.tasks.try_join_next().is_some() {}
     }
 
-    /// Waits for the next task to end; pending for as long as there is none.
+    /// Waits until a task ends, and joins it; never returns if the group has no tasks.
     pub async fn next_ended(&mut self) {
         if self.tasks.join_next().await.is_none() {
             std::future::pending::<()>().await;
--- a/crates/placer/src/tasks/tests.rs
+++ b/crates/placer/src/tasks/tests.rs
@@ -3,17 +3,17 @@
 
 use super::*;
 
-/// Counts itself as running until it is dropped.
-struct Running(Arc<AtomicUsize>);
+/// Increments a counter of running tasks, and decrements it when dropped.
+struct RunningGuard(Arc<AtomicUsize>);
 
-impl Running {
+impl RunningGuard {
     fn new(count: &Arc<AtomicUsize>) -> Self {
         count.fetch_add(1, Ordering::Relaxed);
         Self(Arc::clone(count))
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -24,18 +24,18 @@
     let count = Arc::new(AtomicUsize::new(0));
     let mut tasks = TaskGroup::new();
     for _ in 0..3 {
-        let running = Running::new(&count);
+        let running = RunningGuard::new(&count);
         tasks.spawn(async move {
             let _running = running;
             std::future::pending::<()>().await;
         });
     }
     tasks.spawn_with_token(|mut token| {
-        let running = Running::new(&count);
+        let running = RunningGuard::new(&count);
         async move {
             let _running = running;
             token.cancelled().await;
-            // Work that it does before it ends is waited for.
+            // The shutdown must wait for work that the task does after it was cancelled.
             tokio::task::yield_now().await;
         }
     });
@@ -45,13 +45,13 @@
 }
 
 #[tokio::test]
-async fn a_token_is_cancelled_by_its_handle_or_by_the_drop_of_it() {
-    for drops in [true, false] {
+async fn a_token_is_cancelled_by_its_handle_or_when_the_handle_is_dropped() {
+    for drops_handle in [true, false] {
         let handle = CancelHandle::new();
         let token = handle.token();
         let mut handle = Some(handle);
         let task = tokio::spawn(token.run(std::future::pending::<()>()));
-        if drops {
+        if drops_handle {
             handle = None;
         } else if let Some(handle) = &handle {
             handle.cancel();
--- a/crates/placer/src/trace.rs
+++ b/crates/placer/src/trace.rs
@@ -1,4 +1,5 @@
-//! What a placer records in its trace: each frame that crosses its sockets, and its own start and end.
+//! Records of a placer in its trace: each frame on its sockets, changes of its node list, and its start, stalls and
+//! end.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,7 +9,7 @@
 
 use crate::link_number::LinkNumber;
 
-/// Writes one placer's records; without a recorder it does nothing.
+/// Writes the trace records of one placer; does nothing without a recorder.
 #[derive(Clone)]
 pub(crate) struct PlacerTrace {
     placer: String,
@@ -16,7 +17,7 @@
 }
 
 impl PlacerTrace {
-    /// For the placer of this name.
+    /// Creates the trace of the placer with this name. `None` as recorder disables it.
     pub fn new(placer: &str, recorder: Option<Arc<Recorder>>) -> Self {
         Self {
             placer: placer.to_owned(),
@@ -30,7 +31,7 @@
         }
     }
 
-    /// The placer starts with this text of its settings.
+    /// Records that the placer starts, with the text of its settings.
     pub fn placer_started(&self, incarnation: u64, settings_text: &str) {
         self.record(
             Event::PlacerStarted,
@@ -40,27 +41,27 @@
         );
     }
 
-    /// The placer has ended.
+    /// Records that the placer has ended.
     pub fn placer_ended(&self, incarnation: u64) {
         self.record(Event::PlacerEnded, "", incarnation, b"");
     }
 
-    /// The placer stops handling events for so long.
+    /// Records that the placer handles no events for this time.
     pub fn placer_stalled(&self, duration: Duration) {
         self.record(Event::PlacerStalled, "", duration.as_micros() as u64, b"");
     }
 
-    /// The placer takes up this node list.
-    pub fn node_list(&self, text: &str) {
+    /// Records the text of a new node list, which the placer uses from now on.
+    pub fn node_list_changed(&self, text: &str) {
         self.record(Event::Listed, "", 0, text.as_bytes());
     }
 
-    /// A frame was read from a client. `frame` runs only where a trace is written.
+    /// Records a frame that was read from a client. `frame` is called only if a trace is written.
     pub fn client_frame_read(&self, conn: ConnectionId, frame: impl FnOnce() -> Vec<u8>) {
         self.client_frame(Event::FromClient, conn, frame);
     }
 
-    /// A frame is about to be written to a client. `frame` runs only where a trace is written.
+    /// Records a frame that is about to be written to a client. `frame` is called only if a trace is written.
     pub fn client_frame_written(&self, conn: ConnectionId, frame: impl FnOnce() -> Vec<u8>) {
         self.client_frame(Event::ToClient, conn, frame);
     }
@@ -71,22 +72,22 @@
         }
     }
 
-    /// A client's connection has ended.
+    /// Records that a client's connection has ended.
     pub fn client_disconnected(&self, conn: ConnectionId) {
         self.record(Event::ClientGone, "", conn, b"");
     }
 
-    /// A frame was read from a node.
+    /// Records a frame that was read from a node.
     pub fn node_frame_read(&self, node: &str, link: LinkNumber, frame: &[u8]) {
         self.record(Event::FromNode, node, link.get(), frame);
     }
 
-    /// A frame is about to be written to a node.
+    /// Records a frame that is about to be written to a node.
     pub fn node_frame_written(&self, node: &str, link: LinkNumber, frame: &[u8]) {
         self.record(Event::ToNode, node, link.get(), frame);
     }
 
-    /// A link to a node has ended, or could not be established.
+    /// Records that a link to a node has ended or could not be established.
     pub fn link_down(&self, node: &str, link: LinkNumber, reason: &str) {
         self.record(Event::LinkDown, node, link.get(), reason.as_bytes());
     }
--- a/crates/placer/src/watched_file.rs
+++ b/crates/placer/src/watched_file.rs
@@ -1,24 +1,25 @@
-//! Reading the files that are watched while a placer runs: the settings and the node list.
+//! Reads the files that are watched while a placer runs: the settings and the node list.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// How often a watched file is read: well under any grace period for drains.
+/// Interval between two reads of a watched file. It is short in comparison with the grace period of drains, so that a
+/// drain in the node list is noticed well within that period.
 pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A file can't be read.
+/// The error of a file that can't be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{path}: {reason}", path = path.display())]
 pub struct FileReadError {
-    /// The file.
+    /// Path of the file.
     pub path: PathBuf,
-    /// What the system answered.
+    /// Error message of the operating system.
     pub reason: String,
 }
 
-/// The whole text of a file, or why it can't be read.
+/// The whole text of a file, or the reason why it can't be read.
 ///
-/// The file is small, and its text is a surer sign of a change than its times.
+/// Changes are detected by the text, as watched files are small and their modification times are less reliable.
 pub(crate) type FileSnapshot = Result<String, FileReadError>;
 
 /// Reads the whole file.
