--- a/crates/core/tests/digest.rs
+++ b/crates/core/tests/digest.rs
@@ -90,11 +90,11 @@
         10 => world.set_unlisted(n, true),
         11 => world.set_unlisted(n, false),
         12 => world.set_unreachable(n, n < 2),
-        13 if placer == Placer::Persists => world.disk().fail_sync(),
+        13 if placer == Placer::Persists => world.disk().fail_next_sync(),
         14 if placer == Placer::Persists => {
-            world.disk().full(true);
+            world.disk().set_full(true);
             world.run_for(20 * MS);
-            world.disk().full(false);
+            world.disk().set_full(false);
         }
         13 | 14 if placer == Placer::Restarts => world.restart_placer(),
         15 if placer == Placer::Persists => world.cut_power(),
--- a/crates/core/tests/restart.rs
+++ b/crates/core/tests/restart.rs
@@ -89,9 +89,9 @@
             4 => world.set_hanging(n, false),
             5 => world.set_health(n, Health::Draining),
             6 => world.set_health(n, Health::Ready),
-            7 if disk => world.disk().fail_sync(),
-            8 if disk => world.disk().full(true),
-            9 if disk => world.disk().full(false),
+            7 if disk => world.disk().fail_next_sync(),
+            8 if disk => world.disk().set_full(true),
+            9 if disk => world.disk().set_full(false),
             7..=10 => world.restart_placer(),
             _ => world.cut_power(),
         }
@@ -101,7 +101,7 @@
             world.wait_any();
         }
     }
-    world.disk().full(false);
+    world.disk().set_full(false);
     world.heal();
     world.wait_hundredths(1_500);
     world
@@ -323,10 +323,10 @@
     for (more, is_accepted) in [("", true), ("when_lost = \"refuse\"", false)] {
         let mut world = World::with_state_settings(2, 1, more);
         world.run_for(50 * MS);
-        world.disk().fail_sync();
+        world.disk().fail_next_sync();
         world.submit("safe", 1, 50);
         world.run_for(20 * MS);
-        world.disk().full(true);
+        world.disk().set_full(true);
         let call = world.submit("unsafe", 1, 50);
         world.run_for(20 * MS);
         assert_eq!(world.event_count("state_write_failed"), 1);
@@ -340,7 +340,7 @@
             .count();
         assert_eq!(rejections, usize::from(!is_accepted), "{:?}", world.errors);
         world.errors.clear();
-        world.disk().full(false);
+        world.disk().set_full(false);
         world.wait_hundredths(100);
         assert_eq!(world.event_count("state_write_restored"), 1);
         // Once writes are restored, new jobs survive a power cut again, and so do those accepted while the disk was
@@ -361,12 +361,12 @@
     world.run_for(50 * MS);
     world.submit("unsafe", 1, 100);
     world.run_for(60 * MS);
-    world.disk().full(true);
-    world.disk().fail_sync();
+    world.disk().set_full(true);
+    world.disk().fail_next_sync();
     world.submit("safe", 1, 10);
     world.run_for(300 * MS);
     world.restart_placer();
-    world.disk().full(false);
+    world.disk().set_full(false);
     world.wait_hundredths(200);
     check_single_start(&world);
     let job = world
@@ -384,7 +384,7 @@
     let run = |step: Option<u64>| {
         let mut world = World::with_state_folder(2, step.unwrap_or(0));
         world.run_for(20 * MS);
-        let before = world.disk().steps();
+        let before = world.disk().operation_count();
         if let Some(step) = step {
             world.cut_power_at_step(before + step);
         }
@@ -396,7 +396,7 @@
             world.wait_any();
             world.run_for(200);
         }
-        (world.disk().steps() - before, world)
+        (world.disk().operation_count() - before, world)
     };
     let (steps, _) = run(None);
     let mut power_cuts = 0;
@@ -441,7 +441,7 @@
 fn a_read_only_folder_is_reported_and_unsafe_jobs_are_rejected() {
     let mut world = World::with_state_folder(2, 1);
     world.run_for(50 * MS);
-    world.disk().read_only(true);
+    world.disk().set_read_only(true);
     world.restart_placer();
     world.run_for(50 * MS);
     world.submit("safe", 2, 50);
--- a/crates/core/tests/world/disk.rs
+++ b/crates/core/tests/world/disk.rs
@@ -59,10 +59,10 @@
     /// Cuts the power of the placer's machine and restarts the placer. Whether each unsynced write survives is random.
     pub fn cut_power(&mut self) {
         if let Some(disk) = self.state_disk.as_mut() {
-            disk.folder.cut_at(0);
+            disk.folder.cut_power_after(0);
             disk.writer = None;
             let rng = &mut self.rng;
-            disk.folder = disk.folder.power_on(|| rng.next_u32());
+            disk.folder = disk.folder.after_power_cut(|| rng.next_u32());
             (disk.power_cut_step, disk.power_lost) = (None, false);
         }
         self.restart_placer();
@@ -79,7 +79,7 @@
     /// Makes the power fail at this step of the disk. The test has to check for it and to call `cut_power`.
     pub fn cut_power_at_step(&mut self, step: u64) {
         let disk = self.state_disk.as_mut().unwrap();
-        disk.folder.cut_at(step);
+        disk.folder.cut_power_after(step);
         disk.power_cut_step = Some(step);
     }
 
@@ -113,7 +113,7 @@
         // After a power failure, results of the disk reach nobody.
         disk.power_lost |= disk
             .power_cut_step
-            .is_some_and(|step| disk.folder.steps() > step);
+            .is_some_and(|step| disk.folder.operation_count() > step);
         match result {
             _ if disk.power_lost => {}
             Ok(through) => self.input(Input::Durable(through.0)),
--- a/crates/core/tests/world/faults.rs
+++ b/crates/core/tests/world/faults.rs
@@ -160,9 +160,9 @@
             // A killed process loses the batches that it had not written yet, and does not close its files.
             (disk.write_scheduled, disk.pending) = (false, Vec::new());
             if disk.writer.is_some() {
-                disk.folder.cut_at(0);
+                disk.folder.cut_power_after(0);
                 disk.writer = None;
-                disk.folder = disk.folder.power_on(|| 0);
+                disk.folder = disk.folder.after_power_cut(|| 0);
             }
         }
         self.core = match self.open_state() {
--- a/crates/node-simulator/src/slots.rs
+++ b/crates/node-simulator/src/slots.rs
@@ -132,19 +132,19 @@
         for step in 0..80 {
             for luck in 0..8_u32 {
                 let folder = SimFolder::default();
-                folder.cut_at(step);
+                folder.cut_power_after(step);
                 let mut slots = Slots::open(folder.clone()).unwrap().slots;
                 let mut told = 0;
                 for (n, memory) in all.iter().enumerate().skip(1) {
-                    if folder.steps() <= step
+                    if folder.operation_count() <= step
                         && slots.keep(&memory.encode()).is_ok()
-                        && folder.steps() <= step
+                        && folder.operation_count() <= step
                     {
                         told = n;
                     }
                 }
                 let mut draw = luck;
-                let folder = folder.power_on(|| {
+                let folder = folder.after_power_cut(|| {
                     draw = draw.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
                     draw >> 8
                 });
@@ -182,10 +182,10 @@
         let (all, folder) = (memories(), SimFolder::default());
         let mut slots = Slots::open(folder.clone()).unwrap().slots;
         slots.keep(&all[1].encode()).unwrap();
-        folder.full(true);
+        folder.set_full(true);
         assert!(slots.keep(&all[2].encode()).is_err());
         assert_eq!(Slots::open(folder.clone()).unwrap().memory, all[1]);
-        folder.full(false);
+        folder.set_full(false);
         slots.keep(&all[3].encode()).unwrap();
         assert_eq!(Slots::open(folder).unwrap().memory, all[3]);
     }
--- a/crates/placer/src/ledger/mod.rs
+++ b/crates/placer/src/ledger/mod.rs
@@ -59,7 +59,7 @@
         };
         let disk = match Disk::lock(&state.folder) {
             Ok(disk) => disk,
-            Err(error @ LockError::Taken { .. }) => return Err(error.into()),
+            Err(error @ LockError::InUse { .. }) => return Err(error.into()),
             Err(error) => return unwritable(error.to_string()),
         };
         let OpenedLedger {
--- a/crates/placer/src/ledger/tests.rs
+++ b/crates/placer/src/ledger/tests.rs
@@ -40,7 +40,7 @@
     );
     std::thread::scope(|scope| {
         scope.spawn(move || ledger.run());
-        folder.fail_sync();
+        folder.fail_next_sync();
         let batch = Batch {
             sequence: BatchSequence(1),
             at: 1,
--- a/crates/state/src/folder/disk.rs
+++ b/crates/state/src/folder/disk.rs
@@ -16,7 +16,7 @@
 pub enum LockError {
     /// Another process holds the lock.
     #[error("{folder}: another placer keeps its state there; give each placer a folder of its own")]
-    Taken {
+    InUse {
         /// Path of the folder.
         folder: String,
     },
@@ -56,7 +56,7 @@
                 folder: folder.to_owned(),
                 _lock: lock,
             }),
-            Err(TryLockError::WouldBlock) => Err(LockError::Taken { folder: location }),
+            Err(TryLockError::WouldBlock) => Err(LockError::InUse { folder: location }),
             Err(TryLockError::Error(error)) => Err(io(error)),
         }
     }
--- a/crates/state/src/folder/simulated.rs
+++ b/crates/state/src/folder/simulated.rs
@@ -219,34 +219,34 @@
 
 impl SimFolder {
     /// Number of disk operations so far: writes, syncs and changes of names.
-    pub fn steps(&self) -> u64 {
+    pub fn operation_count(&self) -> u64 {
         lock(&self.state).operations
     }
 
     /// Cuts the power after this number of operations, counted from the creation of the folder: every later one fails.
-    pub fn cut_at(&self, step: u64) {
-        lock(&self.state).cut_after = Some(step);
+    pub fn cut_power_after(&self, operations: u64) {
+        lock(&self.state).cut_after = Some(operations);
     }
 
     /// Sets whether the disk is full: creating or extending a file then fails.
-    pub fn full(&self, full: bool) {
+    pub fn set_full(&self, full: bool) {
         lock(&self.state).full = full;
     }
 
     /// Sets whether the disk is read-only: creating a file and every write to a file then fail.
-    pub fn read_only(&self, read_only: bool) {
+    pub fn set_read_only(&self, read_only: bool) {
         lock(&self.state).read_only = read_only;
     }
 
     /// Makes the next sync of a file fail. Later syncs succeed, but what was written to the file before the failed one is
     /// lost.
-    pub fn fail_sync(&self) {
+    pub fn fail_next_sync(&self) {
         lock(&self.state).fail_next_sync = true;
     }
 
     /// The folder as it is found after a power cut. Synced data survives. `draw` returns random numbers, which decide for
     /// each unsynced sector whether it survives, and how many of the unsynced changes of names do, the earliest first.
-    pub fn power_on(&self, mut draw: impl FnMut() -> u32) -> Self {
+    pub fn after_power_cut(&self, mut draw: impl FnMut() -> u32) -> Self {
         let state = lock(&self.state);
         let files = state.files.iter();
         let files = files.map(|file| file.after_power_cut(&mut draw)).collect();
--- a/crates/state/tests/disk_faults.rs
+++ b/crates/state/tests/disk_faults.rs
@@ -175,12 +175,12 @@
     let without_cut = SimFolder::default();
     run_until_cut(&without_cut);
     let mut draw = Pcg32::new(1, 1);
-    for step in 0..without_cut.steps() {
+    for step in 0..without_cut.operation_count() {
         let folder = SimFolder::default();
-        folder.cut_at(step);
+        folder.cut_power_after(step);
         let reported = run_until_cut(&folder);
         for _ in 0..3 {
-            let after = folder.power_on(|| draw.next_u32());
+            let after = folder.after_power_cut(|| draw.next_u32());
             let opened = LedgerWriter::open(after.clone(), "p")
                 .unwrap_or_else(|error| panic!("step {step}: {error}"));
             let found = snapshots
@@ -233,7 +233,7 @@
     let mut writer = LedgerWriter::open(folder.clone(), "p").unwrap().writer;
     let mut batches = sample_batches().into_iter();
     writer.write(batches.next()).unwrap();
-    folder.fail_sync();
+    folder.fail_next_sync();
     let error = writer.write(batches.next()).unwrap_err();
     assert!(
         error.marked_incomplete && error.reason.contains("the disk failed"),
@@ -245,7 +245,7 @@
     );
     let mut draw = Pcg32::new(2, 1);
     for _ in 0..20 {
-        let found = LedgerWriter::open(folder.power_on(|| draw.next_u32()), "p")
+        let found = LedgerWriter::open(folder.after_power_cut(|| draw.next_u32()), "p")
             .unwrap()
             .snapshot;
         assert!(
@@ -268,7 +268,7 @@
         Ok(BatchSequence(4))
     );
     for _ in 0..20 {
-        let found = LedgerWriter::open(folder.power_on(|| draw.next_u32()), "p")
+        let found = LedgerWriter::open(folder.after_power_cut(|| draw.next_u32()), "p")
             .unwrap()
             .snapshot;
         assert_eq!(
@@ -289,7 +289,7 @@
             changes: vec![Change::IncarnationStarted(7)],
         }])
         .unwrap();
-    folder.full(true);
+    folder.set_full(true);
     let many_jobs = (1..20_000)
         .map(|n| Change::Job(n, Some(job(n, Phase::Held))))
         .collect();
@@ -302,7 +302,7 @@
         .unwrap_err();
     assert!(error.marked_incomplete, "{error:?}");
     assert!(writer.prepare_replacement().is_err());
-    folder.full(false);
+    folder.set_full(false);
     writer.prepare_replacement().unwrap();
     writer
         .write_replacement(Batch {
@@ -311,7 +311,7 @@
             changes: vec![Change::IncarnationStarted(7)],
         })
         .unwrap();
-    folder.read_only(true);
+    folder.set_read_only(true);
     let error = writer
         .write([Batch {
             sequence: BatchSequence(4),
@@ -347,7 +347,7 @@
     let used: Vec<usize> = (0..bytes.len()).filter(|at| bytes[*at] != 0).collect();
     let (mut detected, mut harmless) = (0, 0);
     for at in used.iter().filter(|at| selected(**at)) {
-        let damaged = folder.power_on(|| 0);
+        let damaged = folder.after_power_cut(|| 0);
         damaged.corrupt("ledger", |bytes| bytes[*at] ^= 0x10);
         match LedgerWriter::open(damaged.clone(), "p") {
             Ok(opened) => {
@@ -381,13 +381,13 @@
         matches!(error, StoreError::OtherPlacer { .. }) && error.to_string().contains("placer `p`"),
         "{error}"
     );
-    let truncated = folder.power_on(|| 0);
+    let truncated = folder.after_power_cut(|| 0);
     truncated.corrupt("ledger", |bytes| bytes.truncate(700));
     assert!(matches!(
         LedgerWriter::open(truncated, "p").unwrap_err(),
         StoreError::Damaged { .. }
     ));
-    let empty = folder.power_on(|| 0);
+    let empty = folder.after_power_cut(|| 0);
     empty.corrupt("ledger", Vec::clear);
     assert!(
         LedgerWriter::open(empty, "p")
@@ -446,20 +446,21 @@
 #[test]
 fn a_migration_that_a_power_cut_interrupts_is_repeated_without_losing_jobs() {
     let folder = folder_with_format_1();
-    let before = folder.steps();
+    let before = folder.operation_count();
     LedgerWriter::open(folder.clone(), "p")
         .unwrap()
         .writer
         .close();
     let mut draw = Pcg32::new(3, 1);
-    for step in before..folder.steps() {
+    for step in before..folder.operation_count() {
         let folder = folder_with_format_1();
-        folder.cut_at(step);
+        folder.cut_power_after(step);
         if let Ok(opened) = LedgerWriter::open(folder.clone(), "p") {
             opened.writer.close();
         }
         for _ in 0..4 {
-            let opened = LedgerWriter::open(folder.power_on(|| draw.next_u32()), "p").unwrap();
+            let opened =
+                LedgerWriter::open(folder.after_power_cut(|| draw.next_u32()), "p").unwrap();
             assert_eq!(
                 opened.snapshot.jobs,
                 expected_snapshots()[4].jobs,
@@ -474,7 +475,7 @@
     let dir = tempfile::tempdir().unwrap();
     let first = Disk::lock(dir.path()).unwrap();
     let error = Disk::lock(dir.path()).unwrap_err();
-    assert!(matches!(error, LockError::Taken { .. }), "{error}");
+    assert!(matches!(error, LockError::InUse { .. }), "{error}");
     drop(first);
     Disk::lock(dir.path()).unwrap();
 }
