--- a/crates/connection/src/backoff.rs
+++ b/crates/connection/src/backoff.rs
@@ -1,11 +1,11 @@
-//! Delays between retries.
+//! Exponential backoff between retries.
 
 use std::time::Duration;
 
 #[cfg(test)]
 mod tests;
 
-/// Delays between retries: an initial one, doubled each time up to a limit.
+/// Exponential backoff: the delay between retries starts at an initial value and doubles up to a limit.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
     initial: Duration,
@@ -14,7 +14,7 @@
 }
 
 impl Backoff {
-    /// Delays from `initial` to `max`.
+    /// A backoff whose first delay is `initial` and whose longest is `max`.
     pub const fn new(initial: Duration, max: Duration) -> Self {
         Self {
             initial,
@@ -23,14 +23,14 @@
         }
     }
 
-    /// The delay before the next retry; the one after it is twice as long, up to the limit.
+    /// Returns the delay before the next retry, and doubles the one after it, up to the limit.
     pub fn next_delay(&mut self) -> Duration {
         let delay = self.next;
         self.next = (delay * 2).min(self.max);
         delay
     }
 
-    /// A try has succeeded: the next delay is the initial one.
+    /// Returns to the initial delay, after a successful try.
     pub fn reset(&mut self) {
         self.next = self.initial;
     }
--- a/crates/connection/src/backoff/tests.rs
+++ b/crates/connection/src/backoff/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn delays_double_up_to_the_limit_and_begin_anew_after_a_reset() {
+fn delays_double_up_to_the_limit_and_return_to_the_initial_one_after_a_reset() {
     let ms = Duration::from_millis;
     let mut backoff = Backoff::new(ms(50), ms(150));
     assert_eq!(
--- a/crates/connection/src/lib.rs
+++ b/crates/connection/src/lib.rs
@@ -1,10 +1,10 @@
-//! What the tokio shells of the placer and of the platform share. It knows no protocol.
+//! Networking and signal utilities for the tokio programs of this workspace. They do not depend on any protocol.
 //!
-//! | module | what it has |
+//! | module | contents |
 //! | --- | --- |
-//! | `accept` | the pause after a connection could not be accepted |
-//! | `backoff` | [`Backoff`]: delays between retries that double up to a limit |
-//! | `signals` | [`Signals`]: the signals that a program handles, and the [`SignalRequest`] in each |
+//! | `accept` | the pause of an accept loop after an error |
+//! | `backoff` | [`Backoff`]: exponential backoff between retries |
+//! | `signals` | [`Signals`]: receives SIGTERM, SIGINT and SIGHUP as [`SignalRequest`]s |
 #![forbid(unsafe_code)]
 
 mod accept;
--- a/crates/connection/src/signals.rs
+++ b/crates/connection/src/signals.rs
@@ -1,12 +1,13 @@
-//! The signals that a program handles.
+//! Receives the termination and reload signals of a process.
 
 use std::io;
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// The signals that a placer handles: SIGTERM, SIGINT and SIGHUP.
+/// Receives SIGTERM, SIGINT and SIGHUP.
 ///
-/// A program makes it before its listener, so that no signal is missed by one who waits for that.
+/// Create it before the listening socket: another process that waits until the socket accepts connections may then send
+/// a signal, and the handlers must be installed by that time.
 #[derive(Debug)]
 pub struct Signals {
     terminate: Signal,
@@ -14,20 +15,20 @@
     hang_up: Signal,
 }
 
-/// What a signal asks for.
+/// The action that a signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SignalRequest {
-    /// To shut down: SIGTERM or SIGINT.
+    /// Shut down: SIGTERM or SIGINT.
     Shutdown,
-    /// To read the configuration again: SIGHUP.
+    /// Read the settings file again: SIGHUP.
     Reload,
 }
 
 impl Signals {
-    /// Handles the signals from now on.
+    /// Installs the signal handlers.
     ///
     /// # Errors
-    /// Where the system does not let them be handled.
+    /// If a signal handler can't be installed.
     pub fn new() -> io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
@@ -36,7 +37,7 @@
         })
     }
 
-    /// Waits for the next signal.
+    /// Waits for the next signal and returns the action that it requests.
     pub async fn next(&mut self) -> SignalRequest {
         tokio::select! {
             _ = self.terminate.recv() => SignalRequest::Shutdown,
--- a/crates/plan/src/acceptor.rs
+++ b/crates/plan/src/acceptor.rs
@@ -1,7 +1,7 @@
 //! The acceptor: what a voting node persists, how it answers each request, and which offers it admits.
 //!
-//! A state is a value: [`AcceptorState::apply`] returns the successor, and the caller makes that durable before it
-//! answers.
+//! A state is an immutable value: [`AcceptorState::apply`] returns the state after a request, and the caller makes that
+//! durable before it answers.
 
 mod admission;
 mod error;
@@ -24,34 +24,35 @@
 pub use placers::{MAX_PLACERS, PlacerSighting};
 pub use storage::CorruptState;
 
-/// The configuration for which an acceptor has voted, or that it knows to be chosen.
+/// The configuration for which an acceptor has voted, or which a placer has reported to it as chosen.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct AcceptedConfig {
-    /// The ballot with which it was accepted.
+    /// The ballot with which the configuration was accepted.
     pub ballot: Ballot,
-    /// The configuration.
+    /// The text and version of the configuration.
     pub document: ConfigDocument,
-    /// It is chosen, and the joint phase has begun: offers by the configuration before it alone are rejected.
+    /// Whether the configuration is chosen and its joint phase has begun: from then on, offers by a placer that applies
+    /// the predecessor alone are rejected.
     pub joint: bool,
 }
 
 /// What an acceptor persists.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct AcceptorState {
-    /// The committed configuration.
+    /// The committed configuration; `None` before the first one.
     pub committed: Option<ConfigDocument>,
-    /// The configuration that is to follow it.
+    /// The accepted successor of the committed configuration, if there is one.
     pub accepted: Option<AcceptedConfig>,
-    /// The greatest ballot promised, for the successor of the committed configuration.
+    /// The greatest ballot that was promised for the successor of the committed configuration.
     pub promised: Ballot,
-    /// The greatest revision of the node list that a request named.
+    /// The greatest node list revision of any request that was applied.
     pub list_revision: u64,
-    /// How many configurations were committed here before this one.
+    /// How many committed configurations this acceptor has replaced by a later one.
     pub replaced_configs: u32,
-    /// The first configuration was committed already when this node learned of it. What the node voted for before it
-    /// lost its state, if anything, is unknown.
+    /// Whether the committed configuration is the first one of this state and had not been accepted here before. The
+    /// node may have lost an earlier state, so what it voted for before that commit is unknown.
     pub installed_by_catch_up: bool,
-    /// The placers that connect to this node, by the hash of their name.
+    /// The placers that connected to this node, by the hash of their name.
     pub placers: BTreeMap<u64, PlacerSighting>,
 }
 
@@ -62,7 +63,7 @@
         version.unwrap_or_default()
     }
 
-    /// The next configuration, where it is chosen and the joint phase has begun.
+    /// The accepted configuration, if it is chosen and its joint phase has begun.
     fn joint(&self) -> Option<&AcceptedConfig> {
         self.accepted.as_ref().filter(|accepted| accepted.joint)
     }
@@ -75,7 +76,7 @@
         }
     }
 
-    /// The report of this state to placers. The caller adds for how long the floor is unchanged, and who is connected.
+    /// The report of this state to placers. The caller adds the age of the floor and the number of connected placers.
     pub fn report(&self) -> AcceptorReport {
         let accepted = |accepted: &AcceptedConfig| AcceptedVersion {
             ballot: accepted.ballot,
@@ -103,7 +104,7 @@
         committed.filter(|document| document.version() == version)
     }
 
-    /// The text of a configuration, if this state holds it.
+    /// The text of a configuration, if it is the committed or the accepted one.
     pub fn text(&self, version: ConfigVersion) -> Option<&str> {
         let document = self.committed_document(version);
         document
@@ -111,8 +112,8 @@
             .map(ConfigDocument::text)
     }
 
-    /// The delta from the committed configuration to the accepted one, if these are the versions and it is shorter
-    /// than the text.
+    /// The delta from `base` to `target`, if `base` is committed here, `target` is accepted here, and the delta is
+    /// shorter than the text of `target`.
     pub fn delta(&self, base: ConfigVersion, target: ConfigVersion) -> Option<Delta> {
         let base = self.committed_document(base)?;
         let target = self.accepted_document(target)?;
--- a/crates/plan/src/acceptor/admission.rs
+++ b/crates/plan/src/acceptor/admission.rs
@@ -1,24 +1,24 @@
-//! Which offers a voting node admits.
+//! Which offers an acceptor admits, by the version stamp of the offer.
 
 use reedring_node_protocol::{ConfigVersion, VersionStamp};
 
 use super::{AcceptorState, OfferRejection};
 
 impl AcceptorState {
-    /// Checks whether an offer may be considered, by the version stamp of its placer.
+    /// Checks whether an offer is admitted, by the version stamp of its placer.
     ///
     /// | stamp | condition | result |
     /// | --- | --- | --- |
-    /// | none | no configuration was ever replaced here, and none is about to be | admitted: its sender knows no configurations |
+    /// | none | no configuration was replaced here, and no successor of a committed one is joint | admitted: its sender does not support configurations |
     /// | none | else | below the floor |
-    /// | any | nothing is committed or chosen here | unknown version: this node has no state yet |
+    /// | any | nothing is committed or joint here | unknown version: this node has no configuration yet |
     /// | below the floor | | below the floor |
-    /// | the floor, or one level above it | no other configuration of that number is known here | admitted |
-    /// | the floor, or one level above it | another configuration has that number | conflicting version |
+    /// | the floor, or one level above it | no other configuration of that number is committed or joint here | admitted |
+    /// | the floor, or one level above it | another configuration of that number is committed or joint here | conflicting version |
     /// | higher | | unknown version |
     ///
     /// # Errors
-    /// Why it is not admitted.
+    /// The reason for the rejection, as in the table.
     pub fn check_offer(&self, stamp: Option<&VersionStamp>) -> Result<(), OfferRejection> {
         let floor = self.floor();
         let Some(stamp) = stamp else {
@@ -55,7 +55,7 @@
         self.committed.is_some() || self.joint().is_some()
     }
 
-    /// The committed or chosen configuration that has the same number as this one and another digest.
+    /// The committed or joint configuration with the same number as `version` and another digest, if there is one.
     fn conflicting_version(&self, version: ConfigVersion) -> Option<ConfigVersion> {
         let chosen = self.joint().map(|joint| joint.document.version());
         let known = [Some(self.committed_version()), chosen];
--- a/crates/plan/src/acceptor/placers.rs
+++ b/crates/plan/src/acceptor/placers.rs
@@ -1,24 +1,24 @@
-//! The placers that an acceptor has seen: operators are told who is behind.
+//! The placers that have connected to an acceptor, so that operators can see which of them lag behind.
 
 use super::AcceptorState;
 
-/// Placers that an acceptor remembers; the one seen longest ago is dropped first.
+/// The number of placers that an acceptor records at most. Beyond it, the placer seen longest ago is removed.
 pub const MAX_PLACERS: usize = 1_024;
 
-/// When a placer was last seen, and with what.
+/// When a placer was last seen, with which version level and build.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct PlacerSighting {
-    /// The version level of its last stamp; 0 where it sent none.
+    /// The version level of the placer's last stamp; 0 if it sent none.
     pub level: u64,
-    /// Seconds since 1970, by the node's clock.
+    /// When the placer was last seen: seconds since 1970, by the node's clock.
     pub at_s: u64,
-    /// CRC-32C of its build.
+    /// The CRC-32C of the name of the placer's build.
     pub build: u32,
 }
 
 impl AcceptorState {
-    /// Records that a placer connected, or sent another stamp than before. Returns whether that is worth persisting:
-    /// its time alone is not.
+    /// Records that a placer connected, or sent another stamp than before. Returns whether the record must be
+    /// persisted: for a new placer, level or build. A new time alone is not persisted.
     pub fn record_placer(&mut self, placer: u64, sighting: PlacerSighting) -> bool {
         let before = self.placers.insert(placer, sighting);
         if self.placers.len() > MAX_PLACERS {
--- a/crates/plan/src/acceptor/requests.rs
+++ b/crates/plan/src/acceptor/requests.rs
@@ -1,4 +1,4 @@
-//! How an acceptor answers each request of a proposer.
+//! How each request of a proposer changes the state of an acceptor.
 
 use std::cmp::Ordering;
 
@@ -9,36 +9,36 @@
 use crate::document::{ConfigDocument, DocumentError};
 
 impl AcceptorState {
-    /// The state after a request. It must be durable before the request is answered.
+    /// The state after a request. The caller must make it durable before it answers the request.
     ///
     /// | request | condition | result |
     /// | --- | --- | --- |
     /// | query, fetch, raise floor | always | unchanged |
-    /// | any other | its node list is older than one named before | rejected: stale node list |
+    /// | any other | its node list revision is older than that of an earlier request | rejected: stale node list |
     /// | prepare, accept, enter joint | follows another configuration than the committed one | rejected: committed mismatch |
     /// | prepare, accept | installed by catch-up, and `has_settled` is false | rejected: votes unknown |
     /// | prepare | the next configuration is chosen | rejected: already chosen |
     /// | prepare | its ballot is not greater than the promised one | rejected: preempted, or unchanged |
-    /// | prepare | else | promised: smaller ballots count no more |
+    /// | prepare | else | promised: smaller ballots are rejected from now on |
     /// | accept | the next configuration is chosen | rejected: already chosen |
     /// | accept | its ballot is smaller than the promised one | rejected: preempted |
-    /// | accept | its number is not the one after the committed one (with none committed any will do) | rejected: number gap |
+    /// | accept | a configuration is committed, and the number is not the one after it | rejected: number gap |
     /// | accept | else | accepted, with its ballot |
     /// | by delta | its base is not the committed configuration | rejected: committed mismatch |
-    /// | by delta | the result is not its target | rejected: delta |
-    /// | by delta | else | as that request with the resulting text |
-    /// | enter joint, commit | it has no text, and its configuration is not accepted here | rejected: document |
+    /// | by delta | the delta can't be applied, or does not yield its target | rejected: delta |
+    /// | by delta | else | as the same request with the resulting text |
+    /// | enter joint, commit | the text is empty, and the configuration is not accepted here | rejected: document |
     /// | enter joint | another configuration is chosen | rejected: already chosen |
     /// | enter joint | else | accepted and chosen: the floor rises by one level |
     /// | commit | the number is below the committed one, or another configuration has it | rejected: committed mismatch |
     /// | commit | else | committed: the floor rises; what was accepted up to that number is discarded |
     ///
-    /// A node that starts without its state may have voted before, for what its successor does not know. It has settled,
-    /// and votes again, once it is up for longer than any change takes. With nothing committed there is nothing that it
-    /// could have voted after.
+    /// A node that starts without its stored state may have voted before the loss, and these votes are unknown. It
+    /// votes again only with `has_settled`, which the caller sets once the node is up for longer than any change takes.
+    /// While nothing is committed at the node, it may vote at once.
     ///
     /// # Errors
-    /// Why the state does not change.
+    /// The reason why the state does not change, as in the table.
     pub fn apply(
         &self,
         request: &ConfigRequest,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Phase 1 of a ballot.
+    /// Phase 1 of a ballot: promises it.
     fn promise(mut self, ballot: Ballot) -> Result<Self, RequestRejection> {
         self.check_not_chosen()?;
         match ballot.cmp(&self.promised) {
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Phase 2 of a ballot: a vote.
+    /// Phase 2 of a ballot: votes for a configuration.
     fn accept(
         mut self,
         ballot: Ballot,
@@ -126,7 +126,7 @@
         Ok(self)
     }
 
-    /// A majority has accepted this configuration with one ballot: it is chosen.
+    /// Begins the joint phase of a configuration that was chosen: a majority accepted it with one ballot.
     fn enter_joint(mut self, version: ConfigVersion, text: &str) -> Result<Self, RequestRejection> {
         match self.joint().map(|joint| joint.document.version()) {
             Some(chosen) if chosen == version => return Err(RequestRejection::Unchanged),
@@ -144,7 +144,7 @@
         Ok(self)
     }
 
-    /// A majority has entered the joint phase, or is further: this configuration is committed.
+    /// Commits a configuration: a majority of the voters has persisted it as joint, or has committed it or a later one.
     fn commit(mut self, version: ConfigVersion, text: &str) -> Result<Self, RequestRejection> {
         let committed = self.committed_version();
         if version == committed {
@@ -162,7 +162,7 @@
         self.replaced_configs = self.replaced_configs.saturating_add(u32::from(!is_first));
         self.installed_by_catch_up = is_first && !was_accepted;
         self.committed = Some(document);
-        // Ballots are for the successor of one configuration.
+        // Promises hold only for the successor of one committed configuration.
         self.promised = Ballot::default();
         self.accepted = self
             .accepted
@@ -170,7 +170,7 @@
         Ok(self)
     }
 
-    /// This state with the revision of a request's node list.
+    /// This state with the node list revision of a request.
     fn with_list_revision(&self, revision: u64) -> Result<Self, RequestRejection> {
         if revision < self.list_revision {
             return Err(RequestRejection::StaleNodeList {
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Checks that the number is the one after the committed configuration's.
+    /// Checks that the number is the one after the committed configuration's. Any number is valid if none is committed.
     fn check_successor(&self, next: ConfigVersion) -> Result<(), RequestRejection> {
         let committed = self.committed_version().number;
         if committed > 0 && next.number != committed + 1 {
@@ -220,7 +220,7 @@
         Ok(())
     }
 
-    /// The configuration of a request: the accepted one, where the sender left out its text, else that of the text.
+    /// The configuration of a request: that of its text, or the accepted one if the sender left out the text.
     fn requested_document(
         &self,
         version: ConfigVersion,
@@ -232,7 +232,7 @@
         }
     }
 
-    /// The request with its full text, in place of the one with a delta.
+    /// The request that carries the full text instead of a delta.
     fn with_full_text(
         &self,
         step: DeltaStep,
--- a/crates/plan/src/acceptor/storage.rs
+++ b/crates/plan/src/acceptor/storage.rs
@@ -1,4 +1,4 @@
-//! An acceptor's state as bytes: what a node writes before it answers, and reads when it starts.
+//! The stored form of an acceptor's state: a node writes it before it answers, and reads it when it starts.
 //!
 //! ```text
 //! magic 8 | body length u32 | body | crc32c u32                    (big-endian)
@@ -21,35 +21,35 @@
 use crate::document::ConfigDocument;
 use reader::FieldReader;
 
-/// The first bytes of each state, with the number of the format.
+/// The first bytes of each stored state; they include the version of the format.
 const MAGIC: &[u8; 8] = b"rrplan 1";
-/// Bytes of the checksum at the end.
+/// Length in bytes of the CRC-32C at the end.
 const CHECKSUM_BYTES: usize = 4;
 
-/// Why bytes are no state of an acceptor.
+/// Why stored bytes can't be read as the state of an acceptor.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CorruptState {
-    /// They are of another format, or of none.
-    #[error("these are no bytes of an acceptor state, format 1")]
+    /// The bytes do not begin with the magic of this format.
+    #[error("the stored acceptor state does not begin with the magic of format 1")]
     Magic,
-    /// They end too early, or something follows them.
-    #[error("the length of the acceptor state does not fit")]
+    /// The number of bytes differs from the stored length: bytes are missing, or follow the end.
+    #[error("the number of bytes of the acceptor state differs from its stored length")]
     Length,
-    /// A byte changed.
-    #[error("the checksum of the acceptor state does not fit")]
+    /// The stored checksum differs from the computed one: a byte was changed.
+    #[error("the stored checksum of the acceptor state differs from the computed one")]
     Checksum,
-    /// A field has an impossible value.
-    #[error("byte {offset}: {field}")]
+    /// A field is cut off or has an invalid value.
+    #[error("acceptor state, byte {offset}: can't read {field}")]
     Field {
-        /// Offset of the byte after which the field was to be read.
+        /// Offset in the stored bytes at which reading stopped.
         offset: usize,
-        /// The field.
+        /// What the field holds.
         field: &'static str,
     },
 }
 
 impl AcceptorState {
-    /// The bytes of this state.
+    /// The stored form of this state.
     pub fn encode(&self) -> Vec<u8> {
         let body = self.encode_body();
         let mut out = MAGIC.to_vec();
@@ -86,14 +86,14 @@
         body
     }
 
-    /// Reads the bytes of a state.
+    /// Reads the stored form of a state.
     ///
     /// # Errors
-    /// See [`CorruptState`]; bytes that were cut or changed are never read as another state.
+    /// If the magic, the length, the checksum or a field is invalid, so that truncated or changed bytes are rejected.
     pub fn decode(bytes: &[u8]) -> Result<Self, CorruptState> {
-        let body = checked_body(bytes)?;
+        let body = verified_body(bytes)?;
         let mut fields = FieldReader::new(body, bytes.len() - CHECKSUM_BYTES);
-        // The fields are read in the order in which they are written here.
+        // The initializers run in the order in which they are written, which is the order of the stored fields.
         let state = Self {
             list_revision: fields.u64("the node list revision")?,
             replaced_configs: fields.u32("the number of replaced configurations")?,
@@ -108,8 +108,8 @@
     }
 }
 
-/// The body, once magic, length and checksum fit.
-fn checked_body(bytes: &[u8]) -> Result<&[u8], CorruptState> {
+/// The body of a stored state whose magic, length and checksum are valid.
+fn verified_body(bytes: &[u8]) -> Result<&[u8], CorruptState> {
     let rest = bytes.strip_prefix(MAGIC).ok_or(CorruptState::Magic)?;
     let (length, rest) = rest.split_first_chunk().ok_or(CorruptState::Length)?;
     let length = u32::from_be_bytes(*length) as usize;
--- a/crates/plan/src/acceptor/storage/reader.rs
+++ b/crates/plan/src/acceptor/storage/reader.rs
@@ -1,14 +1,15 @@
-//! Reads the fields of a stored state one after another.
+//! Reads the fields of a stored acceptor state in order.
 
 use reedring_node_protocol::{Ballot, ConfigDigest, ConfigVersion};
 
 use super::CorruptState;
 use crate::document::ConfigDocument;
 
-/// The fields that are left.
+/// A cursor over the body of a stored state.
 pub(super) struct FieldReader<'a> {
+    /// The bytes that are not read yet.
     rest: &'a [u8],
-    /// Offset in the stored bytes at which the fields end.
+    /// Offset in the stored bytes at which the body ends.
     end: usize,
 }
 
@@ -72,15 +73,15 @@
         let text = self.bytes(usize::from(length), "a configuration's text")?;
         let text = std::str::from_utf8(text).map_err(|_| self.error("a configuration's text"))?;
         ConfigDocument::verify(version, text)
-            .map_err(|_| self.error("a configuration that does not fit its digest"))
+            .map_err(|_| self.error("a configuration whose text does not match its digest"))
     }
 
-    /// Checks that nothing is left.
+    /// Checks that all bytes of the body have been read.
     pub(super) fn finish(self) -> Result<(), CorruptState> {
         if self.rest.is_empty() {
             Ok(())
         } else {
-            Err(self.error("something follows"))
+            Err(self.error("the end of the state: more bytes follow"))
         }
     }
 }
--- a/crates/plan/src/acceptor/storage/tests.rs
+++ b/crates/plan/src/acceptor/storage/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::acceptor::MAX_PLACERS;
 
-/// A state with a value in each field.
+/// A state in which no field has its default value.
 fn full_state() -> AcceptorState {
     let document = |number, text| ConfigDocument::new(number, text).unwrap();
     let sighting = |n: u64| PlacerSighting {
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_state_reads_back_and_one_that_was_cut_or_changed_never_does() {
+fn a_stored_state_is_read_back_and_truncated_or_changed_bytes_are_rejected() {
     for state in [AcceptorState::default(), full_state()] {
         let bytes = state.encode();
         assert_eq!(AcceptorState::decode(&bytes), Ok(state.clone()));
@@ -54,9 +54,9 @@
     }
 }
 
-/// The bound that `docs/plan.md` promises operators.
+/// `docs/plan.md` states this bound for operators.
 #[test]
-fn a_placer_takes_under_64_bytes() {
+fn each_recorded_placer_adds_less_than_64_bytes() {
     let mut state = AcceptorState::default();
     let empty = state.encode().len();
     for placer in 0..MAX_PLACERS as u64 {
--- a/crates/plan/src/acceptor/tests.rs
+++ b/crates/plan/src/acceptor/tests.rs
@@ -45,7 +45,7 @@
     }
 }
 
-/// Every state in which an acceptor can be between two configurations, by name.
+/// A state of an acceptor in each phase from no configuration to the second one, by name.
 fn states() -> BTreeMap<&'static str, AcceptorState> {
     let (one, two) = (config(1, "one"), config(2, "two"));
     let empty = AcceptorState::default();
@@ -66,7 +66,8 @@
     ])
 }
 
-/// Requests of each kind, after each configuration, for each configuration, with several ballots.
+/// Requests of each kind except by delta, for each configuration and each predecessor, with several ballots. "rival"
+/// has the same number as "two".
 fn requests() -> Vec<ConfigRequest> {
     let none = ConfigVersion::default();
     let (one, two) = (config(1, "one"), config(2, "two"));
@@ -98,9 +99,9 @@
     all
 }
 
-/// Every request in every state, against what must never be.
+/// Applies every request to every state and checks the invariants of each transition.
 #[test]
-fn no_request_lowers_a_floor_or_a_ballot_or_undoes_what_is_chosen() {
+fn no_request_lowers_a_floor_or_a_ballot_or_discards_a_chosen_configuration() {
     for (name, state) in states() {
         for request in requests() {
             let Ok(new) = state.apply(&request, true) else {
@@ -118,27 +119,27 @@
     assert!(is.number >= was.number, "{case}");
     assert!(
         was == is || is.number > was.number,
-        "one configuration a number: {case}"
+        "another configuration of the committed number: {case}"
     );
     if let Some(chosen) = old.joint() {
-        let stays = new
+        let is_retained = new
             .joint()
             .is_some_and(|joint| joint.document == chosen.document);
         let is_replaced = is.number >= chosen.document.version().number;
-        assert!(stays || is_replaced, "{case}");
+        assert!(is_retained || is_replaced, "{case}");
     }
     if let Some(accepted) = &new.accepted {
         let number = accepted.document.version().number;
         assert!(is.number == 0 || number == is.number + 1, "{case}");
     }
-    // A vote for a ballot is never changed.
+    // A vote is replaced only by one with a ballot that is at least as great.
     if let (Some(old), Some(new)) = (&old.accepted, &new.accepted) {
         assert!(new.joint || new.ballot >= old.ballot, "{case}");
     }
 }
 
 #[test]
-fn a_vote_is_cast_for_the_next_number_alone_and_never_under_a_greater_ballot() {
+fn an_acceptor_votes_only_for_the_next_number_and_rejects_ballots_below_its_promise() {
     let states = states();
     let (one, two, four) = (config(1, "one"), config(2, "two"), config(4, "four"));
     let vote = |state: &str, request: ConfigRequest| states[state].apply(&request, true).map(drop);
@@ -155,7 +156,7 @@
     assert_eq!(
         vote("empty", accept(ConfigVersion::default(), 1, &four)),
         Ok(()),
-        "any number begins"
+        "the first configuration may have any number"
     );
     assert_eq!(
         vote("second", accept(one.version(), 9, &two)),
@@ -168,7 +169,7 @@
 }
 
 #[test]
-fn a_text_that_is_not_of_its_digest_is_named_and_changes_nothing() {
+fn a_text_with_another_digest_or_over_the_size_limit_is_rejected_with_the_reason() {
     let (one, two) = (config(1, "one"), config(2, "two"));
     let first = AcceptorState::default().apply(&commit(&one), true).unwrap();
     let message = |text: String| {
@@ -184,7 +185,7 @@
 }
 
 #[test]
-fn a_node_that_lost_its_state_votes_for_nothing_before_it_has_settled() {
+fn a_node_that_lost_its_state_does_not_vote_before_its_settling_time_is_over() {
     let (one, two) = (config(1, "one"), config(2, "two"));
     let first = AcceptorState::default()
         .apply(&commit(&one), false)
@@ -203,15 +204,19 @@
         first
             .apply(&enter_joint(one.version(), &two), false)
             .is_ok(),
-        "it takes what is chosen"
+        "it enters the joint phase of a chosen configuration"
+    );
+    // With nothing committed, a node votes at once.
+    let first_prepare = prepare(ConfigVersion::default(), 1);
+    assert!(
+        AcceptorState::default()
+            .apply(&first_prepare, false)
+            .is_ok()
     );
-    // Where nothing is committed there is nothing that it could have voted after.
-    let begin = prepare(ConfigVersion::default(), 1);
-    assert!(AcceptorState::default().apply(&begin, false).is_ok());
 }
 
 #[test]
-fn a_sender_with_an_older_node_list_changes_nothing() {
+fn a_request_with_an_older_node_list_revision_is_rejected() {
     let one = config(1, "one");
     let request = |list| ConfigRequest::Commit {
         version: one.version(),
@@ -232,16 +237,16 @@
     assert_eq!(state.apply(&request(6), true).unwrap().list_revision, 6);
 }
 
-/// Every stamp at every state.
+/// Checks every stamp against every state.
 #[test]
-fn an_offer_is_admitted_at_the_floor_and_one_level_above_it_alone() {
+fn an_offer_is_admitted_only_at_the_floor_and_one_level_above_it() {
     let (one, two, rival) = (config(1, "one"), config(2, "two"), config(2, "rival"));
     let stamp = |document: &ConfigDocument, joint| VersionStamp {
         version: document.version(),
         joint,
         ..VersionStamp::default()
     };
-    // By none, one, joint two, two, joint rival, rival.
+    // In this order: no stamp, one, joint two, two, joint rival, rival.
     let stamps = [
         None,
         Some(stamp(&one, false)),
@@ -266,7 +271,7 @@
 }
 
 #[test]
-fn placers_are_bounded_and_the_one_seen_longest_ago_is_dropped() {
+fn recorded_placers_are_bounded_and_the_one_seen_longest_ago_is_removed() {
     let mut state = AcceptorState::default();
     let sighting = |at_s| PlacerSighting {
         level: 2,
@@ -276,14 +281,14 @@
     for placer in 0..MAX_PLACERS as u64 + 10 {
         assert!(
             state.record_placer(placer, sighting(100 + placer)),
-            "a new one is worth persisting"
+            "a new placer must be persisted"
         );
     }
     assert_eq!(state.placers.len(), MAX_PLACERS);
     assert!(!state.placers.contains_key(&9) && state.placers.contains_key(&10));
     assert!(
         !state.record_placer(10, sighting(9_999)),
-        "its time alone is not"
+        "a new time alone need not be persisted"
     );
     let with_other_level = PlacerSighting {
         level: 4,
--- a/crates/plan/src/cluster.rs
+++ b/crates/plan/src/cluster.rs
@@ -9,20 +9,20 @@
 
 use crate::membership::{MemberRole, Membership, NodeNumber};
 
-/// What a placer knows of one listed node.
+/// What a placer knows about one listed node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PeerState {
-    /// Nothing: there was no handshake yet.
+    /// Nothing yet: there was no handshake with the node.
     #[default]
     Unknown,
-    /// It speaks version 1 of the node protocol and persists no configurations.
+    /// The node speaks version 1 of the node protocol and persists no configurations.
     Legacy,
-    /// Its last report.
+    /// The last report that the node sent.
     Reported(AcceptorReport),
 }
 
 impl PeerState {
-    /// Its last report.
+    /// The last report that the node sent; `None` if it has sent none.
     pub fn report(&self) -> Option<&AcceptorReport> {
         match self {
             Self::Reported(report) => Some(report),
@@ -31,19 +31,19 @@
     }
 }
 
-/// Every listed node, by the number that its placer gives it.
+/// The listed nodes as one placer sees them, by the number that the placer gives each node.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ClusterView {
-    /// Revision of the node list.
+    /// Revision of the placer's node list.
     pub list_revision: u64,
     /// Which of the nodes vote.
     pub membership: Membership,
-    /// The nodes.
+    /// What is known about each listed node.
     pub nodes: BTreeMap<NodeNumber, PeerState>,
 }
 
 impl ClusterView {
-    /// The role of a node.
+    /// Whether a node is a voter or a learner according to the node list.
     pub fn role(&self, node: NodeNumber) -> MemberRole {
         self.membership.role(node)
     }
@@ -59,12 +59,12 @@
         nodes.filter(|(node, _)| self.is_voter(*node))
     }
 
-    /// How many voters are a majority of all voters, reachable or not.
+    /// The size of a majority of all voters, reachable or not.
     pub fn quorum_size(&self) -> usize {
         self.voters().count() / 2 + 1
     }
 
-    /// Whether the voters that satisfy a condition are a majority of all voters.
+    /// Whether a majority of all voters satisfies a condition.
     pub fn has_quorum(&self, condition: impl Fn(NodeNumber) -> bool) -> bool {
         let count = self.voters().filter(|(node, _)| condition(*node)).count();
         count >= self.quorum_size()
@@ -84,7 +84,7 @@
         self.acceptors().filter(|(node, _)| self.is_voter(*node))
     }
 
-    /// A majority of the voters persists nothing: configurations can't be agreed on yet.
+    /// Whether a majority of the voters persists no configurations, so that none can be agreed on yet.
     pub fn has_legacy_quorum(&self) -> bool {
         let legacy = self
             .voters()
@@ -92,14 +92,15 @@
         legacy.count() >= self.quorum_size()
     }
 
-    /// The newest configuration that any acceptor reports as committed. One report proves it, as only a placer that had
-    /// counted a majority sends a commit.
+    /// The newest configuration that any acceptor reports as committed; number 0 where there is none. One report is
+    /// proof, because a placer sends a commit only after a majority of the voters entered the joint phase.
     pub fn committed(&self) -> ConfigVersion {
         let committed = self.acceptors().map(|(_, report)| report.committed);
         committed.max().unwrap_or_default()
     }
 
-    /// The newest configuration that learners know of. Some placer acted by it, so it was chosen.
+    /// The newest configuration that any learner reports; number 0 where there is none. Learners take it from the stamp
+    /// of a placer that applied it, so it was chosen.
     pub fn newest_learned(&self) -> ConfigVersion {
         let reports = self.nodes.values().filter_map(PeerState::report);
         let learned = reports.filter(|report| report.is_learner);
@@ -107,16 +108,16 @@
         versions.max().unwrap_or_default()
     }
 
-    /// The configuration that is chosen to follow this one.
+    /// The configuration that is chosen as the successor of `follows`, if the reports prove one.
     ///
     /// | reports of nodes that have committed `follows` | chosen |
     /// | --- | --- |
-    /// | one acceptor has entered the joint phase | yes: only a placer that had counted a majority tells it to |
+    /// | one acceptor has entered the joint phase | yes: a placer requests that only after it counted a majority |
     /// | a majority of the voters accepted it with one and the same ballot | yes |
-    /// | a majority accepted it with several ballots | no: an older one may have been preempted on the way |
+    /// | a majority accepted it, but with different ballots | no: a vote with an older ballot may have been preempted |
     /// | fewer | no |
     ///
-    /// A vote that could not be persisted does not count.
+    /// The vote of an acceptor that can't persist its state does not count.
     pub fn chosen(&self, follows: ConfigVersion) -> Option<ConfigVersion> {
         let mut votes: BTreeMap<(Ballot, ConfigVersion), usize> = BTreeMap::new();
         let reports = self
@@ -139,8 +140,7 @@
         chosen.map(|((_, version), _)| version)
     }
 
-    /// How many voters have persisted that this configuration is in its joint phase, committed, or replaced by a later
-    /// one.
+    /// How many voters have persisted this configuration as joint or committed, or a later one as committed.
     pub fn joint_count(&self, version: ConfigVersion) -> usize {
         let is_joint = |report: &AcceptorReport| {
             let accepted = report.accepted;
@@ -152,7 +152,7 @@
             .count()
     }
 
-    /// The most placers that any one node reports as connected to it.
+    /// The largest number of connected placers that any single node reports; 0 without reports.
     pub fn connected_placers(&self) -> u32 {
         let reports = self.nodes.values().filter_map(PeerState::report);
         let connected = reports.map(|report| u32::from(report.connected_placers));
--- a/crates/plan/src/cluster/tests.rs
+++ b/crates/plan/src/cluster/tests.rs
@@ -9,26 +9,27 @@
     }
 }
 
-/// What an acceptor of configuration 1 reports to have accepted as configuration 2.
+/// The configuration 2 that an acceptor reports as accepted, where configuration 1 is committed.
 #[derive(Clone, Copy, Debug)]
 struct Accepted {
     digest: u8,
     round: u64,
     joint: bool,
-    /// It could not be persisted.
-    stuck: bool,
+    /// The acceptor can't persist its state.
+    cannot_persist: bool,
 }
 
-/// A vote of this round for the configuration of this digest.
+/// A vote with a ballot of this round for the configuration with this digest.
 fn vote(digest: u8, round: u64) -> Option<Accepted> {
     Some(Accepted {
         digest,
         round,
         joint: false,
-        stuck: false,
+        cannot_persist: false,
     })
 }
 
+/// The configuration with this digest in its joint phase.
 fn joint(digest: u8) -> Option<Accepted> {
     vote(digest, 1).map(|accepted| Accepted {
         joint: true,
@@ -36,9 +37,10 @@
     })
 }
 
-fn stuck(accepted: Option<Accepted>) -> Option<Accepted> {
+/// The same, reported by an acceptor that can't persist its state.
+fn not_persisted(accepted: Option<Accepted>) -> Option<Accepted> {
     accepted.map(|accepted| Accepted {
-        stuck: true,
+        cannot_persist: true,
         ..accepted
     })
 }
@@ -55,12 +57,12 @@
     AcceptorReport {
         committed: version(1, 1),
         accepted: next,
-        cannot_persist: accepted.is_some_and(|accepted| accepted.stuck),
+        cannot_persist: accepted.is_some_and(|accepted| accepted.cannot_persist),
         ..AcceptorReport::default()
     }
 }
 
-/// Five nodes with these reports.
+/// Five nodes, 0 to 4, with these reports.
 fn cluster_of(reports: &[Option<Accepted>; 5]) -> ClusterView {
     let peers = reports.iter().map(report).map(PeerState::Reported);
     ClusterView {
@@ -70,7 +72,7 @@
 }
 
 #[test]
-fn a_configuration_is_chosen_by_a_majority_with_one_ballot_or_by_one_that_is_joint() {
+fn a_configuration_is_chosen_once_a_majority_accepted_it_with_one_ballot_or_one_node_is_joint() {
     let (a, a2, b) = (vote(7, 1), vote(7, 2), vote(8, 2));
     for (reports, chosen) in [
         ([None; 5], None),
@@ -78,7 +80,7 @@
         ([a, a, a, None, None], Some(7)),
         ([a, a, a2, a2, None], None),
         ([a, a, b, b, b], Some(8)),
-        ([a, a, stuck(a), None, None], None),
+        ([a, a, not_persisted(a), None, None], None),
         ([a, a, joint(8), None, None], Some(8)),
     ] {
         let cluster = cluster_of(&reports);
@@ -87,14 +89,20 @@
         assert_eq!(
             cluster.chosen(version(3, 3)),
             None,
-            "after another configuration it proves nothing"
+            "reports of another committed configuration prove nothing"
         );
     }
 }
 
 #[test]
-fn only_persisted_joint_phases_count_and_later_configurations_count_too() {
-    let reports = [joint(7), joint(7), stuck(joint(7)), vote(7, 1), None];
+fn the_joint_count_includes_later_configurations_and_only_persisted_states() {
+    let reports = [
+        joint(7),
+        joint(7),
+        not_persisted(joint(7)),
+        vote(7, 1),
+        None,
+    ];
     let mut cluster = cluster_of(&reports);
     assert_eq!(cluster.joint_count(version(2, 7)), 2);
     let later = AcceptorReport {
@@ -109,20 +117,20 @@
     );
 }
 
-/// The same nodes, of which 0 to 2 vote.
+/// The same cluster, in which only nodes 0 to 2 vote.
 fn with_three_voters(mut cluster: ClusterView) -> ClusterView {
     cluster.membership = Membership::from_control_nodes([0, 1, 2].into());
     cluster
 }
 
 #[test]
-fn a_majority_is_one_of_the_voters_alone() {
+fn majorities_count_only_voters() {
     let vote = vote(7, 1);
     for (reports, chosen) in [
         ([vote, None, None, vote, vote], None),
         ([None, None, None, vote, vote], None),
         ([vote, vote, None, None, None], Some(7)),
-        // A node that does not vote, and was told by a placer that had counted.
+        // The non-voter is joint, which a placer requests only after it counted a majority.
         ([None, None, None, joint(7), None], Some(7)),
     ] {
         let cluster = with_three_voters(cluster_of(&reports));
@@ -139,7 +147,7 @@
 }
 
 #[test]
-fn the_lease_is_renewed_by_a_majority_of_the_voters_and_by_nothing_else() {
+fn a_quorum_needs_a_majority_of_the_voters_whatever_other_nodes_answer() {
     let all = cluster_of(&[None; 5]);
     for (answered, quorum_of_all, quorum_of_three) in [
         (vec![0, 1], false, true),
@@ -156,14 +164,14 @@
             "{answered:?}"
         );
     }
-    // Control machines that are all removed leave no majority, and not all other nodes as one.
+    // If all control machines are removed from the list, the other nodes do not become voters.
     let mut removed = with_three_voters(all);
     removed.nodes.retain(|node, _| *node > 2);
     assert!(!removed.has_quorum(|_| true));
 }
 
 #[test]
-fn the_report_of_a_learner_is_no_vote_and_proves_only_what_was_chosen() {
+fn the_report_of_a_learner_counts_as_no_vote_and_proves_only_the_newest_learned_configuration() {
     let mut cluster = with_three_voters(cluster_of(&[None; 5]));
     let learned = AcceptedVersion {
         ballot: Ballot::default(),
@@ -189,7 +197,7 @@
         ),
         (None, 0)
     );
-    // A control machine that learns by mistake is one voter less, and stays in the count.
+    // A control machine that is configured as a learner by mistake can't vote, but still counts for the quorum size.
     assert_eq!(
         (cluster.quorum_size(), cluster.voting_acceptors().count()),
         (2, 1)
@@ -197,7 +205,7 @@
 }
 
 #[test]
-fn a_majority_of_legacy_voters_agrees_on_nothing_whatever_the_others_persist() {
+fn a_legacy_quorum_needs_a_majority_of_legacy_voters_whatever_other_nodes_are() {
     let mut cluster = with_three_voters(cluster_of(&[None; 5]));
     cluster.nodes.insert(3, PeerState::Legacy);
     cluster.nodes.insert(4, PeerState::Legacy);
--- a/crates/plan/src/delta/apply.rs
+++ b/crates/plan/src/delta/apply.rs
@@ -1,4 +1,4 @@
-//! Applies a delta to its base.
+//! Computes the target of a delta from its base.
 
 use std::collections::BTreeSet;
 
@@ -10,15 +10,16 @@
 
 /// A section that a delta puts into the target.
 struct Put<'a> {
+    /// The index of the section in the target.
     position: u16,
     key: &'a SectionKey,
     text: &'a str,
 }
 
-/// The configuration that a delta makes of its base.
+/// The configuration that results from a delta and its base. It always has the number and digest of the target.
 ///
 /// # Errors
-/// See [`DeltaError`]: the result is the configuration of the target's number and digest, or an error.
+/// If the delta does not fit the base, or its result is not the target; see [`DeltaError`].
 pub fn apply(base: &ConfigDocument, delta: &Delta) -> Result<ConfigDocument, DeltaError> {
     if delta.base != base.version() {
         return Err(DeltaError::BaseMismatch {
@@ -34,7 +35,7 @@
     Ok(ConfigDocument::verify(delta.target, &text)?)
 }
 
-/// Checks each edit against the sections of the base; the keys of the edited sections.
+/// Checks each edit against the sections of the base. Returns the keys of the edited sections.
 fn check_edits<'a>(
     sections: &[Section<'_>],
     delta: &'a Delta,
@@ -58,7 +59,7 @@
     Ok(edited)
 }
 
-/// Checks that a text is the one section that a key names.
+/// Checks that a text consists of exactly the section that `expected` names.
 fn check_section(expected: &SectionKey, text: &str) -> Result<(), DeltaError> {
     let invalid = |line, error| DeltaError::InvalidSection {
         key: expected.clone(),
@@ -102,7 +103,7 @@
     puts
 }
 
-/// The text of the target: each put at its position, and the sections that were not edited around them in their order.
+/// The text of the target: each put at its position, and between them the unedited sections of the base in their order.
 fn merge(
     sections: &[Section<'_>],
     edited: &BTreeSet<&SectionKey>,
--- a/crates/plan/src/delta/difference.rs
+++ b/crates/plan/src/delta/difference.rs
@@ -11,7 +11,7 @@
 /// The delta from one configuration to the next.
 ///
 /// # Errors
-/// See [`DeltaError`]; the text is to be sent in full then.
+/// If there is no delta between the two, or it is too long; see [`DeltaError`]. The caller sends the text in full then.
 pub fn between(base: &ConfigDocument, target: &ConfigDocument) -> Result<Delta, DeltaError> {
     check_successor(base.version(), target.version())?;
     let (old, new) = (sections_of(base)?, sections_of(target)?);
@@ -26,14 +26,14 @@
     Ok(delta)
 }
 
-/// The delta from one configuration to the next, where there is one that is shorter than the next one's text.
+/// The delta from one configuration to the next, if its encoding is shorter than the text of the next one.
 pub fn shorter_than_text(base: &ConfigDocument, target: &ConfigDocument) -> Option<Delta> {
     between(base, target)
         .ok()
         .filter(|delta| delta.encoded_len() < target.text().len())
 }
 
-/// An edit for each section that only the base has.
+/// A removal for each section that only the base has.
 fn removals(old: &[Section<'_>], new: &[Section<'_>]) -> Vec<Edit> {
     let new_keys: BTreeSet<&SectionKey> = new.iter().map(|section| &section.key).collect();
     let removed = old
@@ -46,7 +46,8 @@
         .collect()
 }
 
-/// An edit for each section that is new, changed or moved.
+/// A put for each section that is new, changed or moved. The unchanged sections that count as not moved are a longest
+/// subsequence that is in the same order in both texts, so that there are as few puts as possible.
 fn puts(old: &[Section<'_>], new: &[Section<'_>]) -> Vec<Edit> {
     let old_positions: BTreeMap<&SectionKey, usize> = old
         .iter()
@@ -74,7 +75,8 @@
 
 /// The values of a longest increasing subsequence of `positions`, which are distinct.
 fn longest_increasing(positions: &[usize]) -> BTreeSet<usize> {
-    // For each length, the index at which the subsequence of that length with the smallest last value ends.
+    // `ends[n]` is the index of the last element of an increasing subsequence of length n + 1: of all such
+    // subsequences, the one with the smallest last value.
     let mut ends = Vec::<usize>::new();
     let mut predecessors = vec![None; positions.len()];
     for (index, position) in positions.iter().enumerate() {
--- a/crates/plan/src/delta/error.rs
+++ b/crates/plan/src/delta/error.rs
@@ -1,18 +1,18 @@
-//! Why there is no delta between two configurations, or why one can't be applied.
+//! Errors of computing a delta between two configurations, and of applying one.
 
 use reedring_node_protocol::{ConfigVersion, MAX_NAME, MAX_PLAN, SectionKey};
 
 use crate::document::DocumentError;
 
-/// The fault of a delta.
+/// Why there is no delta between two configurations, or why a delta can't be applied.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DeltaError {
-    /// It changes another configuration than the one at hand.
+    /// The delta is applied to a configuration that is not its base.
     #[error("the delta changes plan {expected}, not plan {found}")]
     BaseMismatch {
-        /// The configuration that it changes.
+        /// The base of the delta.
         expected: ConfigVersion,
-        /// The one at hand.
+        /// The configuration to which it is applied.
         found: ConfigVersion,
     },
     /// The target's number is not the one after the base's.
@@ -23,86 +23,92 @@
         /// The number of the target.
         target: u64,
     },
-    /// A text is no list of sections.
+    /// The text of a configuration is not a list of sections.
     #[error("plan {version}, line {line}: {error}")]
     UnstructuredText {
-        /// The configuration whose text it is.
+        /// The configuration of that text.
         version: ConfigVersion,
-        /// The line, from 1.
+        /// The line of the text, counted from 1.
         line: usize,
-        /// What is wrong there.
+        /// What is wrong on that line.
         error: SectionError,
     },
     /// Two edits name the same section.
-    #[error("{key}: two edits of one delta change it")]
+    #[error("{key}: two edits of one delta change this section")]
     DuplicateEdit {
-        /// The section.
+        /// The section that both name.
         key: SectionKey,
     },
-    /// It removes a section that the base lacks.
-    #[error("{key}: it is to be removed and is not there")]
+    /// The delta removes a section that the base does not have.
+    #[error("{key}: the delta removes this section, which the base does not have")]
     UnknownSection {
-        /// The section.
+        /// The section that is missing in the base.
         key: SectionKey,
     },
-    /// The text of a put is not the one section that it names.
+    /// The text of a put is not exactly the section that the put names.
     #[error("{key}, line {line}: {error}")]
     InvalidSection {
-        /// The section.
+        /// The section that the put names.
         key: SectionKey,
-        /// The line of its text, from 1.
+        /// The line of the put's text, counted from 1.
         line: usize,
-        /// What is wrong there.
+        /// What is wrong on that line.
         error: SectionError,
     },
-    /// A section is put past the end.
-    #[error("{key}: it is to be section {position}, and only {sections} stand before it")]
+    /// The position of a put is past the end of the target, or taken by an earlier put.
+    #[error(
+        "{key}: the delta puts this section at position {position}, and {sections} sections come before it"
+    )]
     PositionPastEnd {
-        /// The section.
+        /// The section that the put names.
         key: SectionKey,
-        /// The position at which it is put.
+        /// The position in the target at which it is put, counted from 0.
         position: u16,
-        /// Sections that stand before it.
+        /// The number of sections that would come before it.
         sections: usize,
     },
-    /// Its encoding is over the size bound.
-    #[error("a delta of {bytes} bytes, at most {MAX_PLAN} fit")]
+    /// The encoded delta is longer than [`MAX_PLAN`] bytes.
+    #[error("the delta has {bytes} bytes, at most {MAX_PLAN} are allowed")]
     TooLong {
-        /// Bytes of its encoding.
+        /// The length of the encoded delta in bytes.
         bytes: usize,
     },
-    /// The resulting text is not that of its target.
+    /// The resulting text does not match the version of the target.
     #[error("what comes of the delta: {0}")]
     InvalidTarget(#[from] DocumentError),
 }
 
-/// The fault of a section's text.
+/// Why a text, or a part of it, is not a section.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SectionError {
-    /// It does not begin with a header.
+    /// The text does not begin with the header of a known table.
     #[error(
         "a section begins with [site] or with [[kind]], [[class]], [[tenant]], [[category]] or [[constraint]]"
     )]
     MissingHeader,
-    /// Its first line has no name.
-    #[error("the first line of a section is its name, in quotes and within {MAX_NAME} bytes")]
+    /// The line after the header is not a `name` with a quoted string on that line, or the name is too long.
+    #[error(
+        "the line after a section's header must be its name, in quotes and of at most {MAX_NAME} bytes"
+    )]
     MissingName,
-    /// Two sections are not separated by one empty line, or the last one does not end its line.
-    #[error("sections end their last line, and one empty line stands between two of them")]
+    /// Two sections are not separated by exactly one empty line, or the last section has no newline at its end.
+    #[error(
+        "each section must end with a newline, and exactly one empty line must separate two sections"
+    )]
     MissingSeparator,
-    /// A string does not end.
-    #[error("a string does not end")]
+    /// A string has no closing delimiter.
+    #[error("a string has no closing delimiter")]
     UnterminatedString,
-    /// Another section has the same key.
-    #[error("a section of this table and name stands before")]
+    /// An earlier section has the same key.
+    #[error("an earlier section has the same table and name")]
     DuplicateSection,
-    /// There are more sections than can be counted.
-    #[error("more than {} sections", u16::MAX)]
+    /// There are more sections than a position (`u16`) can number.
+    #[error("the text has more than {} sections", u16::MAX)]
     TooManySections,
     /// One section was expected, and a second one follows.
     #[error("another section begins")]
     SecondSection,
-    /// It is another section than the one named.
-    #[error("its header and name are those of another section")]
+    /// The header and name are those of another section than the put names.
+    #[error("the header and name are those of another section")]
     KeyMismatch,
 }
--- a/crates/plan/src/delta/section.rs
+++ b/crates/plan/src/delta/section.rs
@@ -9,22 +9,23 @@
 use super::error::SectionError;
 use scanner::header_offsets;
 
-/// A section of a text.
+/// A section of a configuration's text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Section<'a> {
     pub(super) key: SectionKey,
+    /// The lines of the section, without the empty line that separates it from the next.
     pub(super) text: &'a str,
 }
 
-/// A fault of a text, and the line on which it is.
+/// An error in a text, and the line on which it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct SectionFault {
-    /// The line, from 1.
+    /// The line, counted from 1.
     pub(super) line: usize,
     pub(super) error: SectionError,
 }
 
-/// The sections of a text, in order.
+/// Splits a text into its sections, in order.
 pub(super) fn parse_sections(text: &str) -> Result<Vec<Section<'_>>, SectionFault> {
     let at_first_line = |error| SectionFault { line: 1, error };
     let offsets = header_offsets(text).map_err(at_first_line)?;
@@ -50,7 +51,7 @@
     Ok(sections)
 }
 
-/// The section between two offsets, or up to the end of the text.
+/// The section from `start` to `end`, or to the end of the text if `end` is `None`.
 fn parse_section(
     text: &str,
     start: usize,
@@ -74,7 +75,7 @@
     Ok(Section { key, text: own })
 }
 
-/// The key of a section, from its first two lines. The fault's line is counted within the section.
+/// The key of a section, from its first two lines. The line of an error is counted within the section.
 fn parse_key(section: &str) -> Result<SectionKey, SectionFault> {
     let mut lines = section.lines();
     let header = lines.next().unwrap_or_default();
@@ -105,8 +106,8 @@
     })
 }
 
-/// Whether this is a quoted string of TOML that ends on its line. A name over several lines can't be read from its
-/// first line alone; a text with such a name is sent in full.
+/// Whether this is a quoted TOML string that ends on its line. A multi-line name can't be read from its first line
+/// alone, so there is no delta for a text with such a name, and it is sent in full.
 fn is_single_line_string(value: &str) -> bool {
     let is_quoted_by =
         |quote: char| value.len() >= 2 && value.starts_with(quote) && value.ends_with(quote);
@@ -114,7 +115,7 @@
     !is_multi_line && (is_quoted_by('"') || is_quoted_by('\''))
 }
 
-/// The line of a text in which an offset is, from 1.
+/// The line of a text that contains an offset, counted from 1.
 fn line_of(text: &str, offset: usize) -> usize {
     let line_ends = text.as_bytes()[..offset]
         .iter()
--- a/crates/plan/src/delta/section/scanner.rs
+++ b/crates/plan/src/delta/section/scanner.rs
@@ -2,19 +2,20 @@
 
 use crate::delta::error::SectionError;
 
-/// What surrounds a byte of TOML.
+/// The lexical context of a byte of TOML.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Context {
     /// Neither a string nor a comment.
     Plain,
+    /// From a `#` to the end of the line.
     Comment,
-    /// A string that this delimiter ends, in which a backslash escapes.
+    /// A string that ends with this delimiter, with backslash escapes.
     BasicString(&'static str),
-    /// A string that this delimiter ends, without escapes.
+    /// A string that ends with this delimiter, without escapes.
     LiteralString(&'static str),
 }
 
-/// The context after some bytes, and how many they are.
+/// The number of bytes that one scanning step consumes, and the context after them.
 struct Step {
     context: Context,
     bytes: usize,
@@ -26,7 +27,7 @@
     }
 }
 
-/// The offsets of all section headers.
+/// The offsets of all section headers in a text.
 pub(super) fn header_offsets(text: &str) -> Result<Vec<usize>, SectionError> {
     let bytes = text.as_bytes();
     let mut context = Context::Plain;
@@ -50,7 +51,7 @@
     }
 }
 
-/// Reads on from `rest`, which is not empty.
+/// Scans the start of `rest`, which must not be empty.
 fn next_step(context: Context, rest: &[u8]) -> Result<Step, SectionError> {
     match context {
         Context::Plain => Ok(step_in_plain_text(rest)),
@@ -81,7 +82,7 @@
 ) -> Result<Step, SectionError> {
     let is_multi_line = delimiter.len() == 3;
     if rest.starts_with(delimiter.as_bytes()) {
-        // Up to two more quotes may stand right before the delimiter of a multi-line string.
+        // A multi-line string may end with up to two quotes of its own, directly before the closing delimiter.
         let after = &rest[delimiter.len()..];
         let more_quotes = after.iter().take(2).take_while(|next| **next == rest[0]);
         let more_quotes = if is_multi_line {
--- a/crates/plan/src/dispatch_block.rs
+++ b/crates/plan/src/dispatch_block.rs
@@ -1,5 +1,5 @@
-//! Which nodes a placer must not dispatch to for now: a node rejects what is below its floor, and one that is warming up
-//! must not get the offers that two configurations allow at once.
+//! Which nodes a placer must not dispatch to for now: a node rejects offers below its floor, and a node that is warming
+//! up must not get the offers that two configurations allow together.
 
 #[cfg(test)]
 mod tests;
@@ -9,27 +9,27 @@
 use crate::cluster::PeerState;
 use crate::lease::{ActiveConfig, LeaseState, SuspendReason};
 
-/// Why nothing is dispatched to a node for now.
+/// Why a placer must not dispatch to a node for now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DispatchBlock {
-    /// The placer is suspended, and dispatches to no node.
+    /// The placer is suspended, and must not dispatch to any node.
     Suspended(SuspendReason),
     /// The node has not reported its state.
     NoReport,
-    /// The node's floor is above the version level by which the placer acts.
+    /// The node's floor is above the placer's active version level.
     LevelBelowFloor,
-    /// The node has not learned of the configuration by which the placer acts.
+    /// The node does not have the placer's active configuration yet.
     ConfigNotInstalled,
-    /// The node is warming up, and its floor rose less than a slow-start window ago: it may have got offers by the
-    /// configuration before.
+    /// The node is warming up, and its floor rose less than a slow-start window ago: it may have admitted offers by the
+    /// previous configuration within that window.
     FloorSettling,
-    /// The node is warming up, and has not learned of the configuration of the placer's own settings file, by which there
-    /// may be more placers.
+    /// The node is warming up, and the placer's own settings file has a later configuration that is not chosen yet and
+    /// that may allow more placers.
     LocalConfigAhead,
 }
 
 impl DispatchBlock {
-    /// The reason in words. It is part of the details of jobs that are not placed.
+    /// The text of this reason in the details of jobs that are not placed.
     pub const fn description(self) -> &'static str {
         match self {
             Self::Suspended(reason) => reason.description(),
@@ -41,13 +41,13 @@
         }
     }
 
-    /// Whether it may end without a message from any node, so that it has to be evaluated again and again.
+    /// Whether the block may end without a message from a node, so that callers must evaluate it periodically.
     ///
     /// | block | ends |
     /// | --- | --- |
-    /// | suspended, no report | once a node answers |
+    /// | suspended, no report | with the answer of a node |
     /// | floor settling | after a slow-start window |
-    /// | level below floor, not installed, local ahead | by a request that is retried, or once the node is warm |
+    /// | level below floor, not installed, local ahead | after a request that is retried, or once the node is warm |
     pub const fn needs_polling(self) -> bool {
         match self {
             Self::Suspended(_) | Self::NoReport => false,
@@ -58,46 +58,49 @@
         }
     }
 
-    /// Whether a request to raise its floor lifts this block: the node is a learner whose floor has not risen yet.
+    /// Whether a request to raise the node's floor lifts this block: the node is a learner that does not have the
+    /// placer's active configuration yet.
     pub fn is_lifted_by_raising_floor(self, peer: &PeerState) -> bool {
         let is_learner = peer.report().is_some_and(|report| report.is_learner);
         self == Self::ConfigNotInstalled && is_learner
     }
 }
 
-/// How a node starts up, as far as its slow start is concerned.
+/// The slow-start state of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlowStart {
-    /// The node is warming up.
+    /// Whether the node is warming up.
     pub is_warming_up: bool,
     /// The window in which offers to such a node are counted, in milliseconds.
     pub window_ms: u64,
 }
 
-/// Why a placer must not dispatch to a node, if it must not.
+/// The reason why a placer must not dispatch to a node, or `None` if it may.
 ///
-/// | lease state | node | warming up | its floor, beside the level acted by | block |
+/// For voters and other acceptors, by the node's floor in relation to the placer's active version level:
+///
+/// | lease state | node | warming up | floor | block |
 /// | --- | --- | --- | --- | --- |
 /// | unmanaged | any | any | any | none |
 /// | suspended | any | any | any | suspended |
 /// | active | unknown | any | | no report |
-/// | active | legacy | any | | none: it checks nothing |
-/// | active | reported | any | above it | level below floor |
-/// | active | reported | any | more than one level below it, or nothing is committed or chosen there | not installed |
-/// | active by two configurations | reported | yes | one level below it | not installed |
-/// | active, local ahead | reported | yes | the local configuration is not at least joint there | local ahead |
+/// | active | legacy | any | | none: the node checks no version stamps |
+/// | active | reported | any | above the active level | level below floor |
+/// | active | reported | any | more than one level below, or nothing is committed or joint there | not installed |
+/// | active by two configurations | reported | yes | one level below | not installed |
+/// | active, local ahead | reported | yes | else | local ahead |
 /// | active | reported | yes | rose less than a window ago | floor settling |
-/// | active | reported | no, or its floor has settled | the same, or one level below it | none |
+/// | active | reported | no, or the floor rose at least a window ago | the same, or one level below | none |
 ///
-/// A learner's floor rises by the offers that it is sent, so a warm one takes any newer configuration. Nobody may rely
-/// on that where it is warming up: placers by the configuration before may be dispatching to it until it reports that its
-/// floor has risen.
+/// The floor of a learner rises with the offers that it receives, so a warm learner admits any newer configuration. One
+/// that is warming up must first report that its floor has risen, because until then placers that apply the previous
+/// configuration may dispatch to it.
 ///
-/// | lease state | learner | warming up | its floor, beside the configuration acted by | block |
+/// | lease state | learner | warming up | floor | block |
 /// | --- | --- | --- | --- | --- |
-/// | active | reported | any | above the level acted by | level below floor |
+/// | active | reported | any | above the active level | level below floor |
 /// | active | reported | no | else | none |
-/// | active | reported | yes | below the joint level of the configuration | not installed |
+/// | active | reported | yes | below the joint level of the active configuration | not installed |
 /// | active, local ahead | reported | yes | else | local ahead |
 /// | active | reported | yes | rose less than a window ago | floor settling |
 /// | active | reported | yes | else | none |
@@ -133,9 +136,9 @@
     if floor == 0 || floor + 1 < active_level {
         return Some(DispatchBlock::ConfigNotInstalled);
     }
-    // Others may dispatch to it by the configuration before alone, and as much as that allows.
-    let is_old_alone_admitted = floor < active_level && active.next.is_some();
-    if slow_start.is_warming_up && is_old_alone_admitted {
+    // The node still admits offers by the previous configuration alone, up to the bounds of that one.
+    let admits_previous_alone = floor < active_level && active.next.is_some();
+    if slow_start.is_warming_up && admits_previous_alone {
         return Some(DispatchBlock::ConfigNotInstalled);
     }
     slow_start_block(active, report, slow_start)
@@ -156,7 +159,8 @@
     slow_start_block(active, report, slow_start)
 }
 
-/// The rows that acceptors and learners share, for a node whose floor is that of the configuration acted by.
+/// The rows that both tables of [`dispatch_block()`] share: the node has the active configuration, so that only its
+/// slow start can block it.
 fn slow_start_block(
     active: &ActiveConfig,
     report: &AcceptorReport,
--- a/crates/plan/src/document.rs
+++ b/crates/plan/src/document.rs
@@ -1,4 +1,4 @@
-//! A configuration's text and its digest. What the text says is checked by whoever acts by it.
+//! A configuration's text and its digest. The text is not parsed here: the placers that apply it check its contents.
 
 mod cache;
 
@@ -9,26 +9,26 @@
 
 pub use cache::DocumentCache;
 
-/// The text of a configuration, known to have the digest of its version.
+/// A version and the text of that configuration. The text is verified to have the version's digest.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ConfigDocument {
     version: ConfigVersion,
     text: Arc<str>,
 }
 
-/// Why a text is not that of a configuration. Operators know configurations by the `[plan]` table of their settings,
-/// so messages to them say "plan".
+/// Why a text is rejected as that of a configuration. Operators know configurations by the `[plan]` table of their
+/// settings, so messages to them say "plan".
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DocumentError {
-    /// The text is over the size bound.
-    #[error("plan {number}: a text of {bytes} bytes, at most {MAX_PLAN} fit")]
+    /// The text is longer than [`MAX_PLAN`] bytes.
+    #[error("plan {number}: the text has {bytes} bytes, at most {MAX_PLAN} are allowed")]
     TooLong {
         /// The configuration's number.
         number: u64,
-        /// Bytes of the text.
+        /// The length of the text in bytes.
         bytes: usize,
     },
-    /// The text has another digest than the version.
+    /// The digest of the text differs from that of the version.
     #[error("plan {number}: the text has digest {found}, not {expected}")]
     DigestMismatch {
         /// The configuration's number.
@@ -38,12 +38,12 @@
         /// The digest of the version.
         expected: ConfigDigest,
     },
-    /// Numbers begin at 1.
+    /// The number is 0, which means "no configuration"; numbers begin at 1.
     #[error("plan 0: plans are numbered from 1")]
     NumberZero,
 }
 
-/// The first half of the SHA-256 of a text.
+/// The first 16 bytes of the SHA-256 of a text.
 fn digest(text: &str) -> ConfigDigest {
     let full: [u8; 32] = Sha256::digest(text.as_bytes()).into();
     let mut half = [0; 16];
@@ -52,19 +52,19 @@
 }
 
 impl ConfigDocument {
-    /// The configuration of this number and text.
+    /// The configuration of this number and text. Computes the digest.
     ///
     /// # Errors
-    /// Where the text is over its bound, or the number is 0.
+    /// If the text is longer than [`MAX_PLAN`] bytes, or the number is 0.
     pub fn new(number: u64, text: &str) -> Result<Self, DocumentError> {
         let digest = digest(text);
         Self::verify(ConfigVersion { number, digest }, text)
     }
 
-    /// The configuration of this version, if the text has its digest.
+    /// The configuration of this version, if the text has the version's digest.
     ///
     /// # Errors
-    /// See [`DocumentError`].
+    /// If the text has another digest or is longer than [`MAX_PLAN`] bytes, or the number is 0.
     pub fn verify(version: ConfigVersion, text: &str) -> Result<Self, DocumentError> {
         let (number, bytes) = (version.number, text.len());
         if number == 0 {
@@ -87,12 +87,12 @@
         })
     }
 
-    /// Its version.
+    /// The number, and the digest of the text.
     pub fn version(&self) -> ConfigVersion {
         self.version
     }
 
-    /// Its text.
+    /// The whole text, at most [`MAX_PLAN`] bytes.
     pub fn text(&self) -> &str {
         &self.text
     }
--- a/crates/plan/src/document/cache.rs
+++ b/crates/plan/src/document/cache.rs
@@ -1,4 +1,4 @@
-//! The texts that one placer holds.
+//! The configuration texts that one placer holds in memory.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -7,27 +7,27 @@
 
 use super::ConfigDocument;
 
-/// Texts of configurations by their version.
+/// The texts of configurations, by version.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DocumentCache(BTreeMap<ConfigVersion, Arc<str>>);
 
 impl DocumentCache {
-    /// Adds a configuration.
+    /// Adds the text of a configuration.
     pub fn insert(&mut self, document: &ConfigDocument) {
         self.0.insert(document.version(), document.text().into());
     }
 
-    /// The text of a configuration, if it is here.
+    /// The text of a configuration, if it is cached.
     pub fn text(&self, version: ConfigVersion) -> Option<&str> {
         self.0.get(&version).map(AsRef::as_ref)
     }
 
-    /// A configuration, if its text is here.
+    /// A configuration, if its text is cached.
     pub fn document(&self, version: ConfigVersion) -> Option<ConfigDocument> {
         ConfigDocument::verify(version, self.text(version)?).ok()
     }
 
-    /// Drops configurations of smaller numbers than this.
+    /// Removes all configurations with a smaller number than `number`.
     pub fn remove_before(&mut self, number: u64) {
         self.0.retain(|version, _| version.number >= number);
     }
--- a/crates/plan/src/joint.rs
+++ b/crates/plan/src/joint.rs
@@ -1,5 +1,5 @@
-//! The joint phase: while one configuration replaces another, placers act by the stricter bound of both in each
-//! respect, so that a placer by the old one and a placer by the new one may work side by side.
+//! The joint phase: while one configuration replaces another, placers apply the stricter bound of the two in each
+//! respect, so that placers with the old one and placers with the new one may dispatch at the same time.
 
 mod bounds;
 mod conflict;
@@ -15,26 +15,26 @@
 };
 pub use conflict::{JointConflict, JointConflicts};
 
-/// The stricter bound of two configurations in each respect: whoever acts by the result violates neither.
+/// The stricter bound of two configurations in each respect: a placer that applies the result violates neither.
 ///
 /// | bound | joint form |
 /// | --- | --- |
-/// | placers | the larger: it divides the slow-start budget of a node |
-/// | overcommit, attempts, slow-start offers, drain grace | the smaller; a value beats none |
-/// | warm-up, slow-start window | the longer; a value beats none |
-/// | a class's repeat | unsafe before keyed before safe |
-/// | its retry group | the narrower |
-/// | its deduplication group | the wider |
-/// | its deduplication window | the shorter; none where one of the two is not idempotent by key |
-/// | its machine kind | the one that is set; two different kinds conflict |
-/// | its spread | the one that is set, or the lower limit; two different domains conflict |
-/// | its rescheduling | never before after-known-end before always |
-/// | a class that only one configuration has | it stays for its running tasks and accepts no new ones |
-/// | the size of a machine kind | the smaller in cores and in memory; a kind of one configuration alone stays |
-/// | what a node's acceptance means | must be equal, else they conflict |
+/// | placers | the larger: the slow-start budget of a node is divided by it |
+/// | overcommit, attempts, slow-start offers, drain grace | the smaller; a value, if only one has it |
+/// | warm-up, slow-start window | the longer; a value, if only one has it |
+/// | a class's repeat | the first of unsafe, keyed, safe that one of them has |
+/// | a class's retry group | the narrower |
+/// | a class's deduplication group | the wider |
+/// | a class's deduplication window | the shorter; none if one of the two has none |
+/// | a class's machine kind | the one that is set; two different kinds conflict |
+/// | a class's spread | the one that is set, or the lower limit; two different domains conflict |
+/// | a class's rescheduling | the first of never, after known end, always that one of them has |
+/// | a class that only one configuration has | retained for its running tasks; accepts no new tasks |
+/// | the size of a machine kind | the smaller in cores and in memory; a kind that only one configuration has is retained |
+/// | what a node's acceptance means | must be equal, else the configurations conflict |
 ///
 /// # Errors
-/// Every respect that has no joint form.
+/// All respects in which no bound satisfies both configurations.
 pub fn joint_bounds(
     old: &ConfigBounds,
     new: &ConfigBounds,
@@ -56,7 +56,7 @@
         overcommit: old.overcommit.min(new.overcommit),
         max_attempts: old.max_attempts.min(new.max_attempts),
         drain_grace_us: old.drain_grace_us.min(new.drain_grace_us),
-        // `None` is less than any value, so the longer time also beats none.
+        // `None` is less than any value, so `max` returns the value if only one configuration has it.
         warm_up_us: old.warm_up_us.max(new.warm_up_us),
         slow_start_window_us: old.slow_start_window_us.max(new.slow_start_window_us),
         slow_start_offers: slow_start_offers.reduce(f64::min),
@@ -125,7 +125,7 @@
     }
 }
 
-/// The only machine kind that both allow; `None` where each demands another one.
+/// The machine kind that satisfies both, if any is set; the outer `None` if each requires a different one.
 fn joint_machine_kind(old: &ClassBounds, new: &ClassBounds) -> Option<Option<String>> {
     match (&old.machine_kind, &new.machine_kind) {
         (Some(old), Some(new)) if old != new => None,
@@ -133,7 +133,7 @@
     }
 }
 
-/// The limit that satisfies both; `None` where each counts another failure domain.
+/// The limit that satisfies both, if any is set; the outer `None` if their failure domains differ.
 fn joint_spread(old: Option<SpreadLimit>, new: Option<SpreadLimit>) -> Option<Option<SpreadLimit>> {
     match (old, new) {
         (Some(old), Some(new)) if old.domain != new.domain => None,
--- a/crates/plan/src/joint/bounds.rs
+++ b/crates/plan/src/joint/bounds.rs
@@ -1,4 +1,4 @@
-//! The part of a configuration on which two placers must not act differently.
+//! The part of a configuration in which two placers must not differ.
 
 use std::collections::BTreeMap;
 
@@ -7,9 +7,9 @@
 /// When a task that was placed and then lost is scheduled again, from the most to the least permissive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ReschedulePolicy {
-    /// Whenever it is lost.
+    /// Whenever the task is lost.
     Always,
-    /// Only where the lost attempt is known to have ended.
+    /// Only if the lost attempt is known to have ended.
     AfterKnownEnd,
     /// Never.
     Never,
@@ -26,12 +26,12 @@
     Zone,
 }
 
-/// How many tasks of one service a failure domain may hold.
+/// How many tasks of one service a failure domain may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SpreadLimit {
     /// The failure domain that is counted.
     pub domain: SpreadDomain,
-    /// Tasks of one service in one such domain, at most.
+    /// The largest number of tasks of one service in one such domain.
     pub max_per_domain: u32,
 }
 
@@ -45,7 +45,7 @@
 }
 
 impl Resources {
-    /// The smaller of both in each resource.
+    /// The smaller amount of each resource.
     pub(super) fn min(self, other: Self) -> Self {
         Self {
             cores: self.cores.min(other.cores),
@@ -57,45 +57,45 @@
 /// The bounds of one class of tasks.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassBounds {
-    /// What a second start of the same task may do.
+    /// Whether the same task may be started a second time.
     pub repeat: Idempotency,
-    /// Where a task that is idempotent by key may be retried: within this group of its first attempt.
+    /// A task that is idempotent by key is retried only within this group of its first attempt.
     pub retry_group: DeduplicationScope,
-    /// Which nodes deduplicate attempts of a task that is idempotent by key.
+    /// The group of nodes that deduplicates attempts of a task that is idempotent by key.
     pub deduplication_group: DeduplicationScope,
-    /// For how long they do, in microseconds; `None` where the class is not idempotent by key.
+    /// How long these nodes deduplicate attempts, in microseconds; `None` if the class is not idempotent by key.
     pub deduplication_window_us: Option<u64>,
-    /// The only kind of machine that may run it.
+    /// The only kind of machine that may run the class; `None` if any kind may.
     pub machine_kind: Option<String>,
-    /// How its services are spread.
+    /// The limit on tasks per failure domain for services of the class; `None` without a limit.
     pub spread: Option<SpreadLimit>,
-    /// Whether a lost task is scheduled again.
+    /// When a lost task is scheduled again.
     pub rescheduling: ReschedulePolicy,
-    /// Whether it takes new tasks.
+    /// Whether new tasks of the class are accepted.
     pub accepts_new_tasks: bool,
 }
 
 /// The bounds of a configuration. Times are in microseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigBounds {
-    /// Placers that share the nodes.
+    /// The number of placers that share the nodes.
     pub placers: u32,
-    /// A node accepts tasks until their requests reach these multiples of its resources.
+    /// A node accepts tasks until their requested resources reach its own resources times these factors.
     pub overcommit: Resources,
-    /// Attempts at one placing of a task, at most.
+    /// The largest number of attempts at one placing of a task.
     pub max_attempts: u32,
-    /// Nothing new reaches a node later than this after its drain was announced.
+    /// The time after the announcement of a node's drain within which the last new tasks reach the node.
     pub drain_grace_us: u64,
-    /// A node is warming up for this long after its start.
+    /// How long a node is warming up after its start.
     pub warm_up_us: Option<u64>,
     /// The window in which offers to a node that is warming up are counted.
     pub slow_start_window_us: Option<u64>,
-    /// Offers in that window, by all placers together, that such a node withstands.
+    /// How many offers by all placers together a node that is warming up can take within that window.
     pub slow_start_offers: Option<f64>,
-    /// A node's acceptance means that the task runs, not only that it was taken.
+    /// Whether a node's acceptance means that the task runs; otherwise it means only that the node has taken the task.
     pub accept_means_running: bool,
-    /// Classes, by name.
+    /// The bounds of each class, by its name.
     pub classes: BTreeMap<String, ClassBounds>,
-    /// The size of each kind of machine, by name.
+    /// The size of each kind of machine, by the name of the kind.
     pub machine_kinds: BTreeMap<String, Resources>,
 }
--- a/crates/plan/src/joint/conflict.rs
+++ b/crates/plan/src/joint/conflict.rs
@@ -1,24 +1,24 @@
-//! Why two configurations have no joint form.
+//! Why two configurations have no joint bounds.
 
 use std::fmt;
 
-/// One respect in which no bound satisfies both configurations. The text names the key of the settings file.
+/// One respect in which no bound satisfies both configurations. The message begins with the key of the settings file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum JointConflict {
-    /// Acceptance by a node means "running" in one of them and "taken" in the other.
-    #[error("site.yes_when: a node's yes can't mean two things at once")]
+    /// A node's acceptance means "running" in one configuration and "taken" in the other.
+    #[error("site.yes_when: the two plans have different values, and no value satisfies both")]
     AcceptMeaning,
-    /// The class runs on another kind of machine in each.
+    /// The class requires a different kind of machine in each configuration.
     #[error(
-        "class `{class}`, kind: no machine is of two kinds; close the class in one plan and open it in the next"
+        "class `{class}`, kind: the two plans require different kinds of machine; close the class in one plan and open it in the next"
     )]
     MachineKind {
-        /// Name of the class.
+        /// The name of the class.
         class: String,
     },
-    /// The class is spread over another failure domain in each.
+    /// The class is spread over a different failure domain in each configuration.
     #[error(
-        "class `{class}`, spread.over: spread over two sorts of place has no joint form; drop it in one plan first"
+        "class `{class}`, spread.over: the two plans spread over different failure domains; remove the spread in one plan first"
     )]
     SpreadDomain {
         /// Name of the class.
--- a/crates/plan/src/joint/tests.rs
+++ b/crates/plan/src/joint/tests.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// Classes with every value of each bound.
+/// Classes with every combination of several values of each bound.
 fn all_classes() -> Vec<ClassBounds> {
     let spreads = [
         None,
@@ -83,44 +83,49 @@
     classes
 }
 
-/// Every pair of each bound: the joint form is never looser than either, in either order.
+/// Checks every pair of the classes above, in both orders.
 #[test]
-fn the_joint_form_of_every_pair_is_as_strict_as_each_of_the_two() {
+fn the_joint_bounds_of_two_classes_are_at_least_as_strict_as_each_of_the_two() {
     let classes = all_classes();
     for old in &classes {
         for new in &classes {
             let mut conflicts = Vec::new();
             let joint = joint_class("c", old, new, &mut conflicts);
             let spreads = old.spread.zip(new.spread);
-            let conflicting = spreads.is_some_and(|(old, new)| old.domain != new.domain);
-            assert_eq!(!conflicts.is_empty(), conflicting, "{old:?} {new:?}");
+            let has_conflict = spreads.is_some_and(|(old, new)| old.domain != new.domain);
+            assert_eq!(!conflicts.is_empty(), has_conflict, "{old:?} {new:?}");
             for one in [old, new] {
-                check_as_strict(&joint, one, conflicting);
+                check_as_strict(&joint, one, has_conflict);
             }
-            let mut others = Vec::new();
+            let mut swapped_conflicts = Vec::new();
             assert_eq!(
-                joint_class("c", new, old, &mut others),
+                joint_class("c", new, old, &mut swapped_conflicts),
                 joint,
-                "the order of the two does not matter"
+                "the order of the two must not matter"
             );
         }
     }
 }
 
-fn check_as_strict(joint: &ClassBounds, one: &ClassBounds, conflicting: bool) {
+/// Checks that the joint bounds are at least as strict as those of one of the two classes.
+fn check_as_strict(joint: &ClassBounds, one: &ClassBounds, has_conflict: bool) {
     assert!(repeat_strictness(joint.repeat) >= repeat_strictness(one.repeat));
     assert!(group_width(joint.retry_group) <= group_width(one.retry_group));
     assert!(group_width(joint.deduplication_group) >= group_width(one.deduplication_group));
     assert!(joint.rescheduling >= one.rescheduling);
-    // No window: a task that is idempotent by key is not retried at all.
+    // Without a window, a task that is idempotent by key is not retried at all, which is the strictest bound.
     let window = joint.deduplication_window_us;
     assert!(window.is_none() || window <= one.deduplication_window_us);
-    let limit = |class: &ClassBounds| class.spread.map_or(u32::MAX, |s| s.max_per_domain);
-    assert!(conflicting || limit(joint) <= limit(one));
+    let limit = |class: &ClassBounds| {
+        class
+            .spread
+            .map_or(u32::MAX, |spread| spread.max_per_domain)
+    };
+    assert!(has_conflict || limit(joint) <= limit(one));
 }
 
 #[test]
-fn numbers_are_bound_by_the_stricter_and_a_value_beats_none() {
+fn the_stricter_number_applies_and_a_value_applies_if_only_one_configuration_has_it() {
     let old = ConfigBounds {
         placers: 3,
         slow_start_offers: Some(40.0),
@@ -161,7 +166,7 @@
 }
 
 #[test]
-fn a_class_of_one_configuration_alone_stays_and_accepts_nothing_new() {
+fn a_class_of_only_one_configuration_is_retained_and_accepts_no_new_tasks() {
     let mut new = bounds();
     new.classes = BTreeMap::from([("edition".to_owned(), class())]);
     let joint = joint_bounds(&bounds(), &new).unwrap();
@@ -174,7 +179,7 @@
 }
 
 #[test]
-fn what_has_no_joint_form_is_named_with_its_place() {
+fn each_conflict_names_the_key_of_the_settings_file() {
     let with = |kind: &str, domain| {
         let mut bounds = bounds();
         let class = ClassBounds {
@@ -190,13 +195,13 @@
         ..with("b", SpreadDomain::Rack)
     };
     let JointConflicts(conflicts) = joint_bounds(&with("a", SpreadDomain::Zone), &new).unwrap_err();
-    let places = [
+    let keys = [
         "site.yes_when",
         "class `play`, kind",
         "class `play`, spread.over",
     ];
-    assert_eq!(conflicts.len(), places.len());
-    for (conflict, place) in conflicts.iter().zip(places) {
-        assert!(conflict.to_string().starts_with(place), "{conflict}");
+    assert_eq!(conflicts.len(), keys.len());
+    for (conflict, key) in conflicts.iter().zip(keys) {
+        assert!(conflict.to_string().starts_with(key), "{conflict}");
     }
 }
--- a/crates/plan/src/learner.rs
+++ b/crates/plan/src/learner.rs
@@ -1,5 +1,5 @@
-//! The learner: a node that persists no configuration and casts no vote. It learns from the version stamps on what
-//! placers send it.
+//! The learner: a node that persists no configuration and does not vote. It takes the newest configuration from the
+//! version stamps of the placers' messages.
 
 #[cfg(test)]
 mod tests;
@@ -10,21 +10,22 @@
 
 use crate::acceptor::OfferRejection;
 
-/// What a learner has learned. It is not persisted: a new incarnation begins without a floor.
+/// The newest configuration that a learner has received. It is not persisted: a new incarnation begins without a floor.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct LearnerState {
-    /// The newest configuration by which a placer acted, in its joint phase or alone; number 0 before the first.
+    /// The newest configuration in any stamp, whether the placer applied it jointly or alone; number 0 before the
+    /// first.
     newest: ConfigVersion,
 }
 
 impl LearnerState {
-    /// The lowest version level of the offers that are admitted: the joint level of the newest configuration.
+    /// The lowest version level of the offers that are admitted: the joint level of the newest configuration, or 0.
     pub fn floor(&self) -> u64 {
         version_level(self.newest, true)
     }
 
-    /// A placer acts by this stamp: the floor rises to the joint level of its configuration, and never falls. Returns
-    /// whether it rose.
+    /// Raises the floor to the joint level of the stamp's configuration, if that is newer. The floor never falls.
+    /// Returns whether it rose.
     pub fn raise_floor(&mut self, stamp: &VersionStamp) -> bool {
         let rises = stamp.version.number > self.newest.number;
         if rises {
@@ -33,20 +34,20 @@
         rises
     }
 
-    /// Checks whether an offer may be considered, by the version stamp of its placer.
+    /// Checks whether an offer is admitted, by the version stamp of its placer.
     ///
     /// | stamp | floor | result |
     /// | --- | --- | --- |
-    /// | none | none yet | admitted: its sender knows no configurations |
+    /// | none | none yet | admitted: its sender does not support configurations |
     /// | none | any | below the floor |
-    /// | any | none yet | admitted |
+    /// | any | none yet | admitted, and the caller raises the floor |
     /// | a configuration of a smaller number | any | below the floor |
     /// | the floor's configuration, joint or alone | any | admitted |
     /// | another configuration of that number | any | conflicting version |
     /// | a configuration of a greater number | any | admitted, and the caller raises the floor |
     ///
     /// # Errors
-    /// Why it is not admitted.
+    /// The reason for the rejection, as in the table.
     pub fn check_offer(&self, stamp: Option<&VersionStamp>) -> Result<(), OfferRejection> {
         let floor = self.floor();
         let Some(stamp) = stamp else {
@@ -65,9 +66,9 @@
         Ok(())
     }
 
-    /// The report of this state to placers. It is marked as that of a node which can't persist, which is how placers of
-    /// the former version understand that it does not vote. The caller adds for how long the floor is unchanged, and who
-    /// is connected.
+    /// The report of this state to placers. It also sets `cannot_persist`, by which placers with an older version of
+    /// the protocol see that the node does not vote. The caller adds the age of the floor and the number of connected
+    /// placers.
     pub fn report(&self) -> AcceptorReport {
         let newest = AcceptedVersion {
             ballot: Ballot::default(),
--- a/crates/plan/src/learner/tests.rs
+++ b/crates/plan/src/learner/tests.rs
@@ -14,7 +14,7 @@
     }
 }
 
-/// A learner that has learned of this configuration; 0 is none.
+/// A learner whose newest configuration is this one; 0 is none.
 fn learner_of(number: u64) -> LearnerState {
     let mut learner = LearnerState::default();
     if number > 0 {
@@ -23,9 +23,9 @@
     learner
 }
 
-/// Every stamp at every floor.
+/// Checks every stamp against every floor.
 #[test]
-fn an_offer_is_admitted_from_the_joint_level_of_the_newest_configuration_on() {
+fn an_offer_is_admitted_at_or_above_the_joint_level_of_the_newest_configuration() {
     let stamps = [
         None,
         Some(stamp(1, 1, true)),
@@ -77,12 +77,12 @@
     assert_eq!(
         learner.check_offer(Some(&stamp(4, 4, false))),
         Ok(()),
-        "the rival of configuration 2 took nothing over"
+        "the other configuration 2 did not replace a newer one"
     );
 }
 
 #[test]
-fn the_report_of_a_learner_has_its_floor_and_says_that_it_does_not_vote() {
+fn the_report_of_a_learner_has_its_floor_and_is_marked_as_non_voting() {
     let none = LearnerState::default().report();
     assert_eq!(
         (
@@ -101,6 +101,6 @@
     assert_eq!(
         report.committed,
         ConfigVersion::default(),
-        "it knows of no committed configuration"
+        "a learner reports no committed configuration"
     );
 }
--- a/crates/plan/src/lease.rs
+++ b/crates/plan/src/lease.rs
@@ -1,8 +1,8 @@
-//! The read lease of a placer: for how long it may act by the configuration that it read from a majority of the voters.
+//! The read lease of a placer: how long it may apply the configuration that it read from a majority of the voters.
 //!
-//! A placer may dispatch while a majority of the voters answered it within the lease. Once the lease has expired, a
-//! newer configuration may have been committed that it has not read, so it is suspended until a majority answers.
-//! [`ReadLease`] counts the answers; [`lease_state`] decides what follows from them.
+//! A placer may dispatch while the last answers of a majority of the voters are no older than the lease. After that, a
+//! newer configuration may have been committed that the placer has not read, so it is suspended until a majority
+//! answers. [`ReadLease`] records the answers; [`lease_state`] derives from them what the placer may do.
 
 mod active;
 mod state;
@@ -19,29 +19,29 @@
 pub use state::{LeaseInputs, LeaseState, LocalConfig, Usability, lease_state};
 pub use suspend_reason::SuspendReason;
 
-/// When a majority of the voters last answered.
+/// Whether a majority of the voters answered the placer recently.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuorumContact {
-    /// Never in this incarnation.
+    /// No majority answered within one lease in this incarnation of the placer.
     Never,
-    /// Within the lease.
+    /// A majority answered within the lease.
     Recent,
-    /// Longer ago than the lease.
+    /// A majority answered before, but not within the lease.
     Expired,
 }
 
-/// The answers that renew the lease. Times are in microseconds of the placer's clock.
+/// The duration of the lease, and the answers that renew it. Times are in microseconds of the placer's clock.
 #[derive(Clone, Debug)]
 pub struct ReadLease {
     duration_us: u64,
-    /// When each node last answered, on a connection that may have ended since.
+    /// The time of each node's last answer. The connection of that answer may be closed by now.
     last_answers: BTreeMap<NodeNumber, u64>,
-    /// A majority of the voters answered before in this incarnation.
+    /// Whether a majority of the voters has answered within one lease in this incarnation.
     was_renewed: bool,
 }
 
 impl ReadLease {
-    /// A lease that was never held.
+    /// A lease of `duration_us` microseconds that no answer has renewed yet.
     pub fn new(duration_us: u64) -> Self {
         Self {
             duration_us,
@@ -50,22 +50,22 @@
         }
     }
 
-    /// How long an answer counts.
+    /// How long an answer counts towards a majority, in microseconds.
     pub fn duration_us(&self) -> u64 {
         self.duration_us
     }
 
-    /// A node answered.
+    /// Records that a node answered at `now_us`.
     pub fn record_answer(&mut self, node: NodeNumber, now_us: u64) {
         self.last_answers.insert(node, now_us);
     }
 
-    /// When a node last answered.
+    /// The time of a node's last answer in microseconds; `None` if it never answered.
     pub fn last_answer(&self, node: NodeNumber) -> Option<u64> {
         self.last_answers.get(&node).copied()
     }
 
-    /// When a majority of the voters last answered, as of now.
+    /// Whether a majority of the voters answered within the lease, as of `now_us`. Records that a majority did.
     pub fn update_quorum_contact(&mut self, now_us: u64, cluster: &ClusterView) -> QuorumContact {
         let answered_recently = |node: NodeNumber| {
             let answered = self.last_answer(node);
@@ -82,8 +82,8 @@
         }
     }
 
-    /// When the lease expires unless more voters answer: counted from the oldest of the most recent answers that make up
-    /// a majority. `None` where fewer voters ever answered.
+    /// The time at which the lease expires unless more voters answer, in microseconds: the duration of the lease after
+    /// the oldest answer of the majority that answered last. `None` if fewer voters than a majority ever answered.
     pub fn expires_at(&self, cluster: &ClusterView) -> Option<u64> {
         let voters = cluster.voters();
         let mut answers: Vec<u64> = voters
--- a/crates/plan/src/lease/active.rs
+++ b/crates/plan/src/lease/active.rs
@@ -1,36 +1,37 @@
-//! The configuration by which a placer acts.
+//! The configuration that a placer applies, and the version on its offers.
 
 use reedring_node_protocol::{ConfigVersion, version_level};
 
-/// The configuration by which a placer acts.
+/// The configuration that a placer applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ActiveConfig {
-    /// The committed configuration; number 0 where the first one is only chosen.
+    /// The committed configuration; number 0 if none is committed and the first one is only chosen.
     pub committed: ConfigVersion,
-    /// The configuration that is chosen to follow: the placer acts by the stricter of both.
+    /// The chosen successor of the committed configuration: the placer applies the stricter bound of the two.
     pub next: Option<ConfigVersion>,
-    /// A later configuration of its own settings file that is not chosen yet, within whose bounds it stays as well.
+    /// A later configuration in the placer's own settings file that is not chosen yet. The placer stays within its
+    /// bounds as well.
     pub local_ahead: Option<ConfigVersion>,
 }
 
-/// The version that a placer puts on its offers.
+/// The version with which a placer stamps its offers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ActiveVersion {
-    /// The configuration.
+    /// The newest configuration that the placer applies.
     pub version: ConfigVersion,
-    /// The placer acts by the stricter of it and the one before.
+    /// Whether the placer applies the stricter bound of this configuration and its predecessor.
     pub joint: bool,
 }
 
 impl ActiveVersion {
-    /// Its version level.
+    /// The version level: twice the number, and one less if joint.
     pub fn level(&self) -> u64 {
         version_level(self.version, self.joint)
     }
 }
 
 impl ActiveConfig {
-    /// The version that its offers name.
+    /// The version with which the placer stamps its offers.
     pub fn version(&self) -> ActiveVersion {
         ActiveVersion {
             version: self.next.unwrap_or(self.committed),
@@ -38,7 +39,7 @@
         }
     }
 
-    /// The version level of its offers.
+    /// The version level of the placer's offers.
     pub fn level(&self) -> u64 {
         self.version().level()
     }
--- a/crates/plan/src/lease/state.rs
+++ b/crates/plan/src/lease/state.rs
@@ -1,55 +1,58 @@
-//! What a placer may do: act by a configuration, or dispatch nothing and why.
+//! Whether a placer may dispatch: the configuration that it applies, or the reason why it is suspended.
 
 use reedring_node_protocol::ConfigVersion;
 
 use super::{ActiveConfig, QuorumContact, SuspendReason};
 use crate::cluster::ClusterView;
 
-/// What a placer can do with a configuration.
+/// Whether a placer can apply a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Usability {
-    /// Its text is not here yet.
+    /// The placer does not have the text yet.
     Missing,
-    /// The placer can act by it, and by it and the one before.
+    /// The placer can apply the configuration, alone and together with its predecessor.
     Usable,
-    /// It can't: the text has what this build does not support, or the two configurations have no joint form.
+    /// The placer can't apply it: this build does not support the text, or there are no joint bounds with the
+    /// predecessor.
     Unusable,
 }
 
 /// The configuration of a placer's own settings file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LocalConfig {
-    /// Its version.
+    /// The number and digest of the configuration.
     pub version: ConfigVersion,
-    /// The placer may act by no other.
+    /// Whether the placer may apply no other configuration.
     pub pinned: bool,
 }
 
-/// What a placer may do.
+/// Whether a placer may dispatch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseState {
-    /// A majority of the voters persists no configurations: it acts by its own settings file, without agreement.
+    /// A majority of the voters persists no configurations: the placer applies its own settings file, without
+    /// agreement.
     Unmanaged,
-    /// It may dispatch nothing.
+    /// The placer must not dispatch.
     Suspended(SuspendReason),
-    /// It acts by a configuration.
+    /// The placer applies a configuration.
     Active(ActiveConfig),
 }
 
-/// What the state of a lease follows from.
+/// The inputs of [`lease_state`].
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseInputs<'a> {
     /// The configuration of the placer's settings file.
     pub local: LocalConfig,
     /// The reports of the nodes.
     pub cluster: &'a ClusterView,
-    /// The newest committed configuration that the placer knows of, whatever nodes have lost.
+    /// The newest committed configuration that the placer knows, even if the nodes have lost it.
     pub known_committed: ConfigVersion,
-    /// When a majority of the voters last answered.
+    /// Whether a majority of the voters answered within the lease.
     pub contact: QuorumContact,
 }
 
-/// What a placer may do. `usability` says what it can do with a configuration.
+/// Whether a placer may dispatch, and which configuration it applies. `usability` returns whether the placer can apply
+/// a configuration.
 ///
 /// | legacy majority | contact | committed | chosen | local file | state |
 /// | --- | --- | --- | --- | --- | --- |
@@ -59,14 +62,14 @@
 /// | no | recent | none | text missing | any | suspended: fetching |
 /// | no | recent | text missing | any | any | suspended: fetching |
 /// | no | recent | unusable | any | any | fenced: unusable |
-/// | no | recent | neither the local one nor the one that it follows | any | pinned | fenced: pinned |
+/// | no | recent | neither the local one nor its predecessor | any | pinned | fenced: pinned |
 /// | no | recent | none | unusable, or not the local one and pinned | any | suspended: no configuration |
-/// | no | recent | usable | missing, unusable, or not the local one and pinned | any | active by the committed one |
-/// | no | recent | usable or none | usable | any | active by both |
-/// | no | recent | usable | none | any | active by the committed one |
+/// | no | recent | usable | missing, unusable, or not the local one and pinned | any | active: the committed one |
+/// | no | recent | usable or none | usable | any | active: both |
+/// | no | recent | usable | none | any | active: the committed one |
 ///
-/// Where the placer is active and its own file has a later configuration than the one by which it acts, that is
-/// [`ActiveConfig::local_ahead`].
+/// If the placer is active and its own file has a later configuration than the active one, that configuration is
+/// returned in [`ActiveConfig::local_ahead`].
 pub fn lease_state(
     inputs: &LeaseInputs<'_>,
     usability: impl Fn(ConfigVersion) -> Usability,
@@ -79,7 +82,7 @@
         return LeaseState::Suspended(SuspendReason::NoQuorum);
     }
     let committed = inputs.known_committed.max(cluster.committed());
-    if let Some(reason) = committed_suspends(local, committed, &usability) {
+    if let Some(reason) = suspension_by_committed(local, committed, &usability) {
         return LeaseState::Suspended(reason);
     }
     let has_committed = committed.number > 0;
@@ -104,8 +107,8 @@
     })
 }
 
-/// Why the committed configuration alone suspends the placer, if it does.
-fn committed_suspends(
+/// The reason why the committed configuration suspends the placer, whatever is chosen next; `None` if it does not.
+fn suspension_by_committed(
     local: LocalConfig,
     committed: ConfigVersion,
     usability: impl Fn(ConfigVersion) -> Usability,
@@ -113,8 +116,8 @@
     if committed.number == 0 {
         return None;
     }
-    let follows = local.version.number == committed.number + 1;
-    if local.pinned && local.version != committed && !follows {
+    let is_successor = local.version.number == committed.number + 1;
+    if local.pinned && local.version != committed && !is_successor {
         return Some(SuspendReason::Pinned);
     }
     match usability(committed) {
--- a/crates/plan/src/lease/suspend_reason.rs
+++ b/crates/plan/src/lease/suspend_reason.rs
@@ -1,22 +1,22 @@
 //! Why a placer is suspended.
 
-/// Why a placer may dispatch nothing.
+/// Why a placer must not dispatch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SuspendReason {
-    /// Too few voters answered within the lease.
+    /// Fewer voters than a majority answered within the lease.
     NoQuorum,
     /// No configuration is committed, and none is chosen.
     NoConfiguration,
-    /// The text of the committed configuration is being fetched.
+    /// The placer does not have the text of the committed configuration, or of the first chosen one, and fetches it.
     FetchingDocument,
-    /// Its settings file is pinned to another configuration than the committed one.
+    /// The placer's settings file is pinned, and neither to the committed configuration nor to its successor.
     Pinned,
-    /// It can't act by the committed configuration.
+    /// The placer can't apply the committed configuration.
     Unusable,
 }
 
 impl SuspendReason {
-    /// The reason in words. It is part of log lines and of the messages of rejected DRMAA calls.
+    /// The text of this reason in log lines and in the messages of rejected DRMAA calls.
     pub const fn description(self) -> &'static str {
         match self {
             Self::NoQuorum => "no majority of the voters was heard within the lease",
@@ -27,8 +27,8 @@
         }
     }
 
-    /// Whether the placer is fenced: while a majority answers, the suspension does not end before an operator acts. Without
-    /// a majority the reason is [`SuspendReason::NoQuorum`] meanwhile.
+    /// Whether the placer is fenced: while a majority answers, the suspension lasts until an operator intervenes. While
+    /// no majority answers, the reason is [`SuspendReason::NoQuorum`] instead.
     pub const fn is_fenced(self) -> bool {
         matches!(self, Self::Pinned | Self::Unusable)
     }
--- a/crates/plan/src/lease/tests.rs
+++ b/crates/plan/src/lease/tests.rs
@@ -12,7 +12,7 @@
     }
 }
 
-/// Three nodes that all report the same.
+/// Three voters with the same report: this committed configuration, and `next` accepted, and joint if `joint` is set.
 fn cluster_of(committed: ConfigVersion, next: Option<ConfigVersion>, joint: bool) -> ClusterView {
     let ballot = Ballot {
         round: 1,
@@ -34,8 +34,12 @@
     }
 }
 
-/// The state of a placer that can act by everything, and whose lease runs.
-fn state_of(local: LocalConfig, cluster: &ClusterView, known: ConfigVersion) -> LeaseState {
+/// The state of a placer that can apply every configuration and whose lease has not expired.
+fn state_with_recent_contact(
+    local: LocalConfig,
+    cluster: &ClusterView,
+    known: ConfigVersion,
+) -> LeaseState {
     let inputs = LeaseInputs {
         local,
         cluster,
@@ -45,17 +49,17 @@
     lease_state(&inputs, |_| Usability::Usable)
 }
 
-/// One case of the table of [`lease_state`].
+/// The inputs of one call of [`lease_state`].
 #[derive(Debug)]
 struct Case {
     committed: ConfigVersion,
     chosen: Option<ConfigVersion>,
     local: LocalConfig,
     contact: QuorumContact,
-    /// Of configuration 1.
+    /// The usability of configuration 1.
     first: Usability,
-    /// Of any other.
-    second: Usability,
+    /// The usability of every other configuration.
+    others: Usability,
 }
 
 impl Case {
@@ -63,7 +67,7 @@
         if version.number == 1 {
             self.first
         } else {
-            self.second
+            self.others
         }
     }
 
@@ -76,7 +80,9 @@
             contact: self.contact,
         };
         match lease_state(&inputs, |version| self.usability(version)) {
-            LeaseState::Unmanaged => panic!("nodes persist configurations: {self:?}"),
+            LeaseState::Unmanaged => {
+                panic!("unmanaged although the nodes persist configurations: {self:?}")
+            }
             LeaseState::Active(active) => self.check_active(active),
             LeaseState::Suspended(reason) => self.check_suspended(reason),
         }
@@ -93,14 +99,14 @@
             "{self:?}"
         );
         assert!(active.next.is_none_or(is_usable), "{self:?}");
-        let named = active.version().version;
+        let stamped = active.version().version;
         assert!(
-            named.number > 0,
-            "it always acts by some configuration: {self:?}"
+            stamped.number > 0,
+            "an active placer applies no configuration: {self:?}"
         );
-        let is_before_local = named.number + 1 == local.version.number;
+        let is_before_local = stamped.number + 1 == local.version.number;
         assert!(
-            !local.pinned || named == local.version || is_before_local,
+            !local.pinned || stamped == local.version || is_before_local,
             "{self:?}"
         );
     }
@@ -110,11 +116,14 @@
         let is_recent = self.contact == QuorumContact::Recent;
         assert_eq!(reason == SuspendReason::NoQuorum, !is_recent, "{self:?}");
         if is_recent {
-            let begins = committed.number == 0;
-            let unusable = self.usability(committed) != Usability::Usable && !begins;
+            let none_committed = committed.number == 0;
+            let unusable = self.usability(committed) != Usability::Usable && !none_committed;
             let pinned = local.pinned && local.version != committed;
-            assert!(unusable || pinned || begins, "{self:?}: {reason:?}");
-            assert!(!reason.is_fenced() || !begins, "{self:?}: {reason:?}");
+            assert!(unusable || pinned || none_committed, "{self:?}: {reason:?}");
+            assert!(
+                !reason.is_fenced() || !none_committed,
+                "{self:?}: {reason:?}"
+            );
         }
     }
 }
@@ -126,9 +135,9 @@
 ];
 const USABILITIES: [Usability; 3] = [Usability::Missing, Usability::Usable, Usability::Unusable];
 
-/// Every case of the table, against what must hold whatever it says.
+/// Checks invariants of the result for every combination of the inputs.
 #[test]
-fn a_placer_acts_only_by_configurations_that_it_can_use_and_that_a_majority_supports() {
+fn a_placer_applies_only_usable_configurations_that_are_committed_or_chosen() {
     let none = ConfigVersion::default();
     let (one, two, rival) = (version(1, 1), version(2, 2), version(2, 3));
     for committed in [none, one] {
@@ -141,14 +150,14 @@
                     };
                     for contact in CONTACTS {
                         for first in USABILITIES {
-                            for second in USABILITIES {
+                            for others in USABILITIES {
                                 let case = Case {
                                     committed,
                                     chosen,
                                     local,
                                     contact,
                                     first,
-                                    second,
+                                    others,
                                 };
                                 case.check();
                             }
@@ -161,30 +170,31 @@
 }
 
 #[test]
-fn a_majority_of_legacy_nodes_leaves_each_placer_to_its_own_file() {
+fn placers_are_unmanaged_where_a_majority_of_the_nodes_is_legacy() {
     let mut cluster = cluster_of(version(1, 1), None, false);
     cluster.nodes.insert(0, PeerState::Legacy);
     let local = LocalConfig {
         version: version(7, 7),
         pinned: false,
     };
-    let state = |cluster: &ClusterView| state_of(local, cluster, ConfigVersion::default());
+    let state =
+        |cluster: &ClusterView| state_with_recent_contact(local, cluster, ConfigVersion::default());
     assert!(
         matches!(state(&cluster), LeaseState::Active(_)),
-        "one of three"
+        "one legacy node of three"
     );
     cluster.nodes.insert(1, PeerState::Legacy);
     assert_eq!(state(&cluster), LeaseState::Unmanaged);
 }
 
 #[test]
-fn a_configuration_that_the_placer_knows_stays_where_all_nodes_have_lost_it() {
+fn a_committed_configuration_that_the_placer_knows_stays_active_after_all_nodes_lost_it() {
     let local = LocalConfig {
         version: version(1, 1),
         pinned: false,
     };
     let empty = cluster_of(ConfigVersion::default(), None, false);
-    let state = state_of(local, &empty, version(2, 2));
+    let state = state_with_recent_contact(local, &empty, version(2, 2));
     assert!(
         matches!(state, LeaseState::Active(active) if active.committed == version(2, 2)),
         "{state:?}"
@@ -192,14 +202,14 @@
 }
 
 #[test]
-fn a_file_with_the_next_configuration_is_ahead_until_that_is_joint() {
+fn a_local_file_with_the_next_configuration_is_ahead_until_that_is_joint() {
     let (one, two) = (version(1, 1), version(2, 2));
     let local = LocalConfig {
         version: two,
         pinned: true,
     };
     let state = |next| {
-        state_of(
+        state_with_recent_contact(
             local,
             &cluster_of(one, next, true),
             ConfigVersion::default(),
@@ -216,7 +226,7 @@
     assert_eq!(state(Some(two)), active(Some(two), None));
 }
 
-/// Five voters that answered at these times; the others never did.
+/// A lease of 100 µs, with answers of nodes 0, 1, ... at these times. Nodes without a time have not answered.
 fn lease_with_answers(answers: &[u64]) -> ReadLease {
     let mut lease = ReadLease::new(100);
     for (node, at) in (0..).zip(answers) {
@@ -233,7 +243,7 @@
 }
 
 #[test]
-fn a_lease_expires_once_its_majority_answered_too_long_ago() {
+fn a_lease_expires_its_duration_after_the_oldest_answer_of_the_latest_majority() {
     let cluster = five_voters();
     for (answers, expires_at) in [
         (vec![], None),
--- a/crates/plan/src/membership.rs
+++ b/crates/plan/src/membership.rs
@@ -1,19 +1,19 @@
-//! Which nodes of the node list vote on configurations, and which only learn of them.
+//! Which nodes of the node list vote on configurations, and which are learners.
 
 #[cfg(test)]
 mod tests;
 
 use std::collections::BTreeSet;
 
-/// The number by which a placer knows a node of its list.
+/// The number that a placer gives a node of its node list.
 pub type NodeNumber = u32;
 
 /// The role of a listed node in the agreement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum MemberRole {
-    /// An acceptor: it votes, persists configurations, and its answers renew the lease.
+    /// The node votes and persists configurations, and its answers renew the read lease.
     Voter,
-    /// It learns of configurations from the version stamps on what placers send it.
+    /// The node does not vote: it takes the newest configuration from the version stamps of the placers' messages.
     Learner,
 }
 
@@ -22,7 +22,7 @@
 /// | nodes that the list marks `control = true` | voters |
 /// | --- | --- |
 /// | none | every node |
-/// | some | those, also where none of them is up |
+/// | some | the marked nodes, even if none of them is reachable |
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Membership {
     /// Every node votes.
@@ -33,7 +33,7 @@
 }
 
 impl Membership {
-    /// The membership of a list that marks these nodes as control machines.
+    /// The membership of a node list that marks these nodes as control machines; without any, every node votes.
     pub fn from_control_nodes(control: BTreeSet<NodeNumber>) -> Self {
         if control.is_empty() {
             Self::AllNodes
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The role of this node.
+    /// The role of a node.
     pub fn role(&self, node: NodeNumber) -> MemberRole {
         match self {
             Self::ControlNodes(voters) if !voters.contains(&node) => MemberRole::Learner,
--- a/crates/plan/src/proposer/compaction.rs
+++ b/crates/plan/src/proposer/compaction.rs
@@ -1,34 +1,35 @@
-//! Requests without what their node has already: a delta in place of a text, or neither.
+//! Shortens requests to nodes that have a part of the text already: a delta replaces the text, or the text is omitted.
 
 use reedring_node_protocol::{AcceptorReport, ConfigRequest, ConfigVersion, Delta, DeltaStep};
 
 use crate::delta;
 use crate::document::ConfigDocument;
 
-/// The last delta that was computed.
+/// The delta that was computed last, and the versions between which it leads.
 #[derive(Clone, Debug)]
 struct CachedDelta {
     base: ConfigVersion,
     target: ConfigVersion,
-    /// `None` where there is none that is shorter than the text.
+    /// `None` if there is no delta that is shorter than the text of the target.
     delta: Option<Delta>,
 }
 
-/// Shortens the requests of one placer. A delta is computed once for all nodes.
+/// Shortens the requests of one placer. The last delta is cached, so that it is computed once for all nodes.
 #[derive(Clone, Debug, Default)]
 pub struct RequestCompactor {
     cached: Option<CachedDelta>,
 }
 
 impl RequestCompactor {
-    /// The same request in fewer bytes, for a node of this report. `base` is a configuration whose text is here.
+    /// An equivalent request in as few bytes as possible, for a node with this report. `base` is a configuration whose
+    /// text the placer has.
     ///
     /// | request | condition | result |
     /// | --- | --- | --- |
-    /// | any | the node reads no deltas | unchanged |
-    /// | fetch | the configuration is the one after `base` | fetches the delta from it |
-    /// | enter joint, commit | the node has accepted that very configuration | without the text |
-    /// | accept, enter joint, commit | `base` is committed there, and the delta is shorter than the text | by delta |
+    /// | any | the node does not support deltas | unchanged |
+    /// | fetch | the configuration is the one after `base` | fetch of the delta from `base` |
+    /// | enter joint, commit | the node has accepted the same configuration | without the text |
+    /// | accept, enter joint, commit | `base` is committed at the node, and the delta is shorter than the text | by delta |
     /// | any | else | unchanged |
     pub fn compact(
         &mut self,
@@ -78,7 +79,8 @@
         }
     }
 
-    /// The same request with a delta from the configuration that its node has committed, where that is shorter.
+    /// The same request with the delta from `base`, which its node has committed. `None` if the request carries no text
+    /// or the delta is not shorter.
     fn by_delta(
         &mut self,
         base: &ConfigDocument,
@@ -109,6 +111,7 @@
         Some(ConfigRequest::ByDelta { step, delta, list })
     }
 
+    /// The delta from `base` to the configuration of `target` and `text`, if it is shorter than the text; cached.
     fn delta(&mut self, base: &ConfigDocument, target: ConfigVersion, text: &str) -> Option<Delta> {
         if let Some(cached) = &self.cached
             && cached.base == base.version()
--- a/crates/plan/src/proposer/round.rs
+++ b/crates/plan/src/proposer/evaluation.rs
@@ -1,4 +1,4 @@
-//! What one evaluation of the proposer goes by, and the requests that need no ballot.
+//! The inputs of one evaluation of the proposer, and the requests that need no ballot.
 
 use reedring_node_protocol::{AcceptorReport, Ballot, ConfigRequest, ConfigVersion};
 
@@ -7,7 +7,7 @@
 use crate::document::DocumentCache;
 use crate::membership::NodeNumber;
 
-/// The last report of one acceptor.
+/// The last report of one acceptor, and the number of its node.
 #[derive(Clone, Copy)]
 pub(super) struct NodeReport {
     pub(super) node: NodeNumber,
@@ -15,6 +15,7 @@
 }
 
 impl NodeReport {
+    /// A request to the acceptor's node.
     pub(super) fn request(&self, request: ConfigRequest) -> NodeRequest {
         NodeRequest {
             node: self.node,
@@ -22,24 +23,24 @@
         }
     }
 
-    /// Whether the acceptor has accepted this configuration.
+    /// Whether the acceptor's accepted configuration is `version`.
     pub(super) fn has_accepted(&self, version: ConfigVersion) -> bool {
         let accepted = self.report.accepted;
         accepted.is_some_and(|accepted| accepted.version == version)
     }
 }
 
-/// The state of the cluster in one evaluation.
-pub(super) struct Round<'a> {
+/// The cluster and the texts at one evaluation of the proposer.
+pub(super) struct Evaluation<'a> {
     pub(super) cluster: &'a ClusterView,
     pub(super) documents: &'a DocumentCache,
-    /// The newest committed configuration.
+    /// The newest committed configuration; number 0 where there is none.
     pub(super) committed: ConfigVersion,
-    /// The reports of all acceptors, whether they vote or not.
+    /// The reports of all acceptors, whether they are voters by the placer's node list or not.
     acceptors: Vec<NodeReport>,
 }
 
-impl<'a> Round<'a> {
+impl<'a> Evaluation<'a> {
     pub(super) fn new(inputs: &ProposerInputs<'a>) -> Self {
         let cluster = inputs.cluster;
         let acceptors = cluster.acceptors().map(|(node, report)| NodeReport {
@@ -60,32 +61,32 @@
         acceptors.filter(|acceptor| acceptor.report.committed == self.committed)
     }
 
-    /// Those among them that vote.
+    /// The voters that have committed the newest committed configuration.
     pub(super) fn current_voters(&self) -> impl Iterator<Item = &NodeReport> {
         let acceptors = self.current_acceptors();
         acceptors.filter(|acceptor| self.cluster.is_voter(acceptor.node))
     }
 
-    /// The greatest ballot that a voter has promised.
+    /// The greatest ballot that a current voter has promised; round 0 where there is none.
     pub(super) fn greatest_promise(&self) -> Ballot {
         let promises = self.current_voters().map(|voter| voter.report.promised);
         promises.max().unwrap_or_default()
     }
 
-    /// Whether a voter has accepted a configuration.
-    pub(super) fn is_any_accepted(&self) -> bool {
+    /// Whether any current voter has accepted a successor of the committed configuration.
+    pub(super) fn has_accepted_by_voter(&self) -> bool {
         self.current_voters()
             .any(|voter| voter.report.accepted.is_some())
     }
 
-    /// Whether this configuration may be proposed: its number is the one after the committed one, or any where none is
-    /// committed.
-    pub(super) fn may_follow(&self, version: ConfigVersion) -> bool {
+    /// Whether this configuration may be proposed: its number is the one after the committed one, or any number if none
+    /// is committed.
+    pub(super) fn is_valid_successor(&self, version: ConfigVersion) -> bool {
         let committed = self.committed.number;
         version.number > committed && (committed == 0 || version.number == committed + 1)
     }
 
-    /// A fetch of this configuration to each acceptor that has accepted it.
+    /// Fetches of this configuration's text from all acceptors that have accepted it.
     pub(super) fn fetch_requests(&self, version: ConfigVersion) -> Vec<NodeRequest> {
         let acceptors = self.acceptors.iter();
         acceptors
@@ -94,7 +95,8 @@
             .collect()
     }
 
-    /// The same, to those among them that have committed the newest committed configuration.
+    /// Fetches of this configuration's text from the acceptors that have accepted it and have committed the newest
+    /// committed configuration.
     pub(super) fn fetch_requests_to_current(&self, version: ConfigVersion) -> Vec<NodeRequest> {
         let acceptors = self.current_acceptors();
         acceptors
@@ -103,7 +105,8 @@
             .collect()
     }
 
-    /// Commits to the acceptors that are behind the committed configuration, or fetches of its text.
+    /// Commit requests to the acceptors that have only an older configuration committed. If the placer lacks the text of
+    /// the committed configuration, fetches of it from the acceptors that have it instead.
     pub(super) fn catch_up_requests(&self) -> Vec<NodeRequest> {
         let version = self.committed;
         if version.number == 0 {
@@ -130,7 +133,7 @@
     }
 }
 
-/// A request for the whole text of a configuration.
+/// A request for the full text of a configuration.
 fn fetch(version: ConfigVersion) -> ConfigRequest {
     ConfigRequest::Fetch {
         version,
--- a/crates/plan/src/proposer/joint_phase.rs
+++ b/crates/plan/src/proposer/joint_phase.rs
@@ -1,13 +1,14 @@
-//! The joint phase, from the choice of a configuration until it is committed.
+//! The requests of the joint phase: from the time when a configuration is chosen until it is committed.
 
 use reedring_node_protocol::{ConfigRequest, ConfigVersion};
 
 use super::NodeRequest;
-use super::round::{NodeReport, Round};
+use super::evaluation::{Evaluation, NodeReport};
 
-impl Round<'_> {
-    /// The next configuration is chosen: acceptors enter the joint phase, and once a majority of the voters has, those
-    /// that are joint commit.
+impl Evaluation<'_> {
+    /// The requests that commit a chosen configuration: acceptors that are not joint are to enter its joint phase; once
+    /// a majority of the voters is joint, the joint acceptors are to commit. If the placer lacks the text, it fetches
+    /// it.
     pub(super) fn joint_phase_requests(&self, chosen: ConfigVersion) -> Vec<NodeRequest> {
         let Some(text) = self.documents.text(chosen) else {
             return self.fetch_requests(chosen);
--- a/crates/plan/src/proposer/proposal_backoff.rs
+++ b/crates/plan/src/proposer/proposal_backoff.rs
@@ -1,5 +1,5 @@
-//! When a request may be sent again, and when a placer may preempt another one's ballot, so that many placers neither
-//! flood the nodes nor preempt each other for ever. All times are in microseconds of the placer's clock.
+//! When a request may be sent again, and when a placer may preempt another placer's ballot. Without these delays, many
+//! placers would flood the nodes and preempt each other indefinitely. Times are in microseconds of the placer's clock.
 
 #[cfg(test)]
 mod tests;
@@ -13,16 +13,17 @@
 use crate::cluster::ClusterView;
 use crate::membership::NodeNumber;
 
-/// After this time a request without effect is sent again.
+/// The time after which the same request may be sent to the same node again.
 const RETRY_US: u64 = 500_000;
-/// For this long the ballot of another placer is left alone; each placer adds up to as much again, by its incarnation.
+/// The shortest time for which a placer does not preempt another placer's ballot. Each placer adds up to as much again,
+/// depending on its incarnation.
 const PREEMPT_AFTER_US: u64 = 300_000;
-/// For this long one node's answer to a fetch is awaited before another one is asked.
+/// How long a placer waits for a node's answer to a fetch before it sends the fetch to another node.
 const FETCH_TIMEOUT_US: u64 = 100_000;
-/// The fractional part of the golden ratio in 64 bits: multiplying by it scatters successive numbers.
+/// The fractional part of the golden ratio in 64 bits: products with it spread successive numbers evenly.
 const SCATTER_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// A value, and since when it is that.
+/// A value, and the time since which it is unchanged.
 #[derive(Clone, Debug, Default)]
 struct Observed<T> {
     value: T,
@@ -30,7 +31,7 @@
 }
 
 impl<T: PartialEq> Observed<T> {
-    /// Takes in the value of now; the time since which it is unchanged.
+    /// Records the current value. Returns the time since which it is unchanged.
     fn update(&mut self, value: T, now_us: u64) -> u64 {
         if self.value != value {
             *self = Self {
@@ -42,14 +43,14 @@
     }
 }
 
-/// The greatest promised ballot for the successor of a configuration.
+/// The greatest ballot that the voters have promised for the successor of a configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct CompetingBallot {
     follows: ConfigVersion,
     ballot: Ballot,
 }
 
-/// A committed configuration and the one that is chosen to follow.
+/// A committed configuration and its chosen successor, if there is one.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct ChosenConfig {
     committed: ConfigVersion,
@@ -63,7 +64,7 @@
     sent_us: u64,
 }
 
-/// What tells two requests to one node apart.
+/// Identifies a request to a node: requests with equal keys count as the same request for the retry time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum RequestKey {
     Query { level: u64 },
@@ -79,8 +80,8 @@
 }
 
 impl RequestKey {
-    /// A request with a delta counts as that with the text. One without either has a key of its own: a node that turns out
-    /// to lack what was left out is sent the whole at once.
+    /// A request with a delta has the key of the one with the text. One without either has a key of its own, so that a
+    /// node that lacks the omitted text can be sent the full request without waiting for the retry time.
     fn new(request: &ConfigRequest) -> Self {
         match request {
             ConfigRequest::Query { stamp } => Self::Query {
@@ -132,19 +133,19 @@
     }
 }
 
-/// The waiting times of one placer's requests and ballots.
+/// When one placer sent its requests, and since when it has observed other placers' ballots.
 #[derive(Clone, Debug)]
 pub struct ProposalBackoff {
     incarnation: Incarnation,
     competing_ballot: Observed<CompetingBallot>,
     chosen: Observed<ChosenConfig>,
     last_fetch: Option<SentFetch>,
-    /// When each request was sent to each node.
+    /// The time at which each request was last sent to each node. Entries older than the retry time are removed.
     sent: BTreeMap<(NodeNumber, RequestKey), u64>,
 }
 
 impl ProposalBackoff {
-    /// Of a placer that has just begun this incarnation.
+    /// The state of a placer with this incarnation that has sent no requests yet.
     pub fn new(incarnation: Incarnation) -> Self {
         Self {
             incarnation,
@@ -155,13 +156,15 @@
         }
     }
 
-    /// For how long this placer leaves another one's work alone; it differs between placers.
+    /// How long this placer waits before it preempts another placer's ballot or completes its change. It differs
+    /// between placers, so that they do not all act at once.
     fn preempt_delay_us(&self) -> u64 {
         let spread = self.incarnation.0.wrapping_mul(SCATTER_FACTOR) % PREEMPT_AFTER_US;
         PREEMPT_AFTER_US + spread
     }
 
-    /// Whether the greatest ballot has had its time. A first ballot may be started at once.
+    /// Whether this placer may start a greater ballot: the greatest promised one is unchanged for the preemption delay,
+    /// or none is promised yet.
     pub fn may_preempt(&mut self, now_us: u64, cluster: &ClusterView) -> bool {
         let follows = cluster.committed();
         let current = cluster
@@ -169,14 +172,14 @@
             .filter(|(_, report)| report.committed == follows);
         let ballot = current.map(|(_, report)| report.promised).max();
         let ballot = ballot.unwrap_or_default();
-        // Ballots start again after each configuration: one that was greater then says nothing now.
+        // Ballots start again after each committed configuration, so the delay starts again with a new one.
         let competing = CompetingBallot { follows, ballot };
         let since_us = self.competing_ballot.update(competing, now_us);
         ballot.round == 0 || now_us >= since_us + self.preempt_delay_us()
     }
 
-    /// Whether this placer may take a chosen configuration through the joint phase: it is the one whose ballot chose it, or
-    /// that one has had its time.
+    /// Whether this placer may send the joint phase requests of a chosen configuration: an acceptor accepted it with
+    /// this placer's ballot, or it is chosen for longer than the preemption delay and still not committed.
     pub fn may_complete_change(&mut self, now_us: u64, cluster: &ClusterView) -> bool {
         let committed = cluster.committed();
         let chosen = cluster.chosen(committed);
@@ -190,22 +193,23 @@
         is_own_ballot || now_us >= since_us + self.preempt_delay_us()
     }
 
-    /// The requests that are due: not sent within the retry time, and only one fetch of a text at a time.
+    /// The requests that are due, which are recorded as sent now. A request is not due if it was sent within the retry
+    /// time; a fetch is not due while a fetch of the same configuration is outstanding.
     pub fn due_requests(&mut self, now_us: u64, requests: Vec<NodeRequest>) -> Vec<NodeRequest> {
         self.sent
             .retain(|_, sent_us| now_us < sent_us.saturating_add(RETRY_US));
         let mut due = requests;
-        due.retain(|request| self.take_if_due(now_us, request));
+        due.retain(|request| self.record_if_due(now_us, request));
         due
     }
 
-    /// Whether a request is due; it counts as sent then.
-    fn take_if_due(&mut self, now_us: u64, NodeRequest { node, request }: &NodeRequest) -> bool {
+    /// Whether a request is due. If so, it is recorded as sent.
+    fn record_if_due(&mut self, now_us: u64, NodeRequest { node, request }: &NodeRequest) -> bool {
         let fetched = match request {
             ConfigRequest::Fetch { version, .. } => Some(*version),
             _ => None,
         };
-        if fetched.is_some_and(|version| self.awaits_fetch(now_us, version)) {
+        if fetched.is_some_and(|version| self.is_fetch_outstanding(now_us, version)) {
             return false;
         }
         let Entry::Vacant(entry) = self.sent.entry((*node, RequestKey::new(request))) else {
@@ -221,14 +225,15 @@
         true
     }
 
-    /// Whether a node still has time to answer a fetch of this configuration.
-    fn awaits_fetch(&self, now_us: u64, version: ConfigVersion) -> bool {
+    /// Whether the last fetch was for this configuration and its timeout has not passed.
+    fn is_fetch_outstanding(&self, now_us: u64, version: ConfigVersion) -> bool {
         self.last_fetch.is_some_and(|fetch| {
             fetch.version == version && now_us < fetch.sent_us.saturating_add(FETCH_TIMEOUT_US)
         })
     }
 
-    /// A node has connected again: what was sent on the connection before may be lost.
+    /// Makes all requests to a node due again, because requests on its previous connection may be lost. Also ends the
+    /// wait for the last fetch, whichever node it was sent to.
     pub fn reset_node(&mut self, node: NodeNumber) {
         self.sent.retain(|(sent_to, _), _| *sent_to != node);
         self.last_fetch = None;
--- a/crates/plan/src/proposer/tests.rs
+++ b/crates/plan/src/proposer/tests.rs
@@ -5,9 +5,9 @@
 use crate::membership::Membership;
 
 /// The incarnation of the placer under test.
-const OWN: Incarnation = Incarnation(9);
-/// The ballot with which it begins among nodes that have promised none.
-const FIRST: Ballot = Ballot {
+const OWN_INCARNATION: Incarnation = Incarnation(9);
+/// The first ballot of the placer under test, where no node has promised any ballot.
+const FIRST_BALLOT: Ballot = Ballot {
     round: 1,
     proposer: 9,
 };
@@ -24,7 +24,7 @@
     documents
 }
 
-/// A vote of another placer's ballot.
+/// A vote with the ballot of another placer.
 fn vote(round: u64, document: &ConfigDocument) -> Option<AcceptedVersion> {
     Some(AcceptedVersion {
         ballot: Ballot { round, proposer: 5 },
@@ -33,7 +33,7 @@
     })
 }
 
-/// The same, once the node has entered the joint phase.
+/// The same vote, at a node that has entered the joint phase.
 fn joint(round: u64, document: &ConfigDocument) -> Option<AcceptedVersion> {
     vote(round, document).map(|vote| AcceptedVersion {
         joint: true,
@@ -41,7 +41,7 @@
     })
 }
 
-/// A node that has committed configuration 1.
+/// The report of a node that has committed configuration 1.
 fn report(promised: Ballot, next: Option<AcceptedVersion>) -> AcceptorReport {
     AcceptorReport {
         committed: config(1, "one").version(),
@@ -51,7 +51,7 @@
     }
 }
 
-/// A node that has committed configuration 1, and promised and accepted nothing.
+/// The report of a node that has committed configuration 1, and promised and accepted nothing since.
 fn idle() -> AcceptorReport {
     report(Ballot::default(), None)
 }
@@ -64,7 +64,7 @@
     }
 }
 
-/// The same nodes, of which 0 to 2 vote; others persist configurations and do not vote, or learn.
+/// The same cluster, in which only nodes 0 to 2 vote. The others are learners, or acceptors that do not vote.
 fn with_three_voters(reports: &[AcceptorReport]) -> ClusterView {
     ClusterView {
         membership: Membership::from_control_nodes([0, 1, 2].into()),
@@ -96,7 +96,7 @@
     })
 }
 
-/// The nodes that get a request of a kind.
+/// The nodes that get a request for which `is_kind` returns true.
 fn nodes_of(progress: &ChangeProgress, is_kind: fn(&ConfigRequest) -> bool) -> Vec<NodeNumber> {
     let requests = progress.requests.iter();
     requests
@@ -121,51 +121,50 @@
     matches!(request, ConfigRequest::Commit { .. })
 }
 
-/// Checks that all requests, and at least one, prepare this ballot.
+/// Checks that there are requests, and that all of them are prepare requests for this ballot.
 fn check_all_prepare(progress: &ChangeProgress, expected: Ballot) {
     assert!(!progress.requests.is_empty());
     for NodeRequest { request, .. } in &progress.requests {
         let ConfigRequest::Prepare { ballot, .. } = request else {
-            panic!("{request:?}")
+            panic!("unexpected kind of request: {request:?}")
         };
         assert_eq!(*ballot, expected);
     }
 }
 
-/// Checks that all requests ask to accept this configuration.
+/// Checks that all requests are accept requests for this configuration.
 fn check_all_accept(progress: &ChangeProgress, expected: &ConfigDocument) {
     for NodeRequest { request, .. } in &progress.requests {
         let ConfigRequest::Accept { version, .. } = request else {
-            panic!("{request:?}")
+            panic!("unexpected kind of request: {request:?}")
         };
         assert_eq!(*version, expected.version(), "{request:?}");
     }
 }
 
-/// It prepares, and once a majority has promised it asks to accept the newest configuration that they accepted, else its
-/// own.
+/// A proposer must not replace a configuration that may be chosen already by its own proposal.
 #[test]
-fn the_newest_configuration_accepted_among_those_that_promised_is_proposed() {
+fn a_ballot_proposes_the_newest_configuration_that_the_promising_majority_accepted() {
     let (a, b) = (config(2, "a"), config(2, "b"));
-    // What two of three nodes that promised had accepted, and what must be proposed then.
+    // The votes of the two of three nodes that promise the ballot, and the configuration that must be proposed.
     for (accepted, expected) in [
         ([None, None], &a),
         ([vote(0, &b), None], &b),
         ([vote(0, &a), vote(1, &b)], &b),
         ([vote(1, &a), vote(0, &b)], &a),
     ] {
-        let mut proposer = Proposer::new(OWN);
+        let mut proposer = Proposer::new(OWN_INCARNATION);
         let progress = advance(&mut proposer, &cluster_of(&[idle(); 3]), Some(&a));
         assert_eq!(progress.phase, ChangePhase::Proposed);
         assert_eq!(progress.requests.len(), 3);
-        check_all_prepare(&progress, FIRST);
-        // One promise is no majority.
-        let one = [report(FIRST, accepted[0]), idle(), idle()];
+        check_all_prepare(&progress, FIRST_BALLOT);
+        // One promise of three is not a majority.
+        let one = [report(FIRST_BALLOT, accepted[0]), idle(), idle()];
         let progress = advance(&mut proposer, &cluster_of(&one), Some(&a));
-        check_all_prepare(&progress, FIRST);
+        check_all_prepare(&progress, FIRST_BALLOT);
         let two = [
-            report(FIRST, accepted[0]),
-            report(FIRST, accepted[1]),
+            report(FIRST_BALLOT, accepted[0]),
+            report(FIRST_BALLOT, accepted[1]),
             idle(),
         ];
         let progress = advance(&mut proposer, &cluster_of(&two), Some(&a));
@@ -173,12 +172,12 @@
         check_all_accept(&progress, expected);
         for NodeRequest { request, .. } in &progress.requests {
             assert!(
-                matches!(request, ConfigRequest::Accept { ballot, .. } if *ballot == FIRST),
+                matches!(request, ConfigRequest::Accept { ballot, .. } if *ballot == FIRST_BALLOT),
                 "{request:?}"
             );
         }
-        // A promise that comes later changes nothing of that ballot.
-        let three = [two[0], two[1], report(FIRST, vote(3, &b))];
+        // A promise that arrives later does not change the value of that ballot.
+        let three = [two[0], two[1], report(FIRST_BALLOT, vote(3, &b))];
         let progress = advance(&mut proposer, &cluster_of(&three), Some(&a));
         check_all_accept(&progress, expected);
     }
@@ -192,7 +191,7 @@
         proposer: 5,
     };
     let (voted, joint) = (report(ballot, vote(1, &a)), report(ballot, joint(1, &a)));
-    let stuck = AcceptorReport {
+    let joint_not_persisted = AcceptorReport {
         cannot_persist: true,
         ..joint
     };
@@ -201,9 +200,13 @@
         ([joint, voted, voted], vec![1, 2], vec![]),
         ([joint, joint, voted], vec![2], vec![0, 1]),
         ([joint, joint, joint], vec![], vec![0, 1, 2]),
-        ([joint, stuck, voted], vec![2], vec![]),
+        ([joint, joint_not_persisted, voted], vec![2], vec![]),
     ] {
-        let progress = advance(&mut Proposer::new(OWN), &cluster_of(&reports), None);
+        let progress = advance(
+            &mut Proposer::new(OWN_INCARNATION),
+            &cluster_of(&reports),
+            None,
+        );
         assert_eq!(progress.phase, ChangePhase::Joint(a.version()));
         assert_eq!(nodes_of(&progress, is_enter_joint), enter_joint);
         assert_eq!(nodes_of(&progress, is_commit), commit);
@@ -211,20 +214,20 @@
 }
 
 #[test]
-fn nodes_that_are_behind_are_told_and_texts_that_are_missing_are_fetched() {
+fn lagging_nodes_get_the_committed_configuration_and_missing_texts_are_fetched() {
     let one = config(1, "one");
     let cluster = cluster_of(&[idle(), AcceptorReport::default()]);
-    let progress = advance(&mut Proposer::new(OWN), &cluster, None);
+    let progress = advance(&mut Proposer::new(OWN_INCARNATION), &cluster, None);
     assert_eq!(progress.phase, ChangePhase::Idle);
     let [NodeRequest { node: 1, request }] = &progress.requests[..] else {
-        panic!("{progress:?}")
+        panic!("expected one request, to node 1: {progress:?}")
     };
     assert!(
         matches!(request, ConfigRequest::Commit { version, .. } if *version == one.version()),
         "{request:?}"
     );
     let no_documents = DocumentCache::default();
-    let mut proposer = Proposer::new(OWN);
+    let mut proposer = Proposer::new(OWN_INCARNATION);
     let progress = advance_with(&mut proposer, &cluster, None, &no_documents, false);
     let fetch = ConfigRequest::Fetch {
         version: one.version(),
@@ -239,7 +242,8 @@
     );
 }
 
-/// A ballot of another is left alone until it has had its time, and is then completed, not undone.
+/// The placer preempts the other placer's ballot only with `may_preempt`, and then proposes the configuration that the
+/// other one proposed, not its own.
 #[test]
 fn a_change_whose_proposer_failed_is_completed_by_another() {
     let (a, b) = (config(2, "a"), config(2, "b"));
@@ -253,7 +257,7 @@
         report(other, None),
     ];
     let cluster = cluster_of(&reports);
-    let mut proposer = Proposer::new(OWN);
+    let mut proposer = Proposer::new(OWN_INCARNATION);
     let progress = advance(&mut proposer, &cluster, Some(&b));
     assert_eq!(progress.requests, []);
     let progress = advance_with(&mut proposer, &cluster, Some(&b), &documents(), true);
@@ -273,14 +277,14 @@
 }
 
 #[test]
-fn ballots_are_for_voters_and_what_is_chosen_is_told_to_all_acceptors() {
+fn only_voters_get_ballots_and_all_acceptors_get_the_joint_phase() {
     let (a, b) = (config(2, "a"), config(2, "b"));
     let learner = AcceptorReport {
         is_learner: true,
         cannot_persist: true,
         ..AcceptorReport::default()
     };
-    let mut proposer = Proposer::new(OWN);
+    let mut proposer = Proposer::new(OWN_INCARNATION);
     let mut advance_with_fourth = |voters: [AcceptorReport; 3], fourth| {
         let [first, second, third] = voters;
         let cluster = with_three_voters(&[first, second, third, fourth, learner]);
@@ -289,15 +293,15 @@
     let progress = advance_with_fourth([idle(); 3], idle());
     assert_eq!(nodes_of(&progress, is_prepare), [0, 1, 2]);
     assert_eq!(progress.requests.len(), 3, "{progress:?}");
-    // Two voters have promised; a node that does not vote changes neither the count nor what is proposed.
-    let promised = report(FIRST, None);
-    let non_voter = report(FIRST, vote(1, &b));
+    // The promise and the vote of a non-voter count neither for the majority nor for the choice of the value.
+    let promised = report(FIRST_BALLOT, None);
+    let non_voter = report(FIRST_BALLOT, vote(1, &b));
     let progress = advance_with_fourth([promised, idle(), idle()], non_voter);
     assert_eq!(nodes_of(&progress, is_accept), Vec::<NodeNumber>::new());
     let progress = advance_with_fourth([promised, promised, idle()], non_voter);
     check_all_accept(&progress, &a);
     assert_eq!(nodes_of(&progress, is_accept), [0, 1, 2]);
-    let voted = report(FIRST, vote(1, &a));
+    let voted = report(FIRST_BALLOT, vote(1, &a));
     let progress = advance_with_fourth([voted, voted, idle()], idle());
     assert_eq!(progress.phase, ChangePhase::Joint(a.version()));
     assert_eq!(nodes_of(&progress, is_enter_joint), [0, 1, 2, 3]);
@@ -305,26 +309,29 @@
 }
 
 #[test]
-fn a_majority_of_the_voters_is_joint_before_anything_is_committed() {
+fn a_configuration_is_committed_only_after_a_majority_of_the_voters_is_joint() {
     let a = config(2, "a");
-    let (voted, joint) = (report(FIRST, vote(1, &a)), report(FIRST, joint(1, &a)));
+    let (voted, joint) = (
+        report(FIRST_BALLOT, vote(1, &a)),
+        report(FIRST_BALLOT, joint(1, &a)),
+    );
     for (reports, commit) in [
         ([joint, voted, voted, joint, joint], vec![]),
         ([joint, joint, voted, joint, voted], vec![0, 1, 3]),
     ] {
         let cluster = with_three_voters(&reports);
-        let progress = advance(&mut Proposer::new(OWN), &cluster, None);
+        let progress = advance(&mut Proposer::new(OWN_INCARNATION), &cluster, None);
         assert_eq!(nodes_of(&progress, is_commit), commit);
     }
 }
 
-/// A list that marks control machines which never had the committed configuration: they are told it, and nothing is chosen
-/// before a majority of them has it.
+/// A new node list may mark control machines that never had the committed configuration. They must get it first, and no
+/// value may be accepted before a majority of them has it.
 #[test]
 fn empty_voters_get_the_committed_configuration_before_they_vote() {
     let (one, two) = (config(1, "one"), config(2, "a"));
     let empty = AcceptorReport::default();
-    let mut proposer = Proposer::new(OWN);
+    let mut proposer = Proposer::new(OWN_INCARNATION);
     let cluster = with_three_voters(&[empty, empty, empty, idle(), idle()]);
     let progress = advance(&mut proposer, &cluster, Some(&two));
     assert_eq!(progress.requests.len(), 3, "{progress:?}");
@@ -334,21 +341,21 @@
             "{request:?}"
         );
     }
-    // One of three: a ballot may be prepared there, and nothing can be accepted.
+    // One of three voters has it: a ballot may be prepared there, but no value is proposed.
     let mut reports = [idle(), empty, empty, idle(), idle()];
     let progress = advance(&mut proposer, &with_three_voters(&reports), Some(&two));
     assert_eq!(nodes_of(&progress, is_commit), [1, 2]);
-    reports[0] = report(FIRST, None);
+    reports[0] = report(FIRST_BALLOT, None);
     let progress = advance(&mut proposer, &with_three_voters(&reports), Some(&two));
     assert_eq!(nodes_of(&progress, is_accept), Vec::<NodeNumber>::new());
 }
 
-/// Nodes that do not vote and learners report nothing that would start a ballot.
+/// The votes of non-voters are no reason to start a ballot.
 #[test]
-fn what_non_voters_accepted_without_a_choice_starts_no_ballot() {
-    let voted = report(FIRST, vote(1, &config(2, "b")));
+fn a_configuration_that_only_non_voters_accepted_starts_no_ballot() {
+    let voted = report(FIRST_BALLOT, vote(1, &config(2, "b")));
     let cluster = with_three_voters(&[idle(), idle(), idle(), voted, voted]);
-    let progress = advance(&mut Proposer::new(OWN), &cluster, None);
+    let progress = advance(&mut Proposer::new(OWN_INCARNATION), &cluster, None);
     assert_eq!(progress.phase, ChangePhase::Idle);
     assert_eq!(progress.requests, []);
 }
--- a/crates/plan/tests/compaction.rs
+++ b/crates/plan/tests/compaction.rs
@@ -1,4 +1,4 @@
-//! Requests without_next what their nodes have already, and what an acceptor makes of them.
+//! Requests that omit or shorten a text which their nodes have already, and how an acceptor applies them.
 
 use reedring_plan::{
     AcceptedVersion, AcceptorReport, AcceptorState, Ballot, ConfigDocument, ConfigRequest,
@@ -24,10 +24,12 @@
     ConfigDocument::new(number, &text).unwrap()
 }
 
+/// The configuration that is committed in these tests.
 fn one() -> ConfigDocument {
     config(1, &["a", "b"])
 }
 
+/// The successor of configuration 1, which differs from it in one tenant.
 fn two() -> ConfigDocument {
     config(2, &["a", "c"])
 }
@@ -64,7 +66,7 @@
     ConfigRequest::Fetch { version, have }
 }
 
-/// A node of version 3 that has committed configuration 1, and accepted this one.
+/// The report of a node that supports deltas (protocol version 3), has committed configuration 1 and accepted `next`.
 fn report(next: Option<&ConfigDocument>) -> AcceptorReport {
     let accepted = |document: &ConfigDocument| AcceptedVersion {
         ballot: BALLOT,
@@ -79,9 +81,9 @@
     }
 }
 
-/// The table of `RequestCompactor::compact`.
+/// Checks the rows of the table of `RequestCompactor::compact`.
 #[test]
-fn requests_leave_out_what_a_node_of_version_3_has() {
+fn requests_to_a_node_that_supports_deltas_omit_what_it_has() {
     let (one, two, rival, three) = (one(), two(), config(2, &["a", "d"]), config(3, &[]));
     let all_new = ConfigDocument::new(2, "[site]\nplacers = 9\n").unwrap();
     let delta = delta::between(&one, &two).unwrap();
@@ -91,64 +93,64 @@
         list: 4,
     };
     let shorter = by_delta(DeltaStep::Accept { ballot: BALLOT });
-    let without_next = report(None);
-    let has_two = report(Some(&two));
-    let has_rival = report(Some(&rival));
-    let elsewhere = AcceptorReport {
+    let none_accepted = report(None);
+    let two_accepted = report(Some(&two));
+    let rival_accepted = report(Some(&rival));
+    let other_committed = AcceptorReport {
         committed: rival.version(),
-        ..without_next
+        ..none_accepted
     };
     let (next, third) = (two.version(), three.version());
     for (request, report, expected) in [
         (
             fetch(next, None),
-            without_next,
+            none_accepted,
             fetch(next, Some(one.version())),
         ),
-        (fetch(third, None), without_next, fetch(third, None)),
+        (fetch(third, None), none_accepted, fetch(third, None)),
         (
             fetch(one.version(), None),
-            without_next,
+            none_accepted,
             fetch(one.version(), None),
         ),
-        (accept(&two), without_next, shorter.clone()),
-        (accept(&two), has_rival, shorter.clone()),
-        (accept(&two), elsewhere, accept(&two)),
-        (accept(&all_new), without_next, accept(&all_new)),
+        (accept(&two), none_accepted, shorter.clone()),
+        (accept(&two), rival_accepted, shorter.clone()),
+        (accept(&two), other_committed, accept(&two)),
+        (accept(&all_new), none_accepted, accept(&all_new)),
         (
             enter_joint(&two, two.text()),
-            has_two,
+            two_accepted,
             enter_joint(&two, ""),
         ),
         (
             enter_joint(&two, two.text()),
-            without_next,
+            none_accepted,
             by_delta(DeltaStep::EnterJoint),
         ),
         (
             enter_joint(&two, two.text()),
-            elsewhere,
+            other_committed,
             enter_joint(&two, two.text()),
         ),
         (
             enter_joint(&two, two.text()),
-            has_rival,
+            rival_accepted,
             by_delta(DeltaStep::EnterJoint),
         ),
-        (commit(&two, two.text()), has_two, commit(&two, "")),
+        (commit(&two, two.text()), two_accepted, commit(&two, "")),
         (
             commit(&two, two.text()),
-            without_next,
+            none_accepted,
             by_delta(DeltaStep::Commit),
         ),
         (
             commit(&two, two.text()),
-            elsewhere,
+            other_committed,
             commit(&two, two.text()),
         ),
         (
             commit(&two, two.text()),
-            has_rival,
+            rival_accepted,
             by_delta(DeltaStep::Commit),
         ),
     ] {
@@ -157,12 +159,12 @@
             compactor.compact(request.clone(), &report, Some(&one)),
             expected
         );
-        // The same for the next node, of what was cached.
+        // The result for the next node, which uses the cached delta, is the same.
         assert_eq!(
             compactor.compact(request.clone(), &report, Some(&one)),
             expected
         );
-        // One that reads no deltas is asked as it always was.
+        // For a node that does not support deltas the request is unchanged.
         let without_deltas = AcceptorReport {
             reads_deltas: false,
             ..report
@@ -171,7 +173,7 @@
             compactor.compact(request.clone(), &without_deltas, Some(&one)),
             request
         );
-        // Where the text of no configuration is here, nothing is shortened by it.
+        // Without a base there is no delta, so only a text that the node has accepted can be omitted.
         let without_base = compactor.compact(request.clone(), &report, None);
         if matches!(
             request,
@@ -183,9 +185,9 @@
     }
 }
 
-/// In every state, a request by delta does the very same as the one with the text, or is rejected as that is.
+/// Checks the equivalence for each kind of request in states where it is applied and where it is rejected.
 #[test]
-fn a_request_by_delta_does_what_the_one_with_the_text_does() {
+fn a_request_by_delta_has_the_same_result_as_the_one_with_the_text() {
     let (one, two) = (one(), two());
     let delta = delta::between(&one, &two).unwrap();
     let start = AcceptorState::default()
@@ -228,9 +230,9 @@
 }
 
 #[test]
-fn a_delta_that_does_not_fit_is_rejected_and_changes_nothing() {
+fn a_delta_with_another_base_or_another_result_is_rejected() {
     let (one, two, other) = (one(), two(), config(1, &["x"]));
-    let right = delta::between(&one, &two).unwrap();
+    let valid_delta = delta::between(&one, &two).unwrap();
     let request = |delta| ConfigRequest::ByDelta {
         step: DeltaStep::Accept { ballot: BALLOT },
         delta,
@@ -238,50 +240,52 @@
     };
     let empty = AcceptorState::default();
     assert_eq!(
-        empty.apply(&request(right.clone()), true),
+        empty.apply(&request(valid_delta.clone()), true),
         Err(RequestRejection::CommittedMismatch(ConfigVersion::default()))
     );
-    let elsewhere = empty.apply(&commit(&other, other.text()), true).unwrap();
+    let other_committed = empty.apply(&commit(&other, other.text()), true).unwrap();
     assert_eq!(
-        elsewhere.apply(&request(right.clone()), true),
+        other_committed.apply(&request(valid_delta.clone()), true),
         Err(RequestRejection::CommittedMismatch(other.version()))
     );
     let here = empty.apply(&commit(&one, one.text()), true).unwrap();
-    let mut wrong = right.clone();
-    wrong.edits.retain(|edit| matches!(edit, Edit::Put { .. }));
+    let mut wrong_delta = valid_delta.clone();
+    wrong_delta
+        .edits
+        .retain(|edit| matches!(edit, Edit::Put { .. }));
     assert!(matches!(
-        here.apply(&request(wrong), true),
+        here.apply(&request(wrong_delta), true),
         Err(RequestRejection::Delta(_))
     ));
 }
 
-/// Without its text a request is for those that have accepted the configuration: no other one, and none at all, comes of
-/// it.
+/// A request without a text has the result of the one with the text where the configuration is accepted, and is
+/// rejected everywhere else.
 #[test]
-fn a_request_without_its_text_is_of_use_only_where_the_configuration_is_accepted() {
+fn a_request_without_a_text_is_applied_only_where_the_configuration_is_accepted() {
     let (one, two, rival) = (one(), two(), config(2, &["a", "d"]));
     let start = AcceptorState::default()
         .apply(&commit(&one, one.text()), true)
         .unwrap();
-    let document = start.apply(&accept(&two), true).unwrap();
+    let accepted = start.apply(&accept(&two), true).unwrap();
     for request in [
         enter_joint as fn(&ConfigDocument, &str) -> ConfigRequest,
         commit,
     ] {
         assert_eq!(
-            document.apply(&request(&two, ""), true),
-            document.apply(&request(&two, two.text()), true)
+            accepted.apply(&request(&two, ""), true),
+            accepted.apply(&request(&two, two.text()), true)
         );
         assert!(matches!(
             start.apply(&request(&two, ""), true),
             Err(RequestRejection::Document(_))
         ));
         assert!(matches!(
-            document.apply(&request(&rival, ""), true),
+            accepted.apply(&request(&rival, ""), true),
             Err(RequestRejection::Document(_))
         ));
     }
-    let chosen = document.apply(&enter_joint(&two, ""), true).unwrap();
+    let chosen = accepted.apply(&enter_joint(&two, ""), true).unwrap();
     assert_eq!(
         chosen
             .apply(&commit(&two, ""), true)
@@ -292,20 +296,20 @@
 }
 
 #[test]
-fn an_acceptor_has_a_delta_only_from_the_committed_configuration_to_the_next() {
+fn an_acceptor_returns_a_delta_only_from_the_committed_configuration_to_the_accepted_one() {
     let (one, two, three) = (one(), two(), config(3, &["a"]));
     let start = AcceptorState::default()
         .apply(&commit(&one, one.text()), true)
         .unwrap();
-    let document = start.apply(&accept(&two), true).unwrap();
+    let accepted = start.apply(&accept(&two), true).unwrap();
     assert_eq!(
-        document.delta(one.version(), two.version()),
+        accepted.delta(one.version(), two.version()),
         delta::between(&one, &two).ok()
     );
     assert_eq!(start.delta(one.version(), two.version()), None);
-    assert_eq!(document.delta(one.version(), three.version()), None);
+    assert_eq!(accepted.delta(one.version(), three.version()), None);
     assert_eq!(
-        document.delta(config(1, &["x"]).version(), two.version()),
+        accepted.delta(config(1, &["x"]).version(), two.version()),
         None
     );
 }
--- a/crates/plan/tests/delta.rs
+++ b/crates/plan/tests/delta.rs
@@ -1,4 +1,4 @@
-//! Deltas between configurations: what they make, what they reject, and their bytes.
+//! Deltas between configurations: their results, their errors, and their encoding in a frame.
 
 use proptest::prelude::*;
 use reedring_node_protocol::{FrameDecoder, Message, decode, encode};
@@ -8,8 +8,8 @@
     Table,
 };
 
-/// Teams of the target size.
-const TEAMS: usize = 590;
+/// The number of tenants of a site of the target size.
+const TENANTS: usize = 590;
 
 fn config(number: u64, text: &str) -> ConfigDocument {
     ConfigDocument::new(number, text).unwrap()
@@ -40,21 +40,21 @@
     )
 }
 
-/// A site with that many teams, of 30 classes.
-fn teams(names: &[String], aim: u32) -> String {
+/// The text of a site with these tenants and 30 classes, whose `aim` starts at `aim` milliseconds.
+fn site_text(names: &[String], aim: u32) -> String {
     let mut sections = vec![site(350)];
     sections.extend((0..30).map(|n| class(&format!("class-{n}"), aim + n)));
     sections.extend(names.iter().map(|name| tenant(name)));
     text_of(&sections)
 }
 
-fn names() -> Vec<String> {
-    (0..TEAMS)
+fn tenant_names() -> Vec<String> {
+    (0..TENANTS)
         .map(|n| format!("team-{n:03}-of-the-site"))
         .collect()
 }
 
-/// Sections of random tables and names; values have what is hard to tell from a header.
+/// Sections of random tables and names. Some values contain text that looks like a section header.
 fn sections() -> impl Strategy<Value = Vec<String>> {
     let value = prop_oneof![
         "[a-z0-9]{0,8}".prop_map(|value| format!("\"{value}\"")),
@@ -89,26 +89,26 @@
 }
 
 proptest! {
-    /// Whatever two texts of sections say, and in whichever order: the delta makes the second of the first.
+    /// For any two lists of sections, in any order, the delta turns the first text into the second.
     #[test]
-    fn a_delta_makes_the_very_text_of_its_target(old in sections(), new in sections(), turn in any::<prop::sample::Index>()) {
-        let mut turned = new.clone();
-        turned.rotate_left(turn.index(new.len()));
-        for target in [&new, &turned] {
+    fn a_delta_yields_exactly_the_text_of_its_target(old in sections(), new in sections(), rotation in any::<prop::sample::Index>()) {
+        let mut rotated = new.clone();
+        rotated.rotate_left(rotation.index(new.len()));
+        for target in [&new, &rotated] {
             let (base, target) = (config(7, &text_of(&old)), config(8, &text_of(target)));
             let delta = between(&base, &target).unwrap();
-            let made = apply(&base, &delta).unwrap();
-            prop_assert_eq!(made.text(), target.text());
-            prop_assert_eq!(made.version(), target.version());
+            let result = apply(&base, &delta).unwrap();
+            prop_assert_eq!(result.text(), target.text());
+            prop_assert_eq!(result.version(), target.version());
             let frame = encode(&Message::ConfigDelta(delta.clone()));
             prop_assert_eq!(frame.len(), 12 + delta.encoded_len());
             prop_assert_eq!(decode(&frame).unwrap(), Message::ConfigDelta(delta));
         }
     }
 
-    /// A delta that was changed on its way in any field makes its target or nothing.
+    /// A delta with a changed position or a missing edit yields its target or an error, never another configuration.
     #[test]
-    fn a_faulty_delta_makes_nothing(old in sections(), new in sections(), at in 0..20_u16, edit in any::<prop::sample::Index>()) {
+    fn a_changed_delta_never_yields_another_configuration(old in sections(), new in sections(), new_position in 0..20_u16, edit in any::<prop::sample::Index>()) {
         let (base, target) = (config(7, &text_of(&old)), config(8, &text_of(&new)));
         let mut delta = between(&base, &target).unwrap();
         if delta.edits.is_empty() {
@@ -116,54 +116,54 @@
         }
         let edit = edit.index(delta.edits.len());
         match &mut delta.edits[edit] {
-            Edit::Put { at: place, .. } => *place = at,
+            Edit::Put { at, .. } => *at = new_position,
             Edit::Remove { .. } => drop(delta.edits.remove(edit)),
         }
-        if let Ok(made) = apply(&base, &delta) {
-            prop_assert_eq!(made, target);
+        if let Ok(result) = apply(&base, &delta) {
+            prop_assert_eq!(result, target);
         }
     }
 }
 
 #[test]
-fn a_chain_of_deltas_makes_the_last_text() {
-    let mut teams_now = names();
-    let mut plans = vec![config(1, &teams(&teams_now, 100))];
-    teams_now.remove(17);
-    teams_now.insert(3, "new".to_owned());
-    plans.push(config(2, &teams(&teams_now, 100)));
-    teams_now.swap(40, 41);
-    plans.push(config(3, &teams(&teams_now, 200)));
-    let deltas: Vec<Delta> = plans
+fn a_chain_of_deltas_yields_the_last_text() {
+    let mut names = tenant_names();
+    let mut documents = vec![config(1, &site_text(&names, 100))];
+    names.remove(17);
+    names.insert(3, "new".to_owned());
+    documents.push(config(2, &site_text(&names, 100)));
+    names.swap(40, 41);
+    documents.push(config(3, &site_text(&names, 200)));
+    let deltas: Vec<Delta> = documents
         .windows(2)
         .map(|pair| between(&pair[0], &pair[1]).unwrap())
         .collect();
-    let made = deltas
-        .iter()
-        .fold(plans[0].clone(), |base, delta| apply(&base, delta).unwrap());
-    assert_eq!(made, plans[2]);
-    // One that is left out, or comes twice, is refused.
-    let skipped = apply(&plans[0], &deltas[1]).unwrap_err();
+    let last = deltas.iter().fold(documents[0].clone(), |base, delta| {
+        apply(&base, delta).unwrap()
+    });
+    assert_eq!(last, documents[2]);
+    // A chain in which a delta is missing or repeated is rejected.
+    let skipped = apply(&documents[0], &deltas[1]).unwrap_err();
     assert_eq!(
         skipped,
         DeltaError::BaseMismatch {
-            expected: plans[1].version(),
-            found: plans[0].version()
+            expected: documents[1].version(),
+            found: documents[0].version()
         }
     );
-    let again = apply(&made, &deltas[1]).unwrap_err();
+    let repeated = apply(&last, &deltas[1]).unwrap_err();
     assert_eq!(
-        again,
+        repeated,
         DeltaError::BaseMismatch {
-            expected: plans[1].version(),
-            found: plans[2].version()
+            expected: documents[1].version(),
+            found: documents[2].version()
         }
     );
 }
 
-/// A delta says what the target is, in whichever order its edits stand.
+/// The order of a delta's edits has no meaning, because each put has its position.
 #[test]
-fn the_order_of_the_edits_does_not_matter() {
+fn the_order_of_the_edits_does_not_change_the_result() {
     let base = config(
         1,
         &text_of(&[site(3), tenant("a"), tenant("b"), tenant("c")]),
@@ -179,31 +179,31 @@
 }
 
 #[test]
-fn only_what_changed_is_named_and_what_moved_is_one_edit() {
-    let (mut old, keys) = (names(), |delta: &Delta| -> Vec<String> {
+fn a_delta_has_edits_only_for_changed_sections_and_one_for_a_moved_section() {
+    let (mut names, keys) = (tenant_names(), |delta: &Delta| -> Vec<String> {
         delta
             .edits
             .iter()
             .map(|edit| edit.key().to_string())
             .collect()
     });
-    let base = config(1, &teams(&old, 100));
+    let base = config(1, &site_text(&names, 100));
     assert_eq!(between(&base, &config(2, base.text())).unwrap().edits, []);
-    old.swap(40, 41);
-    let swapped = between(&base, &config(2, &teams(&old, 100))).unwrap();
+    names.swap(40, 41);
+    let swapped = between(&base, &config(2, &site_text(&names, 100))).unwrap();
     assert_eq!(keys(&swapped).len(), 1, "{swapped:?}");
-    old.swap(40, 41);
-    let last = old.pop().unwrap();
-    let removed = between(&base, &config(2, &teams(&old, 100))).unwrap();
+    names.swap(40, 41);
+    let last = names.pop().unwrap();
+    let removed = between(&base, &config(2, &site_text(&names, 100))).unwrap();
     assert_eq!(keys(&removed), [format!("tenant \"{last}\"")]);
     assert!(matches!(removed.edits[0], Edit::Remove { .. }));
 }
 
-/// The target size: what one team's change costs beside the text.
+/// At the target size, the delta for the change of one tenant must be far shorter than the whole text.
 #[test]
-fn the_change_of_one_team_among_590_is_under_300_bytes() {
-    let old = names();
-    let base = config(1, &teams(&old, 100));
+fn the_delta_for_one_tenant_of_590_has_less_than_300_bytes() {
+    let old = tenant_names();
+    let base = config(1, &site_text(&old, 100));
     let mut added = old.clone();
     added.insert(300, "team-new-of-the-site".to_owned());
     let mut renamed = old.clone();
@@ -214,10 +214,10 @@
         .cloned()
         .collect();
     for target in [added, renamed, removed] {
-        let delta = between(&base, &config(2, &teams(&target, 100))).unwrap();
+        let delta = between(&base, &config(2, &site_text(&target, 100))).unwrap();
         let bytes = encode(&Message::ConfigDelta(delta)).len();
         println!(
-            "a delta of {bytes} bytes beside a text of {}",
+            "the delta has {bytes} bytes, the text has {}",
             base.text().len()
         );
         assert!(bytes < 300, "{bytes}");
@@ -225,10 +225,10 @@
     }
 }
 
-/// Every faulty delta is named with the place, and makes nothing.
+/// Each kind of invalid delta is rejected with an error that names the section or the versions.
 #[test]
 #[allow(clippy::too_many_lines, reason = "a table of cases")]
-fn a_delta_that_cannot_be_applied_says_where() {
+fn the_error_of_a_delta_that_cannot_be_applied_names_the_place() {
     let base = config(
         1,
         &text_of(&[site(3), class("web", 100), tenant("a"), tenant("b")]),
@@ -237,11 +237,11 @@
         2,
         &text_of(&[site(3), class("web", 100), tenant("a"), tenant("c")]),
     );
-    let right = between(&base, &target).unwrap();
-    assert_eq!(apply(&base, &right).unwrap(), target);
-    let with = |edits: Vec<Edit>| Delta {
+    let valid = between(&base, &target).unwrap();
+    assert_eq!(apply(&base, &valid).unwrap(), target);
+    let with_edits = |edits: Vec<Edit>| Delta {
         edits,
-        ..right.clone()
+        ..valid.clone()
     };
     let put = |name: &str, at: u16, text: &str| Edit::Put {
         key: tenant_key(name),
@@ -251,91 +251,91 @@
     let remove = |name: &str| Edit::Remove {
         key: tenant_key(name),
     };
-    let numbered = |number| Delta {
+    let with_target_number = |number| Delta {
         target: ConfigVersion {
             number,
-            ..right.target
+            ..valid.target
         },
-        ..right.clone()
+        ..valid.clone()
     };
-    let other = ConfigVersion {
+    let other_version = ConfigVersion {
         number: 1,
         digest: ConfigDigest([9; 16]),
     };
-    let section = |name: &str, line, error| DeltaError::InvalidSection {
+    let invalid_section = |name: &str, line, error| DeltaError::InvalidSection {
         key: tenant_key(name),
         line,
         error,
     };
-    let other_base = DeltaError::BaseMismatch {
-        expected: other,
+    let base_mismatch = DeltaError::BaseMismatch {
+        expected: other_version,
         found: base.version(),
     };
-    let long = "x".repeat(MAX_PLAN);
-    let two = format!("{}\n{}", tenant("c"), tenant("d"));
+    let too_long = "x".repeat(MAX_PLAN);
+    let two_sections = format!("{}\n{}", tenant("c"), tenant("d"));
     let cases = [
         (
             Delta {
-                base: other,
-                ..right.clone()
+                base: other_version,
+                ..valid.clone()
             },
-            other_base,
+            base_mismatch,
             "the delta changes plan 1/09090909, not plan 1/",
         ),
         (
-            numbered(1),
+            with_target_number(1),
             DeltaError::NumberGap { base: 1, target: 1 },
             "plan 1 can't follow plan 1: the next number is 2",
         ),
         (
-            numbered(3),
+            with_target_number(3),
             DeltaError::NumberGap { base: 1, target: 3 },
             "plan 3 can't follow plan 1: the next number is 2",
         ),
         (
-            numbered(0),
+            with_target_number(0),
             DeltaError::NumberGap { base: 1, target: 0 },
             "plan 0 can't follow plan 1",
         ),
         (
-            with(vec![remove("x")]),
+            with_edits(vec![remove("x")]),
             DeltaError::UnknownSection {
                 key: tenant_key("x"),
             },
-            "tenant \"x\": it is to be removed and is not there",
+            "tenant \"x\": the delta removes this section, which the base does not have",
         ),
         (
-            with(vec![remove("b"), put("b", 3, &tenant("b"))]),
+            with_edits(vec![remove("b"), put("b", 3, &tenant("b"))]),
             DeltaError::DuplicateEdit {
                 key: tenant_key("b"),
             },
-            "tenant \"b\": two edits of one delta change it",
+            "tenant \"b\": two edits of one delta change this section",
         ),
         (
-            with(vec![put("c", 3, &tenant("c")), put("c", 4, &tenant("c"))]),
+            with_edits(vec![put("c", 3, &tenant("c")), put("c", 4, &tenant("c"))]),
             DeltaError::DuplicateEdit {
                 key: tenant_key("c"),
             },
             "tenant \"c\": two edits",
         ),
         (
-            with(vec![remove("b"), remove("b")]),
+            with_edits(vec![remove("b"), remove("b")]),
             DeltaError::DuplicateEdit {
                 key: tenant_key("b"),
             },
             "tenant \"b\"",
         ),
         (
-            with(vec![put("c", 5, &tenant("c"))]),
+            with_edits(vec![put("c", 5, &tenant("c"))]),
             DeltaError::PositionPastEnd {
                 key: tenant_key("c"),
                 position: 5,
                 sections: 4,
             },
-            "tenant \"c\": it is to be section 5, and only 4 stand before it",
+            "tenant \"c\": the delta puts this section at position 5, and 4 sections come before it",
         ),
         (
-            with(vec![put("c", 2, &tenant("c")), put("d", 2, &tenant("d"))]),
+            with_edits(vec![put("c", 2, &tenant("c")), put("d", 2, &tenant("d"))]),
             DeltaError::PositionPastEnd {
                 key: tenant_key("d"),
                 position: 2,
@@ -344,73 +344,76 @@
             "tenant \"d\"",
         ),
         (
-            with(vec![put("c", 3, "")]),
-            section("c", 1, SectionError::MissingHeader),
+            with_edits(vec![put("c", 3, "")]),
+            invalid_section("c", 1, SectionError::MissingHeader),
             "tenant \"c\", line 1: a section begins",
         ),
         (
-            with(vec![put("c", 3, "[plan]\nnumber = 3\n")]),
-            section("c", 1, SectionError::MissingHeader),
+            with_edits(vec![put("c", 3, "[plan]\nnumber = 3\n")]),
+            invalid_section("c", 1, SectionError::MissingHeader),
             "line 1",
         ),
         (
-            with(vec![put("c", 3, "[[tenant]]\n")]),
-            section("c", 2, SectionError::MissingName),
+            with_edits(vec![put("c", 3, "[[tenant]]\n")]),
+            invalid_section("c", 2, SectionError::MissingName),
             "tenant \"c\", line 2",
         ),
         (
-            with(vec![put("c", 3, &tenant("d"))]),
-            section("c", 2, SectionError::KeyMismatch),
+            with_edits(vec![put("c", 3, &tenant("d"))]),
+            invalid_section("c", 2, SectionError::KeyMismatch),
             "tenant \"c\", line 2",
         ),
         (
-            with(vec![put("c", 3, &class("c", 1))]),
-            section("c", 2, SectionError::KeyMismatch),
+            with_edits(vec![put("c", 3, &class("c", 1))]),
+            invalid_section("c", 2, SectionError::KeyMismatch),
             "those of another section",
         ),
         (
-            with(vec![put("c", 3, &two)]),
-            section("c", 4, SectionError::SecondSection),
+            with_edits(vec![put("c", 3, &two_sections)]),
+            invalid_section("c", 4, SectionError::SecondSection),
             "line 4: another section begins",
         ),
         (
-            with(vec![put("c", 3, tenant("c").trim_end())]),
-            section("c", 1, SectionError::MissingSeparator),
-            "one empty line",
+            with_edits(vec![put("c", 3, tenant("c").trim_end())]),
+            invalid_section("c", 1, SectionError::MissingSeparator),
+            "exactly one empty line",
         ),
         (
-            with(vec![put("c", 3, "[[tenant]]\nname = \"c\nrepeat = 1\n")]),
-            section("c", 1, SectionError::UnterminatedString),
-            "a string does not end",
+            with_edits(vec![put("c", 3, "[[tenant]]\nname = \"c\nrepeat = 1\n")]),
+            invalid_section("c", 1, SectionError::UnterminatedString),
+            "a string has no closing delimiter",
         ),
         (
-            with(vec![put("c", 3, &long)]),
+            with_edits(vec![put("c", 3, &too_long)]),
             DeltaError::TooLong {
                 bytes: MAX_PLAN + 61,
             },
-            "at most 49152 fit",
+            "at most 49152 are allowed",
         ),
         (
-            with(vec![remove("b")]),
+            with_edits(vec![remove("b")]),
             DeltaError::InvalidTarget(DocumentError::DigestMismatch {
                 number: 2,
                 found: config(2, &text_of(&[site(3), class("web", 100), tenant("a")]))
                     .version()
                     .digest,
-                expected: right.target.digest,
+                expected: valid.target.digest,
             }),
             "what comes of the delta: plan 2: the text has digest",
         ),
     ];
-    for (delta, expected, words) in cases {
+    for (delta, expected, message_part) in cases {
         let error = apply(&base, &delta).unwrap_err();
         assert_eq!(error, expected);
-        assert!(error.to_string().contains(words), "{error} lacks {words:?}");
+        assert!(
+            error.to_string().contains(message_part),
+            "the message {error} lacks {message_part:?}"
+        );
     }
 }
 
 #[test]
-fn a_text_that_would_grow_over_the_bound_is_refused() {
+fn a_delta_whose_result_is_over_the_size_limit_is_rejected() {
     let full = format!(
         "[[constraint]]\nname = \"long\"\ntext = \"{}\"\n",
         "x".repeat(MAX_PLAN - 300)
@@ -451,9 +454,10 @@
     );
 }
 
-/// No delta is made of what it could not give back byte for byte; a delta over the bound is none.
+/// There is no delta for a text that can't be restored byte for byte from its sections, for numbers that do not follow
+/// each other, and if the delta would be over the size limit.
 #[test]
-fn texts_that_are_no_list_of_sections_have_no_delta() {
+fn there_is_no_delta_for_unstructured_texts_number_gaps_and_oversized_changes() {
     let good = config(1, &text_of(&[site(3), tenant("a")]));
     let long_name = tenant(&"n".repeat(300));
     for (text, line, error) in [
@@ -546,17 +550,19 @@
             }
         );
     }
-    // Everything anew: as many bytes as the text, and a key and a place for each section.
+    // If every section is replaced, the delta has the bytes of the text, and a key and a position for each section.
     let (old, new): (Vec<String>, Vec<String>) = (0..1_200)
         .map(|n| (format!("old-{n:04}-team"), format!("new-{n:04}-team")))
         .unzip();
-    let error = between(&config(1, &teams(&old, 1)), &config(2, &teams(&new, 1))).unwrap_err();
+    let base = config(1, &site_text(&old, 1));
+    let target = config(2, &site_text(&new, 1));
+    let error = between(&base, &target).unwrap_err();
     assert!(matches!(error, DeltaError::TooLong { .. }), "{error}");
 }
 
-/// The frame: cut at any byte it is no message yet, with any bit flipped it never is one.
+/// A frame that is cut at any byte is incomplete, and one with any flipped bit is invalid.
 #[test]
-fn a_delta_that_is_cut_or_garbled_is_never_read() {
+fn a_truncated_or_changed_delta_frame_is_rejected() {
     let base = config(
         1,
         &text_of(&[site(3), class("web", 100), tenant("a"), tenant("b")]),
@@ -572,25 +578,25 @@
         reader.push(&frame[..cut]);
         assert!(matches!(reader.next_message(), Ok(None)), "cut at {cut}");
     }
-    for at in 0..frame.len() {
+    for offset in 0..frame.len() {
         for bit in 0..8 {
-            let mut garbled = frame.clone();
-            garbled[at] ^= 1 << bit;
-            assert!(decode(&garbled).is_err(), "bit {bit} of byte {at}");
+            let mut changed = frame.clone();
+            changed[offset] ^= 1 << bit;
+            assert!(decode(&changed).is_err(), "bit {bit} of byte {offset}");
         }
     }
-    // A body that was cut before it was framed has a checksum that fits, and is refused by its fields.
+    // A body that was truncated before it was framed has a valid length and checksum, and is rejected by its fields.
     for cut in 8..frame.len() - 4 {
         let mut short = frame[..cut].to_vec();
         short[..4].copy_from_slice(&((cut - 8) as u32).to_be_bytes());
-        let sum = crc32c::crc32c(&short).to_be_bytes();
-        short.extend(sum);
+        let checksum = crc32c::crc32c(&short).to_be_bytes();
+        short.extend(checksum);
         assert!(decode(&short).is_err(), "body cut at {cut}");
     }
-    // Nor is it read from a frame of a version that has no deltas.
-    let mut old = frame[..frame.len() - 4].to_vec();
-    old[4] = 2;
-    let sum = crc32c::crc32c(&old).to_be_bytes();
-    old.extend(sum);
-    assert!(decode(&old).is_err());
+    // A delta in a frame of protocol version 2, which has no deltas, is rejected.
+    let mut old_version = frame[..frame.len() - 4].to_vec();
+    old_version[4] = 2;
+    let checksum = crc32c::crc32c(&old_version).to_be_bytes();
+    old_version.extend(checksum);
+    assert!(decode(&old_version).is_err());
 }
--- a/crates/plan/tests/golden.rs
+++ b/crates/plan/tests/golden.rs
@@ -1,11 +1,11 @@
-//! Acceptor states that commit 073fcce wrote: what a node has on its disk opens with equal values, and is written
-//! again with equal bytes. The files are never written anew.
+//! Stored acceptor states of an earlier build, which a node may still have on its disk: they must be read with equal
+//! values and written with equal bytes. The golden files are never regenerated.
 
 use std::collections::BTreeMap;
 
 use reedring_plan::*;
 
-fn plan(number: u64, text: &str) -> ConfigDocument {
+fn config(number: u64, text: &str) -> ConfigDocument {
     ConfigDocument::new(number, text).unwrap()
 }
 
@@ -24,20 +24,21 @@
     "[site]\nplacers = 4\n"
 }
 
-/// A state in each phase of a change, by the orders that lead to it, with the file that holds it.
+/// A state in each phase of a change, made by the requests that lead to it, with its name and the golden file of it.
 fn states() -> Vec<(&'static str, &'static [u8], AcceptorState)> {
-    let (one, two) = (plan(1, first_text()), plan(2, second_text()));
+    let (one, two) = (config(1, first_text()), config(2, second_text()));
     let (follows, version) = (one.version(), two.version());
     let text = || second_text().to_owned();
-    let force = |kept: &ConfigDocument, list| ConfigRequest::Commit {
-        version: kept.version(),
-        text: kept.text().to_owned(),
+    let commit = |document: &ConfigDocument, list| ConfigRequest::Commit {
+        version: document.version(),
+        text: document.text().to_owned(),
         list,
     };
-    let after = |memory: &AcceptorState, order: ConfigRequest| memory.apply(&order, true).unwrap();
+    let after =
+        |state: &AcceptorState, request: ConfigRequest| state.apply(&request, true).unwrap();
 
     let empty = AcceptorState::default();
-    let first = after(&empty, force(&one, 40));
+    let first = after(&empty, commit(&one, 40));
     let promised = after(
         &first,
         ConfigRequest::Prepare {
@@ -65,14 +66,14 @@
             list: 42,
         },
     );
-    let done = after(&joint, force(&two, 43));
+    let second = after(&joint, commit(&two, 43));
     vec![
         ("empty", include_bytes!("golden/empty.bin"), empty),
         ("first", include_bytes!("golden/first.bin"), first),
         ("promised", include_bytes!("golden/promised.bin"), promised),
         ("accepted", include_bytes!("golden/accepted.bin"), accepted),
         ("joint", include_bytes!("golden/joint.bin"), joint),
-        ("done", include_bytes!("golden/done.bin"), done),
+        ("done", include_bytes!("golden/done.bin"), second),
         (
             "each-field",
             include_bytes!("golden/each-field.bin"),
@@ -81,28 +82,28 @@
     ]
 }
 
-/// Every field with a value that no other field has.
+/// A state in which every field has a value of its own, so that swapped fields are detected.
 fn each_field() -> AcceptorState {
-    let seen = |n: u64| PlacerSighting {
+    let sighting = |n: u64| PlacerSighting {
         level: 2 + n,
         at_s: 1_700_000_000 + n,
         build: 0xdead_0000 + n as u32,
     };
-    let seen: BTreeMap<u64, PlacerSighting> = (0..5)
-        .map(|n| (n * 0x0101_0101_0101_0101, seen(n)))
+    let placers: BTreeMap<u64, PlacerSighting> = (0..5)
+        .map(|n| (n * 0x0101_0101_0101_0101, sighting(n)))
         .collect();
     AcceptorState {
-        committed: Some(plan(0x1122_3344_5566, first_text())),
+        committed: Some(config(0x1122_3344_5566, first_text())),
         accepted: Some(AcceptedConfig {
             ballot: ballot(5),
-            document: plan(0x1122_3344_5567, second_text()),
+            document: config(0x1122_3344_5567, second_text()),
             joint: true,
         }),
         promised: ballot(6),
         list_revision: 0x0a0b_0c0d_0e0f,
         replaced_configs: 0x0102_0304,
         installed_by_catch_up: true,
-        placers: seen,
+        placers,
     }
 }
 
@@ -111,15 +112,18 @@
     for (name, bytes, state) in states() {
         assert!(
             AcceptorState::decode(bytes).as_ref() == Ok(&state),
-            "{name} is read as another state"
+            "golden/{name}.bin is read as another state"
+        );
+        assert!(
+            state.encode() == bytes,
+            "the state of golden/{name}.bin is encoded as other bytes"
         );
-        assert!(state.encode() == bytes, "{name} is written as other bytes");
     }
 }
 
-/// What placers are told of a state, and which offers it admits, follow from the same bytes.
+/// The floors, which decide about the offers that a node admits, follow from the stored bytes.
 #[test]
-fn golden_states_keep_their_floors() {
+fn golden_states_have_the_expected_floors() {
     let floors = [0, 2, 2, 2, 3, 4, 0x1122_3344_5567 * 2 - 1];
     let states = states();
     assert_eq!(states.len(), floors.len());
@@ -132,12 +136,13 @@
     }
 }
 
-/// A plan's version holds the digest of its text: other digests would make all that is stored unreadable.
+/// Stored configurations are verified by the digest of their text, so another digest function would make every stored
+/// state unreadable.
 #[test]
-fn golden_digests_are_those_of_their_texts() {
+fn the_digests_of_the_golden_texts_are_unchanged() {
     let digests = [(first_text(), FIRST_DIGEST), (second_text(), SECOND_DIGEST)];
     for (text, digest) in digests {
-        assert_eq!(plan(1, text).version().digest, ConfigDigest(digest));
+        assert_eq!(config(1, text).version().digest, ConfigDigest(digest));
     }
 }
 
