--- a/crates/plan/tests/learners.rs
+++ b/crates/plan/tests/learners.rs
@@ -1,11 +1,11 @@
-//! A change of the configuration where three control machines vote and two nodes learn, one of them warming up, with
-//! every interleaving explored: two placers that propose two configurations of one number or complete each other's,
-//! views of the voters and learners that grow old, an offer that comes late. `model.rs` explores ballots with more
-//! faults.
+//! Model checking of a configuration change with three voting control machines and two learners, one of which is
+//! warming up. Every interleaving of these events is explored: two placers propose two configurations of one number or
+//! complete each other's change, placers use outdated reports of voters and learners, an offer is delayed. `model.rs`
+//! explores ballots with more faults.
 //!
-//! Placers go by [`Proposer`], [`lease_state`] and [`dispatch_block`], voters answer by [`AcceptorState::apply`] and
-//! learners by [`LearnerState`]; what is modelled is the order of events. The same model with a rule taken away must
-//! fail.
+//! Placers use [`Proposer`], [`lease_state`] and [`dispatch_block`], voters use [`AcceptorState::apply`] and learners
+//! [`LearnerState`]; only the order of events is modelled. The tests also check that the same model violates a property
+//! once one of the rules is disabled.
 
 use std::collections::BTreeSet;
 
@@ -19,95 +19,105 @@
 
 const VOTERS: usize = 3;
 const LEARNERS: usize = 2;
-/// The learner that is warming up; the other one is warm.
+/// The index of the learner that is warming up; the other one is warm.
 const WARMING_UP: usize = 0;
-/// One tick of the clock, which is the slow-start window.
+/// The length of the slow-start window, which is also that of one tick of the model's clock.
 const WINDOW_MS: u64 = 1_000;
-/// The greatest round of a ballot that is explored.
+/// States with a ballot of a greater round are not explored.
 const MAX_ROUND: u64 = 2;
 
-/// The floor of a learner, and when it rose.
+/// The floor of a learner, and the tick at which it rose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct LearnerFloor {
     state: LearnerState,
     rose_at: u8,
 }
 
+/// A placer of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Placer {
     proposer: Proposer,
-    /// By what it acts, as it saw the voters at its last evaluation.
+    /// The configuration that the placer applies since its last evaluation of the voters' reports.
     active: ActiveVersion,
-    /// The last report of each learner.
-    reported: [LearnerFloor; LEARNERS],
-    /// Offers that have not arrived.
+    /// The floor in the last report of each learner.
+    reported_floors: [LearnerFloor; LEARNERS],
+    /// Offers that were sent and have not arrived yet.
     delayed: Vec<DelayedOffer>,
 }
 
+/// An offer to a learner, stamped with the version that its placer applied when it sent the offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct DelayedOffer {
     learner: usize,
     version: ActiveVersion,
 }
 
+/// A learner of the model, with what the properties need to know about its offers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Learner {
     floor: LearnerFloor,
-    /// The greatest version level of the offers that it admitted.
+    /// The greatest version level of the offers that the learner admitted.
     greatest_level: u64,
-    /// Numbers of the configurations by which it admitted offers within this window.
-    counted: BTreeSet<u64>,
-    /// It admitted an offer by a version level more than one below a newer one.
-    went_back: bool,
+    /// The numbers of the configurations of the offers that the learner admitted in the current window.
+    numbers_in_window: BTreeSet<u64>,
+    /// Whether the learner admitted an offer more than one version level below an offer that it admitted before.
+    admitted_outdated: bool,
 }
 
+/// A state of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     voters: [AcceptorState; VOTERS],
     learners: [Learner; LEARNERS],
     placers: [Placer; 2],
+    /// The time, in slow-start windows.
     tick: u8,
+    /// The number of offers that were delayed so far.
     delays: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum ModelAction {
-    /// A placer's request reaches a voter, and the answer the placer.
+    /// A placer's request reaches a voter, and the voter's answer reaches the placer.
     Deliver { placer: usize, voter: usize },
-    /// A placer evaluates the reports of the voters.
+    /// A placer evaluates the reports of the voters to find the configuration that it applies.
     Evaluate { placer: usize },
-    /// It sends a learner an offer, which arrives at once.
+    /// A placer sends a learner an offer, which arrives at once.
     Offer { placer: usize, learner: usize },
-    /// It sends a learner an offer, which is delayed.
+    /// A placer sends a learner an offer, which is delayed.
     DelayOffer { placer: usize, learner: usize },
     /// A delayed offer arrives.
     DeliverDelayed { placer: usize, index: usize },
-    /// It tells a learner that is warming up to raise its floor.
+    /// A placer requests a learner that is warming up to raise its floor.
     RaiseFloor { placer: usize, learner: usize },
-    /// A window passes.
+    /// One slow-start window passes.
     Tick,
 }
 
-/// The rules that hold; the model without one must find a violation.
+/// The rules of the protocol that are enabled, and the scenario to explore. With a rule disabled, a property must be
+/// violated.
 #[derive(Clone, Copy, Debug)]
 struct Rules {
-    /// Offers raise a learner's floor.
+    /// An admitted offer raises the floor of its learner.
     offers_raise_floor: bool,
-    /// A majority is one of the voters, not of the reachable ones.
+    /// A majority is counted among all voters, not among the reachable ones.
     majority_of_voters: bool,
-    /// A placer waits until the floor of a learner that is warming up is known to be that of its configuration.
+    /// A placer dispatches to a learner that is warming up only after the learner reported the floor of the placer's
+    /// configuration.
     waits_for_floor: bool,
-    /// A placer waits for a window after that.
+    /// A placer then also waits until one window has passed since that floor rose.
     waits_for_window: bool,
-    /// The voters that each placer reaches.
+    /// For each placer, which voters it reaches.
     reachable: [[bool; VOTERS]; 2],
-    /// The second placer proposes a configuration too, and ballots are preempted.
+    /// The second placer also proposes a configuration, and placers preempt each other's ballots.
     has_rivals: bool,
-    /// Two of three voters have accepted the next configuration already.
+    /// At the start, two of the three voters have accepted configuration 2.
     starts_chosen: bool,
-    /// The learner that is warming up has just started; else it knows configuration 1 for longer than a window.
+    /// At the start, the learners have no floor yet; otherwise their floor is that of configuration 1 for one window.
     starts_fresh: bool,
+    /// How many windows may pass.
     ticks: u8,
+    /// How many offers may be delayed.
     delays: u8,
 }
 
@@ -124,13 +134,15 @@
     delays: 1,
 };
 
-/// The first placer reaches one voter, the second the other two.
+/// A partition: the first placer reaches one voter, the second placer the other two.
 const PARTITIONED: [[bool; VOTERS]; 2] = [[true, false, false], [false, true, true]];
 
 const ONE_COMMITTED: &str = "at most one configuration of a number is committed";
-const NO_WAY_BACK: &str = "no learner goes back behind a newer configuration";
-const ONE_COUNT: &str = "a learner that warms up is counted in one way within a window";
-/// The one property that is to be reached.
+const NO_OUTDATED_OFFER: &str =
+    "no learner admits an offer more than one level below one that it admitted before";
+const ONE_NUMBER_PER_WINDOW: &str =
+    "a learner that is warming up admits offers of one configuration number within a window";
+/// The only property that must be reached in some state; all others must hold in every state.
 const ALL_LEARNED: &str = "every learner admits offers by configuration 2";
 
 fn config(number: u64, name: &str) -> ConfigDocument {
@@ -153,7 +165,7 @@
     }
 }
 
-/// Configuration 1, alone.
+/// The version of configuration 1 when it is applied alone.
 fn first_version() -> ActiveVersion {
     ActiveVersion {
         version: config(1, "one").version(),
@@ -162,7 +174,7 @@
 }
 
 impl Rules {
-    /// What a placer proposes.
+    /// The configuration that a placer proposes, if any.
     fn proposal(&self, placer: usize) -> Option<ConfigDocument> {
         match placer {
             0 => Some(config(2, "a")),
@@ -170,7 +182,7 @@
         }
     }
 
-    /// The nodes as one placer sees them: voters first, learners after them.
+    /// The nodes as one placer sees them. Voters have the numbers from 0, learners follow.
     fn cluster(&self, world: &World, placer: usize) -> ClusterView {
         let voter = |node: usize| {
             if self.reachable[placer][node] {
@@ -185,8 +197,8 @@
             nodes.retain(|(_, peer)| *peer != PeerState::Unknown);
         }
         let control = nodes.iter().map(|(node, _)| *node).collect();
-        let reported = world.placers[placer].reported.iter();
-        let learners = reported.map(|floor| PeerState::Reported(floor.state.report()));
+        let floors = world.placers[placer].reported_floors.iter();
+        let learners = floors.map(|floor| PeerState::Reported(floor.state.report()));
         nodes.extend((VOTERS as u32..).zip(learners));
         ClusterView {
             membership: Membership::from_control_nodes(control),
@@ -195,7 +207,7 @@
         }
     }
 
-    /// What a placer requests next. Its proposer moves on by that.
+    /// The requests that a placer sends next. Advances the given proposer.
     fn requests(&self, world: &World, placer: usize, proposer: &mut Proposer) -> Vec<NodeRequest> {
         let progress = proposer.advance(&ProposerInputs {
             cluster: &self.cluster(world, placer),
@@ -207,7 +219,8 @@
         progress.requests
     }
 
-    /// By what a placer acts once it has evaluated the reports; nothing where it reaches no majority of the voters.
+    /// The version that a placer applies after it evaluated the reports; `None` if it is suspended, as without a
+    /// majority of the voters.
     fn evaluate(&self, world: &World, placer: usize) -> Option<ActiveVersion> {
         let cluster = self.cluster(world, placer);
         let is_reachable = |node: u32| {
@@ -236,10 +249,12 @@
         }
     }
 
-    /// What a placer may send to a learner.
+    /// The messages that a placer may send to a learner, as actions of the model.
     fn actions_to_learner(&self, world: &World, placer: usize, learner: usize) -> Vec<ModelAction> {
         let Placer {
-            active, reported, ..
+            active,
+            reported_floors,
+            ..
         } = &world.placers[placer];
         let active = ActiveConfig {
             committed: if active.joint {
@@ -250,7 +265,7 @@
             next: active.joint.then_some(active.version),
             local_ahead: None,
         };
-        let LearnerFloor { state, rose_at } = reported[learner];
+        let LearnerFloor { state, rose_at } = reported_floors[learner];
         let mut report = state.report();
         report.floor_age_ms = u64::from(world.tick - rose_at) * WINDOW_MS;
         let peer = PeerState::Reported(report);
@@ -271,23 +286,23 @@
         }
     }
 
-    /// An offer reaches a learner. Where it is rejected, its placer gets the learner's report.
+    /// Delivers an offer to a learner. If the offer is rejected, its placer receives the learner's report.
     fn deliver_offer(&self, world: &mut World, placer: usize, offer: DelayedOffer) {
         let DelayedOffer { learner, version } = offer;
         let (stamp, tick) = (stamp(version), world.tick);
-        let at = &mut world.learners[learner];
-        if at.floor.state.check_offer(Some(&stamp)).is_err() {
-            world.placers[placer].reported[learner] = at.floor;
+        let receiver = &mut world.learners[learner];
+        if receiver.floor.state.check_offer(Some(&stamp)).is_err() {
+            world.placers[placer].reported_floors[learner] = receiver.floor;
             return;
         }
-        at.went_back |= stamp.level() + 1 < at.greatest_level;
-        at.greatest_level = at.greatest_level.max(stamp.level());
+        receiver.admitted_outdated |= stamp.level() + 1 < receiver.greatest_level;
+        receiver.greatest_level = receiver.greatest_level.max(stamp.level());
         let is_warming_up = learner == WARMING_UP;
         if is_warming_up {
-            at.counted.insert(stamp.version.number);
+            receiver.numbers_in_window.insert(stamp.version.number);
         }
-        if self.offers_raise_floor && at.floor.state.raise_floor(&stamp) && is_warming_up {
-            at.floor.rose_at = tick;
+        if self.offers_raise_floor && receiver.floor.state.raise_floor(&stamp) && is_warming_up {
+            receiver.floor.rose_at = tick;
         }
     }
 }
@@ -320,8 +335,8 @@
         };
         let accepted = voter.apply(&accept, true).unwrap();
         let voter_at = |node: usize| {
-            let has_accepted = self.starts_chosen && node < 2;
-            if has_accepted {
+            let starts_accepted = self.starts_chosen && node < 2;
+            if starts_accepted {
                 accepted.clone()
             } else {
                 voter.clone()
@@ -337,14 +352,14 @@
         let placer = |incarnation| Placer {
             proposer: Proposer::new(Incarnation(incarnation)),
             active: first_version(),
-            reported: [floor; LEARNERS],
+            reported_floors: [floor; LEARNERS],
             delayed: Vec::new(),
         };
         let learner = Learner {
             floor,
             greatest_level: 0,
-            counted: BTreeSet::new(),
-            went_back: false,
+            numbers_in_window: BTreeSet::new(),
+            admitted_outdated: false,
         };
         vec![World {
             voters: std::array::from_fn(voter_at),
@@ -413,12 +428,12 @@
                 if floor.state.raise_floor(&stamp) {
                     floor.rose_at = tick;
                 }
-                world.placers[placer].reported[learner] = *floor;
+                world.placers[placer].reported_floors[learner] = *floor;
             }
             ModelAction::Tick => {
                 world.tick += 1;
                 for learner in &mut world.learners {
-                    learner.counted.clear();
+                    learner.numbers_in_window.clear();
                 }
             }
         }
@@ -433,13 +448,16 @@
                 let mut all: Vec<ConfigVersion> = committed.collect();
                 all.sort();
                 all.dedup();
-                all.windows(2).all(|two| two[0].number != two[1].number)
+                all.windows(2).all(|pair| pair[0].number != pair[1].number)
             }),
-            Property::always(NO_WAY_BACK, |_, world: &World| {
-                world.learners.iter().all(|learner| !learner.went_back)
+            Property::always(NO_OUTDATED_OFFER, |_, world: &World| {
+                world
+                    .learners
+                    .iter()
+                    .all(|learner| !learner.admitted_outdated)
             }),
-            Property::always(ONE_COUNT, |_, world: &World| {
-                world.learners[WARMING_UP].counted.len() <= 1
+            Property::always(ONE_NUMBER_PER_WINDOW, |_, world: &World| {
+                world.learners[WARMING_UP].numbers_in_window.len() <= 1
             }),
             Property::sometimes(ALL_LEARNED, |_, world: &World| {
                 let mut learners = world.learners.iter();
@@ -454,8 +472,8 @@
     }
 }
 
-/// Explores every state, and finds no violation.
-fn explore(rules: Rules) {
+/// Explores every state and checks that no property is violated and that [`ALL_LEARNED`] is reached in some state.
+fn assert_no_violation(rules: Rules) {
     let checker = rules.checker().threads(3).spawn_bfs().join();
     eprintln!("{} states: {rules:?}", checker.unique_state_count());
     let discoveries = checker.discoveries();
@@ -463,23 +481,23 @@
 }
 
 #[test]
-fn learners_keep_configurations_apart_whatever_is_late_or_outdated() {
-    explore(Rules {
+fn learners_admit_no_outdated_or_mixed_offers_with_delayed_offers_and_outdated_reports() {
+    assert_no_violation(Rules {
         delays: 0,
         ..ALL_RULES
     });
-    explore(Rules {
+    assert_no_violation(Rules {
         starts_fresh: true,
         delays: 0,
         ..ALL_RULES
     });
-    explore(ALL_RULES);
+    assert_no_violation(ALL_RULES);
 }
 
 #[test]
-#[ignore = "minutes; for whoever changes a learner's floor or the dispatch block"]
-fn learners_keep_configurations_apart_where_two_of_one_number_are_proposed() {
-    explore(Rules {
+#[ignore = "takes minutes; run it after changes to the floors of learners or to the dispatch block"]
+fn learners_admit_no_outdated_or_mixed_offers_while_two_configurations_of_one_number_compete() {
+    assert_no_violation(Rules {
         has_rivals: true,
         starts_chosen: false,
         delays: 0,
@@ -487,29 +505,29 @@
     });
 }
 
-/// The model without a rule finds this violation.
-fn violates(rules: Rules, property: &str) {
+/// Checks that the model with a disabled rule violates this property.
+fn assert_violates(rules: Rules, property: &str) {
     let checker = rules.checker().threads(3).spawn_bfs().join();
     let found = checker.discoveries();
     assert!(
         found.contains_key(property),
-        "{rules:?}: {:?}",
+        "{property:?} is not violated with {rules:?}, found {:?}",
         found.keys()
     );
 }
 
 #[test]
-fn a_floor_that_offers_do_not_raise_lets_a_learner_go_back() {
+fn a_learner_admits_outdated_offers_if_offers_do_not_raise_its_floor() {
     let rules = Rules {
         offers_raise_floor: false,
         delays: 0,
         ..ALL_RULES
     };
-    violates(rules, NO_WAY_BACK);
+    assert_violates(rules, NO_OUTDATED_OFFER);
 }
 
 #[test]
-fn a_majority_of_the_reachable_voters_is_not_enough() {
+fn two_configurations_are_committed_if_only_reachable_voters_count_for_a_majority() {
     let rules = Rules {
         majority_of_voters: false,
         reachable: PARTITIONED,
@@ -519,21 +537,21 @@
         delays: 0,
         ..ALL_RULES
     };
-    violates(rules, ONE_COMMITTED);
+    assert_violates(rules, ONE_COMMITTED);
 }
 
 #[test]
-fn a_placer_that_does_not_wait_for_the_floor_of_a_learner_exceeds_its_budget() {
+fn a_learner_admits_mixed_offers_if_placers_do_not_wait_for_its_floor_or_the_window() {
     let without_floor = Rules {
         waits_for_floor: false,
         delays: 0,
         ..ALL_RULES
     };
-    violates(without_floor, ONE_COUNT);
+    assert_violates(without_floor, ONE_NUMBER_PER_WINDOW);
     let without_window = Rules {
         waits_for_window: false,
         delays: 0,
         ..ALL_RULES
     };
-    violates(without_window, ONE_COUNT);
+    assert_violates(without_window, ONE_NUMBER_PER_WINDOW);
 }
--- a/crates/plan/tests/model.rs
+++ b/crates/plan/tests/model.rs
@@ -1,9 +1,9 @@
-//! A change of the configuration, with every interleaving explored: three nodes, two placers that propose two
-//! configurations of one number, messages lost and late, a placer that restarts, a node whose disk is full. At most one
-//! configuration of a number is ever committed, no two are chosen, no floor falls.
+//! Model checking of a configuration change with three nodes and two placers that propose two configurations of one
+//! number. Every interleaving is explored, with lost and delayed messages, a placer that restarts, and a node whose
+//! disk is full. At most one configuration of a number may be chosen and committed, and no floor may fall.
 //!
-//! The placers here go by [`Proposer`], nodes answer by [`AcceptorState::apply`]; what is modelled is the order of
-//! events. The same model with a rule taken away must fail.
+//! Placers use [`Proposer`] and nodes use [`AcceptorState::apply`]; only the order of events is modelled. The tests
+//! also check that the same model violates a property once one of the rules is disabled.
 
 use reedring_plan::{
     AcceptorReport, AcceptorState, Ballot, ClusterView, ConfigDocument, ConfigRequest,
@@ -14,34 +14,37 @@
 
 const NODES: usize = 3;
 
+/// A placer of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Placer {
     proposer: Proposer,
-    /// Requests that were sent and have not arrived.
-    delayed: Vec<Delayed>,
+    /// Requests that were sent and have not arrived yet.
+    delayed: Vec<DelayedRequest>,
 }
 
-/// A request that is still on its way to a node.
+/// A request that has not arrived at its node yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Delayed {
+struct DelayedRequest {
     node: usize,
     request: ConfigRequest,
 }
 
-impl std::hash::Hash for Delayed {
+impl std::hash::Hash for DelayedRequest {
     fn hash<H: std::hash::Hasher>(&self, state: &mut H) {
         self.node.hash(state);
         format!("{:?}", self.request).hash(state);
     }
 }
 
+/// A state of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     nodes: [AcceptorState; NODES],
     is_disk_full: [bool; NODES],
     placers: [Placer; 2],
-    /// The highest floor that each node ever had.
+    /// The highest floor that each node has had so far.
     highest_floors: [u64; NODES],
+    /// How often each fault has happened so far.
     restarts: u8,
     delays: u8,
     full_disks: u8,
@@ -49,26 +52,28 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum ModelAction {
-    /// A placer's request reaches a node, and the answer the placer. A lost answer is a request that is delayed.
+    /// A placer's request reaches a node, and the node's answer reaches the placer. A lost answer is modelled as
+    /// a delayed request.
     Deliver { placer: usize, node: usize },
-    /// Its request to a node is delayed.
+    /// A placer's request to a node is delayed.
     Delay { placer: usize, node: usize },
     /// A delayed request arrives.
     DeliverDelayed { placer: usize, index: usize },
-    /// A placer restarts, and forgets its ballot.
+    /// A placer restarts with a new incarnation and without its ballot.
     Restart { placer: usize },
-    /// The disk of a node is full from now on.
+    /// The disk of a node is full from now on, so that the node no longer changes its state.
     FillDisk { node: usize },
 }
 
-/// The rules that hold; the model without one must find a violation.
+/// The rules of the protocol that are enabled, and the faults to explore. With a rule disabled, a property must be
+/// violated.
 #[derive(Clone, Copy, Debug)]
 struct Rules {
-    /// A majority is one of the listed nodes, not of the reachable ones.
+    /// A majority is counted among all listed nodes, not among the reachable ones.
     majority_of_list: bool,
-    /// A node answers no ballot smaller than one that it has promised.
+    /// A node rejects ballots smaller than the greatest one that it has promised.
     keeps_promises: bool,
-    /// The nodes that each placer reaches.
+    /// For each placer, which nodes it reaches.
     reachable: [[bool; NODES]; 2],
     /// How often each fault may happen.
     delays: u8,
@@ -85,18 +90,18 @@
     full_disks: 0,
 };
 
-/// The first placer reaches one node, the second the other two.
+/// A partition: the first placer reaches one node, the second placer the other two.
 const PARTITIONED: [[bool; NODES]; 2] = [[true, false, false], [false, true, true]];
-/// The greatest round of a ballot that is explored.
+/// States with a ballot of a greater round are not explored.
 const MAX_ROUND: u64 = 2;
-/// The one property that is to be reached.
+/// The only property that must be reached in some state; all others must hold in every state.
 const COMMITTED: &str = "a configuration is committed";
 
 fn config(number: u64, name: &str) -> ConfigDocument {
     ConfigDocument::new(number, name).unwrap()
 }
 
-/// All configurations of the model: the first one, and two rivals for the second.
+/// All configurations of the model: the first one, and two competing successors.
 fn configs() -> [ConfigDocument; 3] {
     [config(1, "one"), config(2, "a"), config(2, "b")]
 }
@@ -129,7 +134,7 @@
         cluster
     }
 
-    /// What a placer requests next. Its proposer moves on by that.
+    /// The requests that a placer sends next. Advances the given proposer.
     fn requests(&self, world: &World, placer: usize, proposer: &mut Proposer) -> Vec<NodeRequest> {
         let proposal = config(2, ["a", "b"][placer]);
         let progress = proposer.advance(&ProposerInputs {
@@ -142,7 +147,7 @@
         progress.requests
     }
 
-    /// Takes the request of a placer to a node.
+    /// Advances the proposer of a placer and returns its request to a node, if there is one.
     fn take_request(&self, world: &mut World, placer: usize, node: usize) -> Option<ConfigRequest> {
         let mut proposer = world.placers[placer].proposer.clone();
         let requests = self.requests(world, placer, &mut proposer);
@@ -153,7 +158,7 @@
         request.map(|request| request.request)
     }
 
-    /// A request reaches a node.
+    /// Delivers a request to a node.
     fn deliver(&self, world: &mut World, node: usize, request: &ConfigRequest) {
         let mut state = world.nodes[node].clone();
         if !self.keeps_promises {
@@ -230,10 +235,10 @@
                 world.delays += 1;
                 world.placers[placer]
                     .delayed
-                    .push(Delayed { node, request });
+                    .push(DelayedRequest { node, request });
             }
             ModelAction::DeliverDelayed { placer, index } => {
-                let Delayed { node, request } = world.placers[placer].delayed.remove(index);
+                let DelayedRequest { node, request } = world.placers[placer].delayed.remove(index);
                 self.deliver(&mut world, node, &request);
             }
             ModelAction::Restart { placer } => {
@@ -255,10 +260,10 @@
                 "at most one configuration of a number is committed",
                 |_, world: &World| {
                     let all = versions(world, |report| Some(report.committed));
-                    all.windows(2).all(|two| two[0].number != two[1].number)
+                    all.windows(2).all(|pair| pair[0].number != pair[1].number)
                 },
             ),
-            Property::always("at most one is chosen", |_, world: &World| {
+            Property::always("at most one configuration is chosen", |_, world: &World| {
                 let joint = |report: &AcceptorReport| {
                     let accepted = report.accepted.filter(|accepted| accepted.joint)?;
                     Some(accepted.version)
@@ -266,8 +271,8 @@
                 versions(world, joint).len() <= 1
             }),
             Property::always(
-                "no node admits offers by two configurations without the joint form",
-                |_, world: &World| world.nodes.iter().all(admits_neighbours_only),
+                "each node admits only offers of adjacent version levels",
+                |_, world: &World| world.nodes.iter().all(admits_adjacent_levels_only),
             ),
             Property::always("no floor falls", |_, world: &World| {
                 let mut nodes = world.nodes.iter().zip(world.highest_floors);
@@ -286,7 +291,7 @@
     }
 }
 
-/// The different versions that nodes report, in order.
+/// The distinct versions that `version` returns for the nodes' reports, in order.
 fn versions(
     world: &World,
     version: impl Fn(&AcceptorReport) -> Option<ConfigVersion>,
@@ -298,8 +303,8 @@
     all
 }
 
-/// Whether the version levels of all offers that a node admits are at most one apart.
-fn admits_neighbours_only(node: &AcceptorState) -> bool {
+/// Whether the version levels of all offers that a node would admit differ by at most one.
+fn admits_adjacent_levels_only(node: &AcceptorState) -> bool {
     let stamp = |document: &ConfigDocument, joint| VersionStamp {
         version: document.version(),
         joint,
@@ -315,8 +320,8 @@
     range.is_none_or(|(highest, lowest)| highest - lowest <= 1)
 }
 
-/// Explores every state, and finds no violation.
-fn explore(rules: Rules) {
+/// Explores every state and checks that no property is violated and that a configuration is committed in some state.
+fn assert_no_violation(rules: Rules) {
     let checker = rules.checker().threads(4).spawn_bfs().join();
     eprintln!("{} states: {rules:?}", checker.unique_state_count());
     let discoveries = checker.discoveries();
@@ -324,46 +329,46 @@
 }
 
 #[test]
-fn one_configuration_of_a_number_is_committed_whatever_is_late_or_cut_off() {
-    explore(ALL_RULES);
-    explore(Rules {
+fn at_most_one_configuration_of_a_number_is_committed_with_a_delayed_request_or_a_partition() {
+    assert_no_violation(ALL_RULES);
+    assert_no_violation(Rules {
         reachable: PARTITIONED,
         ..ALL_RULES
     });
 }
 
 #[test]
-#[ignore = "half a minute; for whoever changes the proposer or the acceptor"]
-fn one_configuration_of_a_number_is_committed_with_more_faults() {
-    explore(Rules {
+#[ignore = "takes half a minute; run it after changes to the proposer or the acceptor"]
+fn at_most_one_configuration_of_a_number_is_committed_with_more_faults() {
+    assert_no_violation(Rules {
         delays: 2,
         ..ALL_RULES
     });
-    explore(Rules {
+    assert_no_violation(Rules {
         restarts: 1,
         ..ALL_RULES
     });
-    explore(Rules {
+    assert_no_violation(Rules {
         full_disks: 1,
         ..ALL_RULES
     });
 }
 
-/// The model without a rule finds a violation.
-fn violates(rules: Rules) {
+/// Checks that the model with a disabled rule violates some property.
+fn assert_violates(rules: Rules) {
     let checker = rules.checker().threads(4).spawn_bfs().join();
     let found = checker.discoveries();
     let violations = found.keys().filter(|name| **name != COMMITTED).count();
     assert!(
         violations > 0,
-        "{rules:?} violates nothing in {} states",
+        "no property is violated with {rules:?} in {} states",
         checker.unique_state_count()
     );
 }
 
 #[test]
-fn a_majority_of_the_reachable_nodes_is_not_enough() {
-    violates(Rules {
+fn agreement_is_violated_if_only_reachable_nodes_count_for_a_majority() {
+    assert_violates(Rules {
         majority_of_list: false,
         reachable: PARTITIONED,
         ..ALL_RULES
@@ -371,9 +376,9 @@
 }
 
 #[test]
-#[ignore = "a minute; for whoever changes the proposer or the acceptor"]
-fn nodes_that_answer_smaller_ballots_violate_agreement() {
-    violates(Rules {
+#[ignore = "takes a minute; run it after changes to the proposer or the acceptor"]
+fn agreement_is_violated_if_nodes_accept_ballots_smaller_than_promised() {
+    assert_violates(Rules {
         keeps_promises: false,
         delays: 2,
         ..ALL_RULES
