--- a/crates/plan/src/delta/error.rs
+++ b/crates/plan/src/delta/error.rs
@@ -74,7 +74,7 @@
         bytes: usize,
     },
     /// The resulting text does not match the version of the target.
-    #[error("what comes of the delta: {0}")]
+    #[error("the result of the delta is invalid: {0}")]
     InvalidTarget(#[from] DocumentError),
 }
 
