--- a/crates/node-simulator/src/model/plans.rs
+++ b/crates/node-simulator/src/model/plans.rs
@@ -9,7 +9,7 @@
 };
 use reedring_plan::{
     AcceptorState, ConfigDocument, ConfigVersion, Delta, DeltaStep, LearnerState, OfferRejection,
-    PlacerSighting, RequestRejection, delta,
+    PlacerRecord, RequestRejection, delta,
 };
 
 use super::Node;
@@ -148,12 +148,15 @@
             return;
         }
         let (level, build) = stamp.map_or((0, 0), |stamp| (stamp.level(), stamp.build));
-        let at_s = self.plans.epoch_s + now_us / 1_000_000;
-        if self
-            .plans
-            .acts
-            .record_placer(machine_id(placer).0, PlacerSighting { level, at_s, build })
-        {
+        let last_seen_s = self.plans.epoch_s + now_us / 1_000_000;
+        if self.plans.acts.record_placer(
+            machine_id(placer).0,
+            PlacerRecord {
+                level,
+                last_seen_s,
+                build,
+            },
+        ) {
             self.plans.seen_due.get_or_insert(now_us + SEEN_US);
         }
     }
--- a/crates/node-simulator/tests/golden.rs
+++ b/crates/node-simulator/tests/golden.rs
@@ -3,7 +3,7 @@
 
 use reedring_node_protocol::{Ballot, ConfigRequest};
 use reedring_node_simulator::{Keep, Slots};
-use reedring_plan::{AcceptorState, ConfigDocument, PlacerSighting};
+use reedring_plan::{AcceptorState, ConfigDocument, PlacerRecord};
 use reedring_state::{Folder, SimFolder};
 
 const SLOT_A: &[u8] = include_bytes!("golden/plan.a");
@@ -25,9 +25,9 @@
     let mut second = first.clone();
     second.record_placer(
         0x0102_0304_0506_0708,
-        PlacerSighting {
+        PlacerRecord {
             level: 2,
-            at_s: 1_700_000_000,
+            last_seen_s: 1_700_000_000,
             build: 0xdead_beef,
         },
     );
--- a/crates/plan/src/acceptor.rs
+++ b/crates/plan/src/acceptor.rs
@@ -21,7 +21,7 @@
 use crate::document::ConfigDocument;
 
 pub use error::{OfferRejection, RequestRejection};
-pub use placers::{MAX_PLACERS, PlacerSighting};
+pub use placers::{MAX_PLACERS, PlacerRecord};
 pub use storage::CorruptState;
 
 /// The configuration for which an acceptor has voted, or which a placer has reported to it as chosen.
@@ -53,7 +53,7 @@
     /// node may have lost an earlier state, so what it voted for before that commit is unknown.
     pub installed_by_catch_up: bool,
     /// The placers that connected to this node, by the hash of their name.
-    pub placers: BTreeMap<u64, PlacerSighting>,
+    pub placers: BTreeMap<u64, PlacerRecord>,
 }
 
 impl AcceptorState {
--- a/crates/plan/src/acceptor/storage.rs
+++ b/crates/plan/src/acceptor/storage.rs
@@ -17,7 +17,7 @@
 
 use reedring_node_protocol::Ballot;
 
-use super::{AcceptedConfig, AcceptorState, PlacerSighting};
+use super::{AcceptedConfig, AcceptorState, PlacerRecord};
 use crate::document::ConfigDocument;
 use reader::FieldReader;
 
@@ -77,11 +77,11 @@
             put_document(&mut body, &accepted.document);
         }
         body.extend((self.placers.len() as u16).to_be_bytes());
-        for (placer, sighting) in &self.placers {
+        for (placer, record) in &self.placers {
             body.extend(placer.to_be_bytes());
-            body.extend((sighting.level as u32).to_be_bytes());
-            body.extend((sighting.at_s as u32).to_be_bytes());
-            body.extend(sighting.build.to_be_bytes());
+            body.extend((record.level as u32).to_be_bytes());
+            body.extend((record.last_seen_s as u32).to_be_bytes());
+            body.extend(record.build.to_be_bytes());
         }
         body
     }
@@ -141,19 +141,17 @@
     }))
 }
 
-fn read_placers(
-    fields: &mut FieldReader<'_>,
-) -> Result<BTreeMap<u64, PlacerSighting>, CorruptState> {
+fn read_placers(fields: &mut FieldReader<'_>) -> Result<BTreeMap<u64, PlacerRecord>, CorruptState> {
     let count = fields.u16("the number of placers")?;
     let mut placers = BTreeMap::new();
     for _ in 0..count {
         let placer = fields.u64("a placer")?;
-        let sighting = PlacerSighting {
+        let record = PlacerRecord {
             level: u64::from(fields.u32("a placer")?),
-            at_s: u64::from(fields.u32("a placer")?),
+            last_seen_s: u64::from(fields.u32("a placer")?),
             build: fields.u32("a placer")?,
         };
-        placers.insert(placer, sighting);
+        placers.insert(placer, record);
     }
     Ok(placers)
 }
--- a/crates/plan/src/acceptor/storage/tests.rs
+++ b/crates/plan/src/acceptor/storage/tests.rs
@@ -4,9 +4,9 @@
 /// A state in which no field has its default value.
 fn full_state() -> AcceptorState {
     let document = |number, text| ConfigDocument::new(number, text).unwrap();
-    let sighting = |n: u64| PlacerSighting {
+    let record = |n: u64| PlacerRecord {
         level: 2 + n,
-        at_s: 1_700_000_000 + n,
+        last_seen_s: 1_700_000_000 + n,
         build: 77,
     };
     AcceptorState {
@@ -26,7 +26,7 @@
         list_revision: 12,
         replaced_configs: 3,
         installed_by_catch_up: true,
-        placers: (0..5).map(|n| (n, sighting(n))).collect(),
+        placers: (0..5).map(|n| (n, record(n))).collect(),
     }
 }
 
@@ -60,9 +60,9 @@
     let mut state = AcceptorState::default();
     let empty = state.encode().len();
     for placer in 0..MAX_PLACERS as u64 {
-        let largest = PlacerSighting {
+        let largest = PlacerRecord {
             level: 1 << 31,
-            at_s: 1 << 31,
+            last_seen_s: 1 << 31,
             build: u32::MAX,
         };
         state.placers.insert(placer, largest);
--- a/crates/plan/src/acceptor/tests.rs
+++ b/crates/plan/src/acceptor/tests.rs
@@ -273,26 +273,26 @@
 #[test]
 fn recorded_placers_are_bounded_and_the_one_seen_longest_ago_is_removed() {
     let mut state = AcceptorState::default();
-    let sighting = |at_s| PlacerSighting {
+    let record = |last_seen_s| PlacerRecord {
         level: 2,
-        at_s,
+        last_seen_s,
         build: 1,
     };
     for placer in 0..MAX_PLACERS as u64 + 10 {
         assert!(
-            state.record_placer(placer, sighting(100 + placer)),
+            state.record_placer(placer, record(100 + placer)),
             "a new placer must be persisted"
         );
     }
     assert_eq!(state.placers.len(), MAX_PLACERS);
     assert!(!state.placers.contains_key(&9) && state.placers.contains_key(&10));
     assert!(
-        !state.record_placer(10, sighting(9_999)),
+        !state.record_placer(10, record(9_999)),
         "a new time alone need not be persisted"
     );
-    let with_other_level = PlacerSighting {
+    let with_other_level = PlacerRecord {
         level: 4,
-        ..sighting(9_999)
+        ..record(9_999)
     };
     assert!(state.record_placer(10, with_other_level));
 }
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -123,7 +123,7 @@
 mod proposer;
 
 pub use acceptor::{
-    AcceptedConfig, AcceptorState, CorruptState, MAX_PLACERS, OfferRejection, PlacerSighting,
+    AcceptedConfig, AcceptorState, CorruptState, MAX_PLACERS, OfferRejection, PlacerRecord,
     RequestRejection,
 };
 pub use cluster::{ClusterView, PeerState};
--- a/crates/plan/tests/golden.rs
+++ b/crates/plan/tests/golden.rs
@@ -84,13 +84,13 @@
 
 /// A state in which every field has a value of its own, so that swapped fields are detected.
 fn each_field() -> AcceptorState {
-    let sighting = |n: u64| PlacerSighting {
+    let record = |n: u64| PlacerRecord {
         level: 2 + n,
-        at_s: 1_700_000_000 + n,
+        last_seen_s: 1_700_000_000 + n,
         build: 0xdead_0000 + n as u32,
     };
-    let placers: BTreeMap<u64, PlacerSighting> = (0..5)
-        .map(|n| (n * 0x0101_0101_0101_0101, sighting(n)))
+    let placers: BTreeMap<u64, PlacerRecord> = (0..5)
+        .map(|n| (n * 0x0101_0101_0101_0101, record(n)))
         .collect();
     AcceptorState {
         committed: Some(config(0x1122_3344_5566, first_text())),
