--- a/crates/platform/src/message_log.rs
+++ b/crates/platform/src/message_log.rs
@@ -100,7 +100,7 @@
         Output::ToHost(link, message) => format!("to link {link}: {}", to_host(message)),
         Output::CloseLink(link) => format!("close link {link}"),
         Output::StopListening => "stop listening".to_owned(),
-        Output::MayExit => "may exit".to_owned(),
+        Output::MayExit => "finished".to_owned(),
         Output::Log(_) => return None,
     })
 }
