--- a/crates/platform-protocol/src/client/decode.rs
+++ b/crates/platform-protocol/src/client/decode.rs
@@ -13,13 +13,13 @@
 };
 use crate::{GIVEN_UP, hex};
 
-/// Milliseconds that a client may wait at most: what 32 bits of microseconds hold, as a running task is handed over
-/// with. More is a mistake.
-const MAX_LEFT_MS: u64 = u32::MAX as u64 / 1_000;
-/// Marks a retry.
+/// The longest time in milliseconds that a client may give a request: 32 bits of microseconds, which is what the request
+/// for a task that runs already carries. A longer time is rejected.
+pub(super) const MAX_LEFT_MS: u64 = u32::MAX as u64 / 1_000;
+/// The value of the parameter [`code::RETRY`], which only retries have.
 const RETRY_MARK: &str = "1";
 
-/// Decodes what follows the length of a message: at least [`HEADER_BYTES`].
+/// Decodes the body of a message: everything after its length field, at least [`HEADER_BYTES`].
 pub(super) fn message(body: &[u8]) -> Result<FromClient, InvalidMessage> {
     let (header, parameters) = body.split_at(HEADER_BYTES);
     let id = header[1..]
@@ -30,31 +30,33 @@
 
 fn content(message_kind: u8, id: u64, parameters: &[u8]) -> Result<FromClient, MessageError> {
     let parameters = Parameters::read(parameters)?;
-    if id == 0 && message_kind == kind::SETUP {
+    if id == 0 && message_kind == kind::PLACEMENT_REQUEST {
         return Err(MessageError::MissingId);
     }
     match message_kind {
-        kind::SETUP => {
+        kind::PLACEMENT_REQUEST => {
             let request = placement_request(id, &parameters)?;
             Ok(FromClient::PlacementRequest(Box::new(request)))
         }
         kind::RELEASE => {
             let cause = match parameters.0.get(&code::CAUSE) {
                 Some([cause]) => *cause,
-                Some(_) => return Err(MessageError::InvalidCause),
+                Some(value) => return Err(MessageError::InvalidCause(value.len())),
                 None => GIVEN_UP,
             };
             Ok(FromClient::Release { id, cause })
         }
-        kind::TEST => Ok(FromClient::HealthCheck(id)),
-        kind::RELEASED => Ok(FromClient::ReleaseConfirmed(id)),
-        kind::PROGRESS | kind::NOTE | kind::MOVE | kind::TESTED => Ok(FromClient::Ignored),
+        kind::HEALTH_CHECK => Ok(FromClient::HealthCheck(id)),
+        kind::RELEASE_CONFIRMED => Ok(FromClient::ReleaseConfirmed(id)),
+        kind::PROGRESS | kind::NOTE | kind::MOVED | kind::HEALTH_CHECK_RESULT => {
+            Ok(FromClient::Ignored)
+        }
         kind::ANSWER => Err(MessageError::UnexpectedAnswer),
         other => Err(MessageError::UnknownType(other)),
     }
 }
 
-/// The parameters of a message, by their codes.
+/// The values of a message's parameters, by parameter code.
 struct Parameters<'a>(BTreeMap<u8, &'a [u8]>);
 
 impl<'a> Parameters<'a> {
@@ -77,18 +79,20 @@
         Ok(Self(parameters))
     }
 
+    /// The value of an optional parameter as text; `None` if the message lacks it.
     fn text(&self, code: u8) -> Result<Option<&'a str>, MessageError> {
         let text = self.0.get(&code).map(|value| std::str::from_utf8(value));
         text.transpose().map_err(|_| MessageError::NotUtf8(code))
     }
 
+    /// The value of a required parameter as text.
     fn required(&self, code: u8) -> Result<&'a str, MessageError> {
         self.text(code)?.ok_or(MessageError::MissingParameter(code))
     }
 }
 
 fn placement_request(id: u64, parameters: &Parameters) -> Result<PlacementRequest, MessageError> {
-    let left = parameters.required(code::LEFT)?;
+    let left = parameters.required(code::TIME_LEFT)?;
     let left_ms = whole_number(left)
         .filter(|left| (1..=MAX_LEFT_MS).contains(left))
         .ok_or_else(|| MessageError::InvalidTime(left.to_owned()))?;
@@ -121,7 +125,8 @@
     })
 }
 
-/// The figures of a task, as `cores:1;memory:2.5;service:00000000b4d65521;at:host-00017`.
+/// The values in the parameter [`code::EXTRAS`], for example
+/// `cores:1;memory:2.5;service:00000000b4d65521;at:host-00017`.
 struct Extras<'a> {
     cores: f64,
     memory: f64,
@@ -131,35 +136,35 @@
 
 impl<'a> Extras<'a> {
     fn read(text: &'a str) -> Result<Self, ExtrasError> {
-        let mut figures: BTreeMap<&str, &str> = BTreeMap::new();
+        let mut values: BTreeMap<&str, &str> = BTreeMap::new();
         for part in text.split(';') {
             let (name, value) = part.split_once(':').ok_or(ExtrasError::Unnamed)?;
-            if figures.insert(name, value).is_some() {
+            if values.insert(name, value).is_some() {
                 return Err(ExtrasError::Repeated);
             }
         }
-        let figure = |name: &'static str| {
-            let value = figures.get(name).and_then(|value| number(value));
+        let amount = |name: &'static str| {
+            let value = values.get(name).and_then(|value| finite_number(value));
             value.ok_or(ExtrasError::InvalidFigure(name))
         };
-        let service = figures.get("service").and_then(|service| hex(service));
+        let service = values.get("service").and_then(|service| hex(service));
         Ok(Self {
-            cores: figure("cores")?,
-            memory: figure("memory")?,
+            cores: amount("cores")?,
+            memory: amount("memory")?,
             service: service.ok_or(ExtrasError::InvalidService)?,
-            runs_at: figures.get("at").copied().filter(|at| !at.is_empty()),
+            runs_at: values.get("at").copied().filter(|at| !at.is_empty()),
         })
     }
 }
 
-/// A whole number in digits alone: no sign, no space.
+/// Parses a whole number of decimal digits only, without sign or space; `None` for any other text.
 fn whole_number(text: &str) -> Option<u64> {
     let is_plain = text.bytes().all(|byte| byte.is_ascii_digit());
     is_plain.then(|| text.parse().ok()).flatten()
 }
 
-/// A finite number of at least 0.
-fn number(text: &str) -> Option<f64> {
+/// Parses a finite number of at least 0; `None` for any other text, also `inf` and `nan`.
+fn finite_number(text: &str) -> Option<f64> {
     let is_plain = text
         .bytes()
         .all(|byte| byte.is_ascii_digit() || matches!(byte, b'.' | b'e' | b'-'));
--- a/crates/platform-protocol/src/client/encode.rs
+++ b/crates/platform-protocol/src/client/encode.rs
@@ -3,15 +3,15 @@
 use super::{LENGTH_BYTES, ToClient, code, kind};
 
 impl ToClient {
-    /// Its bytes.
+    /// The message as bytes, from its length field on.
     pub fn encode(&self) -> Vec<u8> {
         let (kind, id) = match self {
             Self::Answer { id, .. } => (kind::ANSWER, id),
             Self::Release { id, .. } => (kind::RELEASE, id),
-            Self::Moved(id) => (kind::MOVE, id),
-            Self::HealthCheckResult { id, .. } => (kind::TESTED, id),
+            Self::Moved(id) => (kind::MOVED, id),
+            Self::HealthCheckResult { id, .. } => (kind::HEALTH_CHECK_RESULT, id),
         };
-        // The length is known at the end.
+        // The first two bytes are the length, which is filled in at the end.
         let mut bytes = vec![0, 0, kind];
         bytes.extend(id.to_be_bytes());
         match self {
@@ -23,8 +23,12 @@
                 retry_after_ms,
                 ..
             } => {
-                if let Some(wait) = retry_after_ms {
-                    push_parameter(&mut bytes, code::RETRY_AFTER, wait.to_string().as_bytes());
+                if let Some(milliseconds) = retry_after_ms {
+                    push_parameter(
+                        &mut bytes,
+                        code::RETRY_AFTER,
+                        milliseconds.to_string().as_bytes(),
+                    );
                 }
                 push_parameter(&mut bytes, code::CAUSE, &[*cause]);
             }
--- a/crates/platform-protocol/src/client/error.rs
+++ b/crates/platform-protocol/src/client/error.rs
@@ -1,40 +1,46 @@
-//! What can be wrong with a client's message.
+//! Errors in the input from clients.
 
-/// A message that can be delimited and not decoded; its sender is answered with a failure on this id.
+use super::{HEADER_BYTES, LENGTH_BYTES};
+use crate::MAX;
+
+/// A message whose length is valid but whose body can't be decoded. It is answered with a failure for this id.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("message on {id:016x}: {error}")]
+#[error("message about task {id:016x}: {error}")]
 pub struct InvalidMessage {
-    /// The task that it names.
+    /// The task id of the message.
     pub id: u64,
-    /// What is wrong with it.
+    /// Why the message can't be decoded.
     pub error: MessageError,
 }
 
-/// Input in which no message can be delimited any more.
+/// The length field of a message, which is out of bounds. The input after it can't be split into messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a message of {0} bytes")]
+#[error(
+    "the length field of a message is {0}, expected {HEADER_BYTES} to {max}",
+    max = MAX - LENGTH_BYTES
+)]
 pub struct Unreadable(pub usize);
 
-/// What is wrong with a message.
+/// Why a message can't be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// There is no such type.
-    #[error("type {0} is no message")]
+    /// The protocol has no message of this type.
+    #[error("unknown message type {0}")]
     UnknownType(u8),
-    /// Clients send no answers.
-    #[error("an answer, which clients do not send")]
+    /// The message is an answer, which only placers send.
+    #[error("the message is an answer, which only placers send")]
     UnexpectedAnswer,
-    /// A placement request names no task.
-    #[error("a placement request without an id")]
+    /// The task id of a placement request is 0.
+    #[error("the task id of a placement request is 0")]
     MissingId,
-    /// The parameters exceed the message.
-    #[error("parameters do not fit the message, from byte {offset}")]
+    /// A parameter extends beyond the end of the message.
+    #[error("the parameter at byte {offset} of the parameters extends beyond the message")]
     Truncated {
-        /// Where the one begins that does not fit.
+        /// The offset in bytes from the start of the parameters.
         offset: usize,
     },
-    /// There is no such parameter.
-    #[error("parameter {0} does not exist")]
+    /// The protocol has no parameter with this code.
+    #[error("unknown parameter {0}")]
     UnknownParameter(u8),
     /// A parameter occurs more than once.
     #[error("parameter {0} is repeated")]
@@ -45,41 +51,41 @@
     /// A parameter is not UTF-8.
     #[error("parameter {0} is not UTF-8")]
     NotUtf8(u8),
-    /// The cause has more or less than one byte.
-    #[error("the cause is not one byte")]
-    InvalidCause,
-    /// The time is no whole number of milliseconds, 0 or too long.
-    #[error("{0:?} is no time to wait")]
+    /// The cause has this many bytes instead of one.
+    #[error("the cause has {0} bytes, expected 1")]
+    InvalidCause(usize),
+    /// The time that the client waits is not a whole number of milliseconds, is 0 or is too long.
+    #[error("the waiting time {0:?} is not a whole number of milliseconds from 1 to {max}", max = super::decode::MAX_LEFT_MS)]
     InvalidTime(String),
-    /// The mark of a retry is unknown.
-    #[error("{0:?} does not mark a retry")]
+    /// The parameter that marks a retry has a value other than `1`.
+    #[error("the retry mark is {0:?}, expected \"1\"")]
     InvalidRetry(String),
-    /// The key of the task is malformed.
-    #[error("the key {0:?} is not 16 hex digits")]
+    /// The key of the task is not 16 hexadecimal digits.
+    #[error("the task key {0:?} is not 16 hexadecimal digits")]
     InvalidKey(String),
-    /// The figures of the task are malformed.
-    #[error("{error}: {text:?}")]
+    /// The parameter with the task's cores, memory and service is malformed.
+    #[error("{error} in {text:?}")]
     InvalidExtras {
-        /// What is wrong.
+        /// Why it is malformed.
         error: ExtrasError,
-        /// The parameter.
+        /// The value of the parameter, as received.
         text: String,
     },
 }
 
-/// What is wrong with the figures of a task.
+/// Why the parameter with a task's cores, memory and service is malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ExtrasError {
-    /// A figure has no name.
-    #[error("a figure without a name")]
+    /// A part has no name: it lacks a colon.
+    #[error("a part without a colon, expected name:value parts separated by semicolons,")]
     Unnamed,
-    /// A figure occurs more than once.
-    #[error("a figure is repeated")]
+    /// A name occurs more than once.
+    #[error("a repeated name")]
     Repeated,
-    /// A figure is missing, or no finite number of at least 0.
-    #[error("{0} is not a number of at least 0")]
+    /// The value with this name is missing, or not a finite number of at least 0.
+    #[error("{0} is missing or not a finite number of at least 0")]
     InvalidFigure(&'static str),
-    /// The service is missing or malformed.
-    #[error("service is not 16 hex digits")]
+    /// The service is missing or not 16 hexadecimal digits.
+    #[error("service is missing or not 16 hexadecimal digits")]
     InvalidService,
 }
--- a/crates/platform-protocol/src/client/mod.rs
+++ b/crates/platform-protocol/src/client/mod.rs
@@ -1,5 +1,7 @@
-//! Messages between clients and placers: `length:2 type:1 task:8` and parameters `code:1 length:2 value`, all
-//! big-endian. The length counts what follows it.
+//! Messages between clients and placers.
+//!
+//! A message is `length:2 type:1 task:8`, followed by parameters `code:1 length:2 value`. The numbers after the colons are
+//! sizes in bytes. All numbers are big-endian; a length counts the bytes after it.
 
 mod decode;
 mod encode;
@@ -9,23 +11,23 @@
 
 pub use error::{ExtrasError, InvalidMessage, MessageError, Unreadable};
 
-/// Types of messages on the wire.
+/// The numbers of the message types on the wire.
 mod kind {
-    pub const SETUP: u8 = 1;
+    pub const PLACEMENT_REQUEST: u8 = 1;
     pub const PROGRESS: u8 = 6;
     pub const ANSWER: u8 = 9;
     pub const RELEASE: u8 = 12;
-    pub const RELEASED: u8 = 16;
+    pub const RELEASE_CONFIRMED: u8 = 16;
     pub const NOTE: u8 = 44;
-    pub const MOVE: u8 = 51;
-    pub const TEST: u8 = 52;
-    pub const TESTED: u8 = 53;
+    pub const MOVED: u8 = 51;
+    pub const HEALTH_CHECK: u8 = 52;
+    pub const HEALTH_CHECK_RESULT: u8 = 53;
 }
 
-/// Codes of parameters on the wire.
+/// The codes of the parameters on the wire.
 mod code {
     pub const CLASS: u8 = 180;
-    pub const LEFT: u8 = 181;
+    pub const TIME_LEFT: u8 = 181;
     pub const TENANT: u8 = 182;
     pub const RETRY: u8 = 183;
     pub const KEY: u8 = 184;
@@ -34,96 +36,97 @@
     pub const IDEMPOTENCY_KEY: u8 = 193;
     pub const CAUSE: u8 = 194;
     pub const DESCRIPTION: u8 = 195;
-    /// Parameters that the platform has numbers for.
+    /// The codes that the platform defines; a message with any other one is rejected.
     pub const KNOWN: std::ops::RangeInclusive<u8> = CLASS..=DESCRIPTION;
 }
 
-/// Bytes of the length field.
+/// Size of the length field, in bytes.
 const LENGTH_BYTES: usize = 2;
-/// Bytes of type and task, the least that follows a length.
+/// Size of type and task id, in bytes; the minimum value of the length field.
 const HEADER_BYTES: usize = 9;
 
-/// A request to place a task, as its client sent it; whether its class and tenant exist is not checked here.
+/// A request to place a task, or to take over a task that runs already, as its client sent it. Decoding does not check
+/// whether its class and tenant exist.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlacementRequest {
-    /// Its id.
+    /// The task id, which is never 0.
     pub id: u64,
-    /// The class's name.
+    /// The name of the task's class.
     pub class: String,
-    /// Milliseconds for which the client waits.
+    /// How long the client still waits for an answer, in milliseconds; at least 1.
     pub left_ms: u64,
-    /// The tenant's name, where there are tenants.
+    /// The name of the tenant, if the client gave one.
     pub tenant: Option<String>,
-    /// The client asked for this task before.
+    /// Whether the client requested this task before.
     pub is_retry: bool,
-    /// The key of the task, the same at each retry.
+    /// The key of the task, which is the same in each retry.
     pub key: u64,
-    /// The idempotency key of keyed classes, the same for all attempts.
+    /// The idempotency key, which is the same for all attempts; only tasks of keyed classes have one.
     pub idempotency_key: Option<String>,
-    /// Cores that the task asks for.
+    /// The number of cores that the task requests.
     pub cores: f64,
-    /// Memory that the task asks for.
+    /// The memory that the task requests, in the deployment's unit.
     pub memory: f64,
-    /// The task's service.
+    /// The number of the service that the task belongs to.
     pub service: u64,
-    /// The host at which the task runs already.
+    /// The name of the host on which the task runs already; `None` if it is to be placed.
     pub runs_at: Option<String>,
-    /// What is passed on to a host unchanged.
+    /// A text that is passed on to the host unchanged.
     pub description: String,
 }
 
-/// A message of a client.
+/// A message from a client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FromClient {
-    /// A task needs a place, or runs already.
+    /// A task is to be placed, or to be taken over because it runs already.
     PlacementRequest(Box<PlacementRequest>),
     /// A request is cancelled, or a running task is to be stopped.
     Release {
-        /// The task.
+        /// The task id.
         id: u64,
-        /// Why.
+        /// The cause that the client gave; [`GIVEN_UP`](crate::GIVEN_UP) if it gave none.
         cause: u8,
     },
-    /// Is the placer in service?
+    /// Asks whether the placer is in service. The id is repeated in the result.
     HealthCheck(u64),
-    /// The client received the release of a task.
+    /// The client confirms that it received the release of the task with this id.
     ReleaseConfirmed(u64),
-    /// A message without meaning for a placer.
+    /// A valid message that a placer does not act on.
     Ignored,
 }
 
 /// A message to a client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ToClient {
-    /// The task runs.
+    /// The task was accepted by a host.
     Answer {
-        /// The request.
+        /// The task id of the request.
         id: u64,
-        /// As the host gave it.
+        /// The text that the host answered with, unchanged.
         description: String,
     },
-    /// Refused or failed before an answer, ended after it.
+    /// Before an answer: the request is refused or failed. After it: the task ended.
     Release {
-        /// The task.
+        /// The task id.
         id: u64,
-        /// Why.
+        /// One of the causes at the root of this crate, or one that a host gave.
         cause: u8,
-        /// For how long not to ask again, in milliseconds.
+        /// How long the client is to wait before it repeats the request, in milliseconds.
         retry_after_ms: Option<u64>,
     },
-    /// The task is moved: it ends, and is to be requested again.
+    /// The running task with this id is to be moved: it ends, and the client is to request it again.
     Moved(u64),
     /// The result of a health check.
     HealthCheckResult {
-        /// As the health check had it.
+        /// The id of the health check.
         id: u64,
-        /// The placer is in service.
+        /// Whether the placer is in service.
         passed: bool,
     },
 }
 
 impl ToClient {
-    /// A refusal, which promises that nothing ran and that asking again is harmless.
+    /// Refuses a request: nothing of it ran, so that the client can safely repeat it.
     pub fn refusal(id: u64, retry_after_ms: Option<u64>) -> Self {
         Self::Release {
             id,
@@ -132,7 +135,7 @@
         }
     }
 
-    /// A failure, which promises nothing; after an answer, the end of the task.
+    /// Before an answer: the request failed, and the task may have run. After it: the task ended.
     pub fn failure(id: u64, cause: u8) -> Self {
         Self::Release {
             id,
@@ -142,25 +145,26 @@
     }
 }
 
-/// Splits the input of one connection into messages.
+/// Splits the input of one client connection into messages.
 #[derive(Debug, Default)]
 pub struct Reader(InputBuffer);
 
 impl Reader {
-    /// Adds bytes, in the order in which they were received.
+    /// Appends bytes that were received.
     pub fn push(&mut self, bytes: &[u8]) {
         self.0.push(bytes);
     }
 
-    /// Whether a message has begun and not ended.
+    /// Whether there is input that does not form a complete message yet, or was not read yet.
     pub fn is_partial(&self) -> bool {
         !self.0.unread().is_empty()
     }
 
-    /// The next whole message; a message that can be delimited and not decoded is an [`InvalidMessage`].
+    /// Removes and returns the next message, or [`InvalidMessage`] if its body can't be decoded; `None` if it is not complete
+    /// yet.
     ///
     /// # Errors
-    /// [`Unreadable`] if the length is out of bounds; the connection is of no further use.
+    /// [`Unreadable`] if the length field is out of bounds. Nothing more can be read from this input.
     pub fn next_message(
         &mut self,
     ) -> Result<Option<Result<FromClient, InvalidMessage>>, Unreadable> {
--- a/crates/platform-protocol/src/config.rs
+++ b/crates/platform-protocol/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of a placer: the platform's JSON file, read and checked whole.
+//! The configuration of a placer, from the platform's JSON file.
 
 use std::net::SocketAddr;
 
@@ -12,30 +12,30 @@
 /// The configuration of a placer.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name.
+    /// The name of the placer.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which the placer accepts clients.
     pub listen: SocketAddr,
-    /// Seed of its random numbers.
+    /// The seed of the decision module's random numbers.
     pub seed: u64,
-    /// Its limits.
+    /// The resources that the placer's process may use.
     pub limits: Limits,
-    /// Where the discovery service listens.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// Events of discovery up to now.
+    /// The events of discovery up to the time at which the file was written.
     pub known: WatchResponse,
-    /// The settings of the decision module, and the names and times around them.
+    /// The settings of the deployment, which include those of the decision module.
     pub settings: Settings,
 }
 
-/// What a placer may use.
+/// The resources that a placer's process may use.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 pub struct Limits {
-    /// Cores.
+    /// Processor cores.
     pub cores: f64,
-    /// Megabytes of memory.
+    /// Memory in megabytes.
     pub memory_mb: u64,
-    /// File descriptors.
+    /// The number of file descriptors.
     pub sockets: usize,
 }
 
@@ -52,31 +52,32 @@
     settings: &'a RawValue,
 }
 
-/// What is wrong with a configuration, with the place and the fix.
+/// Why a configuration is rejected. The text names the key and what is expected there.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// It is no JSON of the platform's form.
-    #[error("{0}; put it in the platform's form")]
+    /// The text is not JSON, or a key is missing or has a value of the wrong type.
+    #[error("{0}; expected the platform's JSON configuration of a placer")]
     Form(#[from] serde_path_to_error::Error<serde_json::Error>),
-    /// The settings are invalid.
-    #[error("settings.{0}; put them in the form of the simulator's first message")]
+    /// A key below `settings` is missing or invalid.
+    #[error("settings.{0}; expected the settings in the form of the simulator's first message")]
     Settings(settings::Error),
-    /// The seed is malformed.
-    #[error("seed: {0:?} is not 16 hex digits; give it as such")]
+    /// The seed is not 16 hexadecimal digits.
+    #[error("seed: {0:?} is not 16 hexadecimal digits")]
     Seed(String),
-    /// The known events are invalid.
-    #[error("known: {0}; give the events of discovery up to now")]
+    /// An event below `known` is invalid.
+    #[error("known: {0}; expected the events of discovery up to now")]
     Known(#[from] crate::discovery::Error),
-    /// There are too few file descriptors.
+    /// Fewer than [`MIN_SOCKETS`] file descriptors are allowed.
     #[error("limits.sockets: {0} are too few; give at least {MIN_SOCKETS}")]
     Sockets(usize),
 }
 
-/// File descriptors that a placer needs at least: its own, discovery's, some of clients and of hosts.
+/// The minimum number of file descriptors: those of the process itself, of the connection to discovery, and some
+/// connections of clients and to hosts.
 pub const MIN_SOCKETS: usize = 64;
 
 impl Config {
-    /// Reads a configuration.
+    /// Parses and checks the configuration in `text`.
     ///
     /// # Errors
     /// If any part of it is invalid.
--- a/crates/platform-protocol/src/discovery.rs
+++ b/crates/platform-protocol/src/discovery.rs
@@ -1,17 +1,17 @@
-//! The discovery service: the endpoint list of hosts, and watch events that change it.
+//! Responses of the discovery service: watch events that change the endpoint list of hosts.
 
 use std::net::SocketAddr;
 
 use reedring::settings::Deployment as Settings;
 use serde::Deserialize;
 
-/// The answer to a poll: events, numbered from 1 at each start of a placer.
+/// The response to a poll. Events are numbered from 1 at each start of a placer.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct WatchResponse {
-    /// The number of the last event.
+    /// The number of the latest event that discovery has.
     #[serde(rename = "rev")]
     pub revision: u64,
-    /// The events after the one that the poll named, in order.
+    /// The events after the one whose number the poll gave, in ascending order of their numbers.
     #[serde(rename = "notices")]
     pub events: Vec<WatchEvent>,
 }
@@ -19,21 +19,22 @@
 /// A change of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct WatchEvent {
-    /// Its number.
+    /// The number of the event.
     #[serde(rename = "rev")]
     pub revision: u64,
-    /// The endpoints that it concerns; `None` if it concerns none.
+    /// The hosts that were added, changed or removed; `None` if the event does not change the endpoint list.
     #[serde(rename = "pool")]
     pub endpoints: Option<EndpointList>,
 }
 
-/// Endpoints of hosts.
+/// Entries of the endpoint list, one for each host.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct EndpointList {
-    /// It is a snapshot: a host that it lacks has left.
+    /// Whether these are the entries of all hosts, so that a host without an entry has left; else only the entries that
+    /// changed.
     #[serde(rename = "whole")]
     pub is_snapshot: bool,
-    /// The hosts.
+    /// The entries.
     pub hosts: Vec<HostEntry>,
 }
 
@@ -43,47 +44,47 @@
     /// The host's name.
     #[serde(rename = "host")]
     pub name: String,
-    /// Where it listens.
+    /// The address on which the host accepts placers.
     #[serde(rename = "dial")]
     pub address: SocketAddr,
-    /// Its zone's name.
+    /// The name of the host's zone.
     #[serde(rename = "site")]
     pub zone: String,
-    /// Its kind's name.
+    /// The name of the host's machine kind.
     #[serde(rename = "class")]
     pub kind: String,
-    /// Its cell.
+    /// The number of the host's cell.
     #[serde(rename = "block")]
     pub cell: u16,
-    /// Whether it takes tasks.
+    /// Whether the host accepts tasks.
     pub health: HostHealth,
-    /// Unix milliseconds of a late start; 0 for long ago.
+    /// When the host started, in Unix milliseconds; 0 if it started long ago.
     #[serde(default, rename = "born_ms")]
     pub started_at_ms: u64,
-    /// Cores and memory that no task asked for.
+    /// Cores and memory that are not requested by any task, in this order; `None` if discovery does not report them.
     #[serde(rename = "room")]
     pub free: Option<[f64; 2]>,
 }
 
-/// Whether a host takes tasks.
+/// Whether a host accepts tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostHealth {
-    /// It takes tasks.
+    /// The host accepts tasks.
     Active,
-    /// It takes no new tasks and finishes its work.
+    /// The host accepts no new tasks and finishes those that run.
     #[serde(rename = "leaving")]
     Draining,
-    /// It was removed.
+    /// The host was removed.
     Left,
 }
 
-/// Names that entries use, by number.
+/// The names of zones and machine kinds in the settings; the index of a name is its number in the decision module.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Names {
-    /// Zones.
+    /// The names of the zones.
     pub zones: Vec<String>,
-    /// Machine kinds.
+    /// The names of the machine kinds.
     pub kinds: Vec<String>,
 }
 
@@ -97,71 +98,78 @@
 }
 
 impl Names {
-    /// The number of a zone.
+    /// The number of the zone with this name; `None` if the settings do not have it.
     pub fn zone(&self, name: &str) -> Option<u16> {
         number_of(&self.zones, name)
     }
 
-    /// The number of a kind.
+    /// The number of the machine kind with this name; `None` if the settings do not have it.
     pub fn kind(&self, name: &str) -> Option<u16> {
         number_of(&self.kinds, name)
     }
 }
 
-/// The position of a name in its list.
+/// The index of `name` in `names`; `None` if it is not there or the index exceeds 16 bits.
 pub fn number_of(names: &[String], name: &str) -> Option<u16> {
     let position = names.iter().position(|other| other == name);
-    position.and_then(|at| u16::try_from(at).ok())
+    position.and_then(|index| u16::try_from(index).ok())
 }
 
-/// Why an answer of the discovery service can't be used; nothing of it is.
+/// Why a response of the discovery service is rejected. None of its events is applied then.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// It is no JSON of the protocol's form.
-    #[error("not in the form of discovery: {0}")]
+    /// The response is not JSON, or a key is missing or has a value of the wrong type.
+    #[error("not a response of discovery: {0}")]
     Form(#[from] serde_json::Error),
-    /// An event is invalid.
+    /// An event of the response is invalid.
     #[error("event {revision}: {error}")]
     Event {
-        /// The event's number.
+        /// The number of the event.
         revision: u64,
-        /// What is wrong with it.
+        /// Why the event is invalid.
         error: EventError,
     },
 }
 
-/// What is wrong with an event.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+/// Why an event is invalid.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum EventError {
-    /// Its number is not between the one before and the last.
-    #[error("its number is out of order")]
-    OutOfOrder,
-    /// A host's zone is not one of the settings.
-    #[error("{host}: no site {zone:?}")]
+    /// The event's number is not above that of the event before it, or exceeds the response's latest number.
+    #[error("rev of the event is out of order, expected more than {previous} and at most {latest}")]
+    OutOfOrder {
+        /// The number of the event before it; 0 for the first event.
+        previous: u64,
+        /// The number of the latest event, as the response gives it.
+        latest: u64,
+    },
+    /// A host's zone is not in the settings.
+    #[error("host {host:?}: site {zone:?} is not a zone of the settings")]
     UnknownZone {
-        /// The host.
+        /// The name of the host.
         host: String,
-        /// Its zone.
+        /// The name of the zone.
         zone: String,
     },
-    /// A host's kind is not one of the settings.
-    #[error("{host}: no class {kind:?}")]
+    /// A host's machine kind is not in the settings.
+    #[error("host {host:?}: class {kind:?} is not a machine kind of the settings")]
     UnknownKind {
-        /// The host.
+        /// The name of the host.
         host: String,
-        /// Its kind.
+        /// The name of the machine kind.
         kind: String,
     },
-    /// A host's free resources are not finite.
-    #[error("{host}: room is not finite")]
+    /// A host's free cores or free memory is infinite or not a number.
+    #[error("host {host:?}: room is {free:?}, expected two finite numbers")]
     InvalidFree {
-        /// The host.
+        /// The name of the host.
         host: String,
+        /// Free cores and free memory, as received.
+        free: [f64; 2],
     },
 }
 
 impl WatchResponse {
-    /// Reads an answer of discovery whole.
+    /// Parses and checks a response of discovery.
     ///
     /// # Errors
     /// If any part of it is invalid.
@@ -171,19 +179,19 @@
         Ok(response)
     }
 
-    /// Checks what the form alone does not ensure.
+    /// Checks the order of the events, and the names and free resources of their hosts.
     ///
     /// # Errors
-    /// If a number, name or figure is invalid.
+    /// If any of them is invalid.
     pub fn check(&self, names: &Names) -> Result<(), Error> {
-        let mut last = 0;
+        let (mut previous, latest) = (0, self.revision);
         for event in &self.events {
             let revision = event.revision;
             let invalid = |error| Error::Event { revision, error };
-            if revision <= last || revision > self.revision {
-                return Err(invalid(EventError::OutOfOrder));
+            if revision <= previous || revision > latest {
+                return Err(invalid(EventError::OutOfOrder { previous, latest }));
             }
-            last = revision;
+            previous = revision;
             for host in event.endpoints.iter().flat_map(|list| &list.hosts) {
                 host.check(names).map_err(invalid)?;
             }
@@ -207,9 +215,9 @@
                 kind: self.kind.clone(),
             });
         }
-        let is_finite = |free: [f64; 2]| free.iter().all(|left| left.is_finite());
-        if !self.free.is_none_or(is_finite) {
-            return Err(EventError::InvalidFree { host: host() });
+        let is_finite = |free: &[f64; 2]| free.iter().all(|amount| amount.is_finite());
+        if let Some(free) = self.free.filter(|free| !is_finite(free)) {
+            return Err(EventError::InvalidFree { host: host(), free });
         }
         Ok(())
     }
--- a/crates/platform-protocol/src/host/decode.rs
+++ b/crates/platform-protocol/src/host/decode.rs
@@ -1,4 +1,4 @@
-//! Decodes hosts' lines.
+//! Decodes lines from hosts.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 use super::{Figures, FromHost, LineError};
 use crate::hex;
 
-/// The cause of a health check that passed.
+/// The cause in the result of a health check that passed; any other cause means that it failed.
 const PASSED: u8 = 1;
 
 #[derive(Deserialize)]
@@ -36,13 +36,14 @@
         self.fields.get("note").and_then(Value::as_str)
     }
 
-    /// The figures of all fields: numbers, and those that a text lists, as `x0:12.157;x1:1.399`.
+    /// The numbers in all fields, by name: a field is itself a number, or a text that lists named numbers, for example
+    /// `x0:12.157;x1:1.399`.
     fn figures(&self) -> Figures {
         let mut figures = Figures::new();
         for (name, value) in &self.fields {
             match number(value) {
                 Some(value) => drop(figures.insert(name.clone(), value)),
-                None => figures.extend(listed_figures(value)),
+                None => figures.extend(listed_numbers(value)),
             }
         }
         figures
@@ -66,7 +67,7 @@
             figures: line.figures(),
         }),
         "note" => {
-            let name = line.note().ok_or(LineError::Missing("note"))?;
+            let name = line.note().ok_or(LineError::Missing("fields.note"))?;
             let signal = task_signal(name, line.fields.get("value").and_then(number))?;
             Ok(signal.map_or(FromHost::Ignored, |note| FromHost::TaskSignal { id, note }))
         }
@@ -80,8 +81,8 @@
     }
 }
 
-/// The figures that a text lists; parts that are none are skipped.
-fn listed_figures(value: &Value) -> impl Iterator<Item = (String, f64)> {
+/// The named numbers that a text lists as `name:number` parts. Other parts, and values that are no text, are skipped.
+fn listed_numbers(value: &Value) -> impl Iterator<Item = (String, f64)> {
     let parts = value.as_str().into_iter().flat_map(|text| text.split(';'));
     parts.filter_map(|part| {
         let (name, value) = part.split_once(':')?;
@@ -90,7 +91,7 @@
     })
 }
 
-/// Numbers are sent as such or as text.
+/// A finite number, which hosts send as a JSON number or as text; `None` for any other value.
 fn number(value: &Value) -> Option<f64> {
     let number = match value {
         Value::Number(number) => number.as_f64(),
@@ -100,6 +101,7 @@
     number.filter(|number| number.is_finite())
 }
 
+/// The reason that a host's note gives for a release; `None` for an unknown note.
 fn reason(name: &str) -> Option<Reason> {
     Some(match name {
         "lack_cpu" => Reason::NoCores,
@@ -113,7 +115,7 @@
     })
 }
 
-/// The signal of a note; `None` for one without meaning for a placer.
+/// The signal in a note about a running task; `None` for a note that a placer does not act on.
 fn task_signal(name: &str, value: Option<f64>) -> Result<Option<Note>, LineError> {
     let required = |name: &'static str| value.ok_or(LineError::MissingValue(name));
     Ok(Some(match name {
--- a/crates/platform-protocol/src/host/encode.rs
+++ b/crates/platform-protocol/src/host/encode.rs
@@ -30,7 +30,7 @@
 }
 
 impl ToHost {
-    /// Its line, with the line feed.
+    /// The message as a line of JSON, with its line feed.
     pub fn encode(&self) -> Vec<u8> {
         let mut line = serde_json::to_vec(&self.line()).unwrap_or_default();
         line.push(b'\n');
--- a/crates/platform-protocol/src/host/error.rs
+++ b/crates/platform-protocol/src/host/error.rs
@@ -1,37 +1,37 @@
-//! What can be wrong with a host's line.
+//! Errors in the input from hosts.
 
 use crate::MAX;
 
-/// A line that is no message.
+/// Why a host's input can't be read. Nothing more is read from its connection.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Unreadable {
-    /// It does not end.
-    #[error("a line of more than {MAX} bytes")]
+    /// A line has more than [`MAX`] bytes.
+    #[error("a line is longer than {MAX} bytes")]
     TooLong,
-    /// It is not what the protocol has.
-    #[error("no message: {0}")]
+    /// A line is not a message of the protocol.
+    #[error("invalid message: {0}")]
     InvalidLine(LineError),
 }
 
-/// What is wrong with a line.
+/// Why a line is not a message of the protocol.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LineError {
-    /// It is no JSON object of the protocol's form; the parser's message.
+    /// The line is not a JSON object with the members of a message; this is the parser's message.
     #[error("{0}")]
     Json(String),
-    /// The id is malformed.
-    #[error("id: {0:?} is not 16 hex digits")]
+    /// The id is not 16 hexadecimal digits.
+    #[error("id: {0:?} is not 16 hexadecimal digits")]
     InvalidId(String),
-    /// There is no such type.
-    #[error("type: {0:?} is unknown")]
+    /// The protocol has no message of this type.
+    #[error("type: unknown message type {0:?}")]
     UnknownType(String),
-    /// A required member or field is missing.
-    #[error("{0}: missing")]
+    /// This member or field is required and missing, or not a text where a text is required.
+    #[error("{0}: missing or of the wrong type")]
     Missing(&'static str),
-    /// The cause is out of bounds.
-    #[error("cause: {0} is over 255")]
+    /// The cause does not fit one byte.
+    #[error("cause: {0} is out of range, expected 0 to 255")]
     InvalidCause(u64),
-    /// The signal needs a number as its value.
-    #[error("value of {0}: no number")]
+    /// The note with this name needs a number in the field `value`.
+    #[error("fields.value: missing or not a finite number, which the note {0:?} needs")]
     MissingValue(&'static str),
 }
--- a/crates/platform-protocol/src/host/mod.rs
+++ b/crates/platform-protocol/src/host/mod.rs
@@ -1,5 +1,5 @@
-//! Messages between placers and hosts: one JSON object a line. Its member `type` tells which message it is; the word
-//! stands beside each variant.
+//! Messages between placers and hosts, one JSON object per line. The member `type` is the message type; the documentation
+//! of each variant begins with its value.
 
 mod decode;
 mod encode;
@@ -13,102 +13,102 @@
 
 pub use error::{LineError, Unreadable};
 
-/// Numbers by name.
+/// Named numbers from a host's message.
 pub type Figures = BTreeMap<String, f64>;
 
-/// A message of a host.
+/// A message from a host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FromHost {
-    /// `answer`: the task runs.
+    /// `answer`: the host accepted the task.
     Answer {
-        /// The request.
+        /// The task id of the request.
         id: u64,
-        /// To be passed on unchanged.
+        /// A text that is passed on to the client unchanged.
         description: String,
     },
-    /// `release`: the attempt ended before its answer, or the task after it.
+    /// `release`: before an answer, the attempt ended; after it, the task ended.
     Release {
-        /// The task.
+        /// The task id.
         id: u64,
-        /// How.
+        /// How the attempt or the task ended: one of the causes at the root of this crate, or any other byte.
         cause: u8,
-        /// Why, if the host says so.
+        /// The reason, if the host gives one that a placer knows.
         reason: Option<Reason>,
-        /// Figures that may be a load report, by name.
+        /// The named numbers of the message, which may contain a load report.
         figures: Figures,
     },
     /// `note`: a signal about a running task.
     TaskSignal {
-        /// The task.
+        /// The task id.
         id: u64,
         /// The signal.
         note: Note,
     },
     /// `pong`: the result of a health check.
     HealthCheckResult {
-        /// As the health check had it.
+        /// The id of the health check.
         id: u64,
-        /// It passed.
+        /// Whether the host passed the health check.
         passed: bool,
-        /// Figures that may be a load report, by name.
+        /// The named numbers of the message, which may contain a load report.
         figures: Figures,
     },
-    /// `progress`, `released`, `ping`, `move`, or a `note` of an unknown name: without meaning for a placer.
+    /// `progress`, `released`, `ping`, `move`, or a `note` with an unknown name: a placer does not act on these.
     Ignored,
 }
 
 /// A message to a host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ToHost {
-    /// `setup`: a task is offered.
+    /// `setup`: a task is offered to the host.
     PlacementRequest {
-        /// The client's id.
+        /// The task id, as the client gave it.
         id: u64,
-        /// The class's name.
+        /// The name of the task's class.
         class: String,
         /// The key of the task.
         key: u64,
-        /// The idempotency key of keyed classes.
+        /// The idempotency key; only tasks of keyed classes have one.
         idempotency_key: Option<String>,
-        /// Milliseconds for which the placer waits.
+        /// How long the placer waits for an answer, in milliseconds.
         left_ms: u64,
-        /// As the client gave it.
+        /// The text of the client's request, unchanged.
         description: String,
     },
     /// `release`: an attempt is given up, or a running task is to be stopped.
     Release {
-        /// The task.
+        /// The task id.
         id: u64,
-        /// Why.
+        /// One of the causes at the root of this crate.
         cause: u8,
     },
     /// `ping`: a health check.
     HealthCheck {
-        /// Comes back with the result.
+        /// The id of the health check, which the host repeats in the result.
         id: u64,
-        /// A load report is wanted.
+        /// Whether the result is to contain a load report.
         wants_report: bool,
     },
 }
 
-/// Splits the input of one connection into messages.
+/// Splits the input of one link into messages.
 #[derive(Debug, Default)]
 pub struct Reader {
     input: InputBuffer,
-    /// Unread bytes in which there is no end of a line.
+    /// Length of the prefix of the unread bytes that is known to contain no line feed.
     searched: usize,
 }
 
 impl Reader {
-    /// Adds bytes, in the order in which they were received.
+    /// Appends bytes that were received.
     pub fn push(&mut self, bytes: &[u8]) {
         self.input.push(bytes);
     }
 
-    /// The next whole message.
+    /// Removes and returns the next message; `None` if it is not complete yet.
     ///
     /// # Errors
-    /// [`Unreadable`]; the connection is of no further use.
+    /// [`Unreadable`] if a line is too long or not a message. Nothing more can be read from this input.
     pub fn next_message(&mut self) -> Result<Option<FromHost>, Unreadable> {
         let unread = self.input.unread();
         let end = unread[self.searched..]
--- a/crates/platform-protocol/tests/golden.rs
+++ b/crates/platform-protocol/tests/golden.rs
@@ -1,8 +1,8 @@
-//! Bytes of the platform's messages, written at commit 073fcce: what another program sends is read to the same values,
-//! and the same values are written to the same bytes. No literal here may change with the code.
+//! Fixed bytes of the platform's messages. They decode to the same values and the same values encode to them in every
+//! version, because the program at the other end has another version. The literals here must not change with the code.
 //!
-//! `messages.rs` has refusals, answers, moves and test results to clients as bytes, and set-ups, answers, releases and
-//! probe results of hosts as values; they are not written twice here.
+//! `messages.rs` checks the bytes of refusals, answers, moves and health check results to clients, and decodes answers,
+//! releases and health check results of hosts; those cases are not repeated here.
 
 use reedring_platform_protocol::client::{self, FromClient, ToClient};
 use reedring_platform_protocol::config::Config;
@@ -15,15 +15,15 @@
     reader.push(bytes);
     let message = reader
         .next_message()
-        .expect("its length is one")
-        .expect("it is whole")
-        .expect("it is valid");
+        .expect("the length field is valid")
+        .expect("the message is complete")
+        .expect("the message is valid");
     assert!(!reader.is_partial());
     message
 }
 
 #[test]
-fn a_set_up_with_every_parameter() {
+fn a_placement_request_with_every_parameter_is_decoded() {
     let bytes = b"\x00\xab\x01\x9b\x1f\x03\xaa\x5c\x7e\x2d\x41\
         \xb4\x00\x04take\
         \xb5\x00\x041500\
@@ -33,34 +33,34 @@
         \xb9\x00\x3ccores:0.5;memory:2.25;service:00000000b4d65521;at:host-00017\
         \xc1\x00\x205c0f5c0f5c0f5c0f5c0f5c0f5c0f5c0f\
         \xc3\x00\x10v=0\r\nm=audio 9\r\n";
-    let FromClient::PlacementRequest(setup) = from_client(bytes) else {
-        panic!("no set-up")
+    let FromClient::PlacementRequest(request) = from_client(bytes) else {
+        panic!("not a placement request")
     };
     assert_eq!(
-        (setup.id, setup.class.as_str(), setup.left_ms),
+        (request.id, request.class.as_str(), request.left_ms),
         (0x9b1f_03aa_5c7e_2d41, "take", 1_500)
     );
     assert_eq!(
-        (setup.tenant.as_deref(), setup.is_retry),
+        (request.tenant.as_deref(), request.is_retry),
         (Some("radio"), true)
     );
     assert_eq!(
-        (setup.key, setup.service),
+        (request.key, request.service),
         (0x7f3a_9c21_e0b4_d655, 0xb4d6_5521)
     );
     assert_eq!(
-        (setup.cores, setup.memory, setup.runs_at.as_deref()),
+        (request.cores, request.memory, request.runs_at.as_deref()),
         (0.5, 2.25, Some("host-00017"))
     );
     assert_eq!(
-        setup.idempotency_key.as_deref(),
+        request.idempotency_key.as_deref(),
         Some("5c0f5c0f5c0f5c0f5c0f5c0f5c0f5c0f")
     );
-    assert_eq!(setup.description, "v=0\r\nm=audio 9\r\n");
+    assert_eq!(request.description, "v=0\r\nm=audio 9\r\n");
 }
 
 #[test]
-fn all_other_messages_of_clients() {
+fn all_other_client_messages_are_decoded() {
     let id = 0x0102_0304_0506_0708;
     let bytes = |kind: u8| [&[0, 9, kind], [1, 2, 3, 4, 5, 6, 7, 8].as_slice()].concat();
     assert_eq!(
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn causes_have_the_platforms_numbers() {
+fn causes_have_the_numbers_of_the_platform() {
     assert_eq!(
         [GIVEN_UP, CANCELLED, FULL, CUT, ERROR, MOOT],
         [16, 31, 34, 41, 47, 102]
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn messages_to_clients_that_messages_rs_lacks() {
+fn failures_refusals_without_delay_and_failed_health_checks_are_encoded() {
     let id = 0x0102_0304_0506_0708;
     let failure = b"\x00\x0d\x0c\x01\x02\x03\x04\x05\x06\x07\x08\xc2\x00\x01\x29";
     assert_eq!(ToClient::failure(id, CUT).encode(), failure);
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn lines_to_hosts() {
+fn all_messages_to_hosts_are_encoded() {
     let setup = |idem: Option<&str>| ToHost::PlacementRequest {
         id: 0x9b1f,
         class: "play".to_owned(),
@@ -133,22 +133,22 @@
         text(&release),
         "{\"type\":\"release\",\"id\":\"ffffffffffffffff\",\"fields\":{},\"cause\":16}\n"
     );
-    for (report, cause) in [(false, 0), (true, 1)] {
-        let probe = format!(
+    for (wants_report, cause) in [(false, 0), (true, 1)] {
+        let health_check = format!(
             "{{\"type\":\"ping\",\"id\":\"0000000000000003\",\"fields\":{{}},\"cause\":{cause}}}\n"
         );
         assert_eq!(
             text(&ToHost::HealthCheck {
                 id: 3,
-                wants_report: report
+                wants_report
             }),
-            probe
+            health_check
         );
     }
 }
 
 fn text(message: &ToHost) -> String {
-    String::from_utf8(message.encode()).expect("a line is text")
+    String::from_utf8(message.encode()).expect("a line is UTF-8")
 }
 
 fn from_host(line: &str) -> FromHost {
@@ -157,28 +157,31 @@
     reader.push(b"\n");
     reader
         .next_message()
-        .expect("it is a message")
-        .expect("it is whole")
+        .expect("the line is a message")
+        .expect("the line is complete")
 }
 
 #[test]
-fn notes_of_hosts() {
+fn notes_of_hosts_are_decoded_to_signals() {
     let note = |name: &str, value: &str| {
         from_host(&format!(
             r#"{{"type":"note","id":"000000000000000a","fields":{{"note":"{name}","value":{value}}}}}"#
         ))
     };
-    let is = |note: reedring::Note| FromHost::TaskSignal { id: 10, note };
-    assert_eq!(note("running", "null"), is(reedring::Note::Runs));
-    assert_eq!(note("use_cpu", "\"0.25\""), is(reedring::Note::Cores(0.25)));
-    assert_eq!(note("use_ram", "1.5"), is(reedring::Note::Memory(1.5)));
-    assert_eq!(note("health", "0.75"), is(reedring::Note::Served(0.75)));
-    assert_eq!(note("ram_high", "1"), is(reedring::Note::Pressure(1.0)));
+    let signal = |note: reedring::Note| FromHost::TaskSignal { id: 10, note };
+    assert_eq!(note("running", "null"), signal(reedring::Note::Runs));
+    assert_eq!(
+        note("use_cpu", "\"0.25\""),
+        signal(reedring::Note::Cores(0.25))
+    );
+    assert_eq!(note("use_ram", "1.5"), signal(reedring::Note::Memory(1.5)));
+    assert_eq!(note("health", "0.75"), signal(reedring::Note::Served(0.75)));
+    assert_eq!(note("ram_high", "1"), signal(reedring::Note::Pressure(1.0)));
     assert_eq!(note("weather", "1"), FromHost::Ignored);
 }
 
 #[test]
-fn reasons_of_hosts() {
+fn reasons_and_load_reports_of_host_releases_are_decoded() {
     for (name, expected) in [
         ("lack_cpu", Some(reedring::Reason::NoCores)),
         ("lack_ram", Some(reedring::Reason::NoMemory)),
@@ -211,7 +214,7 @@
 }
 
 #[test]
-fn lines_of_hosts_that_mean_nothing() {
+fn ignored_messages_and_failed_health_checks_of_hosts_are_decoded() {
     for kind in ["progress", "released", "ping", "move"] {
         assert_eq!(
             from_host(&format!(r#"{{"type":"{kind}","id":"000000000000000a"}}"#)),
@@ -231,7 +234,7 @@
     assert_eq!(figures.get("x0"), Some(&1.0));
 }
 
-const EVENTS: &str = r#"{"rev":9,"notices":[
+const RESPONSE: &str = r#"{"rev":9,"notices":[
     {"rev":7,"pool":{"seq":3,"whole":true,"hosts":[
         {"host":"h-1","dial":"10.1.2.3:9000","site":"east","class":"std","block":1,"health":"active","share":4,
          "born_ms":1700000000123,"room":[1.5,-2]},
@@ -249,18 +252,18 @@
     }
 }
 
-fn check_events(events: &WatchResponse) {
-    assert_eq!(events.revision, 9);
+fn assert_response(response: &WatchResponse) {
+    assert_eq!(response.revision, 9);
     assert_eq!(
-        events
+        response
             .events
             .iter()
             .map(|event| event.revision)
             .collect::<Vec<_>>(),
         [7, 8, 9]
     );
-    assert_eq!(events.events[1].endpoints, None);
-    let lists: Vec<&discovery::EndpointList> = events
+    assert_eq!(response.events[1].endpoints, None);
+    let lists: Vec<&discovery::EndpointList> = response
         .events
         .iter()
         .filter_map(|event| event.endpoints.as_ref())
@@ -302,14 +305,16 @@
 }
 
 #[test]
-fn events_of_discovery() {
-    check_events(&WatchResponse::read(EVENTS.as_bytes(), &names()).expect("they fit"));
+fn a_response_of_discovery_is_decoded() {
+    assert_response(
+        &WatchResponse::read(RESPONSE.as_bytes(), &names()).expect("the response is valid"),
+    );
 }
 
 #[test]
-fn a_configuration_with_every_key() {
-    let text = include_str!("wire/config.json").replace("\"EVENTS\"", EVENTS);
-    let config = Config::read(&text).expect("it is whole");
+fn a_configuration_with_every_key_is_decoded() {
+    let text = include_str!("wire/config.json").replace("\"EVENTS\"", RESPONSE);
+    let config = Config::read(&text).expect("the configuration is valid");
     assert_eq!(
         (config.name.as_str(), config.listen.to_string().as_str()),
         ("n1", "127.0.0.1:7001")
@@ -326,7 +331,7 @@
         ),
         (1.5, 48, 256)
     );
-    check_events(&config.known);
+    assert_response(&config.known);
     let settings = &config.settings;
     assert!(settings.lists_free);
     assert_eq!(settings.classes, ["play", "take", "print"]);
@@ -339,10 +344,10 @@
         (Some(30_000_000), Some(100))
     );
     assert_eq!(settings.longest_wait_us, Some(2_500_000));
-    check_module(&settings.module);
+    assert_module_settings(&settings.module);
 }
 
-fn check_module(module: &reedring::Settings) {
+fn assert_module_settings(module: &reedring::Settings) {
     use reedring::{Effect, Group, Place, ReportField, ReportStyle};
     assert_eq!(
         (module.schedulers, module.position, module.zone),
--- a/crates/platform-protocol/tests/messages.rs
+++ b/crates/platform-protocol/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Messages as they cross the sockets: whole, cut anywhere, and wrong in every way that was thought of.
+//! Messages are decoded however the input is split, invalid ones are rejected, and no input makes a decoder panic.
 
 mod wire;
 
@@ -9,7 +9,8 @@
 use reedring_platform_protocol::{FULL, MAX, config};
 use wire::message;
 
-const SETUP: [(u8, &[u8]); 6] = [
+/// The parameters of a valid placement request.
+const PLACEMENT_REQUEST: [(u8, &[u8]); 6] = [
     (180, b"play"),
     (181, b"1500"),
     (182, b"radio"),
@@ -18,9 +19,9 @@
     (195, b"v=0\r\nm=audio 9\r\n"),
 ];
 
-/// A good set-up in which one parameter is another; `None` leaves it out.
-fn with(code: u8, value: Option<&[u8]>) -> Vec<u8> {
-    let mut parameters: Vec<(u8, &[u8])> = SETUP
+/// A placement request in which the parameter `code` has this value; without that parameter for `None`.
+fn request_with(code: u8, value: Option<&[u8]>) -> Vec<u8> {
+    let mut parameters: Vec<(u8, &[u8])> = PLACEMENT_REQUEST
         .into_iter()
         .filter(|(other, _)| *other != code)
         .collect();
@@ -28,50 +29,52 @@
     message(1, 5, &parameters)
 }
 
-fn one(bytes: &[u8]) -> Result<FromClient, InvalidMessage> {
+/// Decodes bytes that are exactly one message.
+fn decode_one(bytes: &[u8]) -> Result<FromClient, InvalidMessage> {
     let mut reader = client::Reader::default();
     reader.push(bytes);
     let message = reader
         .next_message()
-        .expect("it can be told apart")
-        .expect("it is whole");
+        .expect("the length field is valid")
+        .expect("the message is complete");
     assert!(!reader.is_partial());
     message
 }
 
 #[test]
-fn a_set_up_is_read_whole() {
-    let Ok(FromClient::PlacementRequest(setup)) = one(&message(1, 5, &SETUP)) else {
-        panic!("no set-up")
+fn a_placement_request_is_decoded() {
+    let Ok(FromClient::PlacementRequest(request)) = decode_one(&message(1, 5, &PLACEMENT_REQUEST))
+    else {
+        panic!("not a placement request")
     };
     assert_eq!(
-        (setup.id, setup.class.as_str(), setup.left_ms),
+        (request.id, request.class.as_str(), request.left_ms),
         (5, "play", 1_500)
     );
     assert_eq!(
-        (setup.cores, setup.memory, setup.service),
+        (request.cores, request.memory, request.service),
         (1.0, 2.5, 0xb4d6_5521)
     );
     assert_eq!(
-        (setup.key, setup.is_retry, setup.runs_at),
+        (request.key, request.is_retry, request.runs_at),
         (0x7f3a_9c21_e0b4_d655, false, None)
     );
-    assert_eq!(setup.description, "v=0\r\nm=audio 9\r\n");
-    let handed = with(
+    assert_eq!(request.description, "v=0\r\nm=audio 9\r\n");
+    let running = request_with(
         185,
         Some(b"cores:1;memory:2;service:00000000b4d65521;at:h-1"),
     );
-    let Ok(FromClient::PlacementRequest(setup)) = one(&handed) else {
-        panic!("no set-up")
+    let Ok(FromClient::PlacementRequest(request)) = decode_one(&running) else {
+        panic!("not a placement request")
     };
-    assert_eq!(setup.runs_at.as_deref(), Some("h-1"));
-    // A task that stands already is handed over with the longest time there is.
-    assert!(one(&with(181, Some(b"4294967"))).is_ok());
+    assert_eq!(request.runs_at.as_deref(), Some("h-1"));
+    // The longest time, which is what the request for a task that runs already has.
+    assert!(decode_one(&request_with(181, Some(b"4294967"))).is_ok());
 }
 
 #[test]
-fn what_can_be_told_apart_but_not_used_names_its_id() {
-    let figures: &[&[u8]] = &[
+fn the_error_about_an_invalid_message_has_its_task_id() {
+    let invalid_extras: &[&[u8]] = &[
         b"",
         b"x",
         b"cores:1",
@@ -83,7 +86,7 @@
         b"cores:1;cores:1;memory:1;service:00000000b4d65521",
         b"\xff\xfe",
     ];
-    let times: &[&[u8]] = &[
+    let invalid_times: &[&[u8]] = &[
         b"",
         b"0",
         b"-5",
@@ -94,38 +97,48 @@
         b"99999999999999999999",
         b"4294968",
     ];
-    let mut wrong: Vec<Vec<u8>> = figures.iter().map(|value| with(185, Some(value))).collect();
-    wrong.extend(times.iter().map(|value| with(181, Some(value))));
-    wrong.extend([180, 181, 184, 185, 195].map(|code| with(code, None)));
-    wrong.extend([180, 182, 195].map(|code| with(code, Some(b"\xc3\x28"))));
-    wrong.push(with(184, Some(b"7f3a9c21e0b4d65")));
-    wrong.push(with(183, Some(b"yes")));
-    wrong.push(with(99, Some(b"?")));
-    wrong.push(message(
+    let mut invalid: Vec<Vec<u8>> = invalid_extras
+        .iter()
+        .map(|value| request_with(185, Some(value)))
+        .collect();
+    invalid.extend(
+        invalid_times
+            .iter()
+            .map(|value| request_with(181, Some(value))),
+    );
+    invalid.extend([180, 181, 184, 185, 195].map(|code| request_with(code, None)));
+    invalid.extend([180, 182, 195].map(|code| request_with(code, Some(b"\xc3\x28"))));
+    invalid.push(request_with(184, Some(b"7f3a9c21e0b4d65")));
+    invalid.push(request_with(183, Some(b"yes")));
+    invalid.push(request_with(99, Some(b"?")));
+    invalid.push(message(
         1,
         5,
-        &[SETUP.as_slice(), &[(180, b"play")]].concat(),
+        &[PLACEMENT_REQUEST.as_slice(), &[(180, b"play")]].concat(),
     ));
-    wrong.push(message(123, 5, &[]));
-    wrong.push(message(9, 5, &SETUP));
-    wrong.push(message(12, 5, &[(194, b"16")]));
-    for bytes in wrong {
-        let unusable = one(&bytes).expect_err("it was taken");
-        assert_eq!(unusable.id, 5, "{unusable}");
+    invalid.push(message(123, 5, &[]));
+    invalid.push(message(9, 5, &PLACEMENT_REQUEST));
+    invalid.push(message(12, 5, &[(194, b"16")]));
+    for bytes in invalid {
+        let error = decode_one(&bytes).expect_err("an invalid message was decoded");
+        assert_eq!(error.id, 5, "{error}");
     }
-    let mut cut = message(1, 5, &SETUP);
-    cut.truncate(cut.len() - 1);
-    let length = (cut.len() - 2) as u16;
-    cut[..2].copy_from_slice(&length.to_be_bytes());
+    let mut truncated = message(1, 5, &PLACEMENT_REQUEST);
+    truncated.truncate(truncated.len() - 1);
+    let length = (truncated.len() - 2) as u16;
+    truncated[..2].copy_from_slice(&length.to_be_bytes());
     assert!(
-        one(&cut).is_err(),
-        "its last parameter is longer than the message"
+        decode_one(&truncated).is_err(),
+        "the last parameter extends beyond the message"
+    );
+    assert!(
+        decode_one(&message(1, 0, &PLACEMENT_REQUEST)).is_err(),
+        "the task id is 0"
     );
-    assert!(one(&message(1, 0, &SETUP)).is_err(), "it has no id");
 }
 
 #[test]
-fn lengths_that_are_none_end_a_connection() {
+fn a_length_field_out_of_bounds_makes_the_input_unreadable() {
     for length in (0..9).chain([MAX as u16 - 1, MAX as u16, u16::MAX]) {
         let mut reader = client::Reader::default();
         reader.push(&length.to_be_bytes());
@@ -134,7 +147,7 @@
 }
 
 #[test]
-fn messages_to_clients_have_the_platforms_numbers() {
+fn messages_to_clients_are_encoded_with_the_numbers_of_the_platform() {
     let refusal = ToClient::refusal(5, Some(250)).encode();
     assert_eq!(refusal, message(12, 5, &[(186, b"250"), (194, &[FULL])]));
     let answer = ToClient::Answer {
@@ -154,7 +167,8 @@
     assert_eq!(ToClient::Moved(7).encode(), message(51, 7, &[]));
 }
 
-fn line(text: &str) -> Result<Option<FromHost>, host::Unreadable> {
+/// Decodes a line from a host.
+fn decode_line(text: &str) -> Result<Option<FromHost>, host::Unreadable> {
     let mut reader = host::Reader::default();
     reader.push(text.as_bytes());
     reader.push(b"\n");
@@ -162,8 +176,9 @@
 }
 
 #[test]
-fn hosts_are_understood() {
-    let answer = line(r#"{"type":"answer","id":"9b1f03aa5c7e2d41","fields":{},"sdp":"x\r\n"}"#);
+fn messages_of_hosts_are_decoded() {
+    let answer =
+        decode_line(r#"{"type":"answer","id":"9b1f03aa5c7e2d41","fields":{},"sdp":"x\r\n"}"#);
     let description = "x\r\n".to_owned();
     assert_eq!(
         answer,
@@ -172,7 +187,7 @@
             description
         }))
     );
-    let full = line(
+    let refusal = decode_line(
         r#"{"type":"release","id":"9b1f03aa5c7e2d41","fields":{"note":"lack_ram","x0":"1.5"},"cause":34}"#,
     );
     let Ok(Some(FromHost::Release {
@@ -180,14 +195,15 @@
         reason,
         figures,
         ..
-    })) = full
+    })) = refusal
     else {
-        panic!("{full:?}")
+        panic!("{refusal:?}")
     };
     assert_eq!(reason, Some(reedring::Reason::NoMemory));
     assert_eq!(figures.get("x0"), Some(&1.5));
-    let note =
-        line(r#"{"type":"note","id":"9b1f03aa5c7e2d41","fields":{"note":"use_cpu","value":0.5}}"#);
+    let note = decode_line(
+        r#"{"type":"note","id":"9b1f03aa5c7e2d41","fields":{"note":"use_cpu","value":0.5}}"#,
+    );
     assert!(matches!(
         note,
         Ok(Some(FromHost::TaskSignal {
@@ -195,7 +211,7 @@
             ..
         }))
     ));
-    let pong = line(r#"{"type":"pong","id":"0000000000000001","fields":{},"cause":1}"#);
+    let pong = decode_line(r#"{"type":"pong","id":"0000000000000001","fields":{},"cause":1}"#);
     assert!(matches!(
         pong,
         Ok(Some(FromHost::HealthCheckResult {
@@ -206,23 +222,23 @@
     ));
 }
 
-/// Seen on palermo-cluster-later: a load report is one text that lists its figures.
+/// Some hosts send a load report as one text that lists its values, instead of a field for each.
 #[test]
-fn a_load_report_is_read_from_one_text() {
+fn a_load_report_in_one_text_is_decoded() {
     let pong = r#"{"type":"pong","id":"0000000000000001","fields":{"load":"x0:12.157;x1:-1.399;x2:nan;x3"},"cause":1}"#;
-    let Ok(Some(FromHost::HealthCheckResult { figures, .. })) = line(pong) else {
-        panic!("{:?}", line(pong))
+    let Ok(Some(FromHost::HealthCheckResult { figures, .. })) = decode_line(pong) else {
+        panic!("{:?}", decode_line(pong))
     };
     assert_eq!(
         figures.into_iter().collect::<Vec<_>>(),
         [("x0".to_owned(), 12.157), ("x1".to_owned(), -1.399)]
     );
-    let full = r#"{"type":"release","id":"0000000000000001","fields":{"note":"backlog","load":"x0:3"},"cause":34}"#;
+    let refusal = r#"{"type":"release","id":"0000000000000001","fields":{"note":"backlog","load":"x0:3"},"cause":34}"#;
     let Ok(Some(FromHost::Release {
         reason, figures, ..
-    })) = line(full)
+    })) = decode_line(refusal)
     else {
-        panic!("{:?}", line(full))
+        panic!("{:?}", decode_line(refusal))
     };
     assert_eq!(
         (reason, figures.get("x0")),
@@ -231,7 +247,7 @@
 }
 
 #[test]
-fn lines_that_are_no_messages_end_a_connection() {
+fn lines_that_are_not_messages_make_the_input_unreadable() {
     for text in [
         "",
         "noise",
@@ -244,7 +260,7 @@
         r#"{"type":"note","id":"9b1f03aa5c7e2d41","fields":{"note":"use_cpu"}}"#,
         r#"{"type":"sing","id":"9b1f03aa5c7e2d41"}"#,
     ] {
-        assert!(line(text).is_err(), "{text}");
+        assert!(decode_line(text).is_err(), "{text}");
     }
     let mut reader = host::Reader::default();
     reader.push(&vec![b'{'; MAX]);
@@ -252,7 +268,7 @@
 }
 
 #[test]
-fn a_request_is_passed_on_as_the_client_sent_it() {
+fn a_placement_request_to_a_host_has_the_clients_values() {
     let setup = ToHost::PlacementRequest {
         id: 0x9b1f,
         class: "play".to_owned(),
@@ -279,36 +295,37 @@
     }
 }
 
-fn notice(rev: u64, what: &str) -> String {
+/// A watch event with one host, whose entry also has `more_keys`.
+fn event(revision: u64, more_keys: &str) -> String {
     format!(
-        r#"{{"rev":{rev},"pool":{{"seq":1,"whole":false,"hosts":[{{"host":"h-1","dial":"127.0.0.1:9","site":"east",
-        "class":"std","block":2,"health":"active","share":4,"born_ms":0,"room":[1.5,2]{what}}}]}}}}"#
+        r#"{{"rev":{revision},"pool":{{"seq":1,"whole":false,"hosts":[{{"host":"h-1","dial":"127.0.0.1:9","site":"east",
+        "class":"std","block":2,"health":"active","share":4,"born_ms":0,"room":[1.5,2]{more_keys}}}]}}}}"#
     )
 }
 
 #[test]
-fn an_answer_of_discovery_is_read_whole_or_not_at_all() {
-    let read = |rev: u64, notices: &str| {
+fn a_response_of_discovery_with_any_invalid_part_is_rejected_whole() {
+    let read = |latest: u64, events: &str| {
         WatchResponse::read(
-            format!(r#"{{"rev":{rev},"notices":[{notices}]}}"#).as_bytes(),
+            format!(r#"{{"rev":{latest},"notices":[{events}]}}"#).as_bytes(),
             &names(),
         )
     };
-    let told = read(4, &format!("{},{}", notice(3, ""), notice(4, ""))).unwrap();
+    let response = read(4, &format!("{},{}", event(3, ""), event(4, ""))).unwrap();
     assert_eq!(
-        told.events[1].endpoints.as_ref().unwrap().hosts[0].free,
+        response.events[1].endpoints.as_ref().unwrap().hosts[0].free,
         Some([1.5, 2.0])
     );
     assert!(read(4, "").is_ok());
     assert!(
-        read(3, &notice(4, "")).is_err(),
-        "an event after the last one"
+        read(3, &event(4, "")).is_err(),
+        "an event has a number above that of the latest event"
     );
     assert!(
-        read(4, &format!("{},{}", notice(4, ""), notice(3, ""))).is_err(),
-        "out of order"
+        read(4, &format!("{},{}", event(4, ""), event(3, ""))).is_err(),
+        "the events are out of order"
     );
-    for (good, bad) in [
+    for (valid, invalid) in [
         ("east", "west"),
         ("std", "huge"),
         ("active", "asleep"),
@@ -316,37 +333,37 @@
         ("[1.5,2]", "[1.5]"),
         ("\"block\":2", "\"block\":-1"),
     ] {
-        let text = notice(4, "").replace(good, bad);
-        assert_ne!(text, notice(4, ""));
+        let text = event(4, "").replace(valid, invalid);
+        assert_ne!(text, event(4, ""));
         assert!(
-            read(4, &format!("{},{text}", notice(3, ""))).is_err(),
-            "{bad}"
+            read(4, &format!("{},{text}", event(3, ""))).is_err(),
+            "{invalid}"
         );
     }
-    let whole = format!(r#"{{"rev":4,"notices":[{}]}}"#, notice(4, ""));
-    for cut in 0..whole.len() {
-        assert!(WatchResponse::read(&whole.as_bytes()[..cut], &names()).is_err());
+    let complete = format!(r#"{{"rev":4,"notices":[{}]}}"#, event(4, ""));
+    for end in 0..complete.len() {
+        assert!(WatchResponse::read(&complete.as_bytes()[..end], &names()).is_err());
     }
 }
 
 #[test]
-fn a_wrong_configuration_is_told_with_its_place() {
+fn the_error_about_an_invalid_configuration_names_the_place_in_one_line() {
     for (text, place) in [
         ("", "line 1"),
         ("{}", "name"),
         (r#"{"name":"n1","listen":"here"}"#, "socket address"),
     ] {
         let error = config::Config::read(text)
-            .expect_err("it was taken")
+            .expect_err("an invalid configuration was accepted")
             .to_string();
         assert!(error.contains(place), "{error}");
-        assert!(!error.contains('\n'), "one line: {error}");
+        assert!(!error.contains('\n'), "more than one line: {error}");
     }
 }
 
 proptest! {
     #[test]
-    fn no_bytes_of_a_client_make_the_reader_panic(chunks in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..80), 0..20)) {
+    fn no_input_of_a_client_makes_the_reader_panic(chunks in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..80), 0..20)) {
         let mut reader = client::Reader::default();
         for chunk in chunks {
             reader.push(&chunk);
@@ -355,23 +372,23 @@
     }
 
     #[test]
-    fn no_body_that_is_told_apart_makes_the_reader_panic(body in prop::collection::vec(any::<u8>(), 9..200)) {
+    fn no_message_body_of_a_client_makes_the_decoder_panic(body in prop::collection::vec(any::<u8>(), 9..200)) {
         let mut bytes = (body.len() as u16).to_be_bytes().to_vec();
         bytes.extend(&body);
-        let _ = one(&bytes);
+        let _ = decode_one(&bytes);
     }
 
     #[test]
-    fn cuts_change_nothing(cuts in prop::collection::vec(1_usize..40, 1..30), count in 1_usize..5) {
-        let all: Vec<u8> = (0..count as u64).flat_map(|n| message(1, n + 1, &SETUP)).collect();
-        let (mut reader, mut at, mut ids) = (client::Reader::default(), 0, Vec::new());
-        for cut in cuts.into_iter().chain([all.len()]) {
-            let end = (at + cut).min(all.len());
-            reader.push(&all[at..end]);
-            at = end;
+    fn messages_are_decoded_however_the_input_is_split(chunk_sizes in prop::collection::vec(1_usize..40, 1..30), count in 1_usize..5) {
+        let all: Vec<u8> = (0..count as u64).flat_map(|n| message(1, n + 1, &PLACEMENT_REQUEST)).collect();
+        let (mut reader, mut start, mut ids) = (client::Reader::default(), 0, Vec::new());
+        for size in chunk_sizes.into_iter().chain([all.len()]) {
+            let end = (start + size).min(all.len());
+            reader.push(&all[start..end]);
+            start = end;
             while let Some(message) = reader.next_message().unwrap() {
-                let Ok(FromClient::PlacementRequest(setup)) = message else { panic!("no set-up") };
-                ids.push(setup.id);
+                let Ok(FromClient::PlacementRequest(request)) = message else { panic!("not a placement request") };
+                ids.push(request.id);
             }
         }
         prop_assert_eq!(ids, (1..=count as u64).collect::<Vec<_>>());
@@ -379,19 +396,19 @@
     }
 
     #[test]
-    fn no_line_of_a_host_makes_the_reader_panic(text in "\\PC{0,200}", cut in 0_usize..200) {
+    fn no_line_of_a_host_makes_the_reader_panic(text in "\\PC{0,200}", split in 0_usize..200) {
         let mut reader = host::Reader::default();
         let bytes = text.as_bytes();
-        let cut = cut.min(bytes.len());
-        reader.push(&bytes[..cut]);
+        let split = split.min(bytes.len());
+        reader.push(&bytes[..split]);
         let _ = reader.next_message();
-        reader.push(&bytes[cut..]);
+        reader.push(&bytes[split..]);
         reader.push(b"\n");
         while let Ok(Some(_)) = reader.next_message() {}
     }
 
     #[test]
-    fn no_answer_of_discovery_makes_the_reader_panic(text in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn no_response_of_discovery_makes_the_decoder_panic(text in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = WatchResponse::read(&text, &names());
     }
 }
--- a/crates/platform-protocol/tests/wire/mod.rs
+++ b/crates/platform-protocol/tests/wire/mod.rs
@@ -1,6 +1,6 @@
-//! An encoder of clients' messages that shares nothing with the one under test.
+//! Encodes clients' messages independently of the code under test.
 
-/// A message with these parameters, right or wrong.
+/// A message with this type, task id and parameters, none of which need to be valid.
 pub fn message(kind: u8, id: u64, parameters: &[(u8, &[u8])]) -> Vec<u8> {
     let mut body = vec![kind];
     body.extend(id.to_be_bytes());
