--- a/src/bin/reedring-bench-adapter/error.rs
+++ b/src/bin/reedring-bench-adapter/error.rs
@@ -1,4 +1,4 @@
-//! Why the adapter ends before its input does.
+//! Errors that end the adapter before the end of its input.
 
 use std::error::Error;
 use std::{fmt, io};
@@ -12,56 +12,59 @@
 pub enum AdapterError {
     /// Reading the input failed.
     Read {
-        /// The part of a batch that was read.
+        /// The part of the batch that was being read.
         part: &'static str,
-        /// What the system says.
+        /// The error of the read.
         source: io::Error,
     },
     /// The input ends within a batch.
     Truncated {
         /// The part of the batch that is incomplete.
         part: &'static str,
-        /// Bytes of it that came.
+        /// The number of its bytes that were read.
         read: usize,
-        /// Bytes that it has.
+        /// The number of bytes that it should have.
         expected: usize,
     },
     /// Writing a reply failed.
     Write(io::Error),
     /// A batch can't be decoded.
     Wire(WireError),
-    /// A record makes no sense after those before it.
+    /// A record is valid by itself but can't be processed after those before it.
     Record {
         /// Its position in the batch, from 0.
         index: usize,
-        /// What is wrong with it.
+        /// Why it can't be processed.
         problem: RecordProblem,
     },
 }
 
-/// Why a record can't be played.
+/// Why a record can't be processed.
 #[derive(Debug)]
 pub enum RecordProblem {
-    /// An instance is started before a record named which.
+    /// An `Init` record comes before any `At` record, so that the instance to start is unknown.
     NoInstanceNamed,
-    /// It is for an instance that does not run; `None` where no record named one.
+    /// The record is for an instance that does not run; `None` if no `At` record came before it.
     NotStarted(Option<u16>),
-    /// The settings can't be read.
+    /// The settings of an `Init` record are invalid.
     Settings(settings::Error),
-    /// It names a machine list that was never sent.
+    /// The record refers to a machine list with a number that was never sent.
     UnknownList(u16),
 }
 
 impl fmt::Display for AdapterError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Read { part, source } => write!(f, "{part}: {source}"),
+            Self::Read { part, source } => write!(f, "{part}: read failed: {source}"),
             Self::Truncated {
                 part,
                 read,
                 expected,
-            } => write!(f, "{part}: truncated after {read} of {expected} bytes"),
-            Self::Write(source) => write!(f, "reply: {source}"),
+            } => write!(
+                f,
+                "{part}: the input is truncated after {read} of {expected} bytes"
+            ),
+            Self::Write(source) => write!(f, "reply: write failed: {source}"),
             Self::Wire(source) => write!(f, "{source}"),
             Self::Record { index, problem } => write!(f, "record {index}: {problem}"),
         }
@@ -71,11 +74,13 @@
 impl fmt::Display for RecordProblem {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoInstanceNamed => write!(f, "placer: Init before At"),
+            Self::NoInstanceNamed => {
+                write!(f, "placer: an Init record without an At record before it")
+            }
             Self::NotStarted(Some(instance)) => {
-                write!(f, "placer: instance {instance} was never started")
+                write!(f, "placer: instance {instance} is not running")
             }
-            Self::NotStarted(None) => write!(f, "placer: instance none was never started"),
+            Self::NotStarted(None) => write!(f, "placer: no At record names the instance"),
             Self::Settings(source) => write!(f, "settings: {source}"),
             Self::UnknownList(number) => write!(f, "ref: list {number} was never sent"),
         }
--- a/src/bin/reedring-bench-adapter/host.rs
+++ b/src/bin/reedring-bench-adapter/instances.rs
@@ -1,4 +1,4 @@
-//! The instances of the simulated schedulers, and the batches that they play.
+//! The simulated schedulers, and the processing of batches by them.
 
 use std::collections::BTreeMap;
 
@@ -8,45 +8,46 @@
 use crate::panics::catch_panic;
 use crate::wire::{ListUpdate, Record, Reply};
 
+/// A simulated scheduler.
 struct Instance {
     placer: Placer,
-    /// Whether entries of the machine list tell what is free; else these values are left out.
+    /// Whether entries of the machine list state free cores and memory; otherwise these values are removed from them.
     lists_free: bool,
 }
 
-/// All instances, and the machine lists that records name by number.
+/// All instances, and the machine lists that records refer to by number.
 #[derive(Default)]
-pub struct Host {
+pub struct Instances {
     instances: BTreeMap<u16, Instance>,
     lists: BTreeMap<u16, Vec<Machine>>,
 }
 
-/// The records of a batch that were played so far.
+/// The state of a batch while its records are processed.
 #[derive(Default)]
 struct Batch {
-    /// The instance to which the next records belong.
+    /// The instance to which the next records belong; `None` before the first `At` record.
     current: Option<u16>,
-    /// Events that no placer has got yet, by instance.
+    /// Events that were not passed to their placer yet, by instance.
     pending: BTreeMap<u16, Vec<Event>>,
 }
 
-impl Host {
-    /// Plays the records in order. The events of one instance since its start go to its placer
-    /// together. An instance that panics is reported alone.
-    pub fn play_batch(
+impl Instances {
+    /// Processes the records in order, then passes each placer all events of its instance since the
+    /// instance's start in one step. If a placer panics, the reply has only that fault.
+    pub fn process_batch(
         &mut self,
         clock: Micros,
         records: Vec<Record>,
     ) -> Result<Reply, AdapterError> {
         let mut batch = Batch::default();
         for (index, record) in records.into_iter().enumerate() {
-            self.play_record(record, &mut batch)
+            self.process_record(record, &mut batch)
                 .map_err(|problem| AdapterError::Record { index, problem })?;
         }
         Ok(self.step_instances(clock, batch.pending))
     }
 
-    fn play_record(&mut self, record: Record, batch: &mut Batch) -> Result<(), RecordProblem> {
+    fn process_record(&mut self, record: Record, batch: &mut Batch) -> Result<(), RecordProblem> {
         match record {
             Record::At(instance) => batch.current = Some(instance),
             Record::List(number, machines) => {
@@ -81,7 +82,10 @@
         Ok(())
     }
 
-    /// The instance to which the next records belong, if it runs.
+    /// The instance to which the next records belong.
+    ///
+    /// # Errors
+    /// If no `At` record named an instance, or it does not run.
     fn running_instance(&self, batch: &Batch) -> Result<u16, RecordProblem> {
         batch
             .current
@@ -89,7 +93,7 @@
             .ok_or(RecordProblem::NotStarted(batch.current))
     }
 
-    /// Gives each instance its events, and collects the actions.
+    /// Passes each instance its events, and collects the actions.
     fn step_instances(&mut self, clock: Micros, pending: BTreeMap<u16, Vec<Event>>) -> Reply {
         let mut reply = Reply::default();
         let mut actions = Vec::new();
@@ -114,7 +118,8 @@
         reply
     }
 
-    /// The event of an update with the machine list of this number.
+    /// The change that an update makes to the machine list, with the entries of the list of this
+    /// number.
     fn listing(
         &self,
         update: ListUpdate,
--- a/src/bin/reedring-bench-adapter/main.rs
+++ b/src/bin/reedring-bench-adapter/main.rs
@@ -1,9 +1,10 @@
-//! Runs the placer on the simulator's wire: batches on standard input, replies on standard output.
-//! Every simulated scheduler is a [`Placer`](reedring::Placer) of its own.
+//! Connects the decision module to the simulator: reads batches of events from standard input and
+//! writes replies with actions to standard output. Each simulated scheduler has its own
+//! [`Placer`](reedring::Placer).
 #![forbid(unsafe_code)]
 
 mod error;
-mod host;
+mod instances;
 mod panics;
 #[cfg(test)]
 mod tests;
@@ -14,11 +15,12 @@
 use std::process::ExitCode;
 
 use crate::error::AdapterError;
-use crate::host::Host;
+use crate::instances::Instances;
 use crate::wire::{BatchHeader, HEADER_BYTES};
 
 fn main() -> ExitCode {
-    // A panic is answered on the wire; standard error has one line for each failure.
+    // A panic is reported in the reply, and an error as one line on standard error; the default hook
+    // would print the panic there, too.
     panic::set_hook(Box::new(|_| {}));
     match run(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
@@ -29,13 +31,13 @@
     }
 }
 
-/// Plays batches until the input ends.
+/// Processes batches until the end of the input.
 fn run(mut input: impl Read, mut output: impl Write) -> Result<(), AdapterError> {
-    let mut host = Host::default();
+    let mut instances = Instances::default();
     while let Some(header) = read_header(&mut input)? {
         let body = read_body(&mut input, header.body_bytes)?;
         let records = wire::decode_records(&body, header.records)?;
-        let reply = host.play_batch(header.clock, records)?.finish();
+        let reply = instances.process_batch(header.clock, records)?.finish();
         output
             .write_all(&reply)
             .and_then(|()| output.flush())
@@ -44,14 +46,14 @@
     Ok(())
 }
 
-/// The header of the next batch; `None` where the input ends before it.
+/// Reads the header of the next batch; `None` at the end of the input.
 fn read_header(input: &mut impl Read) -> Result<Option<BatchHeader>, AdapterError> {
     let mut header = [0; HEADER_BYTES];
     let mut read = 0;
     while read < header.len() {
         match input.read(&mut header[read..]) {
             Ok(0) => break,
-            Ok(more) => read += more,
+            Ok(count) => read += count,
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
             Err(source) => {
                 return Err(AdapterError::Read {
@@ -72,6 +74,7 @@
     }
 }
 
+/// Reads the `expected` bytes that follow the header of a batch.
 fn read_body(input: &mut impl Read, expected: usize) -> Result<Vec<u8>, AdapterError> {
     const PART: &str = "records";
     let mut body = Vec::new();
--- a/src/bin/reedring-bench-adapter/wire/codes.rs
+++ b/src/bin/reedring-bench-adapter/wire/codes.rs
@@ -1,6 +1,6 @@
-//! The numbers that say which record or action it is.
+//! The codes of records and actions: the first byte of each.
 
-/// Records of a batch.
+/// Codes of the records of a batch.
 pub mod record {
     pub const INIT: u8 = 16;
     pub const UPDATE: u8 = 17;
@@ -18,7 +18,7 @@
     pub const AT: u8 = 29;
 }
 
-/// Actions of a reply.
+/// Codes of the actions of a reply.
 pub mod action {
     pub const FAULT: u8 = 80;
     pub const MOVE: u8 = 81;
--- a/src/bin/reedring-bench-adapter/wire/cursor.rs
+++ b/src/bin/reedring-bench-adapter/wire/cursor.rs
@@ -1,21 +1,21 @@
-//! Reads the fields of a record one after the other.
+//! Reads the fields of a record in their order.
 
 use reedring::{AttemptId, MachineId, RequestId};
 
 use super::error::FieldError;
 
-/// Values of a load report that a record has room for.
+/// The number of load report values for which a record has room; unused ones are present, too.
 const REPORT_VALUES: usize = 4;
 
-/// A position in the bytes of one record. Records have a fixed length that holds all fields of each
-/// kind.
+/// A position in the bytes of a record. The readers do not check for the end: a record has a fixed
+/// length that is enough for the fields of every kind.
 pub struct Cursor<'a> {
     bytes: &'a [u8],
     position: usize,
 }
 
 impl<'a> Cursor<'a> {
-    /// A cursor at the begin of a record.
+    /// A cursor at the start of `bytes`.
     pub fn new(bytes: &'a [u8]) -> Self {
         Self { bytes, position: 0 }
     }
@@ -47,7 +47,7 @@
         f64::from(f32::from_be_bytes(self.take()))
     }
 
-    /// A machine, by its IPv4 address and port.
+    /// A machine id: its IPv4 address in the upper 32 of 48 bits, its port in the lower 16.
     pub fn machine(&mut self) -> MachineId {
         let address = u64::from(self.u32());
         MachineId(address << 16 | u64::from(self.u16()))
@@ -65,7 +65,10 @@
         }
     }
 
-    /// A load report: its length, then all values there is room for.
+    /// A load report: the number of its values in one byte, then [`REPORT_VALUES`] values.
+    ///
+    /// # Errors
+    /// If it has more values than there is room for.
     pub fn report(&mut self) -> Result<Vec<f64>, FieldError> {
         let count = usize::from(self.u8());
         let values: Vec<f64> = (0..REPORT_VALUES).map(|_| self.f32()).collect();
@@ -75,7 +78,11 @@
             .ok_or(FieldError::TooManyValues { count })
     }
 
-    /// A part of the tail: an offset in bytes and a count of items of `item_bytes` each.
+    /// A part of the tail, which a record gives as an offset in bytes and a number of items of
+    /// `item_bytes` each.
+    ///
+    /// # Errors
+    /// If the part extends beyond the tail; the error names `field`.
     pub fn tail_part<'t>(
         &mut self,
         tail: &'t [u8],
--- a/src/bin/reedring-bench-adapter/wire/decode.rs
+++ b/src/bin/reedring-bench-adapter/wire/decode.rs
@@ -1,4 +1,4 @@
-//! Reads batches.
+//! Decodes batches.
 
 use reedring::{
     AttemptId, Ended, Event, Health, Machine, Micros, Note, Outcome, Reason, ServiceId, Task,
@@ -14,14 +14,14 @@
 pub struct BatchHeader {
     /// The simulator's clock, in microseconds.
     pub clock: Micros,
-    /// Bytes that follow the header.
+    /// The number of bytes after the header.
     pub body_bytes: usize,
-    /// Records at the begin of the body; the rest is the tail.
+    /// The number of records at the start of the body; the tail is what follows them.
     pub records: usize,
 }
 
 impl BatchHeader {
-    /// Reads a header.
+    /// Decodes a header.
     pub fn decode(bytes: &[u8; HEADER_BYTES]) -> Self {
         let mut cursor = Cursor::new(bytes);
         Self {
@@ -32,12 +32,15 @@
     }
 }
 
-/// Reads the records of a batch from what follows its header.
+/// Decodes `count` records of a batch from `body`, the bytes after its header.
 pub fn decode_records(body: &[u8], count: usize) -> Result<Vec<Record>, WireError> {
     let size = count
         .checked_mul(EVENT_BYTES)
         .filter(|size| *size <= body.len())
-        .ok_or(WireError::RecordCount { count })?;
+        .ok_or(WireError::RecordCount {
+            count,
+            body_bytes: body.len(),
+        })?;
     let tail = &body[size..];
     body[..size]
         .chunks_exact(EVENT_BYTES)
@@ -66,7 +69,7 @@
         code::PEER => peer(fields, tail)?,
         code::ADOPTED => adopted(fields),
         code::TASK_SIGNAL => task_signal(fields)?,
-        other => return Err(unknown("code", other, "event")),
+        other => return Err(unknown("code", other, "record code")),
     };
     Ok(Record::Event(event))
 }
@@ -120,7 +123,7 @@
         0 => Health::Gone,
         1 => Health::Ready,
         2 => Health::Draining,
-        other => return Err(unknown("health", other, "state")),
+        other => return Err(unknown("health", other, "health state")),
     };
     let free_memory = Some(fields.f32());
     let _weight = fields.f32();
@@ -138,20 +141,20 @@
     })
 }
 
-/// The flags of a task.
+/// The flags of a task, one bit each.
 struct TaskFlags(u8);
 
 impl TaskFlags {
-    /// The expected duration is set.
+    /// The field with the expected duration is valid.
     const HAS_LIFE: u8 = 1;
-    /// The task was submitted before; either bit says so.
+    /// The task was submitted before if either of these bits is set.
     const SUBMITTED_BEFORE: u8 = 2 | 16;
 
     fn life_us(&self, life_us: Micros) -> Option<Micros> {
         (self.0 & Self::HAS_LIFE != 0).then_some(life_us)
     }
 
-    fn is_again(&self) -> bool {
+    fn was_submitted_before(&self) -> bool {
         self.0 & Self::SUBMITTED_BEFORE != 0
     }
 }
@@ -173,7 +176,7 @@
         cores,
         memory,
         life_us: flags.life_us(life_us),
-        again: flags.is_again(),
+        again: flags.was_submitted_before(),
     };
     Event::Arrived { task, grace_us }
 }
@@ -196,7 +199,7 @@
         cores,
         memory,
         life_us: flags.life_us(life_us),
-        again: flags.is_again(),
+        again: flags.was_submitted_before(),
     };
     Event::Adopted { task, machine }
 }
@@ -282,7 +285,7 @@
         3 => Note::Memory(amount),
         4 => Note::Served(amount),
         5 => Note::Pressure(amount),
-        other => return Err(unknown("topic", other, "topic")),
+        other => return Err(unknown("topic", other, "signal of a task")),
     };
     Ok(Event::TaskSignal {
         attempt,
--- a/src/bin/reedring-bench-adapter/wire/encode.rs
+++ b/src/bin/reedring-bench-adapter/wire/encode.rs
@@ -1,11 +1,11 @@
-//! Writes replies.
+//! Encodes replies.
 
 use reedring::{Action, AttemptId, MachineId, Micros, RequestId};
 
 use super::ACTION_BYTES;
 use super::codes::action as code;
 
-/// Stands for all instances as the receiver of a message.
+/// The receiver of a message to all instances.
 const ALL_INSTANCES: u32 = u32::MAX;
 
 /// A reply under construction.
@@ -16,18 +16,18 @@
 }
 
 impl Reply {
-    /// The actions after this belong to this instance.
+    /// Starts the actions of this instance.
     pub fn begin_instance(&mut self, instance: u16) {
         self.push(code::INSTANCE, &[&instance.to_be_bytes()]);
     }
 
-    /// The instance failed, with this message.
+    /// Appends a fault of the current instance with the message of its panic.
     pub fn fault(&mut self, message: &str) {
         let part = self.push_tail(message.as_bytes());
         self.push(code::FAULT, &[&part]);
     }
 
-    /// One action of the library.
+    /// Appends an action of the decision module.
     pub fn action(&mut self, action: &Action) {
         match action {
             Action::Offer {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The frame: header, records, tail.
+    /// The bytes of the reply: header, records, tail.
     pub fn finish(self) -> Vec<u8> {
         let count = (self.records.len() / ACTION_BYTES) as u32;
         let length = (self.records.len() + self.tail.len()) as u32;
@@ -88,7 +88,7 @@
         frame
     }
 
-    /// Appends a record, padded with zeros.
+    /// Appends a record, padded with zeros to [`ACTION_BYTES`].
     fn push(&mut self, code: u8, fields: &[&[u8]]) {
         let end = self.records.len() + ACTION_BYTES;
         self.records.push(code);
@@ -98,7 +98,7 @@
         self.records.resize(end, 0);
     }
 
-    /// Appends bytes to the tail; returns the field that says where: offset, then length.
+    /// Appends bytes to the tail; returns the field that refers to them: offset, then length.
     fn push_tail(&mut self, bytes: &[u8]) -> [u8; 8] {
         let mut part = [0; 8];
         part[..4].copy_from_slice(&(self.tail.len() as u32).to_be_bytes());
@@ -112,13 +112,13 @@
     request.0.to_be_bytes()
 }
 
-/// The IPv4 address and port of a machine.
+/// The IPv4 address and port of a machine: the lower 48 bits of its id.
 fn machine_bytes(machine: &MachineId) -> [u8; 6] {
     let [_, _, address_and_port @ ..] = machine.0.to_be_bytes();
     address_and_port
 }
 
-/// A time of 32 bits; a longer one is the longest.
+/// A time in microseconds in 32 bits; a longer one is reduced to the maximum.
 fn micros_bytes(time: Micros) -> [u8; 4] {
     u32::try_from(time).unwrap_or(u32::MAX).to_be_bytes()
 }
--- a/src/bin/reedring-bench-adapter/wire/error.rs
+++ b/src/bin/reedring-bench-adapter/wire/error.rs
@@ -1,57 +1,61 @@
-//! What is wrong with a batch: the record and the field.
+//! Errors of decoding a batch, with the record and the field.
 
 use std::error::Error;
 use std::fmt;
 use std::str::Utf8Error;
 
-/// A batch that can't be read.
+use super::EVENT_BYTES;
+
+/// Why a batch can't be decoded.
 #[derive(Debug, PartialEq)]
 pub enum WireError {
-    /// The header counts more records than the frame holds.
+    /// The batch is shorter than the number of records in its header requires.
     RecordCount {
-        /// The count of the header.
+        /// The number of records in the header.
         count: usize,
+        /// The number of bytes after the header.
+        body_bytes: usize,
     },
-    /// A record can't be read.
+    /// A record can't be decoded.
     Record {
         /// Its position in the batch, from 0.
         index: usize,
-        /// What is wrong with it.
+        /// Which of its fields is invalid, and why.
         field: FieldError,
     },
 }
 
-/// A field of a record that can't be read.
+/// Why a field of a record can't be decoded.
 #[derive(Debug, PartialEq)]
 pub enum FieldError {
-    /// A number that stands for nothing.
+    /// A code without a meaning.
     Unknown {
         /// The field.
         field: &'static str,
-        /// Its number.
+        /// The code.
         value: u32,
-        /// What it should stand for.
+        /// What the code should identify.
         expected: &'static str,
     },
-    /// A part of the tail that lies outside it.
+    /// A reference to bytes beyond the end of the tail.
     OutsideTail {
         /// The field.
         field: &'static str,
-        /// Where the part begins, in bytes.
+        /// The start of the referenced part, in bytes from the start of the tail.
         offset: usize,
-        /// Its length, in items of the field.
+        /// The length of the part, in items of the field.
         count: usize,
     },
     /// A text that is not UTF-8.
     NotUtf8 {
         /// The field.
         field: &'static str,
-        /// Where it stops being UTF-8.
+        /// The error, which has the position of the first invalid byte.
         source: Utf8Error,
     },
-    /// A load report with more values than a record has room for.
+    /// A load report with more values than fit in a record.
     TooManyValues {
-        /// How many it says that it has.
+        /// The number of values that the report states.
         count: usize,
     },
 }
@@ -59,9 +63,10 @@
 impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::RecordCount { count } => {
-                write!(f, "record count: {count} records do not fit the frame")
-            }
+            Self::RecordCount { count, body_bytes } => write!(
+                f,
+                "record count: {count} records of {EVENT_BYTES} bytes do not fit in the {body_bytes} bytes of the frame"
+            ),
             Self::Record { index, field } => write!(f, "record {index}: {field}"),
         }
     }
@@ -74,17 +79,19 @@
                 field,
                 value,
                 expected,
-            } => write!(f, "{field}: {value} is no {expected}"),
+            } => write!(f, "{field}: {value} is not a known {expected}"),
             Self::OutsideTail {
                 field,
                 offset,
                 count,
             } => write!(
                 f,
-                "{field}: offset {offset} and length {count} leave the tail"
+                "{field}: {count} items at offset {offset} extend beyond the tail"
             ),
             Self::NotUtf8 { field, source } => write!(f, "{field}: {source}"),
-            Self::TooManyValues { count } => write!(f, "gauge: {count} values, at most 4 fit"),
+            Self::TooManyValues { count } => {
+                write!(f, "gauge: {count} values in the load report, at most 4 fit")
+            }
         }
     }
 }
--- a/src/bin/reedring-bench-adapter/wire/mod.rs
+++ b/src/bin/reedring-bench-adapter/wire/mod.rs
@@ -1,8 +1,8 @@
-//! The simulator's wire format: frames to records and back, without state.
+//! The simulator's wire format: decodes batches to records and encodes actions to replies.
 //!
-//! A batch is a header ([`BatchHeader`]), records of [`EVENT_BYTES`] each, and a tail that holds
-//! their texts and lists. A reply is a header, actions of [`ACTION_BYTES`] each, and a tail.
-//! Numbers are big-endian.
+//! A batch is a header ([`BatchHeader`]), records of [`EVENT_BYTES`] each, and a tail with their texts
+//! and lists. A reply is a header, actions of [`ACTION_BYTES`] each, and a tail. Numbers are
+//! big-endian.
 
 mod codes;
 mod cursor;
@@ -15,40 +15,40 @@
 pub use self::error::WireError;
 use reedring::{Event, Machine};
 
-/// Bytes of a batch header.
+/// Size of the header of a batch, in bytes.
 pub const HEADER_BYTES: usize = 16;
-/// Bytes of one record of a batch.
+/// Size of a record of a batch, in bytes.
 const EVENT_BYTES: usize = 56;
-/// Bytes of one action of a reply.
+/// Size of an action of a reply, in bytes.
 const ACTION_BYTES: usize = 24;
-/// Bytes of one entry of a machine list, in the tail.
+/// Size of an entry of a machine list in the tail, in bytes.
 const MACHINE_BYTES: usize = 33;
 
-/// One record of a batch.
+/// A record of a batch.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
-    /// The records after this belong to this instance.
+    /// The records after this one belong to the instance with this number.
     At(u16),
-    /// A fresh instance: its seed and its settings as JSON.
+    /// Starts the instance, or replaces a running one. Has its seed and its settings as JSON.
     Init(u64, String),
-    /// The instance is killed.
+    /// Removes the instance, as if its process was killed.
     Exit,
-    /// A machine list, under a number that is valid until it is used again.
+    /// A machine list and its number, which refers to this list until another one has the same number.
     List(u16, Vec<Machine>),
-    /// The machine list of this instance changed: how, and the number of the list.
+    /// An update of the instance's machine list, and the number of the list that has the entries.
     Update(ListUpdate, u16),
-    /// Any other event, as the library knows it.
+    /// An event that is passed to the placer unchanged.
     Event(Event),
 }
 
-/// What an update of the machine list holds.
+/// The content of an update of the machine list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ListUpdate {
     /// The entries that changed.
     Delta,
-    /// A snapshot.
+    /// The entries of all machines.
     Full,
-    /// A snapshot, as it was before a restart.
+    /// The entries of all machines, from before a restart.
     Cached,
     /// Nothing: the request failed.
     Failed,
--- a/src/names.rs
+++ b/src/names.rs
@@ -1,10 +1,10 @@
-//! Names to the numbers by which the decision module knows machines, services and tasks, equal at
+//! Hashes names to the ids of machines, services and tasks in the decision module, which are equal at
 //! every placer.
 
 use crate::api::{MachineId, ServiceId, TaskKey};
 
-/// A hash of a name (FNV-1a, finished by SplitMix64) that never changes: placers of different
-/// versions must agree on the orders that the module derives from it.
+/// Hashes a name with FNV-1a and the finalizer of SplitMix64. The hash must never change, because
+/// placers of different versions must agree on the orders that the module derives from it.
 fn stable_hash(name: &str) -> u64 {
     let fold = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3);
     mix64(name.as_bytes().iter().fold(0xcbf2_9ce4_8422_2325, fold))
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,5 +1,5 @@
-//! Reads the settings of a deployment from JSON: the form that both the simulator's first message
-//! and the platform's configuration have.
+//! Reads the settings of a deployment from JSON. The simulator's first message and the platform's
+//! configuration have them in the same form.
 
 use serde::Deserialize;
 
@@ -7,29 +7,32 @@
     Class, Effect, Group, Kind, Micros, Place, Prices, ReportField, ReportStyle, Rules, Settings,
 };
 
-/// The settings of a deployment: those of the decision module, and what only the programs that
-/// drive it need.
+/// The settings of a deployment: those of the decision module, and those that only the programs that
+/// drive it use.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Deployment {
     /// The settings of the decision module.
     pub module: Settings,
-    /// Entries of the machine list say what is free.
+    /// Whether entries of the machine list state the free cores and memory.
     pub lists_free: bool,
-    /// Names of the classes, by number.
+    /// The names of the classes, by class number.
     pub classes: Vec<String>,
-    /// Names of the tenants, by number; some deployments have none.
+    /// The names of the tenants, by tenant number; empty in a deployment without tenants.
     pub tenants: Vec<String>,
-    /// Names of the zones, by number.
+    /// The names of the zones, by zone number.
     pub zones: Vec<String>,
-    /// Names of the machine kinds, by number.
+    /// The names of the machine kinds, by kind number.
     pub kinds: Vec<String>,
-    /// Names of the values of a load report, in order.
+    /// The names of the values of a load report, in their order.
     pub report: Vec<String>,
-    /// Idle connections to machines are closed after this time.
+    /// Time in microseconds after which idle connections to machines are closed; `None` if the
+    /// deployment does not set it.
     pub idle_close_us: Option<Micros>,
-    /// How long a client waits for an answer, in the class that waits longest.
+    /// The longest time of any class for which a client waits for an answer, in microseconds; `None` if
+    /// no class sets one.
     pub longest_wait_us: Option<Micros>,
-    /// Most offers in flight on one connection to a machine.
+    /// Maximum number of offers in flight on one connection to a machine; `None` if the deployment does
+    /// not set it.
     pub per_connection: Option<usize>,
 }
 
@@ -176,20 +179,21 @@
     must_ask_in_us: Option<Micros>,
 }
 
-/// What is wrong with the settings JSON, and at which path in it.
+/// Why the settings JSON is invalid, and at which path in it.
 pub type Error = serde_path_to_error::Error<serde_json::Error>;
 
 /// Reads the settings JSON.
 ///
 /// # Errors
-/// The text is not JSON, lacks what every deployment sets, or has a value that none can have.
+/// The text is not JSON, a required key is missing, or a key has a value of the wrong type or an
+/// unknown name.
 pub fn read(text: &str) -> Result<Deployment, Error> {
     let settings: SettingsJson =
         serde_path_to_error::deserialize(&mut serde_json::Deserializer::from_str(text))?;
     Ok(settings.into_deployment())
 }
 
-/// The value of a list by number of class or kind; lists may be missing or short.
+/// The value at index `n` (a class or kind number); `None` if the list is missing or shorter.
 fn nth(list: Option<&Vec<f64>>, n: usize) -> Option<f64> {
     list.and_then(|list| list.get(n).copied())
 }
@@ -258,14 +262,15 @@
             },
             window_us: class.dedup_window_us,
             aim_us: class.aim_us,
-            // A negative number stands for any kind.
+            // A negative number means that tasks of the class run on any kind.
             kind: kinds.and_then(|kinds| u16::try_from(*kinds.get(n)?).ok()),
             spread: self.spread(n),
             calm: nth(self.specifics.easy_until.as_ref(), n),
         }
     }
 
-    /// The domain over which class `n` is spread, and the most tasks of one service in it.
+    /// The domain over which the tasks of class `n` are spread, and the maximum number of tasks of one
+    /// service in it; `None` if they are not spread.
     fn spread(&self, n: usize) -> Option<(Place, u32)> {
         let most = *self.specifics.most_together.as_ref()?.get(n)?;
         let place = match self.specifics.spread_over.as_ref()?.get(n)? {
--- a/src/timers.rs
+++ b/src/timers.rs
@@ -1,16 +1,16 @@
-//! A queue of timers by the time at which they are due, for the programs that drive a
+//! A queue of timers in the order of their due times, for the programs that drive a
 //! [`Placer`](crate::Placer).
 
 use std::collections::BTreeMap;
 
 use crate::api::Micros;
 
-/// Timers that are set. Those due at the same time come in the order in which they were set.
+/// Timers that are set. Timers with the same due time are returned in the order in which they were set.
 #[derive(Debug)]
 pub struct Timers<T> {
-    /// By due time, then by the number of the timer.
+    /// The timers by due time, then by number.
     due: BTreeMap<(Micros, u64), T>,
-    /// How many timers were set so far; the latest one has this number.
+    /// How many timers were set so far; this is the number of the latest one.
     set_count: u64,
 }
 
@@ -30,7 +30,7 @@
         self.due.insert((at, self.set_count), timer);
     }
 
-    /// When the next timer is due; `None` where none is set.
+    /// The due time of the next timer; `None` if none is set.
     pub fn next(&self) -> Option<Micros> {
         self.due.first_key_value().map(|((at, _), _)| *at)
     }
--- a/tests/bench_adapter.rs
+++ b/tests/bench_adapter.rs
@@ -1,4 +1,5 @@
-//! The adapter from outside: frames in, frames out, and plain words on bad input.
+//! Runs the adapter as a process: batches on its input give replies on its output, and invalid input gives
+//! one line on standard error that names the place.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -8,6 +9,7 @@
   "specifics": {"cpuOfKind": [8], "memOfKind": [32], "acceptsCores": 1.0, "memBooking": 1.0},
   "policyLimits": {"maxAttempts": 2, "cancelling": true}, "rules": {"mustAskInUs": 8000000}}"#;
 
+/// A record with this code and these fields, padded with zeros.
 fn record(code: u8, fields: &[&[u8]]) -> Vec<u8> {
     let mut bytes = vec![code];
     fields
@@ -17,22 +19,26 @@
     bytes
 }
 
-fn at(instance: u16) -> Vec<u8> {
+/// A record that selects an instance for the records after it.
+fn select(instance: u16) -> Vec<u8> {
     record(29, &[&instance.to_be_bytes()])
 }
 
-fn span(from: usize, count: usize) -> [u8; 8] {
+/// A reference to `count` items of the tail that start at byte `offset`.
+fn tail_part(offset: usize, count: usize) -> [u8; 8] {
     let mut bytes = [0; 8];
-    bytes[..4].copy_from_slice(&(from as u32).to_be_bytes());
+    bytes[..4].copy_from_slice(&(offset as u32).to_be_bytes());
     bytes[4..].copy_from_slice(&(count as u32).to_be_bytes());
     bytes
 }
 
+/// A record that starts an instance with settings at the start of the tail.
 fn init(settings: &str) -> Vec<u8> {
-    record(16, &[&7u64.to_be_bytes(), &span(0, settings.len())])
+    record(16, &[&7u64.to_be_bytes(), &tail_part(0, settings.len())])
 }
 
-fn frame(clock: u64, records: &[Vec<u8>], tail: &[u8]) -> Vec<u8> {
+/// A batch: header, records and tail.
+fn batch(clock: u64, records: &[Vec<u8>], tail: &[u8]) -> Vec<u8> {
     let body: Vec<u8> = [records.concat(), tail.to_vec()].concat();
     let mut bytes = clock.to_be_bytes().to_vec();
     bytes.extend((body.len() as u32).to_be_bytes());
@@ -41,13 +47,15 @@
     bytes
 }
 
-fn line(host: u8) -> Vec<u8> {
+/// The entry of a ready machine with the address 10.0.0.`host`, in a machine list.
+fn machine_entry(host: u8) -> Vec<u8> {
     let mut bytes = vec![10, 0, 0, host, 0x23, 0x28];
     bytes.extend([0, 0, 0, 0, 0, 0, 1]);
     bytes.resize(33, 0);
     bytes
 }
 
+/// A record of the arrival of a request.
 fn arrival(request: u64) -> Vec<u8> {
     let (class, grace) = ([0; 4], 4_000_000u32.to_be_bytes());
     let size = [1.0f32.to_be_bytes(), 2.0f32.to_be_bytes()].concat();
@@ -72,7 +80,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // The adapter may stop reading at the fault it reports.
+    // The write fails if the adapter reports an error before it has read all input.
     let _ = child.stdin.take().unwrap().write_all(input);
     child.wait_with_output().unwrap()
 }
@@ -90,7 +98,8 @@
     codes
 }
 
-fn fault(input: &[u8], words: &[&str]) {
+/// Runs the adapter on invalid input, and checks that it fails with one line that contains all `words`.
+fn assert_error(input: &[u8], words: &[&str]) {
     let output = run(input);
     let text = String::from_utf8(output.stderr).unwrap();
     assert!(
@@ -105,18 +114,18 @@
 }
 
 #[test]
-fn a_day_in_short() {
-    let list = record(28, &[&3u16.to_be_bytes(), &span(SETTINGS.len(), 1)]);
+fn a_task_is_offered_to_the_listed_machine() {
+    let list = record(28, &[&3u16.to_be_bytes(), &tail_part(SETTINGS.len(), 1)]);
     let update = record(17, &[&[2], &[0; 8], &3u16.to_be_bytes()]);
-    let tail = [SETTINGS.as_bytes(), &line(4)].concat();
-    let records = [at(1), init(SETTINGS), list, update, arrival(44)];
-    let output = run(&[frame(5, &[], &[]), frame(1_000_000, &records, &tail)].concat());
+    let tail = [SETTINGS.as_bytes(), &machine_entry(4)].concat();
+    let records = [select(1), init(SETTINGS), list, update, arrival(44)];
+    let output = run(&[batch(5, &[], &[]), batch(1_000_000, &records, &tail)].concat());
     assert!(output.status.success() && output.stderr.is_empty());
     let codes = codes(&output.stdout);
     assert_eq!(codes[0], 89);
     assert!(
         codes.contains(&92) && codes.contains(&93),
-        "watched and offered: {codes:?}"
+        "expected codes 92 (watch) and 93 (offer): {codes:?}"
     );
     let offer = [
         vec![93],
@@ -133,13 +142,20 @@
 }
 
 #[test]
-fn list_numbers_are_resolved_in_event_order() {
-    let list = |from: usize| record(28, &[&[0, 0], &span(from, 1)]);
+fn an_update_uses_the_list_that_last_had_its_number_before_it() {
+    let list = |offset: usize| record(28, &[&[0, 0], &tail_part(offset, 1)]);
     let update = record(17, &[&[2], &[0; 8], &[0, 0]]);
-    let tail = [SETTINGS.as_bytes(), &line(4), &line(5)].concat();
+    let tail = [SETTINGS.as_bytes(), &machine_entry(4), &machine_entry(5)].concat();
     let (first, second) = (list(SETTINGS.len()), list(SETTINGS.len() + 33));
-    let records = [at(1), init(SETTINGS), first, update, second, arrival(44)];
-    let output = run(&frame(1_000_000, &records, &tail));
+    let records = [
+        select(1),
+        init(SETTINGS),
+        first,
+        update,
+        second,
+        arrival(44),
+    ];
+    let output = run(&batch(1_000_000, &records, &tail));
     let offer = [44u64.to_be_bytes().to_vec(), vec![10, 0, 0, 4]].concat();
     assert!(
         output
@@ -150,71 +166,71 @@
 }
 
 #[test]
-fn instances_share_nothing() {
-    let list = record(28, &[&[0, 0], &span(SETTINGS.len(), 1)]);
+fn two_instances_with_the_same_input_give_the_same_actions_as_one_alone() {
+    let list = record(28, &[&[0, 0], &tail_part(SETTINGS.len(), 1)]);
     let update = record(17, &[&[2], &[0; 8], &[0, 0]]);
-    let tail = [SETTINGS.as_bytes(), &line(4)].concat();
+    let tail = [SETTINGS.as_bytes(), &machine_entry(4)].concat();
     let one = |n: u16| {
         vec![
-            at(n),
+            select(n),
             init(SETTINGS),
             list.clone(),
             update.clone(),
             arrival(44),
         ]
     };
-    let alone = run(&frame(9, &one(1), &tail)).stdout;
-    let both = run(&frame(9, &[one(1), one(2)].concat(), &tail)).stdout;
+    let alone = run(&batch(9, &one(1), &tail)).stdout;
+    let both = run(&batch(9, &[one(1), one(2)].concat(), &tail)).stdout;
     let actions = codes(&alone);
     assert_eq!(codes(&both), [actions.clone(), actions].concat());
 }
 
 #[test]
-fn input_that_ends_between_frames_is_no_fault() {
+fn input_that_ends_between_batches_is_valid() {
     assert!(run(&[]).status.success());
-    assert!(run(&frame(1, &[], &[])).status.success());
+    assert!(run(&batch(1, &[], &[])).status.success());
 }
 
 #[test]
-fn bad_frames_are_named() {
-    let whole = frame(1, &[at(1), init(SETTINGS)], SETTINGS.as_bytes());
-    fault(&whole[..9], &["header"]);
-    fault(&whole[..40], &["records", "truncated"]);
-    fault(
-        &frame(1, &[record(200, &[])], &[]),
+fn the_error_about_an_invalid_batch_names_the_record_and_the_field() {
+    let complete = batch(1, &[select(1), init(SETTINGS)], SETTINGS.as_bytes());
+    assert_error(&complete[..9], &["header"]);
+    assert_error(&complete[..40], &["records", "truncated"]);
+    assert_error(
+        &batch(1, &[record(200, &[])], &[]),
         &["record 0", "code", "200"],
     );
-    fault(
-        &frame(1, &[at(1), init(SETTINGS)], b"{}"),
+    assert_error(
+        &batch(1, &[select(1), init(SETTINGS)], b"{}"),
         &["record 1", "settings", "tail"],
     );
-    fault(
-        &frame(1, &[at(3), arrival(1)], &[]),
+    assert_error(
+        &batch(1, &[select(3), arrival(1)], &[]),
         &["record 1", "instance 3"],
     );
-    fault(&frame(1, &[arrival(1)], &[]), &["record 0", "placer"]);
-    let mut short = frame(1, &[at(1)], &[]);
+    assert_error(&batch(1, &[arrival(1)], &[]), &["record 0", "placer"]);
+    let mut short = batch(1, &[select(1)], &[]);
     short[15] = 9;
-    fault(&short, &["record count"]);
+    assert_error(&short, &["record count"]);
     let update = record(17, &[&[1], &[0; 8], &[0, 6]]);
-    let records = [at(1), init(SETTINGS), update];
-    fault(
-        &frame(1, &records, SETTINGS.as_bytes()),
+    let records = [select(1), init(SETTINGS), update];
+    assert_error(
+        &batch(1, &records, SETTINGS.as_bytes()),
         &["record 2", "ref", "6"],
     );
     let outcome = record(20, &[&[0; 8], &999u16.to_be_bytes()]);
-    fault(&frame(1, &[at(1), outcome], &[]), &["rc", "999"]);
+    assert_error(&batch(1, &[select(1), outcome], &[]), &["rc", "999"]);
 }
 
 #[test]
-fn bad_settings_are_named() {
+fn the_error_about_invalid_settings_names_the_record_and_the_key() {
     for (settings, word) in [
         ("not json".to_owned(), "settings"),
         (SETTINGS.replace("nInstances", "other"), "nInstances"),
         (SETTINGS.replace("aimUs", "other"), "aimUs"),
         (SETTINGS.replace("\"free\"", "\"odd\""), "odd"),
     ] {
-        let input = frame(1, &[at(1), init(&settings)], settings.as_bytes());
-        fault(&input, &["record 1", "settings", word]);
+        let input = batch(1, &[select(1), init(&settings)], settings.as_bytes());
+        assert_error(&input, &["record 1", "settings", word]);
     }
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The codec: every event survives a trip over the wire, and every action is laid out as told.
+//! The adapter's codec: records that an independent encoder wrote are decoded to the same values, and every
+//! action is encoded to the expected bytes.
 
 #[path = "../src/bin/reedring-bench-adapter/wire/mod.rs"]
 #[allow(
@@ -13,27 +14,29 @@
 use reedring::*;
 use wire::{ListUpdate, Record, Reply};
 
+/// Encodes records independently of the code under test.
 #[derive(Default)]
-struct Out {
+struct Encoder {
     records: Vec<u8>,
     tail: Vec<u8>,
     count: usize,
 }
 
-fn host(machine: MachineId) -> Vec<u8> {
+/// The IPv4 address and port of a machine.
+fn address(machine: MachineId) -> Vec<u8> {
     machine.0.to_be_bytes()[2..].to_vec()
 }
 
-fn real(x: f64) -> Vec<u8> {
-    (x as f32).to_be_bytes().to_vec()
+fn float(value: f64) -> Vec<u8> {
+    (value as f32).to_be_bytes().to_vec()
 }
 
 fn report(values: &[f64]) -> Vec<u8> {
-    let four = (0..4).flat_map(|n| real(values.get(n).copied().unwrap_or(0.0)));
+    let four = (0..4).flat_map(|n| float(values.get(n).copied().unwrap_or(0.0)));
     [values.len() as u8].into_iter().chain(four).collect()
 }
 
-impl Out {
+impl Encoder {
     fn push(&mut self, code: u8, fields: &[Vec<u8>]) {
         let end = self.records.len() + 56;
         self.records.push(code);
@@ -43,29 +46,34 @@
         self.count += 1;
     }
 
-    fn span(&mut self, bytes: &[u8], count: usize) -> Vec<u8> {
-        let at = self.tail.len() as u32;
+    /// Appends bytes to the tail; returns the field that refers to them.
+    fn tail_part(&mut self, bytes: &[u8], count: usize) -> Vec<u8> {
+        let offset = self.tail.len() as u32;
         self.tail.extend(bytes);
-        [at.to_be_bytes(), (count as u32).to_be_bytes()].concat()
+        [offset.to_be_bytes(), (count as u32).to_be_bytes()].concat()
     }
 
     fn record(&mut self, record: &Record) {
         match record {
             Record::At(n) => self.push(29, &[n.to_be_bytes().to_vec()]),
             Record::Init(seed, text) => {
-                let span = self.span(text.as_bytes(), text.len());
-                self.push(16, &[seed.to_be_bytes().to_vec(), span]);
+                let tail_part = self.tail_part(text.as_bytes(), text.len());
+                self.push(16, &[seed.to_be_bytes().to_vec(), tail_part]);
             }
             Record::Exit => self.push(25, &[]),
             Record::List(number, lines) => {
-                let bytes: Vec<u8> = lines.iter().flat_map(line).collect();
-                let span = self.span(&bytes, lines.len());
-                self.push(28, &[number.to_be_bytes().to_vec(), span]);
+                let bytes: Vec<u8> = lines.iter().flat_map(machine_entry).collect();
+                let tail_part = self.tail_part(&bytes, lines.len());
+                self.push(28, &[number.to_be_bytes().to_vec(), tail_part]);
             }
-            Record::Update(how, number) => {
+            Record::Update(update, number) => {
                 self.push(
                     17,
-                    &[vec![*how as u8], vec![7; 8], number.to_be_bytes().to_vec()],
+                    &[
+                        vec![*update as u8],
+                        vec![7; 8],
+                        number.to_be_bytes().to_vec(),
+                    ],
                 );
             }
             Record::Event(event) => self.event(event),
@@ -77,9 +85,9 @@
         let number = |x: u64| x.to_be_bytes().to_vec();
         let time = |x: Micros| (x as u32).to_be_bytes().to_vec();
         let short = |x: u16| x.to_be_bytes().to_vec();
-        let of = |id: &AttemptId| [number(id.request.0), short(id.number)].concat();
-        let hint = |task: &Task| time(task.life_us.unwrap_or(0));
-        let bits =
+        let attempt_bytes = |id: &AttemptId| [number(id.request.0), short(id.number)].concat();
+        let duration = |task: &Task| time(task.life_us.unwrap_or(0));
+        let flags =
             |task: &Task| vec![u8::from(task.life_us.is_some()) | if task.again { 16 } else { 0 }];
         match event {
             Event::Arrived { task, grace_us } => {
@@ -88,26 +96,26 @@
                     short(task.class),
                     short(task.tenant),
                 ];
-                let more = [number(task.key.0), time(*grace_us), hint(task)];
+                let more = [number(task.key.0), time(*grace_us), duration(task)];
                 let size = [
                     number(task.service.0),
-                    real(task.cores),
-                    real(task.memory),
-                    bits(task),
+                    float(task.cores),
+                    float(task.memory),
+                    flags(task),
                 ];
                 self.push(18, &[ids.concat(), more.concat(), size.concat()]);
             }
             Event::Adopted { task, machine } => {
-                let ids = [number(task.request.0), hint(task), time(9), bits(task)];
+                let ids = [number(task.request.0), duration(task), time(9), flags(task)];
                 let more = [
                     number(task.key.0),
                     number(task.service.0),
                     short(task.class),
                 ];
                 let size = [
-                    real(task.cores),
-                    host(*machine),
-                    real(task.memory),
+                    float(task.cores),
+                    address(*machine),
+                    float(task.memory),
                     short(task.tenant),
                 ];
                 self.push(26, &[ids.concat(), more.concat(), size.concat()]);
@@ -117,7 +125,10 @@
                 machine,
                 took_us,
             } => {
-                self.push(19, &[of(attempt), host(*machine), time(*took_us)]);
+                self.push(
+                    19,
+                    &[attempt_bytes(attempt), address(*machine), time(*took_us)],
+                );
             }
             Event::TaskSignal {
                 attempt,
@@ -133,7 +144,12 @@
                 };
                 self.push(
                     27,
-                    &[of(attempt), host(*machine), vec![topic], real(amount)],
+                    &[
+                        attempt_bytes(attempt),
+                        address(*machine),
+                        vec![topic],
+                        float(amount),
+                    ],
                 );
             }
             Event::Ended(end) => {
@@ -147,12 +163,12 @@
                     Outcome::Stopped => 444,
                     Outcome::Unsent => 409,
                 };
-                let why = end.reason.map_or(0, |reason| reason as u32 + 1);
+                let reason = end.reason.map_or(0, |reason| reason as u32 + 1);
                 let ids = [number(end.attempt.request.0), short(code), time(3)];
                 let more = [
                     short(end.attempt.number),
-                    host(end.machine),
-                    time(u64::from(why)),
+                    address(end.machine),
+                    time(u64::from(reason)),
                 ];
                 let rest = [vec![u8::from(end.closed)], report(&end.report)];
                 self.push(20, &[ids.concat(), more.concat(), rest.concat()]);
@@ -166,24 +182,28 @@
                 report: values,
             } => {
                 let code = short(if *answered { 200 } else { 408 });
-                self.push(23, &[time(*took_us), code, host(*machine), report(values)]);
+                self.push(
+                    23,
+                    &[time(*took_us), code, address(*machine), report(values)],
+                );
             }
             Event::Peer { from, body } => {
-                let span = self.span(body, body.len());
-                self.push(24, &[from.to_be_bytes().to_vec(), span]);
+                let tail_part = self.tail_part(body, body.len());
+                self.push(24, &[from.to_be_bytes().to_vec(), tail_part]);
             }
-            Event::Listed(_) => unreachable!("lists travel as updates"),
+            Event::Listed(_) => unreachable!("lists are sent as updates"),
             Event::EligibilityChanged { .. }
             | Event::BeliefsRestored(_)
             | Event::SettingsChanged(_)
             | Event::NoFurtherAttempts(_) => {
-                unreachable!("the simulator neither opens, recalls nor tells a last word")
+                unreachable!("the simulator does not send this event")
             }
         }
     }
 }
 
-fn line(machine: &Machine) -> Vec<u8> {
+/// An entry of a machine list.
+fn machine_entry(machine: &Machine) -> Vec<u8> {
     let short = |x: u16| x.to_be_bytes().to_vec();
     let health = match machine.health {
         Health::Gone => 0,
@@ -196,18 +216,19 @@
         short(machine.cell),
         vec![health],
     ];
-    let free = |x: Option<f64>| real(x.unwrap_or(0.0));
+    let free = |x: Option<f64>| float(x.unwrap_or(0.0));
     let ready = machine.ready_at.unwrap_or(0).to_be_bytes().to_vec();
     let rest = [
         free(machine.free_memory),
-        real(1.0),
+        float(1.0),
         ready,
         free(machine.free_cores),
     ];
-    [host(machine.id), place.concat(), rest.concat()].concat()
+    [address(machine.id), place.concat(), rest.concat()].concat()
 }
 
 #[allow(clippy::too_many_lines, reason = "a table of cases")]
+/// Records of every kind with values that are derived from the arguments.
 fn records(n: u64, x: u16, flag: bool, text: String) -> Vec<Record> {
     let (real, machine) = (f64::from(x) / 8.0, MachineId(n % (1 << 48)));
     let attempt = AttemptId {
@@ -263,7 +284,7 @@
             report: report.clone(),
         })
     };
-    let seen = Machine {
+    let entry = Machine {
         id: machine,
         zone: x,
         kind: x / 3,
@@ -273,7 +294,7 @@
         free_cores: Some(real),
         free_memory: Some(-real),
     };
-    let hows = [
+    let update_kinds = [
         ListUpdate::Delta,
         ListUpdate::Full,
         ListUpdate::Cached,
@@ -310,8 +331,8 @@
     });
     let events = events.into_iter().chain(notes).chain(outcomes.map(end));
     let first = [Record::At(x), Record::Init(n, text), Record::Exit];
-    let lists = [Record::List(x, vec![seen.clone(), seen])];
-    let updates = hows.map(|how| Record::Update(how, x));
+    let lists = [Record::List(x, vec![entry.clone(), entry])];
+    let updates = update_kinds.map(|update| Record::Update(update, x));
     first
         .into_iter()
         .chain(lists)
@@ -321,7 +342,7 @@
 }
 
 #[test]
-fn events_survive_the_trip() {
+fn records_of_every_kind_are_decoded() {
     let config = Config {
         failure_persistence: None,
         cases: 200,
@@ -331,17 +352,17 @@
     let any = (0u64..1 << 52, any::<u16>(), any::<bool>(), "[a-zé]{0,9}");
     let run = TestRunner::new_with_rng(config, rng).run(&any, |(n, x, flag, text)| {
         let sent = records(n, x, flag, text);
-        let mut out = Out::default();
-        sent.iter().for_each(|record| out.record(record));
-        let body = [out.records, out.tail].concat();
-        assert_eq!(wire::decode_records(&body, out.count).unwrap(), sent);
+        let mut encoder = Encoder::default();
+        sent.iter().for_each(|record| encoder.record(record));
+        let body = [encoder.records, encoder.tail].concat();
+        assert_eq!(wire::decode_records(&body, encoder.count).unwrap(), sent);
         Ok(())
     });
     run.unwrap();
 }
 
 #[test]
-fn actions_are_laid_out_as_told() {
+fn actions_of_every_kind_are_encoded_to_the_expected_bytes() {
     let (request, machine) = (RequestId(0x0102), MachineId(0x0a00_0004_2328));
     let id = [0, 0, 0, 0, 0, 0, 1, 2];
     let cases: Vec<(Action, Vec<u8>)> = vec![
