--- a/crates/platform-protocol/src/client/mod.rs
+++ b/crates/platform-protocol/src/client/mod.rs
@@ -7,7 +7,7 @@
 mod encode;
 mod error;
 
-use crate::{FULL, InputBuffer, MAX};
+use crate::{InputBuffer, MAX, REFUSED};
 
 pub use error::{ExtrasError, InvalidMessage, MessageError, Unreadable};
 
@@ -130,7 +130,7 @@
     pub fn refusal(id: u64, retry_after_ms: Option<u64>) -> Self {
         Self::Release {
             id,
-            cause: FULL,
+            cause: REFUSED,
             retry_after_ms,
         }
     }
--- a/crates/platform-protocol/src/lib.rs
+++ b/crates/platform-protocol/src/lib.rs
@@ -37,14 +37,14 @@
 /// placer: a running task was stopped.
 pub const CANCELLED: u8 = 31;
 /// From a host to a placer: the host refused the attempt. To a client: its request is refused, and nothing of it ran.
-pub const FULL: u8 = 34;
+pub const REFUSED: u8 = 34;
 /// To a client: its request failed or its task was lost; the task may have run. From a host, it is treated like any cause
 /// that has no constant here: it is unknown whether the attempt ran, or the running task was lost.
-pub const CUT: u8 = 41;
+pub const FAILED: u8 = 41;
 /// From a host to a placer: the attempt failed with an error. To a client: its message is rejected.
 pub const ERROR: u8 = 47;
 /// From a host to a placer: the attempt never started, as if it had not been sent.
-pub const MOOT: u8 = 102;
+pub const NOT_STARTED: u8 = 102;
 
 /// Parses an id, key or seed of exactly 16 hexadecimal digits; `None` for any other text.
 pub fn hex(text: &str) -> Option<u64> {
--- a/crates/platform-protocol/tests/golden.rs
+++ b/crates/platform-protocol/tests/golden.rs
@@ -8,7 +8,7 @@
 use reedring_platform_protocol::config::Config;
 use reedring_platform_protocol::discovery::{self, Names, WatchResponse};
 use reedring_platform_protocol::host::{self, FromHost, ToHost};
-use reedring_platform_protocol::{CANCELLED, CUT, ERROR, FULL, GIVEN_UP, MOOT};
+use reedring_platform_protocol::{CANCELLED, ERROR, FAILED, GIVEN_UP, NOT_STARTED, REFUSED};
 
 fn from_client(bytes: &[u8]) -> FromClient {
     let mut reader = client::Reader::default();
@@ -92,7 +92,7 @@
 #[test]
 fn causes_have_the_numbers_of_the_platform() {
     assert_eq!(
-        [GIVEN_UP, CANCELLED, FULL, CUT, ERROR, MOOT],
+        [GIVEN_UP, CANCELLED, REFUSED, FAILED, ERROR, NOT_STARTED],
         [16, 31, 34, 41, 47, 102]
     );
 }
@@ -101,7 +101,7 @@
 fn failures_refusals_without_delay_and_failed_health_checks_are_encoded() {
     let id = 0x0102_0304_0506_0708;
     let failure = b"\x00\x0d\x0c\x01\x02\x03\x04\x05\x06\x07\x08\xc2\x00\x01\x29";
-    assert_eq!(ToClient::failure(id, CUT).encode(), failure);
+    assert_eq!(ToClient::failure(id, FAILED).encode(), failure);
     let refusal = b"\x00\x0d\x0c\x01\x02\x03\x04\x05\x06\x07\x08\xc2\x00\x01\x22";
     assert_eq!(ToClient::refusal(id, None).encode(), refusal);
     let not_in_service = b"\x00\x0d\x35\x01\x02\x03\x04\x05\x06\x07\x08\xc2\x00\x01\x00";
@@ -197,7 +197,7 @@
         );
         let FromHost::Release {
             id: 10,
-            cause: CUT,
+            cause: FAILED,
             reason,
             figures,
         } = from_host(&line)
--- a/crates/platform-protocol/tests/messages.rs
+++ b/crates/platform-protocol/tests/messages.rs
@@ -6,7 +6,7 @@
 use reedring_platform_protocol::client::{self, FromClient, InvalidMessage, ToClient};
 use reedring_platform_protocol::discovery::{Names, WatchResponse};
 use reedring_platform_protocol::host::{self, FromHost, ToHost};
-use reedring_platform_protocol::{FULL, MAX, config};
+use reedring_platform_protocol::{MAX, REFUSED, config};
 use wire::message;
 
 /// The parameters of a valid placement request.
@@ -149,7 +149,7 @@
 #[test]
 fn messages_to_clients_are_encoded_with_the_numbers_of_the_platform() {
     let refusal = ToClient::refusal(5, Some(250)).encode();
-    assert_eq!(refusal, message(12, 5, &[(186, b"250"), (194, &[FULL])]));
+    assert_eq!(refusal, message(12, 5, &[(186, b"250"), (194, &[REFUSED])]));
     let answer = ToClient::Answer {
         id: 5,
         description: "a\r\nb".to_owned(),
@@ -191,7 +191,7 @@
         r#"{"type":"release","id":"9b1f03aa5c7e2d41","fields":{"note":"lack_ram","x0":"1.5"},"cause":34}"#,
     );
     let Ok(Some(FromHost::Release {
-        cause: FULL,
+        cause: REFUSED,
         reason,
         figures,
         ..
--- a/crates/platform/src/clients/connections.rs
+++ b/crates/platform/src/clients/connections.rs
@@ -1,7 +1,7 @@
 //! Clients' connections: admitted, closed when idle or to make capacity for others, and ended.
 
 use reedring::Micros;
-use reedring_platform_protocol::CUT;
+use reedring_platform_protocol::FAILED;
 use reedring_platform_protocol::client::ToClient;
 
 use crate::decide::{ClientDeparture, DepartureAction};
@@ -115,7 +115,7 @@
             return;
         };
         for id in std::mem::take(&mut client.open_requests) {
-            self.send_to_client(conn, ToClient::failure(id, CUT));
+            self.send_to_client(conn, ToClient::failure(id, FAILED));
             self.handle_departure(now, id, ClientDeparture::Reset);
         }
         self.close_client(conn);
--- a/crates/platform/src/clients/requests.rs
+++ b/crates/platform/src/clients/requests.rs
@@ -2,7 +2,7 @@
 
 use reedring::names::machine_id;
 use reedring::{Event, MachineId, Micros, RequestId, ServiceId, Task, TaskKey};
-use reedring_platform_protocol::CUT;
+use reedring_platform_protocol::FAILED;
 use reedring_platform_protocol::client::{PlacementRequest, ToClient};
 use reedring_platform_protocol::discovery::number_of;
 
@@ -83,7 +83,7 @@
             .get(&conn)
             .is_some_and(|client| client.is_overflow)
         {
-            self.send_to_client(conn, ToClient::failure(id, CUT));
+            self.send_to_client(conn, ToClient::failure(id, FAILED));
             self.close_client(conn);
             return false;
         }
@@ -93,7 +93,7 @@
                 client: conn,
                 pending_bytes,
             });
-            self.send_to_client(conn, ToClient::failure(id, CUT));
+            self.send_to_client(conn, ToClient::failure(id, FAILED));
             return false;
         }
         true
--- a/crates/platform/src/engine/actions.rs
+++ b/crates/platform/src/engine/actions.rs
@@ -3,7 +3,7 @@
 use reedring::{Action, Micros, RequestId};
 use reedring_platform_protocol::client::ToClient;
 use reedring_platform_protocol::host::ToHost;
-use reedring_platform_protocol::{CANCELLED, CUT};
+use reedring_platform_protocol::{CANCELLED, FAILED};
 
 use crate::log_event::LogEvent;
 use crate::state::{Engine, Phase, Timer};
@@ -23,7 +23,7 @@
                 request,
                 stay_away_us,
             } => self.refuse(request, stay_away_us),
-            Action::Fail(request) => self.answer(request, |id| ToClient::failure(id, CUT)),
+            Action::Fail(request) => self.answer(request, |id| ToClient::failure(id, FAILED)),
             Action::Move(request) => self.move_task(now, request),
             Action::Probe(machine) => self.start_health_check(now, machine),
             Action::CloseIdle(machine) => self.close_idle_links(machine),
--- a/crates/platform/src/hosts/endpoints.rs
+++ b/crates/platform/src/hosts/endpoints.rs
@@ -5,7 +5,7 @@
 
 use reedring::names::machine_id;
 use reedring::{AttemptId, Event, Health, Listing, Machine, MachineId, Micros, Outcome};
-use reedring_platform_protocol::CUT;
+use reedring_platform_protocol::FAILED;
 use reedring_platform_protocol::discovery::{
     EndpointList, HostEntry, HostHealth, WatchEvent, WatchResponse, number_of,
 };
@@ -158,7 +158,7 @@
         for request in host.map(|host| host.running_requests()).unwrap_or_default() {
             let phase = self.requests.get(request).map(|entry| entry.phase);
             if matches!(phase, Some(Phase::Running(placement)) if placement.since < started_at) {
-                self.task_ended(now, request, CUT, Outcome::Reset.into());
+                self.task_ended(now, request, FAILED, Outcome::Reset.into());
             }
         }
     }
--- a/crates/platform/src/hosts/failure.rs
+++ b/crates/platform/src/hosts/failure.rs
@@ -1,7 +1,7 @@
 //! Failure detection of hosts that run tasks, and when such hosts are connected to again.
 
 use reedring::{MachineId, Micros, Outcome};
-use reedring_platform_protocol::CUT;
+use reedring_platform_protocol::FAILED;
 use reedring_platform_protocol::discovery::HostHealth;
 
 use crate::decide::{self, HostLoss, HostObservation};
@@ -61,7 +61,7 @@
         };
         self.log(event);
         for request in running {
-            self.task_ended(now, request, CUT, Outcome::Reset.into());
+            self.task_ended(now, request, FAILED, Outcome::Reset.into());
         }
     }
 
--- a/crates/platform/src/hosts/messages.rs
+++ b/crates/platform/src/hosts/messages.rs
@@ -2,7 +2,7 @@
 
 use reedring::{AttemptId, Event, MachineId, Micros, Note, Outcome, Reason};
 use reedring_platform_protocol::host::{Figures, FromHost};
-use reedring_platform_protocol::{CANCELLED, ERROR, FULL, GIVEN_UP, MOOT};
+use reedring_platform_protocol::{CANCELLED, ERROR, GIVEN_UP, NOT_STARTED, REFUSED};
 
 use crate::attempts::AttemptResult;
 use crate::ids::LinkId;
@@ -19,9 +19,9 @@
 /// The outcome of an attempt that its host released before it answered.
 fn attempt_outcome(cause: u8) -> Outcome {
     match cause {
-        FULL => Outcome::Refused,
+        REFUSED => Outcome::Refused,
         ERROR => Outcome::Error,
-        MOOT => Outcome::Unsent,
+        NOT_STARTED => Outcome::Unsent,
         _ => Outcome::Reset,
     }
 }
--- a/crates/platform/tests/client_departure.rs
+++ b/crates/platform/tests/client_departure.rs
@@ -7,7 +7,7 @@
 use reedring_platform::decide::LinkEnd;
 use reedring_platform_protocol::client::ToClient;
 use reedring_platform_protocol::host::ToHost;
-use reedring_platform_protocol::{CUT, FULL, GIVEN_UP};
+use reedring_platform_protocol::{FAILED, GIVEN_UP, REFUSED};
 use world::{MS, SECOND, World, host_entry, placement_request, watch_response};
 
 /// Ways of departing: the client closes its sending side, disconnects, or cancels request 1.
@@ -59,7 +59,7 @@
         assert!(world.to_clients.is_empty());
         depart(&mut world, conn);
         // Refused and not failed, as the request never ran.
-        assert_eq!(causes(&world), vec![FULL; answers]);
+        assert_eq!(causes(&world), vec![REFUSED; answers]);
         let active = [host_entry("h-1", 1, "east", "active", 0)];
         world.process_input(Input::DiscoveryUpdate(watch_response(2, false, &active)));
         world.run(6 * SECOND);
@@ -81,7 +81,7 @@
         world.run(90 * MS);
         assert_eq!(
             causes(&world),
-            vec![FULL; answers],
+            vec![REFUSED; answers],
             "must be answered within 0.1 s"
         );
         world.run(5 * SECOND);
@@ -127,7 +127,10 @@
             let outcome = &world.outcomes[&1];
             assert_eq!(outcome.answers, u32::from(can_read && !breaks));
             // Refused although it may have run: its class is safe to repeat.
-            assert_eq!(causes(&world), vec![FULL; usize::from(can_read && breaks)]);
+            assert_eq!(
+                causes(&world),
+                vec![REFUSED; usize::from(can_read && breaks)]
+            );
         }
     }
 }
@@ -357,7 +360,7 @@
     let rejected = outputs.iter().filter(|output| {
         matches!(
             output,
-            reedring_platform::Output::ToClient(_, ToClient::Release { cause: CUT, .. })
+            reedring_platform::Output::ToClient(_, ToClient::Release { cause: FAILED, .. })
         )
     });
     assert!(
@@ -415,7 +418,7 @@
                     message,
                     ToClient::Release {
                         id: 1_000,
-                        cause: FULL,
+                        cause: REFUSED,
                         ..
                     }
                 )
--- a/crates/platform/tests/client_departure_loopback.rs
+++ b/crates/platform/tests/client_departure_loopback.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use reedring_platform_protocol::FULL;
+use reedring_platform_protocol::REFUSED;
 use simulated_peers::{Client, Host, host_placer_client, message, placement_request, start_placer};
 use tokio::io::AsyncWriteExt;
 
@@ -29,7 +29,7 @@
     let answer = client.receive().await.expect("an answer");
     assert_eq!(
         (answer.kind, answer.id, answer.cause()),
-        (RELEASE, 1, Some(FULL))
+        (RELEASE, 1, Some(REFUSED))
     );
     assert_eq!(
         client.receive().await,
--- a/crates/platform/tests/clients.rs
+++ b/crates/platform/tests/clients.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use reedring_platform::Input;
-use reedring_platform_protocol::FULL;
+use reedring_platform_protocol::REFUSED;
 use reedring_platform_protocol::client::{FromClient, InvalidMessage, MessageError, ToClient};
 use reedring_platform_protocol::host::ToHost;
 use world::{MS, SECOND, World, hosts, placement_request, task_end};
@@ -114,7 +114,7 @@
         received(client)
     );
     assert!(
-        matches!(received(duplicate)[..], [ToClient::Release { id: 1, cause, .. }] if *cause != FULL)
+        matches!(received(duplicate)[..], [ToClient::Release { id: 1, cause, .. }] if *cause != REFUSED)
     );
 }
 
@@ -151,7 +151,7 @@
     };
     world.process_input(Input::ClientMessage(bad, invalid()));
     assert!(
-        matches!(world.to_clients[..], [(to, ToClient::Release { id: 77, cause, .. })] if to == bad && cause != FULL)
+        matches!(world.to_clients[..], [(to, ToClient::Release { id: 77, cause, .. })] if to == bad && cause != REFUSED)
     );
     for mut request in [
         placement_request(78, "sing", 1_000),
--- a/crates/platform/tests/hosts.rs
+++ b/crates/platform/tests/hosts.rs
@@ -5,7 +5,7 @@
 use reedring_platform::Input;
 use reedring_platform::decide::LinkEnd;
 use reedring_platform_protocol::client::{FromClient, PlacementRequest, ToClient};
-use reedring_platform_protocol::{CUT, GIVEN_UP};
+use reedring_platform_protocol::{FAILED, GIVEN_UP};
 use world::{MS, SECOND, World, host_entry, hosts, placement_request, task_end, watch_response};
 
 #[test]
@@ -28,7 +28,7 @@
             _,
             ToClient::Release {
                 id: 1,
-                cause: CUT,
+                cause: FAILED,
                 ..
             }
         ))
@@ -166,7 +166,7 @@
             _,
             ToClient::Release {
                 id: 5,
-                cause: CUT,
+                cause: FAILED,
                 ..
             }
         )]
--- a/crates/platform/tests/loopback.rs
+++ b/crates/platform/tests/loopback.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use reedring_connection::SignalRequest;
-use reedring_platform_protocol::FULL;
+use reedring_platform_protocol::REFUSED;
 use serde_json::json;
 use simulated_peers::{
     Client, Discovery, DiscoveryBehavior, Host, host_placer_client, message, placement_request,
@@ -127,7 +127,7 @@
             let _ = client.stream.write_all(&bytes).await;
             if let Some(received) = client.receive().await {
                 assert!(
-                    received.kind == RELEASE && received.cause() != Some(FULL),
+                    received.kind == RELEASE && received.cause() != Some(REFUSED),
                     "{received:?} for {bytes:?}"
                 );
             }
@@ -193,7 +193,7 @@
         } else {
             let failed = client.receive().await.unwrap();
             assert!(
-                failed.kind == RELEASE && failed.cause() != Some(FULL),
+                failed.kind == RELEASE && failed.cause() != Some(REFUSED),
                 "{failed:?}"
             );
         }
@@ -264,7 +264,7 @@
     let began = Instant::now();
     let failed = client.receive().await.unwrap();
     assert!(
-        failed.kind == RELEASE && failed.cause() != Some(FULL),
+        failed.kind == RELEASE && failed.cause() != Some(REFUSED),
         "{failed:?}"
     );
     assert!(began.elapsed() < Duration::from_secs(5));
@@ -487,7 +487,7 @@
     client.send(&[0, 3, 1, 2, 3]).await;
     let end = client.receive().await.expect("an answer");
     assert!(
-        (end.kind, end.id) == (RELEASE, 1) && end.cause() != Some(FULL),
+        (end.kind, end.id) == (RELEASE, 1) && end.cause() != Some(REFUSED),
         "{end:?}"
     );
     assert_eq!(client.receive().await, None);
--- a/crates/platform/tests/shutdown_and_partial_answers.rs
+++ b/crates/platform/tests/shutdown_and_partial_answers.rs
@@ -3,7 +3,7 @@
 mod simulated_peers;
 
 use reedring_connection::SignalRequest;
-use reedring_platform_protocol::FULL;
+use reedring_platform_protocol::REFUSED;
 use serde_json::json;
 use simulated_peers::{
     Client, DiscoveryBehavior, host_placer_client, message, placement_request, wait_for,
@@ -136,7 +136,7 @@
         }
         let failed = client.receive().await.unwrap();
         assert!(
-            (failed.kind, failed.id) == (RELEASE, 1) && failed.cause() != Some(FULL),
+            (failed.kind, failed.id) == (RELEASE, 1) && failed.cause() != Some(REFUSED),
             "{failed:?}"
         );
     }
--- a/crates/platform/tests/world/mod.rs
+++ b/crates/platform/tests/world/mod.rs
@@ -14,7 +14,7 @@
 use reedring_platform_protocol::client::{FromClient, PlacementRequest, ToClient};
 use reedring_platform_protocol::discovery::{Names, WatchResponse};
 use reedring_platform_protocol::host::{FromHost, ToHost};
-use reedring_platform_protocol::{CANCELLED, CUT, ERROR, FULL, GIVEN_UP};
+use reedring_platform_protocol::{CANCELLED, ERROR, FAILED, GIVEN_UP, REFUSED};
 
 use digest::Digest;
 
@@ -90,7 +90,7 @@
     pub class: String,
     /// Answers that report a placed task.
     pub answers: u32,
-    /// Releases with the cause `FULL` before an answer.
+    /// Releases with the cause `REFUSED` before an answer.
     pub refusals: u32,
     /// Releases with another cause before an answer.
     pub failures: u32,
@@ -403,7 +403,7 @@
                     .is_some_and(|attempt| attempt.link == link)
                 {
                     self.in_flight.remove(id);
-                    self.outcomes.entry(*id).or_default().may_have_run |= *cause != FULL;
+                    self.outcomes.entry(*id).or_default().may_have_run |= *cause != REFUSED;
                 } else {
                     self.running_tasks.remove(id);
                 }
@@ -529,11 +529,11 @@
                     return;
                 };
                 match (outcome.answers, *cause) {
-                    (0, FULL) => outcome.refusals += 1,
+                    (0, REFUSED) => outcome.refusals += 1,
                     (0, _) => outcome.failures += 1,
                     _ => outcome.task_ends += 1,
                 }
-                if outcome.answers == 0 && *cause == FULL {
+                if outcome.answers == 0 && *cause == REFUSED {
                     // A refusal promises the client that repeating the request is harmless.
                     assert!(
                         outcome.class == "play" || !outcome.may_have_run,
@@ -631,9 +631,9 @@
                     );
                 }
             }
-            45..60 => self.schedule(after, Input::HostMessage(link, host_release(id, FULL))),
+            45..60 => self.schedule(after, Input::HostMessage(link, host_release(id, REFUSED))),
             60..67 => self.schedule(after, Input::HostMessage(link, host_release(id, ERROR))),
-            67..74 => self.schedule(after, Input::HostMessage(link, host_release(id, CUT))),
+            67..74 => self.schedule(after, Input::HostMessage(link, host_release(id, FAILED))),
             74..84 => {
                 let down = if chance % 2 == 0 {
                     LinkEnd::Reset
