--- a/crates/node-protocol/src/codec/configuration.rs
+++ b/crates/node-protocol/src/codec/configuration.rs
@@ -1,4 +1,4 @@
-//! Versions of configurations, ballots, stamps and acceptor reports.
+//! Encoding of configuration versions, ballots, version stamps and acceptor reports.
 
 use super::Wire;
 use super::reader::{BodyReader, Field, FieldError};
@@ -70,7 +70,8 @@
     }
 }
 
-/// Two of the report's members are flags of the frame's header: ends of version 2 read the same body as ever.
+/// `is_learner` and `reads_deltas` are encoded as flags in the frame's header instead of the body, so that peers of
+/// version 2, which ignore unknown flags, can still decode the body.
 impl Wire for AcceptorReport {
     fn encode(&self, writer: &mut BodyWriter<'_>) {
         self.committed.encode(writer);
--- a/crates/node-protocol/src/codec/delta.rs
+++ b/crates/node-protocol/src/codec/delta.rs
@@ -1,4 +1,4 @@
-//! Deltas between configurations.
+//! Encoding of deltas between configurations. A delta is encoded as:
 //!
 //! ```text
 //! delta   = base, target, count u16, count edits
@@ -20,12 +20,12 @@
     pub(super) const REMOVE: u8 = 1;
 }
 
-/// The code of [`SectionKey::Site`], which stands where other sections have the code of their table.
+/// Code of [`SectionKey::Site`], encoded in the byte that holds the code of the table for all other sections.
 const SITE: u8 = 0;
 
-/// Bytes of two versions (a number and a digest each) and the count of edits.
+/// Encoded length in bytes of the base and target versions (number and digest each) and the edit count.
 const FIXED_LENGTH: usize = 2 * (8 + 16) + 2;
-/// Bytes before a text: its length.
+/// Length in bytes of the `u16` length before a text.
 const LENGTH_PREFIX: usize = 2;
 
 impl WireCode for Table {
@@ -141,7 +141,8 @@
 }
 
 impl Delta {
-    /// Bytes that this delta takes in a message, for comparison with the text that it stands for.
+    /// The encoded length of this delta in bytes, which callers compare with the length of the full text and with the
+    /// limit of a message.
     pub fn encoded_len(&self) -> usize {
         FIXED_LENGTH + self.edits.iter().map(encoded_edit_length).sum::<usize>()
     }
--- a/crates/node-protocol/src/codec/handshake.rs
+++ b/crates/node-protocol/src/codec/handshake.rs
@@ -1,4 +1,4 @@
-//! The first messages of a connection: hello, welcome, and the tasks in flight.
+//! Encoding of the first messages on a connection: hello, welcome, and the list of tasks in flight.
 
 use super::Wire;
 use super::reader::{BodyReader, Field, FieldError};
--- a/crates/node-protocol/src/codec/mod.rs
+++ b/crates/node-protocol/src/codec/mod.rs
@@ -1,7 +1,7 @@
-//! Bodies of messages as bytes and back.
+//! Encodes and decodes message bodies.
 //!
-//! [`Wire`] is implemented for each value that crosses the wire, in the module of its group; this file says which values
-//! make up the body of which message. The bytes are described in `docs/node-protocol.md`.
+//! The submodules implement [`Wire`] for the values that messages consist of; this file defines which values the body
+//! of each message kind contains. `docs/node-protocol.md` describes the format.
 
 mod configuration;
 mod delta;
@@ -23,26 +23,26 @@
 use crate::frame::FrameError;
 use crate::message::{AttemptId, Message, RejectionReason};
 
-/// A value with a form in bytes.
+/// A value that can be encoded into a message body and decoded from it.
 trait Wire: Sized {
     /// Appends the value's bytes.
     fn encode(&self, writer: &mut BodyWriter<'_>);
 
-    /// Reads what [`Wire::encode`] wrote.
+    /// Decodes the bytes that [`Wire::encode`] appends.
     fn decode(reader: &mut BodyReader<'_>) -> Result<Self, FieldError>;
 }
 
-/// A value that is one byte.
+/// A value that is encoded as a single byte.
 trait WireCode: Copy + 'static {
-    /// The field's name in errors.
+    /// The field that decoding errors name.
     const FIELD: Field;
-    /// Every value.
+    /// Every value of the type; [`WireCode::from_code`] searches them.
     const VALUES: &'static [Self];
 
-    /// The byte that stands for this value.
+    /// The byte that encodes this value.
     fn code(self) -> u8;
 
-    /// The value that this byte stands for.
+    /// The value that this byte encodes; `None` if the byte is not assigned.
     fn from_code(code: u8) -> Option<Self> {
         Self::VALUES
             .iter()
@@ -63,7 +63,7 @@
     }
 }
 
-/// What the header of a frame says about its body.
+/// The fields of a frame header that determine how the body is decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Header {
     pub(crate) version: u8,
@@ -71,7 +71,7 @@
     pub(crate) flags: u8,
 }
 
-/// Appends the body of a message to a frame and returns what the frame's header has to say.
+/// Appends the body of a message to `frame` and returns the values for the frame's header.
 pub(crate) fn encode(message: &Message, frame: &mut Vec<u8>) -> Header {
     encode_body(message, &mut BodyWriter::new(frame));
     Header {
@@ -81,7 +81,7 @@
     }
 }
 
-/// Decodes the body of a frame.
+/// Decodes the body of a frame. A body that continues after its last field is an error.
 pub(crate) fn decode(header: Header, body: &[u8]) -> Result<Message, FrameError> {
     let kind = header.kind;
     let mut reader = BodyReader::new(header, body);
@@ -122,7 +122,7 @@
     }
 }
 
-/// The lowest version of the protocol that can express a message.
+/// The lowest protocol version in which a message can be encoded.
 fn required_version(message: &Message) -> u8 {
     match message {
         Message::ConfigRequest(
@@ -149,7 +149,7 @@
     }
 }
 
-/// The flags of the header, which belong to the acceptor report in the body.
+/// The header flags of a message: those of the acceptor report in its body, or 0 if it contains no report.
 fn flags_of(message: &Message) -> u8 {
     let (Message::Welcome {
         acceptor_report: Some(report),
@@ -250,7 +250,7 @@
     }
 }
 
-/// Returns `None` where the version has no message of that kind.
+/// Returns `None` if the frame's protocol version has no message of the frame's kind.
 fn decode_body(header: Header, reader: &mut BodyReader<'_>) -> Result<Option<Message>, FieldError> {
     let attempt = AttemptId::decode;
     Ok(Some(match header.kind {
--- a/crates/node-protocol/src/codec/outcome.rs
+++ b/crates/node-protocol/src/codec/outcome.rs
@@ -1,4 +1,4 @@
-//! What becomes of attempts: rejections, signals of running tasks, ends.
+//! Encoding of rejected offers, signals about accepted tasks, and task ends.
 
 use super::reader::{BodyReader, Field, FieldError};
 use super::writer::BodyWriter;
@@ -54,7 +54,8 @@
     pub(super) const UNKNOWN: u8 = 7;
 }
 
-/// Every end has a code, a byte for its exit status or signal, and a text; those that have none leave it 0 or empty.
+/// Every task end is encoded as a code, a byte and a text. The byte is the exit status or the signal number, otherwise
+/// 0; the text is the error's, otherwise empty.
 impl Wire for TaskEnd {
     fn encode(&self, writer: &mut BodyWriter<'_>) {
         let (code, detail, text) = match self {
--- a/crates/node-protocol/src/codec/reader.rs
+++ b/crates/node-protocol/src/codec/reader.rs
@@ -1,11 +1,11 @@
-//! Reads the fields of a body. Each length is compared with its limit before anything is read by it.
+//! Reads the fields of a message body. Each length is checked against its limit before that many bytes are read.
 
 use std::fmt;
 
 use super::{Header, Wire};
 use crate::{MAX_NAME, MAX_PAYLOAD, MAX_REPORT};
 
-/// A field of a body, as errors name it.
+/// A field or group of fields of a message body. Decoding errors name it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum Field {
@@ -17,25 +17,25 @@
     ConfigText,
     /// A configuration's number and digest.
     ConfigVersion,
-    /// Milliseconds within which an answer is of use.
+    /// Milliseconds within which the placer can use the answer to an offer.
     Deadline,
-    /// Which nodes drop duplicates of a task, and for how long.
+    /// The scope, window or key by which nodes drop duplicates of a task.
     Deduplication,
     /// An edit of a delta, or the count of edits.
     Edit,
-    /// Milliseconds that a task should run.
+    /// The expected duration of a task, in milliseconds.
     ExpectedDuration,
-    /// A byte that has to be 0 or 1.
+    /// A boolean: a byte that must be 0 or 1.
     Flag,
-    /// What a repeated start of a task may do.
+    /// The idempotency of a task: whether it may be started again.
     Idempotency,
-    /// The incarnation of a placer or node.
+    /// The incarnation of a placer or node, which each start of the process changes.
     Incarnation,
     /// The count of tasks in flight.
     InFlightCount,
     /// The state of a task in flight.
     InFlightState,
-    /// The number of a connection.
+    /// The sequence number of a placer's connection to a node.
     Link,
     /// The revision of a node list.
     ListRevision,
@@ -43,23 +43,23 @@
     LoadReport,
     /// The name of a placer, node or build.
     Name,
-    /// A nonce.
+    /// The nonce that relates a report to its probe.
     Nonce,
     /// A task's payload.
     Payload,
-    /// The counters of an acceptor report.
+    /// The age of the floor or one of the placer counts in an acceptor report.
     ReportCounters,
-    /// Why an offer was rejected.
+    /// The reason for which an offer was rejected.
     RejectionReason,
-    /// The kind of a request about configurations.
+    /// The kind of a request to a node's acceptor, or the step that a delta is for.
     RequestKind,
-    /// The resources that a task asks for.
+    /// The cores or the memory that a task requests.
     Resources,
     /// A section of a configuration: its table, name or text.
     Section,
-    /// How a task ended.
+    /// The way in which a task ended.
     TaskEnd,
-    /// One of a task's names: session, job, class, tenant, service.
+    /// One of a task's names: session, job, class, tenant or service.
     TaskName,
     /// The kind or amount of a task signal.
     TaskSignal,
@@ -105,14 +105,14 @@
     }
 }
 
-/// A field that can't be read, and where it begins in the body.
+/// A field is truncated or its value is invalid. `offset` is where the field begins in the body, in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct FieldError {
     pub(super) field: Field,
     pub(super) offset: usize,
 }
 
-/// Reads the fields of a body one after another. Each method names the field for the error.
+/// Reads the fields of a body in order. The `field` argument of the methods is the field that an error names.
 pub(super) struct BodyReader<'a> {
     header: Header,
     body: &'a [u8],
@@ -128,17 +128,17 @@
         }
     }
 
-    /// The header of the frame, which says in which version the body is.
+    /// The header of the frame, whose version and flags determine how the body is decoded.
     pub(super) fn header(&self) -> Header {
         self.header
     }
 
-    /// Bytes that were not read yet.
+    /// The number of bytes that have not been read yet.
     pub(super) fn remaining(&self) -> usize {
         self.body.len() - self.offset
     }
 
-    /// The error that the field beginning here can't be read.
+    /// An error about `field`, beginning at the current offset.
     pub(super) fn error(&self, field: Field) -> FieldError {
         FieldError {
             field,
@@ -153,7 +153,7 @@
         Ok(bytes)
     }
 
-    /// Reads bytes of a fixed count.
+    /// Reads `N` bytes.
     pub(super) fn array<const N: usize>(&mut self, field: Field) -> Result<[u8; N], FieldError> {
         let error = self.error(field);
         self.take(N, field)?.try_into().map_err(|_| error)
@@ -175,7 +175,7 @@
         self.array(field).map(u64::from_be_bytes)
     }
 
-    /// Reads a byte that is 0 or 1.
+    /// Reads a byte that must be 0 or 1.
     pub(super) fn bool(&mut self) -> Result<bool, FieldError> {
         let error = self.error(Field::Flag);
         match self.u8(Field::Flag)? {
@@ -196,8 +196,8 @@
         }
     }
 
-    /// Reads a finite number that is not negative.
-    pub(super) fn not_negative(&mut self, field: Field) -> Result<f64, FieldError> {
+    /// Reads a finite number that is at least 0.
+    pub(super) fn non_negative(&mut self, field: Field) -> Result<f64, FieldError> {
         let error = self.error(field);
         let value = self.finite(field)?;
         if value >= 0.0 { Ok(value) } else { Err(error) }
@@ -212,7 +212,7 @@
         self.take(length, field)
     }
 
-    /// Reads a text of at most `limit` bytes.
+    /// Reads a UTF-8 text of at most `limit` bytes, preceded by its length.
     pub(super) fn text(&mut self, limit: usize, field: Field) -> Result<String, FieldError> {
         let error = self.error(field);
         let bytes = self.length_prefixed(limit, field)?;
@@ -239,7 +239,7 @@
         (0..count).map(|_| self.finite(Field::LoadReport)).collect()
     }
 
-    /// Reads a flag and, where it is set, a value.
+    /// Reads a boolean and, if it is true, a value.
     pub(super) fn optional<T: Wire>(&mut self) -> Result<Option<T>, FieldError> {
         if self.bool()? {
             T::decode(self).map(Some)
@@ -248,12 +248,13 @@
         }
     }
 
-    /// Reads `count` values. Nothing is reserved by the count: the body's length bounds what can follow.
+    /// Reads `count` values. No memory is reserved in advance from `count`, which the peer chooses; the length of the
+    /// body limits how many values can follow.
     pub(super) fn list<T: Wire>(&mut self, count: u16) -> Result<Vec<T>, FieldError> {
         (0..count).map(|_| T::decode(self)).collect()
     }
 
-    /// Reads a value that bodies have from a version on.
+    /// Reads a value that the body contains only from protocol version `version` on; `None` in an earlier version.
     pub(super) fn since<T: Wire>(&mut self, version: u8) -> Result<Option<T>, FieldError> {
         if self.header.version < version {
             Ok(None)
--- a/crates/node-protocol/src/codec/request.rs
+++ b/crates/node-protocol/src/codec/request.rs
@@ -1,4 +1,4 @@
-//! Requests to a node's acceptor.
+//! Encoding of requests to a node's acceptor.
 
 use super::Wire;
 use super::reader::{BodyReader, Field, FieldError};
@@ -7,7 +7,7 @@
 use crate::MAX_PLAN;
 use crate::configuration::{ConfigRequest, DeltaStep};
 
-/// Kinds of requests.
+/// Codes of [`ConfigRequest`]. A fetch has a code of its own if the sender has a configuration already.
 mod kind {
     pub(super) const QUERY: u8 = 0;
     pub(super) const FETCH: u8 = 1;
--- a/crates/node-protocol/src/codec/tags.rs
+++ b/crates/node-protocol/src/codec/tags.rs
@@ -1,8 +1,9 @@
-//! Numbers of the wire that are not codes of one value: message kinds, flags of the header, protocol versions.
+//! Numbers in frame headers: message kinds, flags and protocol versions.
 //!
-//! Numbers are never reused, so that an end of another version can't take a message for another one.
+//! A number is never reused, because a peer of another version would decode the message as the one that had the number
+//! before.
 
-/// Kinds of messages: up to 64 from placers, from 65 on from nodes.
+/// Message kinds. Placers send kinds up to 64, nodes send kinds from 65 on.
 pub(super) mod kind {
     pub(crate) const HELLO: u8 = 1;
     pub(crate) const OFFER: u8 = 2;
@@ -24,20 +25,20 @@
     pub(crate) const CONFIG_DELTA: u8 = 74;
 }
 
-/// Flags of the header. Ends that don't know one ignore it.
+/// Bits of the header's flags byte. A peer ignores flags that it does not know.
 pub(super) mod flag {
-    /// The acceptor report in the body is a learner's.
+    /// The acceptor report in the body comes from a learner.
     pub(crate) const LEARNER: u8 = 1;
-    /// The acceptor report in the body is that of a node that reads deltas.
+    /// The acceptor report in the body comes from a node that can decode deltas.
     pub(crate) const READS_DELTAS: u8 = 2;
 }
 
-/// Protocol versions by what they added.
+/// Protocol versions, named after what each of them added.
 pub(super) mod since {
-    /// Tasks and connections.
+    /// The first version: connections, offers and tasks.
     pub(crate) const START: u8 = 1;
-    /// Agreement on configurations.
+    /// Agreement on configurations between placers and nodes.
     pub(crate) const AGREEMENT: u8 = 2;
-    /// Deltas between configurations.
+    /// Deltas between configurations, sent in place of full texts.
     pub(crate) const DELTAS: u8 = 3;
 }
--- a/crates/node-protocol/src/codec/task.rs
+++ b/crates/node-protocol/src/codec/task.rs
@@ -1,4 +1,4 @@
-//! Attempts, tasks and offers.
+//! Encoding of attempt ids, tasks and offers.
 
 use super::reader::{BodyReader, Field, FieldError};
 use super::tags::since;
@@ -78,8 +78,8 @@
             deduplication_scope: Wire::decode(reader)?,
             deduplication_window_ms: reader.u32(Field::Deduplication)?,
             idempotency_key: reader.u64(Field::Deduplication)?,
-            cores: reader.not_negative(Field::Resources)?,
-            memory: reader.not_negative(Field::Resources)?,
+            cores: reader.non_negative(Field::Resources)?,
+            memory: reader.non_negative(Field::Resources)?,
             expected_duration_ms: reader.u64(Field::ExpectedDuration)?,
             payload: reader.payload()?,
         })
--- a/crates/node-protocol/src/codec/writer.rs
+++ b/crates/node-protocol/src/codec/writer.rs
@@ -1,9 +1,9 @@
-//! Appends the fields of a body.
+//! Writes the fields of a message body.
 
 use super::Wire;
 use crate::{MAX_PAYLOAD, MAX_REPORT};
 
-/// Appends fields to the bytes of a frame. Texts and lists over their limits are cut to them.
+/// Appends fields to a frame. Texts, payloads and load reports that exceed their limit are truncated to it.
 pub(super) struct BodyWriter<'a> {
     bytes: &'a mut Vec<u8>,
 }
@@ -37,12 +37,13 @@
         self.u8(u8::from(value));
     }
 
-    /// Appends bytes of a length that the reader knows.
+    /// Appends bytes without a length; the reader expects a fixed number of them.
     pub(super) fn raw(&mut self, bytes: &[u8]) {
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// Appends a text with its length, cut at a character where it is over the limit.
+    /// Appends the length of a text and the text. A text longer than `limit` bytes is truncated at a character
+    /// boundary.
     pub(super) fn text(&mut self, text: &str, limit: usize) {
         let end = text.floor_char_boundary(limit.min(text.len()));
         self.u16(end as u16);
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Appends a flag and, where there is a value, its bytes.
+    /// Appends a boolean that states whether there is a value, and then the value if there is one.
     pub(super) fn optional<T: Wire>(&mut self, value: Option<&T>) {
         self.bool(value.is_some());
         if let Some(value) = value {
--- a/crates/node-protocol/src/configuration/delta.rs
+++ b/crates/node-protocol/src/configuration/delta.rs
@@ -1,26 +1,26 @@
-//! What changed between two configurations that follow each other, section by section.
+//! The difference between two consecutive configurations, as edits of whole sections.
 
 use std::fmt;
 
 use super::version::ConfigVersion;
 
-/// The tables of a configuration whose sections have names, in the order of its text.
+/// The tables of a configuration that have named sections, in the order in which its text lists them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Table {
-    /// Kinds of nodes.
+    /// `[[kind]]`: kinds of nodes.
     Kind,
-    /// Classes of tasks.
+    /// `[[class]]`: classes of tasks.
     Class,
-    /// Tenants.
+    /// `[[tenant]]`: tenants.
     Tenant,
-    /// Job categories.
+    /// `[[category]]`: job categories.
     Category,
-    /// Constraints.
+    /// `[[constraint]]`: constraints.
     Constraint,
 }
 
 impl Table {
-    /// Every table.
+    /// Every table, in the order of the text.
     pub const ALL: [Self; 5] = [
         Self::Kind,
         Self::Class,
@@ -29,7 +29,7 @@
         Self::Constraint,
     ];
 
-    /// The table's name in the settings.
+    /// The table's name in the text of a configuration.
     pub const fn word(self) -> &'static str {
         match self {
             Self::Kind => "kind",
@@ -44,13 +44,13 @@
 /// Identifies a section of a configuration's text.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum SectionKey {
-    /// `[site]`, of which there is one.
+    /// `[site]`, which occurs once.
     Site,
-    /// A section of a table that may have several.
+    /// A section of a table that may have several sections.
     Named {
-        /// The table.
+        /// The table that contains the section.
         table: Table,
-        /// The value of its `name`, as the text writes it: in quotes.
+        /// The value of the section's `name` key as written in the text, including the quotes.
         name: String,
     },
 }
@@ -67,24 +67,24 @@
 /// A change of one section.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Edit {
-    /// The target has the section with this text; the base may have it with another one.
+    /// Adds the section to the base, or replaces the section's text if the base has it.
     Put {
-        /// The section.
+        /// The section that is added or replaced.
         key: SectionKey,
-        /// Its position among the target's sections, from 0.
+        /// Position of the section among all sections of the target, from 0.
         at: u16,
-        /// Its text: its header and its lines.
+        /// Text of the section in the target: its header and its lines.
         text: String,
     },
-    /// The target does not have this section of the base.
+    /// Removes the section from the base.
     Remove {
-        /// The section.
+        /// The section that is removed.
         key: SectionKey,
     },
 }
 
 impl Edit {
-    /// The section that this edit changes.
+    /// The section that this edit adds, replaces or removes.
     pub fn key(&self) -> &SectionKey {
         match self {
             Self::Put { key, .. } | Self::Remove { key } => key,
@@ -92,14 +92,14 @@
     }
 }
 
-/// The changes from one configuration to the next. The target has sections that no edit names as the base has them, in
-/// the same order.
+/// The changes from one configuration to the next. Sections that no edit names are the same in the target as in the
+/// base and keep their relative order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Delta {
-    /// The configuration that the edits change.
+    /// The configuration to which the edits are applied.
     pub base: ConfigVersion,
-    /// The configuration that results.
+    /// The configuration that results from the edits.
     pub target: ConfigVersion,
-    /// The changes; no two of one section.
+    /// The edits, at most one for each section.
     pub edits: Vec<Edit>,
 }
--- a/crates/node-protocol/src/configuration/mod.rs
+++ b/crates/node-protocol/src/configuration/mod.rs
@@ -1,5 +1,5 @@
-//! What placers and nodes exchange to agree on a configuration. The protocol itself is in the package that decides
-//! (`crates/plan`); here are its messages' values.
+//! The values that placers and nodes exchange to agree on a configuration. `crates/plan` implements the agreement
+//! protocol itself.
 
 mod delta;
 mod report;
--- a/crates/node-protocol/src/configuration/request.rs
+++ b/crates/node-protocol/src/configuration/request.rs
@@ -3,90 +3,97 @@
 use super::delta::Delta;
 use super::version::{Ballot, ConfigVersion, VersionStamp};
 
-/// The request that a delta belongs to, in place of the text of its target.
+/// The kind of request that [`ConfigRequest::ByDelta`] makes, with a delta in place of the text of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum DeltaStep {
-    /// [`ConfigRequest::Accept`].
+    /// The same as [`ConfigRequest::Accept`].
     Accept {
-        /// The ballot.
+        /// The ballot with which the configuration is proposed.
         ballot: Ballot,
     },
-    /// [`ConfigRequest::EnterJoint`].
+    /// The same as [`ConfigRequest::EnterJoint`].
     EnterJoint,
-    /// [`ConfigRequest::Commit`].
+    /// The same as [`ConfigRequest::Commit`].
     Commit,
 }
 
-/// A request to a node's acceptor. `list` is the revision of the sender's node list, `follows` the configuration that
-/// the sender takes for the committed one.
+/// A request from a placer to a node's acceptor.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfigRequest {
-    /// Report your state, and note by which configuration the sender decides.
+    /// Requests an [`AcceptorReport`](crate::AcceptorReport) and informs the node by which configuration the sender
+    /// decides.
     Query {
-        /// The sender's stamp.
+        /// The configuration, node list and build by which the sender decides.
         stamp: VersionStamp,
     },
-    /// Send the text of a configuration.
+    /// Requests the text of a configuration.
     Fetch {
-        /// The configuration.
+        /// The requested configuration.
         version: ConfigVersion,
-        /// A configuration that the sender has: a delta from it is as good. From version 3 on.
+        /// A configuration whose text the sender has; the node may answer with a delta from it. From protocol version 3
+        /// on; `None` requests the full text.
         have: Option<ConfigVersion>,
     },
-    /// Phase 1: promise to answer no smaller ballot, and report what you have accepted.
+    /// Phase 1 of the agreement: the node is to promise to reject all smaller ballots, and to report which
+    /// configuration it has accepted.
     Prepare {
-        /// The committed configuration.
+        /// The configuration that the sender considers committed; the new one is its successor.
         follows: ConfigVersion,
-        /// The ballot.
+        /// The ballot that the node is to promise.
         ballot: Ballot,
-        /// The node list's revision.
+        /// Revision of the sender's node list.
         list: u64,
     },
-    /// Phase 2: accept this configuration.
+    /// Phase 2 of the agreement: the node is to accept this configuration.
     Accept {
-        /// The committed configuration.
+        /// The configuration that the sender considers committed; the new one is its successor.
         follows: ConfigVersion,
-        /// The ballot.
+        /// The ballot with which the configuration is proposed.
         ballot: Ballot,
-        /// The configuration.
+        /// The proposed configuration.
         version: ConfigVersion,
-        /// Its text.
+        /// Text of the proposed configuration.
         text: String,
-        /// The node list's revision.
+        /// Revision of the sender's node list.
         list: u64,
     },
-    /// From version 3 on: a request about the configuration that results from a delta, and that follows its base.
+    /// A request about the configuration that results from a delta; the base of the delta is the configuration that the
+    /// sender considers committed. From protocol version 3 on.
     ByDelta {
-        /// Which request.
+        /// The request to which the delta belongs.
         step: DeltaStep,
         /// The changes to the committed configuration.
         delta: Delta,
-        /// The node list's revision.
+        /// Revision of the sender's node list.
         list: u64,
     },
-    /// A majority of the voters accepted this configuration with one ballot: it is chosen, its joint phase begins.
+    /// Informs the node that a majority of the voters accepted this configuration with the same ballot. It is thereby
+    /// chosen, and its joint phase begins.
     EnterJoint {
-        /// The committed configuration.
+        /// The configuration that the sender considers committed; the new one is its successor.
         follows: ConfigVersion,
-        /// The configuration.
+        /// The chosen configuration.
         version: ConfigVersion,
-        /// Its text; empty for a node that reported it as accepted and reads version 3.
+        /// Text of the configuration; empty if the node supports protocol version 3 and reported that it
+        /// has accepted this configuration.
         text: String,
-        /// The node list's revision.
+        /// Revision of the sender's node list.
         list: u64,
     },
-    /// A majority of the voters is in the joint phase, or further: this configuration is committed.
+    /// Informs the node that a majority of the voters has entered the joint phase of this configuration or has
+    /// committed it, and that it is thereby committed.
     Commit {
-        /// The configuration.
+        /// The committed configuration.
         version: ConfigVersion,
-        /// Its text; empty for a node that reported it as accepted and reads version 3.
+        /// Text of the configuration; empty if the node supports protocol version 3 and reported that it
+        /// has accepted this configuration.
         text: String,
-        /// The node list's revision.
+        /// Revision of the sender's node list.
         list: u64,
     },
-    /// To a learner: raise your floor to the joint phase of the configuration by which the sender decides.
+    /// Requests that a learner raise its floor to the joint phase of the configuration by which the sender decides.
     RaiseFloor {
-        /// The sender's stamp.
+        /// The configuration, node list and build by which the sender decides.
         stamp: VersionStamp,
     },
 }
--- a/crates/node-protocol/src/configuration/version.rs
+++ b/crates/node-protocol/src/configuration/version.rs
@@ -1,8 +1,9 @@
-//! Which configuration: versions, ballots and stamps.
+//! Identifiers of configurations, ballots, and the version stamps of placers.
 
 use std::fmt;
 
-/// The first half of the SHA-256 of a configuration's canonical text.
+/// The first 16 bytes of the SHA-256 digest of a configuration's canonical text. Printed as its first 4 bytes in
+/// hexadecimal.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConfigDigest(pub [u8; 16]);
 
@@ -21,7 +22,7 @@
     }
 }
 
-/// A configuration: its number and the digest of its text. Number 0 means none.
+/// Identifies a configuration by its number and the digest of its text. Number 0 means no configuration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConfigVersion {
     /// The number; a later configuration has a greater one.
@@ -36,31 +37,32 @@
     }
 }
 
-/// A ballot of the agreement on the next configuration. The greater one preempts the smaller one, and each is used by
-/// one incarnation of one placer only.
+/// A ballot in the agreement on the next configuration. A greater ballot preempts a smaller one. Each ballot is used by
+/// only one incarnation of one placer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ballot {
-    /// The round.
+    /// The round, which is compared before the proposer.
     pub round: u64,
-    /// The incarnation of the placer that proposes.
+    /// The incarnation of the proposing placer.
     pub proposer: u64,
 }
 
-/// By which configuration, node list and build a placer decided.
+/// The configuration, node list and build by which a placer decided.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct VersionStamp {
-    /// The configuration; where `joint`, the one that is being introduced.
+    /// The configuration; if `joint`, the one that is being introduced.
     pub version: ConfigVersion,
-    /// Whether the placer obeys the stricter bound of that configuration and the one before, in each respect.
+    /// Whether the configuration is in its joint phase: for each bound, the placer applies the stricter one of this
+    /// configuration and the previous one.
     pub joint: bool,
-    /// The revision of its node list; 0 where the list has none.
+    /// The revision of the placer's node list; 0 if the list has none.
     pub list_revision: u64,
-    /// The CRC-32C of its build's name, as its hello gives it.
+    /// The CRC-32C checksum of the build name that the placer sends in its [`Message::Hello`](crate::Message::Hello).
     pub build: u32,
 }
 
-/// Orders configurations and the joint phases between them: twice the number, and one less while it is joint with the
-/// one before.
+/// A number that orders configurations and the joint phases between them: twice the configuration's number, minus one
+/// while it is joint with the previous configuration.
 pub fn version_level(version: ConfigVersion, joint: bool) -> u64 {
     version
         .number
@@ -69,7 +71,7 @@
 }
 
 impl VersionStamp {
-    /// Its [`version_level`]. A node rejects offers whose level is under its floor.
+    /// The [`version_level`] of the configuration. A node rejects offers whose level is below its floor.
     pub fn level(&self) -> u64 {
         version_level(self.version, self.joint)
     }
--- a/crates/node-protocol/src/frame.rs
+++ b/crates/node-protocol/src/frame.rs
@@ -1,55 +1,59 @@
-//! Frames: header, body and checksum. All numbers are big-endian.
+//! Framing: a frame consists of header, body and checksum. All numbers are big-endian.
 
 use crate::codec::{self, Field, Header};
 use crate::message::Message;
 use crate::{MAX_BODY, VERSION};
 
-/// Bytes before the body: length (4), version (1), kind (1), flags (1), a zero.
+/// Length of the header in bytes: body length (4), version (1), kind (1), flags (1), and a byte that is written as 0
+/// and ignored by the decoder (1).
 const HEADER_LENGTH: usize = 8;
-/// Bytes after the body: the CRC-32C of header and body.
+/// Length of the CRC-32C checksum of header and body, which follows the body, in bytes.
 const CHECKSUM_LENGTH: usize = 4;
 
-/// Why received bytes are no frame. The connection can't be read any further after one.
+/// The reason why received bytes can't be decoded as a frame. After such an error the connection can't be read further,
+/// because the position of the next frame is unknown.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// The header announces a body over [`MAX_BODY`].
+    /// The body length in the header exceeds [`MAX_BODY`].
     #[error("frame: a body of {0} bytes, at most {MAX_BODY} fit")]
     BodyTooLong(u32),
-    /// The frame has a version that this end does not speak.
+    /// The protocol version in the header is not supported.
     #[error("frame: version {0}, this end speaks 1 to {VERSION}")]
     UnsupportedVersion(u8),
-    /// Bytes changed on their way.
+    /// The frame was corrupted in transit: its checksum is not that of its header and body.
     #[error("frame: the checksum does not match")]
     ChecksumMismatch,
-    /// No message of the frame's version has this kind.
+    /// The frame's protocol version has no message of this kind.
     #[error("frame: kind {0} is no message of this version")]
     UnknownKind(u8),
-    /// A field of the body is cut short or has a value that it can't have.
+    /// A field of the body is truncated or has an invalid value.
     #[error("frame: kind {kind}: {field} can't be read at byte {offset} of the body")]
     InvalidField {
-        /// The message's kind.
+        /// The message kind in the header.
         kind: u8,
-        /// The field.
+        /// The field that can't be decoded.
         field: Field,
-        /// Where in the body the field begins.
+        /// Offset in the body at which the field begins, in bytes.
         offset: usize,
     },
-    /// The body goes on after its last field.
+    /// The body continues after its last field.
     #[error("frame: kind {kind}: {count} bytes follow the last field")]
     TrailingBytes {
-        /// The message's kind.
+        /// The message kind in the header.
         kind: u8,
-        /// How many bytes follow.
+        /// Number of bytes after the last field.
         count: usize,
     },
-    /// The bytes end before the frame does. Only [`decode`] reports this; [`FrameDecoder`] waits for more.
+    /// The frame is incomplete; the value is the number of bytes given. Only [`decode`] returns this error;
+    /// [`FrameDecoder`] waits for more bytes.
     #[error("frame: cut short after {0} bytes")]
     Truncated(usize),
 }
 
-/// Returns the bytes of a message's frame.
+/// Encodes a message as a frame.
 ///
-/// Names, texts and payloads over their limits are cut to them; whoever takes them from users rejects such before.
+/// Names, texts, payloads and load reports that exceed their limits are truncated. Callers must reject such values from
+/// users beforehand.
 pub fn encode(message: &Message) -> Vec<u8> {
     let mut frame = vec![0; HEADER_LENGTH];
     let header = codec::encode(message, &mut frame);
@@ -63,7 +67,7 @@
     frame
 }
 
-/// Decodes one whole frame, such as a trace holds.
+/// Decodes a complete frame, such as one from a recorded trace.
 ///
 /// # Errors
 /// See [`FrameError`].
@@ -76,16 +80,17 @@
     }
 }
 
-/// Cuts the bytes of a connection into frames and decodes them.
+/// Splits the byte stream of a connection into frames and decodes them.
 #[derive(Debug, Default)]
 pub struct FrameDecoder {
     buffer: Vec<u8>,
-    /// Where the first frame that was not returned yet begins.
+    /// Offset in `buffer` of the first frame that has not been returned yet.
     position: usize,
 }
 
 impl FrameDecoder {
-    /// Appends received bytes.
+    /// Appends received bytes to the buffer, and discards frames that were returned before once the buffer holds
+    /// nothing else or more than [`MAX_BODY`] bytes of them.
     pub fn push(&mut self, bytes: &[u8]) {
         if self.position > 0 && self.position == self.buffer.len() {
             self.buffer.clear();
@@ -97,7 +102,7 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Returns the next message with its frame's bytes, or `None` until a whole frame has been received.
+    /// Returns the next message and the bytes of its frame, or `None` if no complete frame has been received yet.
     ///
     /// # Errors
     /// See [`FrameError`].
--- a/crates/node-protocol/src/lib.rs
+++ b/crates/node-protocol/src/lib.rs
@@ -1,11 +1,11 @@
-//! The protocol between placers and nodes: its messages, their bytes, and the frames that carry them.
+//! The protocol between placers and nodes: messages, their encoding, and framing.
 //!
-//! What this crate is not: it opens no socket, reads no clock and decides nothing. Which message follows which is up to
-//! the two ends; `docs/node-protocol.md` states what each of them promises and describes the bytes for whoever writes a
-//! node in another language.
+//! This crate only encodes and decodes. It opens no socket, reads no clock, and does not check the order of messages.
+//! `docs/node-protocol.md` specifies what placers and nodes guarantee to each other, and the format of each message,
+//! which is needed to implement a node in another language.
 //!
-//! A reader needs three names: [`Message`] is everything that the ends can say to each other, [`encode`] returns the
-//! bytes of a message's frame, and [`FrameDecoder`] cuts the bytes of a connection into frames and decodes them.
+//! The main items are [`Message`], an enum of all messages; [`encode`], which encodes a message as a frame; and
+//! [`FrameDecoder`], which splits the byte stream of a connection into frames and decodes them.
 //!
 //! ```
 //! use reedring_node_protocol::{FrameDecoder, Message, encode};
@@ -21,29 +21,30 @@
 //! # Frames
 //!
 //! A frame is an 8-byte header (length of the body, protocol version, message kind, flags), the body, and a CRC-32C of
-//! both. After a [`FrameError`] the connection has to be closed: where the next frame begins is not known. A corrupted
-//! frame is never taken for another one, and an answer names the attempt that it is about, whose id holds the
-//! incarnation of the placer that made it.
+//! both. After a [`FrameError`] the connection must be closed, because the position of the next frame is unknown. The
+//! checksum detects corrupted frames. Messages about an attempt contain its id, which includes the incarnation of the
+//! placer that made the attempt, so that a restarted placer can recognize the attempts of its predecessor.
 //!
 //! # Versions
 //!
-//! A message is sent in the lowest version that can express it, so that a placer without configuration agreement is
-//! understood by every node. Version 2 added agreement on configurations, version 3 deltas between them. The
-//! decoder accepts every version up to [`VERSION`]; the version decides which fields a body has. Flags of the header that are
-//! not known are ignored, so that a later version can add them.
+//! A message is sent in the lowest version in which it can be encoded, so that every node can decode the messages of a
+//! placer that does not use configuration agreement. Version 2 added agreement on configurations, version 3 deltas
+//! between them. The decoder accepts every version from 1 to [`VERSION`]; the version determines which fields a body
+//! has. Unknown flags in the header are ignored, so that a later version can add flags.
 //!
 //! # How to add a message kind
 //!
-//! 1. Add the variant to [`Message`] (`message/mod.rs`), with its fields and who sends it when.
-//! 2. Give it a number in `codec/tags.rs`: up to 64 for placers, from 65 for nodes. Numbers are never reused.
-//! 3. Write its body: `impl Wire` for new types in the module of their group (`codec/handshake.rs`,
-//!    `codec/task.rs`, `codec/outcome.rs`, `codec/configuration.rs`, `codec/request.rs`, `codec/delta.rs`), and one arm each in `kind_of`, `encode_body` and
-//!    `decode_body` (`codec/mod.rs`). The compiler asks for the first two; a round trip fails
-//!    without the third.
-//! 4. If former ends can't read it, raise [`VERSION`] and give the kind that version in `required_version`.
-//! 5. Add its counter to [`MessageKind`] (`traffic/message_kind.rs`).
-//! 6. Add a strategy to `tests/frames.rs`, its values and its frame to `tests/golden.rs` and `tests/golden/frames.txt`
-//!    (lines that are there never change), and a row to `docs/node-protocol.md`.
+//! 1. Add the variant to [`Message`] (`message/mod.rs`). Document its fields, who sends it, and when.
+//! 2. Assign a kind number in `codec/tags.rs`: up to 64 if placers send it, from 65 on if nodes do. Never reuse a
+//!    number.
+//! 3. Implement the encoding of the body: `impl Wire` for new types in the matching submodule of `codec`, and one arm
+//!    each in `kind_of`, `encode_body` and `decode_body` (`codec/mod.rs`). The compiler reports a missing arm in the
+//!    first two; the round-trip test fails if the arm in `decode_body` is missing.
+//! 4. If earlier versions can't decode the message, raise [`VERSION`] and return the new version for it in
+//!    `required_version`.
+//! 5. Add the message to [`MessageKind`] (`traffic/message_kind.rs`), which adds its counter.
+//! 6. Add a strategy to `tests/frames.rs`, values to `tests/golden.rs`, frames to `tests/golden/frames.txt` (existing
+//!    lines must not change), and a row to `docs/node-protocol.md`.
 #![forbid(unsafe_code)]
 
 mod codec;
@@ -64,17 +65,18 @@
 };
 pub use traffic::{Count, Counts, MessageKind, PeerCounters, PeerTraffic, Traffic, TrafficCounts};
 
-/// The newest version of the protocol that this crate speaks.
+/// The newest protocol version that this crate supports.
 pub const VERSION: u8 = 3;
-/// The longest body of a frame, in bytes.
+/// Maximum length of a frame's body, in bytes.
 pub const MAX_BODY: usize = 64 * 1024;
-/// The longest name (of a placer, node, job, class, tenant, service or session), in bytes.
+/// Maximum length of a name, in bytes: of a placer, node, build, session, job, class, tenant, service or configuration
+/// section.
 pub const MAX_NAME: usize = 256;
-/// The longest explanation for operators, in bytes.
+/// Maximum length of the explanation in a rejection or in a task's end, in bytes.
 pub const MAX_TEXT: usize = 1024;
-/// The longest text of a configuration, in bytes.
+/// Maximum length of the text of a configuration, in bytes.
 pub const MAX_PLAN: usize = 48 * 1024;
-/// The longest payload of a task, in bytes.
+/// Maximum length of a task's payload, in bytes.
 pub const MAX_PAYLOAD: usize = 32 * 1024;
-/// The most values of a load report.
+/// Maximum number of values in a load report.
 pub const MAX_REPORT: usize = 8;
--- a/crates/node-protocol/src/message/mod.rs
+++ b/crates/node-protocol/src/message/mod.rs
@@ -8,142 +8,149 @@
 
 use crate::configuration::{AcceptorReport, ConfigRequest, ConfigVersion, Delta, VersionStamp};
 
-/// By which configuration a placer decides, and which build it is.
+/// The configuration by which a placer decides, and the build that it runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VersionInfo {
-    /// The configuration.
+    /// The configuration, node list and build by which the placer decides.
     pub stamp: VersionStamp,
-    /// The build's name.
+    /// Name of the placer's build.
     pub build: String,
 }
 
-/// A message, in either direction.
+/// A message from a placer to a node or from a node to a placer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
-    /// Placer to node, first on each connection. A newer connection of the same placer replaces the older one; the node
-    /// discards what it has not read from that.
+    /// Placer to node: the first message on each connection. A newer connection of the same placer replaces the older
+    /// one, and the node discards data from the older one that it has not read yet.
     Hello {
-        /// The placer's name, which outlives restarts.
+        /// The placer's name, which stays the same when the placer restarts.
         placer: String,
-        /// The placer's incarnation.
+        /// The placer's incarnation, which changes when the placer restarts.
         incarnation: u64,
-        /// Counts the placer's connections to this node, from 1; the greater one is newer.
+        /// Sequence number of this connection among the placer's connections to this node, from 1; a newer connection
+        /// has a greater number.
         link: u64,
-        /// From version 2 on.
+        /// The placer's configuration and build. Present from protocol version 2 on; `None` is encoded in version 1.
         version_info: Option<VersionInfo>,
     },
-    /// Placer to node: asks the node to take a task. Answered by [`Message::Accepted`] or [`Message::Rejected`].
+    /// Placer to node: requests that the node run a task. The answer is [`Message::Accepted`] or [`Message::Rejected`].
     Offer {
-        /// The attempt that this offer makes.
+        /// Identifies the attempt to place the task of which this offer is a part.
         attempt: AttemptId,
-        /// The task.
+        /// The offered task.
         task: Box<Task>,
-        /// Milliseconds within which an answer is of use; 0 without a limit.
+        /// Milliseconds within which the placer can use the answer; 0 for no limit.
         within_ms: u32,
-        /// The configuration by which the placer decided; from version 2 on.
+        /// The configuration by which the placer decided. Present from protocol version 2 on; `None` is encoded in
+        /// version 1.
         stamp: Option<VersionStamp>,
     },
-    /// Placer to node, from version 2 on: a request to the node's acceptor.
+    /// Placer to node, from protocol version 2 on: a request to the node's acceptor.
     ConfigRequest(ConfigRequest),
-    /// Placer to node: give the attempt up. Answered by [`Message::Ended`].
+    /// Placer to node: requests that the node stop an attempt. The answer is [`Message::Ended`].
     Stop {
-        /// The attempt.
+        /// The attempt to stop.
         attempt: AttemptId,
     },
-    /// Placer to node: report your load. Answered by [`Message::Report`].
+    /// Placer to node: requests a load report. The answer is [`Message::Report`].
     Probe {
-        /// Comes back in the report.
+        /// Returned in the report, so that the placer can match the report to this probe.
         nonce: u64,
     },
-    /// Placer to node: suspend a running task.
+    /// Placer to node: requests that the node suspend a running task.
     Suspend {
-        /// The attempt.
+        /// The attempt whose task is to be suspended.
         attempt: AttemptId,
     },
-    /// Placer to node: resume a suspended task.
+    /// Placer to node: requests that the node resume a suspended task.
     Resume {
-        /// The attempt.
+        /// The attempt whose task is to be resumed.
         attempt: AttemptId,
     },
-    /// Placer to node: the end of this attempt is recorded, the node may forget it.
+    /// Placer to node: acknowledges [`Message::Ended`]. The placer has recorded the end of the attempt, and the node
+    /// may discard its state.
     Ack {
-        /// The attempt.
+        /// The attempt that ended.
         attempt: AttemptId,
     },
-    /// Node to placer, first on each connection: the answer to [`Message::Hello`].
+    /// Node to placer: the first message on each connection, the answer to [`Message::Hello`].
     Welcome {
         /// The node's name.
         node: String,
-        /// The node's incarnation. A restarted node has another one, and none of the tasks of the one before.
+        /// The node's incarnation. It changes when the node restarts; the tasks of the previous incarnation are lost
+        /// then.
         incarnation: u64,
-        /// Milliseconds since the node's start.
+        /// Milliseconds since the node started.
         up_ms: u64,
         /// Whether the node can suspend tasks.
         can_suspend: bool,
-        /// The state of its acceptor; from version 2 on.
+        /// The state of the node's acceptor. Present from protocol version 2 on; `None` is encoded in version 1.
         acceptor_report: Option<AcceptorReport>,
     },
-    /// Node to placer, from version 2 on: the state of its acceptor, after each change and as an answer.
+    /// Node to placer, from protocol version 2 on: the state of the node's acceptor. Sent after each change and as the
+    /// answer to requests.
     AcceptorReport(AcceptorReport),
-    /// Node to placer, from version 2 on: the text of a configuration.
+    /// Node to placer, from protocol version 2 on: the text of a configuration. The answer to [`ConfigRequest::Fetch`].
     ConfigText {
-        /// The configuration that was asked for.
+        /// The requested configuration.
         version: ConfigVersion,
-        /// Its text; empty where the node has none with that digest.
+        /// Text of the configuration; empty if the node does not have it.
         text: String,
     },
-    /// Node to placer, from version 3 on: in place of a text, the changes since the configuration that the placer has.
+    /// Node to placer, from protocol version 3 on: the changes since a configuration that the placer has, in place of
+    /// [`Message::ConfigText`].
     ConfigDelta(Delta),
-    /// Node to placer, after [`Message::Welcome`]: the tasks that it has of this placer, in one or more messages.
+    /// Node to placer, after [`Message::Welcome`]: the tasks of this placer that the node has, in one or more messages.
     InFlight {
-        /// The tasks.
+        /// Some of the tasks; all messages up to the last one together contain all tasks.
         tasks: Vec<InFlightTask>,
         /// Whether this is the last of these messages.
         last: bool,
     },
-    /// Node to placer: the task was accepted or, where the site is configured so, runs.
+    /// Node to placer: the node accepted the task or, if the site is configured so, has started it.
     Accepted {
-        /// The attempt.
+        /// The attempt that was accepted.
         attempt: AttemptId,
-        /// Load report; empty where the node makes none.
+        /// Load report: its values in the order that the settings define; empty if the node sends none.
         report: Vec<f64>,
     },
-    /// Node to placer: the task was not taken, has not run and never will.
+    /// Node to placer: the node did not accept the task. The task has not run and will not run in this attempt.
     Rejected {
-        /// The attempt.
+        /// The attempt that was rejected.
         attempt: AttemptId,
-        /// Why.
+        /// The reason for the rejection.
         reason: RejectionReason,
-        /// Explanation for operators; may be empty.
+        /// Explanation for operators, at most [`MAX_TEXT`](crate::MAX_TEXT) bytes; may be empty.
         text: String,
-        /// Load report.
+        /// Load report, as in [`Message::Accepted`].
         report: Vec<f64>,
     },
-    /// Node to placer: something was observed of an accepted task.
+    /// Node to placer: an observation or measurement of an accepted task.
     TaskSignal {
-        /// The attempt.
+        /// The attempt whose task was observed.
         attempt: AttemptId,
-        /// What was observed.
+        /// The kind of observation, which determines the meaning of `amount`.
         kind: TaskSignalKind,
-        /// The measured amount; 0 where the kind has none.
+        /// The measured amount; 0 if the kind has none.
         amount: f64,
     },
-    /// Node to placer: an accepted or stopped attempt is over. Sent again on each connection until acknowledged.
+    /// Node to placer: an accepted or stopped attempt has ended. Sent again on each new connection until the placer
+    /// acknowledges it with [`Message::Ack`].
     Ended {
-        /// The attempt.
+        /// The attempt that ended.
         attempt: AttemptId,
-        /// How it ended.
+        /// The way in which the task ended.
         end: TaskEnd,
-        /// Whether it ran, or may have.
+        /// Whether the task ran or may have run.
         ran: bool,
-        /// Load report.
+        /// Load report, as in [`Message::Accepted`].
         report: Vec<f64>,
     },
     /// Node to placer: the answer to [`Message::Probe`].
     Report {
-        /// That of the probe.
+        /// The nonce of the probe.
         nonce: u64,
-        /// Load report.
+        /// Load report, as in [`Message::Accepted`].
         report: Vec<f64>,
     },
 }
--- a/crates/node-protocol/src/message/outcome.rs
+++ b/crates/node-protocol/src/message/outcome.rs
@@ -1,28 +1,29 @@
-//! What nodes say of tasks: why they reject them, what they observe, how they end.
+//! The states and results of tasks that nodes report: rejections, observations, ends and tasks in flight.
 
 use super::{AttemptId, Task};
 
-/// Why a node rejects an offer.
+/// The reason for which a node rejects an offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectionReason {
     /// The node gives no reason.
     Unspecified,
-    /// No cores are free.
+    /// Too few cores are free.
     NoCores,
-    /// No memory is free.
+    /// Too little memory is free.
     NoMemory,
-    /// Too many offers are queued.
+    /// The node's queue of offers is full.
     QueueFull,
     /// The node is draining.
     Draining,
-    /// A duplicate of the task is active, or was within the deduplication window.
+    /// A duplicate of the task is active, or was active within the deduplication window.
     DuplicateActive,
-    /// The offer came too late to be answered within its time.
+    /// The offer could not be answered within its `within_ms`.
     DeadlineExceeded,
-    /// The offer's node kind, class or form does not fit this node.
+    /// The node does not support the offer's node kind, class or form, for example an offer without the version stamp
+    /// that the node requires.
     Unsupported,
-    /// The offer was decided by a configuration that is under the node's floor, or that the node does not know yet.
-    /// Sent only to placers that say by which configuration they decide.
+    /// The offer was decided by a configuration that is below the node's floor or that the node does not know. Sent
+    /// only for offers that have a version stamp.
     Superseded,
 }
 
@@ -40,7 +41,7 @@
         Self::Superseded,
     ];
 
-    /// The reason's name in answers to operators, which scripts compare: it stays.
+    /// The reason's name in answers to operators. Must not change, because scripts compare it.
     pub const fn word(self) -> &'static str {
         match self {
             Self::Unspecified => "untold",
@@ -56,43 +57,43 @@
     }
 }
 
-/// How an accepted task ended.
+/// The way in which an attempt ended after its task was accepted or after the placer stopped it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TaskEnd {
-    /// It exited with this status.
+    /// The task exited with this status.
     Exited(u8),
-    /// A signal of this number terminated it.
+    /// The signal of this number terminated the task.
     Signaled(u8),
-    /// The node evicted it because memory ran out.
+    /// The node evicted the task because memory ran out.
     Evicted,
-    /// A task of higher priority preempted it.
+    /// A task of higher priority preempted the task.
     Preempted,
-    /// The node drains and ended it.
+    /// The node ended the task because the node is draining.
     Drained,
-    /// The placer stopped it.
+    /// The task was stopped at the placer's request, [`Message::Stop`](crate::Message::Stop).
     Stopped,
-    /// The node could not run it.
+    /// The node could not run the task; the text is the explanation, at most [`MAX_TEXT`](crate::MAX_TEXT) bytes.
     Error(String),
-    /// The node knows no such attempt: it was never accepted, and will not be.
+    /// The node does not know the attempt: it has not accepted it and will not accept it.
     Unknown,
 }
 
-/// What a node observed of a task.
+/// The kind of an observation that a node makes of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskSignalKind {
-    /// It started to run.
+    /// The task started to run.
     Running,
-    /// Cores that it uses.
+    /// The amount is the number of cores that the task uses.
     CoresUsed,
-    /// Memory that it uses.
+    /// The amount is the memory that the task uses, in the unit of [`Task::memory`].
     MemoryUsed,
-    /// The fraction of full service that it gets.
+    /// The amount is the fraction of full service that the task receives.
     ServiceFraction,
-    /// The fraction of the node's memory in use.
+    /// The amount is the fraction of the node's memory that is in use.
     MemoryPressure,
-    /// It was suspended.
+    /// The task was suspended.
     Suspended,
-    /// It was resumed.
+    /// The task was resumed.
     Resumed,
 }
 
@@ -109,33 +110,33 @@
     ];
 }
 
-/// The state of a task that a node has of a placer.
+/// The state of a task that a placer has offered to a node, on that node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum InFlightState {
-    /// Offered and not decided yet: it is in the queue of offers.
+    /// The task is in the node's queue of offers: neither accepted nor rejected yet.
     Queued,
-    /// Accepted, not running yet.
+    /// The task is accepted but not running yet.
     Accepted,
-    /// Running.
+    /// The task is running.
     Running,
-    /// Suspended.
+    /// The task is suspended.
     Suspended,
-    /// Over, and not acknowledged by the placer yet.
+    /// The task has ended, and the placer has not acknowledged the end yet.
     Ended {
-        /// How it ended.
+        /// The way in which the task ended.
         end: TaskEnd,
-        /// Whether it ran, or may have.
+        /// Whether the task ran or may have run.
         ran: bool,
     },
 }
 
-/// A task that a node has of a placer.
+/// A task of a placer that a node reports when the placer connects.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InFlightTask {
-    /// The attempt that brought it.
+    /// The attempt by which the placer offered the task.
     pub attempt: AttemptId,
-    /// The task, as it was offered.
+    /// The task, unchanged from the offer.
     pub task: Task,
-    /// Its state.
+    /// The state of the task on the node.
     pub state: InFlightState,
 }
--- a/crates/node-protocol/src/message/task.rs
+++ b/crates/node-protocol/src/message/task.rs
@@ -3,31 +3,31 @@
 /// Identifies one attempt to place a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// The incarnation of the placer that made the attempt; a restarted placer has another one.
+    /// The incarnation of the placer that made the attempt; it changes when the placer restarts.
     pub incarnation: u64,
-    /// The request, within that incarnation.
+    /// Number of the request within that incarnation.
     pub request: u64,
-    /// The attempt, within that request, from 0.
+    /// Number of the attempt within that request, from 0.
     pub number: u16,
 }
 
-/// What a repeated start of a task may do.
+/// Whether a task may be started more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// No harm.
+    /// Repeated starts are harmless.
     Idempotent,
-    /// No harm while a node of the task's [`DeduplicationScope`] remembers the first start: it drops duplicates by their
-    /// key.
+    /// Repeated starts are harmless as long as the nodes of the task's [`DeduplicationScope`] remember the first start,
+    /// because they drop duplicates with the same key.
     IdempotentByKey,
-    /// Harm: a second start must never happen.
+    /// A second start does harm and must never happen.
     #[default]
     NonIdempotent,
 }
 
-/// The nodes that drop each other's duplicates of a task that is idempotent by key.
+/// The group of nodes within which duplicates of a task that is idempotent by key are dropped.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DeduplicationScope {
-    /// All nodes.
+    /// All nodes together.
     All,
     /// The nodes of one zone.
     Zone,
@@ -37,33 +37,34 @@
 }
 
 /// A task as it is offered to a node. The node returns it unchanged in [`InFlightTask`](crate::InFlightTask), so that a
-/// placer that lost its state learns what it has placed.
+/// placer that lost its state can restore which tasks it has placed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Task {
-    /// The DRMAA session of its submitter.
+    /// The DRMAA session in which the task was submitted.
     pub session: String,
-    /// The job.
+    /// The job to which the task belongs.
     pub job: String,
     /// The job's class.
     pub class: String,
-    /// The tenant whose quota it uses.
+    /// The tenant to whose quota the task counts.
     pub tenant: String,
-    /// The service: tasks of one program.
+    /// The service to which the task belongs: tasks of the same program.
     pub service: String,
-    /// What a repeated start may do.
+    /// Whether the task may be started more than once.
     pub idempotency: Idempotency,
-    /// Which nodes drop duplicates.
+    /// The group of nodes that drops duplicates of the task.
     pub deduplication_scope: DeduplicationScope,
-    /// Milliseconds for which duplicates are dropped, from the first start that may have run.
+    /// Milliseconds for which duplicates are dropped, counted from the first start that may have run.
     pub deduplication_window_ms: u32,
-    /// The key that duplicates share.
+    /// The deduplication key, which is the same for all duplicates.
     pub idempotency_key: u64,
-    /// Cores that it asks for.
+    /// Number of cores that the task requests; may be a fraction.
     pub cores: f64,
-    /// Memory that it asks for.
+    /// Memory that the task requests, in the unit that the settings use for the memory of nodes.
     pub memory: f64,
-    /// Milliseconds that it should run; 0 where that is not known.
+    /// Expected duration in milliseconds; 0 if unknown.
     pub expected_duration_ms: u64,
-    /// What to run, opaque to the protocol: the job's DRMAA spec as JSON.
+    /// The DRMAA specification of the job as JSON, at most [`MAX_PAYLOAD`](crate::MAX_PAYLOAD) bytes. The protocol does
+    /// not interpret it.
     pub payload: Vec<u8>,
 }
--- a/crates/node-protocol/src/traffic/message_kind.rs
+++ b/crates/node-protocol/src/traffic/message_kind.rs
@@ -1,9 +1,9 @@
-//! Kinds of messages, as counters and reports tell them apart.
+//! The kinds of messages that traffic counters and reports distinguish.
 
 use crate::configuration::ConfigRequest;
 use crate::message::Message;
 
-/// The kinds of messages, with one for each request to an acceptor.
+/// The kind of a message. Each kind of [`ConfigRequest`] is a kind of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MessageKind {
     /// [`Message::Hello`].
@@ -119,7 +119,7 @@
         }
     }
 
-    /// The kind's name in reports of measurements, which stays.
+    /// The kind's name in measurement reports. Must not change, even if the variant is renamed.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Hello => "hello",
@@ -150,7 +150,8 @@
         }
     }
 
-    /// Whether such messages serve connections and configurations. All others grow with the count of tasks.
+    /// Whether messages of this kind serve connections or the agreement on configurations. The number of all other
+    /// messages grows with the number of tasks.
     pub const fn is_control(self) -> bool {
         matches!(
             self,
--- a/crates/node-protocol/tests/golden.rs
+++ b/crates/node-protocol/tests/golden.rs
@@ -1,7 +1,9 @@
-//! Frames that commit 073fcce wrote: each kind of message in each protocol version in which it has a form of its own.
+//! Guards against a change of the encoding that released placers and nodes can't decode. `golden/frames.txt` contains
+//! frames that an earlier build encoded: each kind of message, in each protocol version in which its body differs.
 //!
-//! A line of `golden/frames.txt` is a case's name, the versions in whose header the body has this meaning, and the frame
-//! in hexadecimal digits. The file is never written anew: nodes and placers in the field exchange these bytes.
+//! A line consists of the name of a case, the protocol versions in which the body has the same meaning (one digit
+//! each), and the frame in hexadecimal. Existing lines must not be regenerated, because deployed nodes and placers
+//! exchange these bytes.
 
 use std::collections::BTreeMap;
 
@@ -9,47 +11,50 @@
 
 const FRAMES: &str = include_str!("golden/frames.txt");
 
-/// One line of the file.
-struct Golden {
-    /// Versions of the header in which the same body has the same meaning.
+/// A line of `golden/frames.txt` without the name of the case.
+struct GoldenFrame {
+    /// The protocol versions in which the body has the same meaning.
     versions: Vec<u8>,
     frame: Vec<u8>,
 }
 
-fn bytes(hex: &str) -> Vec<u8> {
-    assert!(hex.len().is_multiple_of(2), "an odd count of digits");
+fn parse_hex(hex: &str) -> Vec<u8> {
+    assert!(
+        hex.len().is_multiple_of(2),
+        "a frame has an odd number of hexadecimal digits: {hex}"
+    );
     (0..hex.len())
         .step_by(2)
         .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).unwrap())
         .collect()
 }
 
-fn golden_frames() -> BTreeMap<String, Golden> {
+fn golden_frames() -> BTreeMap<String, GoldenFrame> {
     let mut frames = BTreeMap::new();
     for line in FRAMES.lines() {
         let [name, versions, hex] = line.split(' ').collect::<Vec<_>>()[..] else {
-            panic!("{line}")
+            panic!("expected a name, versions and a frame: {line}")
         };
         let versions = versions.bytes().map(|digit| digit - b'0').collect();
-        let golden = Golden {
+        let golden = GoldenFrame {
             versions,
-            frame: bytes(hex),
+            frame: parse_hex(hex),
         };
         assert!(
             frames.insert(name.to_owned(), golden).is_none(),
-            "{name} stands twice"
+            "{name} occurs twice in golden/frames.txt"
         );
     }
     frames
 }
 
-/// The frame of this header and body.
+/// A frame with this header and body and a correct checksum.
 fn frame(version: u8, kind: u8, flags: u8, body: &[u8]) -> Vec<u8> {
     let mut frame = (body.len() as u32).to_be_bytes().to_vec();
     frame.extend([version, kind, flags, 0]);
     frame.extend(body);
-    let sum = crc32c::crc32c(&frame).to_be_bytes();
-    frame.extend(sum);
+    let checksum = crc32c::crc32c(&frame).to_be_bytes();
+    frame.extend(checksum);
     frame
 }
 
@@ -61,15 +66,15 @@
     }
 }
 
-fn task(repeat: Idempotency, group: DeduplicationScope) -> Task {
+fn task(idempotency: Idempotency, deduplication_scope: DeduplicationScope) -> Task {
     Task {
         session: "sitzung-1".into(),
         job: "j.17".into(),
         class: "küche".into(),
         tenant: "tenant".into(),
         service: "".into(),
-        idempotency: repeat,
-        deduplication_scope: group,
+        idempotency,
+        deduplication_scope,
         deduplication_window_ms: 60_000,
         idempotency_key: 0xfeed_face_cafe_beef,
         cores: 1.5,
@@ -102,7 +107,8 @@
     }
 }
 
-fn record() -> AcceptorReport {
+/// The report of a voter that has accepted no successor of its committed configuration.
+fn plain_report() -> AcceptorReport {
     AcceptorReport {
         committed: version(6),
         accepted: None,
@@ -117,35 +123,36 @@
     }
 }
 
-fn introduced(joint: bool) -> AcceptorReport {
-    let next = AcceptedVersion {
+/// The report of a voter that has accepted a successor of its committed configuration.
+fn report_with_accepted(joint: bool) -> AcceptorReport {
+    let accepted = AcceptedVersion {
         ballot: ballot(),
         version: version(7),
         joint,
     };
     AcceptorReport {
-        accepted: Some(next),
+        accepted: Some(accepted),
         cannot_persist: joint,
         reads_deltas: true,
-        ..record()
+        ..plain_report()
     }
 }
 
-fn learner() -> AcceptorReport {
+fn learner_report() -> AcceptorReport {
     AcceptorReport {
         committed: ConfigVersion::default(),
         cannot_persist: true,
         is_learner: true,
         reads_deltas: true,
-        ..introduced(true)
+        ..report_with_accepted(true)
     }
 }
 
-fn text() -> String {
+fn config_text() -> String {
     "[site]\nplacers = 3\n\n[[tenant]]\nname = \"ä\"\nshare = 0.5\n".to_owned()
 }
 
-/// An edit of each kind for each kind of section.
+/// A delta with an edit of each kind for `[site]` and for a section of each table.
 fn delta() -> Delta {
     let named = |table| SectionKey::Named {
         table,
@@ -173,7 +180,8 @@
     }
 }
 
-fn ends() -> [(&'static str, TaskEnd); 8] {
+/// Every task end with its name in the cases.
+fn task_ends() -> [(&'static str, TaskEnd); 8] {
     [
         ("exited", TaskEnd::Exited(3)),
         ("signaled", TaskEnd::Signaled(9)),
@@ -186,7 +194,7 @@
     ]
 }
 
-fn held(request: u64, state: InFlightState) -> InFlightTask {
+fn in_flight_task(request: u64, state: InFlightState) -> InFlightTask {
     InFlightTask {
         attempt: attempt(request),
         task: task(Idempotency::IdempotentByKey, DeduplicationScope::Zone),
@@ -194,23 +202,23 @@
     }
 }
 
-/// Links and handshakes.
-fn link_messages() -> Vec<(String, Message)> {
-    let hello = |acts| Message::Hello {
+/// Messages of the handshake, and acceptor reports.
+fn handshake_messages() -> Vec<(String, Message)> {
+    let hello = |version_info| Message::Hello {
         placer: "placer-1".into(),
         incarnation: 77,
         link: 5,
-        version_info: acts,
+        version_info,
     };
-    let welcome = |can_suspend, record| Message::Welcome {
+    let welcome = |can_suspend, acceptor_report| Message::Welcome {
         node: "knoten-ü".into(),
         incarnation: 78,
         up_ms: 9_000,
         can_suspend,
-        acceptor_report: record,
+        acceptor_report,
     };
-    let record_with =
-        |name: &str, record| (format!("record-{name}"), Message::AcceptorReport(record));
+    let report_case =
+        |name: &str, report| (format!("record-{name}"), Message::AcceptorReport(report));
     vec![
         ("hello".into(), hello(None)),
         (
@@ -228,61 +236,64 @@
             })),
         ),
         ("welcome".into(), welcome(true, None)),
-        ("welcome-record".into(), welcome(false, Some(record()))),
+        (
+            "welcome-record".into(),
+            welcome(false, Some(plain_report())),
+        ),
         (
             "welcome-record-introduced".into(),
-            welcome(true, Some(introduced(false))),
+            welcome(true, Some(report_with_accepted(false))),
         ),
         (
             "welcome-record-learner".into(),
-            welcome(true, Some(learner())),
+            welcome(true, Some(learner_report())),
         ),
-        record_with("plain", record()),
-        record_with("empty", AcceptorReport::default()),
-        record_with("introduced", introduced(false)),
-        record_with("joint", introduced(true)),
-        record_with("learner", learner()),
-        record_with(
+        report_case("plain", plain_report()),
+        report_case("empty", AcceptorReport::default()),
+        report_case("introduced", report_with_accepted(false)),
+        report_case("joint", report_with_accepted(true)),
+        report_case("learner", learner_report()),
+        report_case(
             "learner-former",
             AcceptorReport {
                 reads_deltas: false,
-                ..learner()
+                ..learner_report()
             },
         ),
     ]
 }
 
-/// What placers send of tasks.
-fn task_messages() -> Vec<(String, Message)> {
+/// Messages about tasks that placers send.
+fn placer_messages() -> Vec<(String, Message)> {
     let mut all = Vec::new();
-    for (repeat_name, repeat) in [
+    for (idempotency_name, idempotency) in [
         ("safe", Idempotency::Idempotent),
         ("keyed", Idempotency::IdempotentByKey),
         ("unsafe", Idempotency::NonIdempotent),
     ] {
-        for (group_name, group) in [
+        for (scope_name, scope) in [
             ("all", DeduplicationScope::All),
             ("hall", DeduplicationScope::Zone),
             ("rack", DeduplicationScope::Rack),
         ] {
-            let task = Box::new(task(repeat, group));
+            let task = Box::new(task(idempotency, scope));
             let offer = Message::Offer {
                 attempt: attempt(1),
                 task,
                 within_ms: 250,
                 stamp: None,
             };
-            all.push((format!("offer-{repeat_name}-{group_name}"), offer));
+            all.push((format!("offer-{idempotency_name}-{scope_name}"), offer));
         }
     }
-    let stamped = |joint| Message::Offer {
+    let offer_with_stamp = |joint| Message::Offer {
         attempt: attempt(2),
         task: Box::default(),
         within_ms: 0,
         stamp: Some(stamp(joint)),
     };
-    all.push(("offer-stamped".into(), stamped(false)));
-    all.push(("offer-stamped-joint".into(), stamped(true)));
+    all.push(("offer-stamped".into(), offer_with_stamp(false)));
+    all.push(("offer-stamped-joint".into(), offer_with_stamp(true)));
     all.push((
         "stop".into(),
         Message::Stop {
@@ -316,7 +327,7 @@
     all
 }
 
-/// What nodes send of tasks.
+/// Messages about tasks that nodes send.
 fn node_messages() -> Vec<(String, Message)> {
     let mut all = Vec::new();
     let states = [
@@ -327,11 +338,11 @@
     ];
     let mut tasks: Vec<InFlightTask> = (10..)
         .zip(states)
-        .map(|(request, state)| held(request, state))
+        .map(|(request, state)| in_flight_task(request, state))
         .collect();
-    for (request, (_, end)) in (20..).zip(ends()) {
+    for (request, (_, end)) in (20..).zip(task_ends()) {
         let ran = request % 2 == 0;
-        tasks.push(held(request, InFlightState::Ended { end, ran }));
+        tasks.push(in_flight_task(request, InFlightState::Ended { end, ran }));
     }
     all.push((
         "holds-none".into(),
@@ -363,15 +374,15 @@
         ("superseded", RejectionReason::Superseded),
     ];
     for (name, reason) in reasons {
-        let refused = Message::Rejected {
+        let rejected = Message::Rejected {
             attempt: attempt(31),
             reason,
             text: "weil’s so ist".into(),
             report: vec![],
         };
-        all.push((format!("refused-{name}"), refused));
+        all.push((format!("refused-{name}"), rejected));
     }
-    let topics = [
+    let signal_kinds = [
         ("runs", TaskSignalKind::Running),
         ("cores", TaskSignalKind::CoresUsed),
         ("memory", TaskSignalKind::MemoryUsed),
@@ -380,17 +391,17 @@
         ("suspended", TaskSignalKind::Suspended),
         ("resumed", TaskSignalKind::Resumed),
     ];
-    for (name, topic) in topics {
+    for (name, kind) in signal_kinds {
         all.push((
             format!("note-{name}"),
             Message::TaskSignal {
                 attempt: attempt(32),
-                kind: topic,
+                kind,
                 amount: 0.75,
             },
         ));
     }
-    for (ran, (name, end)) in [true, false].into_iter().cycle().zip(ends()) {
+    for (ran, (name, end)) in [true, false].into_iter().cycle().zip(task_ends()) {
         let report = (0..MAX_REPORT).map(|n| n as f64 / 8.0).collect();
         all.push((
             format!("ended-{name}"),
@@ -412,11 +423,11 @@
     all
 }
 
-/// Agreement on plans.
+/// Messages of the agreement on configurations.
 #[allow(clippy::too_many_lines, reason = "a table of cases")]
-fn plan_messages() -> Vec<(String, Message)> {
-    let (follows, wanted, list) = (version(6), version(7), 41);
-    let ask = |joint| ConfigRequest::Query {
+fn configuration_messages() -> Vec<(String, Message)> {
+    let (follows, target, list) = (version(6), version(7), 41);
+    let query = |joint| ConfigRequest::Query {
         stamp: stamp(joint),
     };
     let by_delta = |step| ConfigRequest::ByDelta {
@@ -424,25 +435,25 @@
         delta: delta(),
         list,
     };
-    let empty = Delta {
+    let empty_delta = Delta {
         base: follows,
-        target: wanted,
+        target,
         edits: Vec::new(),
     };
-    let orders = [
-        ("ask", ask(false)),
-        ("ask-joint", ask(true)),
+    let requests = [
+        ("ask", query(false)),
+        ("ask-joint", query(true)),
         (
             "fetch",
             ConfigRequest::Fetch {
-                version: wanted,
+                version: target,
                 have: None,
             },
         ),
         (
             "fetch-delta",
             ConfigRequest::Fetch {
-                version: wanted,
+                version: target,
                 have: Some(follows),
             },
         ),
@@ -459,8 +470,8 @@
             ConfigRequest::Accept {
                 follows,
                 ballot: ballot(),
-                version: wanted,
-                text: text(),
+                version: target,
+                text: config_text(),
                 list,
             },
         ),
@@ -468,8 +479,8 @@
             "joint",
             ConfigRequest::EnterJoint {
                 follows,
-                version: wanted,
-                text: text(),
+                version: target,
+                text: config_text(),
                 list,
             },
         ),
@@ -477,7 +488,7 @@
             "joint-without-text",
             ConfigRequest::EnterJoint {
                 follows,
-                version: wanted,
+                version: target,
                 text: String::new(),
                 list,
             },
@@ -485,15 +496,15 @@
         (
             "force",
             ConfigRequest::Commit {
-                version: wanted,
-                text: text(),
+                version: target,
+                text: config_text(),
                 list,
             },
         ),
         (
             "force-without-text",
             ConfigRequest::Commit {
-                version: wanted,
+                version: target,
                 text: String::new(),
                 list,
             },
@@ -514,26 +525,26 @@
             "by-delta-empty",
             ConfigRequest::ByDelta {
                 step: DeltaStep::EnterJoint,
-                delta: empty,
+                delta: empty_delta,
                 list,
             },
         ),
     ];
-    let mut all: Vec<(String, Message)> = orders
+    let mut all: Vec<(String, Message)> = requests
         .into_iter()
-        .map(|(name, order)| (format!("plan-{name}"), Message::ConfigRequest(order)))
+        .map(|(name, request)| (format!("plan-{name}"), Message::ConfigRequest(request)))
         .collect();
     all.push((
         "plan-text".into(),
         Message::ConfigText {
-            version: wanted,
-            text: text(),
+            version: target,
+            text: config_text(),
         },
     ));
     all.push((
         "plan-text-none".into(),
         Message::ConfigText {
-            version: wanted,
+            version: target,
             text: String::new(),
         },
     ));
@@ -543,10 +554,10 @@
 
 fn all_messages() -> Vec<(String, Message)> {
     [
-        link_messages(),
-        task_messages(),
+        handshake_messages(),
+        placer_messages(),
         node_messages(),
-        plan_messages(),
+        configuration_messages(),
     ]
     .concat()
 }
@@ -557,46 +568,47 @@
     assert_eq!(
         messages.len(),
         frames.len(),
-        "each line of the file has its value here"
+        "golden/frames.txt must have exactly one line for each message of the test"
     );
     for (name, message) in messages {
         let golden = frames
             .get(&name)
-            .unwrap_or_else(|| panic!("no frame {name}"));
+            .unwrap_or_else(|| panic!("golden/frames.txt has no frame {name}"));
         assert!(
             decode(&golden.frame).as_ref() == Ok(&message),
-            "{name} is read as another value"
+            "the frame {name} must decode to the message of the test"
         );
         assert!(
             encode(&message) == golden.frame,
-            "{name} is written as other bytes"
+            "the message {name} must encode to its golden frame"
         );
     }
 }
 
-/// The version in a frame's header decides how its body is read.
+/// Guards against a change of which protocol versions accept a body: the version in the header determines how the body
+/// is decoded.
 #[test]
-fn golden_bodies_keep_their_meaning_in_the_same_versions() {
+fn golden_bodies_decode_to_the_same_message_in_exactly_the_listed_versions() {
     let frames = golden_frames();
     for (name, message) in all_messages() {
-        let Golden {
+        let GoldenFrame {
             versions,
             frame: golden,
         } = &frames[&name];
         let body = &golden[8..golden.len() - 4];
         assert!(
             versions.contains(&golden[4]),
-            "{name} is written in a version that has it"
+            "{name}: the version in the golden frame's header is not among the listed versions"
         );
         for version in 1..=3 {
-            let read = decode(&frame(version, golden[5], golden[6], body));
+            let decoded = decode(&frame(version, golden[5], golden[6], body));
             assert_eq!(
-                read == Ok(message.clone()),
+                decoded == Ok(message.clone()),
                 versions.contains(&version),
                 "{name} in version {version}"
             );
             assert_eq!(
-                read.is_ok(),
+                decoded.is_ok(),
                 versions.contains(&version),
                 "{name} in version {version}"
             );
@@ -611,35 +623,35 @@
 }
 
 #[test]
-fn golden_bodies_cut_short_or_with_a_byte_more_are_errors() {
+fn truncated_golden_bodies_and_those_with_an_extra_byte_are_rejected() {
     for (name, golden) in golden_frames() {
         let golden = golden.frame;
         let (version, kind, flags) = (golden[4], golden[5], golden[6]);
         let body = &golden[8..golden.len() - 4];
-        for cut in 0..body.len() {
+        for length in 0..body.len() {
             assert!(
-                decode(&frame(version, kind, flags, &body[..cut])).is_err(),
-                "{name} cut at {cut}"
+                decode(&frame(version, kind, flags, &body[..length])).is_err(),
+                "{name} truncated to {length} bytes must be rejected"
             );
         }
         let longer = [body, &[0]].concat();
         assert!(
             decode(&frame(version, kind, flags, &longer)).is_err(),
-            "{name} with a byte more"
+            "{name} with an extra byte must be rejected"
         );
     }
 }
 
-/// Counters of traffic have a kind for each message; each of them stands in the file.
+/// Guards against a new message kind without a golden frame: [`MessageKind`] lists every kind.
 #[test]
-fn golden_frames_have_each_kind_of_message() {
+fn every_message_kind_has_a_golden_frame() {
     let messages = all_messages();
     for kind in MessageKind::ALL {
         assert!(
             messages
                 .iter()
                 .any(|(_, message)| MessageKind::of(message) == kind),
-            "{}",
+            "no golden frame is of the kind {}",
             kind.name()
         );
     }
--- a/crates/node-protocol/tests/traffic.rs
+++ b/crates/node-protocol/tests/traffic.rs
@@ -1,9 +1,9 @@
-//! Counters of messages and bytes.
+//! Tests of the counters of messages and bytes.
 
 use reedring_node_protocol::{Count, Counts, Message, MessageKind, PeerCounters, PeerTraffic};
 
 #[test]
-fn kinds_index_their_counters_and_have_distinct_names() {
+fn each_message_kind_has_its_own_counter_index_and_name() {
     for (index, kind) in MessageKind::ALL.into_iter().enumerate() {
         assert_eq!(kind as usize, index);
         let others = &MessageKind::ALL[..index];
@@ -15,12 +15,12 @@
 }
 
 #[test]
-fn each_message_is_counted_with_its_kind_direction_and_peer_alone() {
+fn a_message_is_counted_only_under_its_kind_direction_and_peer() {
     let traffic = PeerTraffic::default();
     let probe = Message::Probe { nonce: 1 };
-    let link = traffic.of("node-1");
-    link.record_written(&probe, 20);
-    link.record_written(&probe, 22);
+    let first_peer = traffic.of("node-1");
+    first_peer.record_written(&probe, 20);
+    first_peer.record_written(&probe, 22);
     traffic.of("node-1").record_read(
         &Message::Report {
             nonce: 1,
@@ -32,19 +32,22 @@
     let peers = traffic.peers();
     let [
         PeerCounters {
-            peer: first,
-            traffic: of_first,
+            peer: first_name,
+            traffic: first_traffic,
         },
         PeerCounters {
-            peer: second,
-            traffic: of_second,
+            peer: second_name,
+            traffic: second_traffic,
         },
     ] = &peers[..]
     else {
-        panic!("two peers")
+        panic!("{} peers instead of two", peers.len())
     };
-    assert_eq!((first.as_str(), second.as_str()), ("node-1", "node-2"));
-    let counts = of_first.counts();
+    assert_eq!(
+        (first_name.as_str(), second_name.as_str()),
+        ("node-1", "node-2")
+    );
+    let counts = first_traffic.counts();
     for kind in MessageKind::ALL {
         let expected = |counted: MessageKind, messages, bytes| {
             if kind == counted {
@@ -64,6 +67,6 @@
             "{kind:?}"
         );
     }
-    let none = of_second.counts();
-    assert_eq!([none.written, none.read], <[Counts; 2]>::default());
+    let unused = second_traffic.counts();
+    assert_eq!([unused.written, unused.read], <[Counts; 2]>::default());
 }
