--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! Settings and the node list of reedring as TOML, checked whole.
+//! Parses and checks the settings file and the node list, both written in TOML.
 //!
-//! What this crate is not: it opens no file. It takes a text and the name under which errors should
-//! speak of it. Unknown keys, unknown names and contradictions are errors, each with its line, its key
-//! and the fix; all are reported, not only the first.
+//! This crate opens no files. It takes a text and the file name that its errors name. Unknown keys, unknown names and
+//! contradictions are errors, each with its line, its key and a fix. A text that can't be deserialized yields the first
+//! error; of a text that can be, all errors are reported at once.
 #![forbid(unsafe_code)]
 
 mod nodes;
@@ -12,6 +12,6 @@
 pub use nodes::{Health, NodeEntry, NodeList};
 pub use problem::{Problem, Problems};
 pub use settings::{
-    Address, Category, Class, ComesAgain, DISK_WAIT_US, Kind, Limits, Links, OWN_TABLES,
-    PLAN_TABLES, PlanOwn, Reports, Settings, Site, Spread, State, WhenLost, whose_tables,
+    Address, Category, Class, ComesAgain, DISK_WAIT_US, Kind, Limits, Links, PLACER_TABLES,
+    PLAN_TABLES, PlanSettings, Reports, Settings, Site, Spread, State, WhenLost, whose_tables,
 };
--- a/crates/settings/src/nodes.rs
+++ b/crates/settings/src/nodes.rs
@@ -1,4 +1,4 @@
-//! The node list: one `[[node]]` table a node.
+//! The node list: a TOML file with one `[[node]]` table for each node.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,21 +10,21 @@
 use crate::problem::{Checker, Problems};
 use crate::settings::Settings;
 
-/// Whether a node may get new tasks, by the list.
+/// The state of a node according to the node list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Health {
-    /// It takes tasks.
+    /// The node accepts new tasks.
     #[default]
     Ready,
-    /// It wraps up its work.
+    /// The node finishes its running tasks and accepts no new ones.
     Draining,
-    /// It was removed.
+    /// The node was removed from the cluster.
     Gone,
 }
 
 impl Health {
-    /// The word of the list.
+    /// The value of `health` in the node list.
     pub const fn word(self) -> &'static str {
         match self {
             Self::Ready => "ready",
@@ -34,33 +34,34 @@
     }
 }
 
-/// A line of the list.
+/// One entry of the node list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeEntry {
-    /// Its name, the same at every placer.
+    /// The name of the node, the same in the lists of all placers.
     pub name: String,
-    /// Where it listens.
+    /// The address on which the node listens for placers.
     pub address: SocketAddr,
-    /// Its kind, by number in the settings.
+    /// The machine kind of the node: an index into [`Settings::kinds`].
     pub kind: u16,
-    /// Its rack; empty where the list does not say.
+    /// The rack of the node; empty if the list does not state it.
     pub rack: String,
-    /// Its hall; empty where the list does not say.
+    /// The hall (zone) of the node; empty if the list does not state it.
     pub hall: String,
-    /// Its attributes, for constraints.
+    /// Attributes of the node by name, which constraints refer to.
     pub attrs: BTreeMap<String, Attr>,
-    /// Whether it takes tasks.
+    /// Whether the node accepts new tasks.
     pub health: Health,
-    /// It is set aside for control: it votes on plans, and takes no tasks.
+    /// Whether the node is a control machine, which votes on plans and runs no tasks.
     pub control: bool,
-    /// Cores that no accepted task asked for, where told.
+    /// Cores that no accepted task requests; `None` if the list does not state them.
     pub free_cores: Option<f64>,
-    /// Memory that no accepted task asked for, where told.
+    /// Memory that no accepted task requests, in the unit of [`Kind::memory`](crate::Kind::memory); `None` if the list
+    /// does not state it.
     pub free_memory: Option<f64>,
 }
 
 impl NodeEntry {
-    /// A line that says a name and an address, and nothing else.
+    /// A node with this name and address, and the default for each other field.
     pub fn at(name: impl Into<String>, address: SocketAddr) -> Self {
         Self {
             name: name.into(),
@@ -77,12 +78,12 @@
     }
 }
 
-/// A whole list. A node that it lacks is gone.
+/// The complete list of nodes. A node that is not in it counts as gone.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NodeList {
-    /// Its revision: a later list has a greater one. 0 where the file does not number its lists.
+    /// The revision of the list, which increases with each change; 0 if the file states none.
     pub revision: u64,
-    /// The lines.
+    /// The entries in the order of the file.
     pub nodes: Vec<NodeEntry>,
 }
 
@@ -114,8 +115,8 @@
     free_memory: Option<f64>,
 }
 
-/// An attribute as constraints know it.
-fn attr(value: &toml::Value) -> Option<Attr> {
+/// Converts a TOML value to an attribute; `None` if its type is not supported.
+fn parse_attr(value: &toml::Value) -> Option<Attr> {
     Some(match value {
         toml::Value::String(text) => Attr::text(text),
         toml::Value::Integer(number) => Attr::Number(*number as f64),
@@ -130,7 +131,7 @@
     })
 }
 
-/// Where there are control machines, one at least is there to vote.
+/// Reports a list that marks control machines of which each is gone, so that none could vote.
 fn check_control(check: &mut Checker, nodes: &[NodeTable]) {
     let marked = nodes.iter().enumerate().filter_map(|(n, node)| {
         let control = node.control.as_ref().filter(|control| *control.get_ref())?;
@@ -142,9 +143,8 @@
             .iter()
             .all(|(_, node, _)| node.health == Health::Gone)
     {
-        let message =
-            "every control machine is gone, and no plan could be voted on; mark one that is up";
-        check.wrong(
+        let message = "every control machine is gone, so no plan could be voted on; mark one that is not gone";
+        check.report(
             span.clone(),
             format!("node[{n}].control"),
             message.to_owned(),
@@ -153,19 +153,20 @@
 }
 
 impl NodeList {
-    /// The control machines: the nodes that vote on plans. Where there is none, every node votes.
+    /// The control machines: the nodes that vote on plans. If there are none, all nodes vote.
     pub fn control(&self) -> impl Iterator<Item = &NodeEntry> {
         self.nodes.iter().filter(|node| node.control)
     }
 
-    /// Reads and checks a text against the kinds of the settings.
+    /// Parses the text of a node list and checks it against the machine kinds of the settings. `file` is the file name
+    /// in error messages.
     ///
     /// # Errors
-    /// Everything that is wrong with it.
+    /// The error of the TOML parser, or else all problems that the checks find.
     pub fn parse(text: &str, file: &str, settings: &Settings) -> Result<Self, Problems> {
         let mut check = Checker::new(file, text);
-        let read: File = check.read()?;
-        check.names(read.node.iter().map(|node| &node.name), "node");
+        let read: File = check.deserialize()?;
+        check.check_names(read.node.iter().map(|node| &node.name), "node");
         let kinds: Vec<&str> = settings
             .kinds
             .iter()
@@ -177,32 +178,32 @@
             let Ok(address) = node.address.get_ref().parse::<SocketAddr>() else {
                 let fix = "write it as `127.0.0.1:7000` or `[::1]:7000`";
                 let message = format!("`{}` is no address; {fix}", node.address.get_ref());
-                check.wrong(node.address.span(), key("address"), message);
+                check.report(node.address.span(), key("address"), message);
                 continue;
             };
             if let Some(other) = nodes.iter().find(|other| other.address == address) {
                 let message = format!("{address} is the address of `{}` too", other.name);
-                check.wrong(node.address.span(), key("address"), message);
+                check.report(node.address.span(), key("address"), message);
             }
             let kind = match &node.kind {
-                Some(kind) => check.find(kind, &kinds, &key("kind"), "kind"),
+                Some(kind) => check.find_name(kind, &kinds, &key("kind"), "kind"),
                 None if kinds.len() <= 1 => Some(0),
                 None => {
                     let fix = format!(
                         "the settings name several kinds; write one of {}",
                         kinds.join(", ")
                     );
-                    check.wrong(node.name.span(), key("kind"), fix);
+                    check.report(node.name.span(), key("kind"), fix);
                     None
                 }
             };
             let mut attrs = BTreeMap::new();
             for (name, value) in &node.attrs {
-                match attr(value.get_ref()) {
+                match parse_attr(value.get_ref()) {
                     Some(attr) => drop(attrs.insert(name.clone(), attr)),
                     None => {
                         let fix = "an attribute is a text, a number or a list of texts";
-                        check.wrong(value.span(), key(&format!("attrs.{name}")), fix);
+                        check.report(value.span(), key(&format!("attrs.{name}")), fix);
                     }
                 }
             }
--- a/crates/settings/src/problem.rs
+++ b/crates/settings/src/problem.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a text, and where.
+//! Problems found in a settings file or node list, with their places.
 
 use std::fmt;
 use std::ops::Range;
@@ -8,22 +8,22 @@
 use serde::de::DeserializeOwned;
 use toml::Spanned;
 
-/// One thing that is wrong.
+/// One problem found in a text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// The file, as the caller named it.
+    /// The file name that the caller passed.
     pub file: String,
-    /// The line, from 1.
+    /// The line number, counted from 1.
     pub line: usize,
-    /// The key, such as `class[2].kind`; empty where the text is no TOML.
+    /// The key, such as `class[2].kind`; empty if the parser could not tell which key is wrong.
     pub key: String,
-    /// What is wrong, and the fix.
+    /// What is wrong and, where known, how to fix it.
     pub message: String,
 }
 
 impl Problem {
-    /// One that no line of the text shows.
-    pub(crate) fn of(file: &str, key: &str, message: String) -> Self {
+    /// A problem that has no place in the text; it is reported at line 1.
+    pub(crate) fn without_line(file: &str, key: &str, message: String) -> Self {
         Self {
             file: file.to_owned(),
             line: 1,
@@ -44,16 +44,16 @@
     }
 }
 
-/// Everything that is wrong with a text, in the order of its lines.
+/// All problems found in a text, in the order of their lines.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))]
 pub struct Problems(pub Vec<Problem>);
 
-/// Collects what is wrong with one text.
+/// Collects the problems found in one text.
 pub(crate) struct Checker<'a> {
     file: &'a str,
     text: &'a str,
-    found: Vec<Problem>,
+    problems: Vec<Problem>,
 }
 
 impl<'a> Checker<'a> {
@@ -61,27 +61,29 @@
         Self {
             file,
             text,
-            found: Vec::new(),
+            problems: Vec::new(),
         }
     }
 
-    fn line(&self, at: usize) -> usize {
-        let at = at.min(self.text.len());
-        self.text.as_bytes()[..at]
+    /// The line number, from 1, of a byte offset in the text.
+    fn line_number(&self, offset: usize) -> usize {
+        let offset = offset.min(self.text.len());
+        self.text.as_bytes()[..offset]
             .iter()
             .filter(|byte| **byte == b'\n')
             .count()
             + 1
     }
 
-    pub fn wrong(
+    /// Adds a problem at the first line of `span`, a byte range of the text.
+    pub fn report(
         &mut self,
         span: Range<usize>,
         key: impl Into<String>,
         message: impl Into<String>,
     ) {
-        let (line, key, message) = (self.line(span.start), key.into(), message.into());
-        self.found.push(Problem {
+        let (line, key, message) = (self.line_number(span.start), key.into(), message.into());
+        self.problems.push(Problem {
             file: self.file.to_owned(),
             line,
             key,
@@ -89,16 +91,17 @@
         });
     }
 
-    /// Reads the text; the parser's own errors name line and key already in their words.
-    pub fn read<T: DeserializeOwned>(&self) -> Result<T, Problems> {
+    /// Deserializes the text. An error of the TOML parser becomes a problem: its key is the text of the error's span up
+    /// to the first `=`.
+    pub fn deserialize<T: DeserializeOwned>(&self) -> Result<T, Problems> {
         toml::from_str(self.text).map_err(|error| {
-            let line = error.span().map_or(1, |span| self.line(span.start));
+            let line = error.span().map_or(1, |span| self.line_number(span.start));
             let key = error
                 .span()
                 .and_then(|span| self.text.get(span))
                 .unwrap_or_default();
             let key = key.lines().next().unwrap_or_default();
-            // A span over a whole table tells of a key that is missing from it.
+            // If a key is missing from a table, the span is the whole table, whose text is no key.
             let key = if key.starts_with('[') || key.len() > 60 {
                 ""
             } else {
@@ -115,8 +118,9 @@
         })
     }
 
-    /// The position of a name in a list of names.
-    pub fn find(
+    /// The index of a name in the list of known names. Reports a problem and returns `None` if it is not there; `what`
+    /// is what the names stand for, such as `class`.
+    pub fn find_name(
         &mut self,
         name: &Spanned<String>,
         known: &[&str],
@@ -136,31 +140,37 @@
                 name.get_ref(),
                 near.unwrap_or(list)
             );
-            self.wrong(name.span(), key, message);
+            self.report(name.span(), key, message);
         }
         at
     }
 
-    /// Names that must differ and fit the wire.
-    pub fn names<'n>(&mut self, names: impl Iterator<Item = &'n Spanned<String>>, what: &str) {
+    /// Reports names that occur twice, or whose length is not 1 to 200 bytes, which protocol messages
+    /// require.
+    pub fn check_names<'n>(
+        &mut self,
+        names: impl Iterator<Item = &'n Spanned<String>>,
+        what: &str,
+    ) {
         let mut seen = std::collections::BTreeSet::new();
         for (n, name) in names.enumerate() {
             let (key, text) = (format!("{what}[{n}].name"), name.get_ref());
             if text.is_empty() || text.len() > 200 {
-                self.wrong(name.span(), key, "a name has 1 to 200 bytes");
+                self.report(name.span(), key, "a name has 1 to 200 bytes");
             } else if !seen.insert(text) {
-                let message = format!("`{text}` stands twice; each {what} needs a name of its own");
-                self.wrong(name.span(), key, message);
+                let message =
+                    format!("`{text}` is defined twice; each {what} needs a name of its own");
+                self.report(name.span(), key, message);
             }
         }
     }
 
-    /// A number that must be finite and over 0.
-    pub fn positive(&mut self, value: Option<&Spanned<f64>>, key: &str) {
+    /// Reports a value that is not finite or not over 0.
+    pub fn check_positive(&mut self, value: Option<&Spanned<f64>>, key: &str) {
         if let Some(value) = value
             && !(value.get_ref().is_finite() && *value.get_ref() > 0.0)
         {
-            self.wrong(
+            self.report(
                 value.span(),
                 key,
                 format!("{} is not a number over 0", value.get_ref()),
@@ -168,21 +178,22 @@
         }
     }
 
+    /// Returns the value if no problem was reported, and otherwise all problems.
     pub fn finish<T>(mut self, value: T) -> Result<T, Problems> {
-        self.found.sort_by_key(|problem| problem.line);
-        if self.found.is_empty() {
+        self.problems.sort_by_key(|problem| problem.line);
+        if self.problems.is_empty() {
             Ok(value)
         } else {
-            Err(Problems(self.found))
+            Err(Problems(self.problems))
         }
     }
 }
 
-/// A length of time such as `"250ms"`, `"20s"`, `"1.5m"` or `"2h"`, in microseconds.
+/// A duration in microseconds, written as `"250ms"`, `"20s"`, `"1.5m"` or `"2h"`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Time(pub u64);
+pub(crate) struct DurationUs(pub u64);
 
-impl<'de> Deserialize<'de> for Time {
+impl<'de> Deserialize<'de> for DurationUs {
     fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let text = String::deserialize(deserializer)?;
         reedring_drmaa::native::duration_us(&text)
--- a/crates/settings/src/settings/class.rs
+++ b/crates/settings/src/settings/class.rs
@@ -1,17 +1,17 @@
-//! Checks of one class.
+//! Checks of one `[[class]]` table.
 
 use reedring::{Effect, Group, Place};
 use toml::Spanned;
 
-use super::tables::{ClassTable, GroupWord, Over, Repeat};
+use super::tables::{ClassTable, GroupValue, RepeatValue, SpreadOverValue};
 use super::types::{Class, ComesAgain, Site, Spread};
 use crate::problem::Checker;
 
-/// How long after a loss a task of a class is placed again, where the class does not say: one second.
+/// The default of `again_after`, the delay in microseconds before a lost task is placed again.
 const DEFAULT_AGAIN_AFTER_US: u64 = 1_000_000;
 
 impl ClassTable {
-    /// Checks the table of class number `n` and makes the class of it; what is wrong goes to `check`.
+    /// Checks the `[[class]]` table with index `n` and converts it to a class. Problems are reported to `check`.
     pub(super) fn check(
         &self,
         n: usize,
@@ -25,7 +25,7 @@
         let kind = self
             .kind
             .as_ref()
-            .and_then(|kind| check.find(kind, kinds, &key("kind"), "kind"));
+            .and_then(|kind| check.find_name(kind, kinds, &key("kind"), "kind"));
         self.check_repeat(&key, check);
         let comes_again = self.check_comes_again(&key, check);
         self.check_spread(&key, check);
@@ -58,57 +58,56 @@
             ("cores", &self.cores),
             ("memory", &self.memory),
         ] {
-            check.positive(value.as_ref(), &key(field));
+            check.check_positive(value.as_ref(), &key(field));
         }
     }
 
     fn check_objective(&self, key: &impl Fn(&str) -> String, check: &mut Checker<'_>) {
         let objective = self.aim.get_ref().0;
         if objective == 0 || objective > self.give_up.0 {
-            let fix = "the aim is over 0 and at most give_up";
-            check.wrong(self.aim.span(), key("aim"), fix);
+            let fix = "the aim must be over 0 and at most give_up";
+            check.report(self.aim.span(), key("aim"), fix);
         }
     }
 
     /// A keyed class needs a window; no other class has a window or a group.
     fn check_repeat(&self, key: &impl Fn(&str) -> String, check: &mut Checker<'_>) {
         match (self.repeat, &self.window, &self.group) {
-            (Repeat::Keyed, None, _) => {
+            (RepeatValue::Keyed, None, _) => {
                 let fix = "a keyed class needs `window`: for how long its group drops repeats";
-                check.wrong(self.name.span(), key("window"), fix);
+                check.report(self.name.span(), key("window"), fix);
             }
-            (Repeat::Safe | Repeat::Unsafe, Some(window), _) => {
+            (RepeatValue::Safe | RepeatValue::Unsafe, Some(window), _) => {
                 let fix = "only a keyed class has a window; remove it";
-                check.wrong(window.span(), key("window"), fix);
+                check.report(window.span(), key("window"), fix);
             }
-            (Repeat::Safe | Repeat::Unsafe, _, Some(group)) => {
+            (RepeatValue::Safe | RepeatValue::Unsafe, _, Some(group)) => {
                 let fix = "only a keyed class has a group; remove it";
-                check.wrong(group.span(), key("group"), fix);
+                check.report(group.span(), key("group"), fix);
             }
             _ => {}
         }
     }
 
-    /// When a lost task is placed again: as the table says, or as its kind of repeat allows.
+    /// When a lost task is placed again: the value of the table, or else the most that `repeat` permits.
     fn check_comes_again(
         &self,
         key: &impl Fn(&str) -> String,
         check: &mut Checker<'_>,
     ) -> ComesAgain {
         let default = match self.repeat {
-            Repeat::Safe => ComesAgain::Always,
-            Repeat::Keyed => ComesAgain::Ended,
-            Repeat::Unsafe => ComesAgain::Never,
+            RepeatValue::Safe => ComesAgain::Always,
+            RepeatValue::Keyed => ComesAgain::Ended,
+            RepeatValue::Unsafe => ComesAgain::Never,
         };
         let comes_again = self
             .comes_again
             .as_ref()
             .map_or(default, |word| *word.get_ref());
-        if comes_again == ComesAgain::Always && self.repeat != Repeat::Safe {
+        if comes_again == ComesAgain::Always && self.repeat != RepeatValue::Safe {
             let span = self.comes_again.as_ref().map_or(0..0, Spanned::span);
-            let fix =
-                "only a safe class may come again where it may still run; write `ended` or `never`";
-            check.wrong(span, key("comes_again"), fix);
+            let fix = "only a safe class may be placed again while the lost task may still run; write `ended` or `never`";
+            check.report(span, key("comes_again"), fix);
         }
         comes_again
     }
@@ -118,34 +117,34 @@
             return;
         };
         if *spread.most.get_ref() == 0 {
-            let fix = "0 lets nothing stand; it is at least 1";
-            check.wrong(spread.most.span(), key("spread.most"), fix);
+            let fix = "0 would permit no task at all; it is at least 1";
+            check.report(spread.most.span(), key("spread.most"), fix);
         }
     }
 
-    /// The nodes among which repeats of a keyed task are dropped.
+    /// The group of nodes that drop repeats of a keyed task; the rack by default.
     fn repeat_group(&self) -> Group {
         match self.group.as_ref().map(Spanned::get_ref) {
-            Some(GroupWord::All) => Group::All,
-            Some(GroupWord::Hall) => Group::Zone,
-            Some(GroupWord::Rack) | None => Group::Cell,
+            Some(GroupValue::All) => Group::All,
+            Some(GroupValue::Hall) => Group::Zone,
+            Some(GroupValue::Rack) | None => Group::Cell,
         }
     }
 
     fn effect(&self) -> Effect {
         match self.repeat {
-            Repeat::Safe => Effect::Safe,
-            Repeat::Keyed => Effect::Keyed,
-            Repeat::Unsafe => Effect::Unsafe,
+            RepeatValue::Safe => Effect::Safe,
+            RepeatValue::Keyed => Effect::Keyed,
+            RepeatValue::Unsafe => Effect::Unsafe,
         }
     }
 
     fn spread(&self) -> Option<Spread> {
         self.spread.as_ref().map(|spread| Spread {
             over: match spread.over {
-                Over::Machine => Place::Machine,
-                Over::Rack => Place::Cell,
-                Over::Hall => Place::Zone,
+                SpreadOverValue::Machine => Place::Machine,
+                SpreadOverValue::Rack => Place::Cell,
+                SpreadOverValue::Hall => Place::Zone,
             },
             most: *spread.most.get_ref(),
         })
--- a/crates/settings/src/settings/mod.rs
+++ b/crates/settings/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The settings of a placer and of its site.
+//! The settings of a placer and of the site that it shares with other placers.
 
 mod class;
 mod module;
@@ -15,39 +15,39 @@
 use toml::Spanned;
 
 pub use self::module::DISK_WAIT_US;
-pub use self::plan::{OWN_TABLES, PLAN_TABLES, whose_tables};
+pub use self::plan::{PLACER_TABLES, PLAN_TABLES, whose_tables};
 use self::sections::Names;
 use self::tables::{File, KindTable};
 pub use self::types::{
-    Address, Category, Class, ComesAgain, Kind, Limits, Links, PlanOwn, Reports, Settings, Site,
-    Spread, State, WhenLost,
+    Address, Category, Class, ComesAgain, Kind, Limits, Links, PlanSettings, Reports, Settings,
+    Site, Spread, State, WhenLost,
 };
 use crate::problem::{Checker, Problems};
 
 impl Settings {
-    /// Reads a constraint's text; `use NAME` in it is one of the settings'.
+    /// Parses the text of a constraint, in which `use NAME` refers to a constraint of these settings.
     ///
     /// # Errors
-    /// The first mistake.
+    /// The first mistake in the text.
     pub fn constraint(&self, text: &str) -> Result<Constraint, Mistake> {
         Constraint::parse_with(text, |name| self.constraints.get(name).map(String::as_str))
     }
 
-    /// Reads and checks a text; `file` is the name under which problems speak of it.
+    /// Parses and checks the text of a settings file. `file` is the file name in error messages.
     ///
     /// # Errors
-    /// Everything that is wrong with it.
+    /// The error of the TOML parser, or else all problems that the checks find.
     pub fn parse(text: &str, file: &str) -> Result<Self, Problems> {
         let mut check = Checker::new(file, text);
-        let mut read: File = check.read()?;
-        check.names(read.class.iter().map(|class| &class.name), "class");
-        check.names(read.kind.iter().map(|kind| &kind.name), "kind");
-        check.names(read.tenant.iter().map(|tenant| &tenant.name), "tenant");
-        check.names(
+        let mut read: File = check.deserialize()?;
+        check.check_names(read.class.iter().map(|class| &class.name), "class");
+        check.check_names(read.kind.iter().map(|kind| &kind.name), "kind");
+        check.check_names(read.tenant.iter().map(|tenant| &tenant.name), "tenant");
+        check.check_names(
             read.category.iter().map(|category| &category.name),
             "category",
         );
-        let listen = address(&read.placer.listen, &mut check);
+        let listen = listen_address(&read.placer.listen, &mut check);
         let site = std::mem::take(&mut read.site).check(&mut check);
         let classes = read.check_classes(&site, &mut check);
         read.check_kinds(&mut check);
@@ -65,7 +65,7 @@
         let settings = Self {
             state,
             plan,
-            own: plan::own_text(text),
+            placer_tables: plan::placer_tables_text(text),
             name: read.placer.name.get_ref().clone(),
             listen,
             nodes: read.placer.nodes,
@@ -85,22 +85,23 @@
     }
 }
 
-fn address(listen: &Spanned<String>, check: &mut Checker<'_>) -> Address {
+/// Parses `placer.listen`. Reports an invalid value and returns a placeholder, so that the other checks still run.
+fn listen_address(listen: &Spanned<String>, check: &mut Checker<'_>) -> Address {
     let text = listen.get_ref();
     if let Some(path) = text.strip_prefix("unix:") {
         return Address::Unix(PathBuf::from(path));
     }
-    let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
+    let placeholder = SocketAddr::from(([127, 0, 0, 1], 0));
     match text.strip_prefix("tcp:").unwrap_or(text).parse() {
         Ok(address) => Address::Tcp(address),
         Err(_) => {
             let fix = "write `127.0.0.1:4710`, `[::1]:4710` or `unix:/path/to/socket`";
-            check.wrong(
+            check.report(
                 listen.span(),
                 "placer.listen",
                 format!("`{text}` is no address; {fix}"),
             );
-            Address::Tcp(loopback)
+            Address::Tcp(placeholder)
         }
     }
 }
--- a/crates/settings/src/settings/module.rs
+++ b/crates/settings/src/settings/module.rs
@@ -1,24 +1,25 @@
-//! What the decision module is told of the settings.
+//! Conversion to the settings of the decision module.
 
 use reedring::{self as module, Micros};
 
 use super::types::{Class, Kind, Settings};
 
-/// Microseconds by which offers may bunch up between a placer's decision and a node: what lies one window
-/// apart when it is decided must not fall into one window at the node.
+/// Maximum delay in microseconds between a placer's decision to send an offer and its arrival at the node, without the
+/// wait for the disk. The slow start window is widened by the delay: offers that are decided one window apart must not
+/// arrive within one window of the node.
 const WIRE_JITTER_US: Micros = 100_000;
 
-/// Microseconds that an offer to a cold node may wait for the disk after it was decided; a later one does not
-/// leave. It is part of what offers may bunch up, where a placer keeps state.
+/// Maximum time in microseconds that an offer to a node that is warming up may wait for the disk after it was decided;
+/// an offer that waited longer is not sent. If the placer has a state folder, it is part of [`Settings::jitter_us`].
 pub const DISK_WAIT_US: Micros = 50_000;
 
 impl Settings {
-    /// Microseconds by which an offer may reach its node after it was decided, and no offer to a cold node later.
+    /// The maximum time in microseconds from the decision on an offer to its arrival at a node that is warming up.
     pub fn jitter_us(&self) -> Micros {
         WIRE_JITTER_US + self.state.as_ref().map_or(0, |_| DISK_WAIT_US)
     }
 
-    /// What the decision module is told. `hall` is the number of the placer's own hall.
+    /// The settings of the decision module. `hall` is the number of the placer's hall; `None` if it has none.
     pub fn module(&self, hall: Option<u16>) -> module::Settings {
         let class = |class: &Class| module::Class {
             effect: class.effect,
@@ -36,7 +37,7 @@
         let site = &self.site;
         let jitter = self.jitter_us();
         module::Settings {
-            // No number is told: turns at a cold node fall by chance.
+            // Placers are not numbered, so which of them may send to a node that is warming up is left to chance.
             position: None,
             schedulers: site.placers,
             zone: hall,
@@ -49,7 +50,7 @@
             list_on_request: false,
             report_style: site.reports.style,
             report_fields: site.reports.fields.clone(),
-            report_counts_requests: site.reports.counts_asks,
+            report_counts_requests: site.reports.counts_requests,
             yes_when_running: site.yes_when_running,
             rules: module::Rules {
                 max_attempts: Some(site.max_attempts),
--- a/crates/settings/src/settings/plan.rs
+++ b/crates/settings/src/settings/plan.rs
@@ -1,8 +1,8 @@
-//! The plan: the part of the settings that the whole fleet must share, told apart from what is a placer's own.
+//! The plan: the part of the settings that all placers must share, as opposed to the settings of a single placer.
 //!
 //! `[site]`, `[[kind]]`, `[[class]]`, `[[tenant]]`, `[[category]]` and `[[constraint]]` are the plan; `[placer]`,
-//! `[plan]`, `[limits]`, `[links]` and `[state]` are the placer's own. A plan's canonical text says every value, also
-//! those that the file left out, so that two files that mean the same have one digest.
+//! `[plan]`, `[limits]`, `[links]` and `[state]` belong to the single placer. The canonical text of a plan contains all
+//! values, including defaults that the file leaves out, so that files with the same meaning have the same digest.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -17,28 +17,30 @@
 use super::types::{Class, ComesAgain, Settings, Spread};
 use crate::problem::{Problem, Problems};
 
-/// Tables of the file that are a placer's own.
-pub const OWN_TABLES: [&str; 5] = ["placer", "plan", "limits", "links", "state"];
-/// Tables of the file that are the plan.
+/// Tables of the settings file that belong to a single placer.
+pub const PLACER_TABLES: [&str; 5] = ["placer", "plan", "limits", "links", "state"];
+/// Tables of the settings file that are the plan.
 pub const PLAN_TABLES: [&str; 6] = ["site", "kind", "class", "tenant", "category", "constraint"];
 
-fn time(us: u64) -> String {
+/// A duration as a TOML string in milliseconds.
+fn duration_literal(us: u64) -> String {
     format!("\"{}ms\"", us as f64 / 1_000.0)
 }
 
-fn text(value: &str) -> String {
+/// A text as a TOML string.
+fn string_literal(value: &str) -> String {
     toml::Value::from(value).to_string()
 }
 
-/// The own tables of a file, as they stand there.
-pub(super) fn own_text(file: &str) -> String {
+/// The [`PLACER_TABLES`] of a settings file as TOML, without defaults; empty if the file can't be parsed.
+pub(super) fn placer_tables_text(file: &str) -> String {
     let mut tables: toml::Table = toml::from_str(file).unwrap_or_default();
-    tables.retain(|name, _| OWN_TABLES.contains(&name));
+    tables.retain(|name, _| PLACER_TABLES.contains(&name));
     toml::to_string(&tables).unwrap_or_default()
 }
 
 impl Settings {
-    /// The plan's canonical text.
+    /// The canonical text of the plan, whose digest identifies it.
     pub fn plan_text(&self) -> String {
         let (mut out, site) = (String::from("[site]\n"), &self.site);
         let mut line = |key: &str, value: String| {
@@ -55,7 +57,7 @@
             .for_each(|mean| line("mean_memory", format!("{mean:?}")));
         line(
             "yes_when",
-            text(if site.yes_when_running {
+            string_literal(if site.yes_when_running {
                 "running"
             } else {
                 "accepted"
@@ -66,7 +68,7 @@
             ReportStyle::Answers => "answers",
             ReportStyle::Probes => "probes",
         };
-        line("reports", text(reports));
+        line("reports", string_literal(reports));
         let field = |field: &ReportField| match field {
             ReportField::Cores => "\"cores\"",
             ReportField::Memory => "\"memory\"",
@@ -76,7 +78,7 @@
         line("report_fields", format!("[{}]", fields.join(", ")));
         line(
             "report_counts",
-            text(if site.reports.counts_asks {
+            string_literal(if site.reports.counts_requests {
                 "asked"
             } else {
                 "used"
@@ -84,13 +86,13 @@
         );
         line("max_attempts", site.max_attempts.to_string());
         line("may_probe", site.may_probe.to_string());
-        line("drain_grace", time(site.drain_grace_us));
+        line("drain_grace", duration_literal(site.drain_grace_us));
         site.warm_after_us
             .iter()
-            .for_each(|us| line("warm_after", time(*us)));
+            .for_each(|us| line("warm_after", duration_literal(*us)));
         site.cold_window_us
             .iter()
-            .for_each(|us| line("cold_window", time(*us)));
+            .for_each(|us| line("cold_window", duration_literal(*us)));
         site.cold_offers
             .iter()
             .for_each(|offers| line("cold_offers", format!("{offers:?}")));
@@ -101,50 +103,60 @@
             .iter()
             .for_each(|price| line("price_cross_hall", format!("{price:?}")));
         for kind in &self.kinds {
-            let _ = writeln!(out, "\n[[kind]]\nname = {}", text(&kind.name));
+            let _ = writeln!(out, "\n[[kind]]\nname = {}", string_literal(&kind.name));
             let _ = writeln!(out, "cores = {:?}\nmemory = {:?}", kind.cores, kind.memory);
         }
         self.classes
             .iter()
-            .for_each(|class| class_text(class, &self.kinds, &mut out));
+            .for_each(|class| write_class(class, &self.kinds, &mut out));
         for tenant in &self.tenants {
-            let _ = writeln!(out, "\n[[tenant]]\nname = {}", text(tenant));
+            let _ = writeln!(out, "\n[[tenant]]\nname = {}", string_literal(tenant));
         }
         for category in &self.categories {
-            let (name, native) = (text(&category.name), text(&category.text));
+            let (name, native) = (
+                string_literal(&category.name),
+                string_literal(&category.text),
+            );
             let _ = writeln!(out, "\n[[category]]\nname = {name}\nnative = {native}");
         }
         for (name, constraint) in &self.constraints {
             let _ = writeln!(
                 out,
                 "\n[[constraint]]\nname = {}\ntext = {}",
-                text(name),
-                text(constraint)
+                string_literal(name),
+                string_literal(constraint)
             );
         }
         out
     }
 
-    /// The plan of this file, where it has a `[plan]` table.
+    /// The plan of this file as a numbered document; `None` if the file has no `[plan]` table.
     ///
     /// # Errors
-    /// Where its text is over the bound.
+    /// If [`ConfigDocument::new`] rejects the number or the text.
     pub fn plan(&self) -> Result<Option<ConfigDocument>, Problems> {
         let Some(plan) = &self.plan else {
             return Ok(None);
         };
-        let kept = ConfigDocument::new(plan.number, &self.plan_text());
-        let wrong = |message: String| Problems(vec![Problem::of("plan", "plan.number", message)]);
-        kept.map(Some).map_err(|error| wrong(error.to_string()))
+        let document = ConfigDocument::new(plan.number, &self.plan_text());
+        let wrong =
+            |message: String| Problems(vec![Problem::without_line("plan", "plan.number", message)]);
+        document.map(Some).map_err(|error| wrong(error.to_string()))
     }
 
-    /// These settings with the plan of another text, checked as a whole.
+    /// These settings with their plan replaced by another one, given as its text; the result is checked as a whole.
+    /// `from` is the name of the text in error messages.
     ///
     /// # Errors
-    /// Everything that is wrong with it; `from` is the name under which it speaks of the text.
+    /// The problems of the text, or the first table that does not belong to a plan.
     pub fn with_plan(&self, plan: &str, from: &str) -> Result<Self, Problems> {
-        let tables: toml::Table = toml::from_str(plan)
-            .map_err(|error| Problems(vec![Problem::of(from, "", error.message().to_owned())]))?;
+        let tables: toml::Table = toml::from_str(plan).map_err(|error| {
+            Problems(vec![Problem::without_line(
+                from,
+                "",
+                error.message().to_owned(),
+            )])
+        })?;
         if let Some(name) = tables
             .keys()
             .find(|name| !PLAN_TABLES.contains(&name.as_str()))
@@ -153,35 +165,36 @@
                 "a plan has no table `{name}`; it has {}",
                 PLAN_TABLES.join(", ")
             );
-            return Err(Problems(vec![Problem::of(from, name, message)]));
+            return Err(Problems(vec![Problem::without_line(from, name, message)]));
         }
-        // The plan stands first, so that its lines are those of the error.
-        let new = Self::parse(&format!("{plan}\n{}", self.own), from)?;
+        // The plan is put first, so that the line numbers of errors are those of the plan.
+        let new = Self::parse(&format!("{plan}\n{}", self.placer_tables), from)?;
         Ok(Self {
-            own: self.own.clone(),
+            placer_tables: self.placer_tables.clone(),
             state: self.state.clone(),
             ..new
         })
     }
 
-    /// The own tables that another reading of the file has otherwise, apart from the plan's number: they are taken up
-    /// by a restart alone.
+    /// The [`PLACER_TABLES`] that differ in another version of the file. Such changes take effect only at a restart. The
+    /// number of the plan is not compared.
     pub fn own_changes(&self, other: &Self) -> Vec<&'static str> {
-        let own = |settings: &Self| {
-            let mut tables: toml::Table = toml::from_str(&settings.own).unwrap_or_default();
+        let placer_tables = |settings: &Self| {
+            let mut tables: toml::Table =
+                toml::from_str(&settings.placer_tables).unwrap_or_default();
             if let Some(plan) = tables.get_mut("plan").and_then(toml::Value::as_table_mut) {
                 plan.remove("number");
             }
             tables
         };
-        let (own, other) = (own(self), own(other));
-        OWN_TABLES
+        let (own, other) = (placer_tables(self), placer_tables(other));
+        PLACER_TABLES
             .into_iter()
             .filter(|name| own.get(*name) != other.get(*name))
             .collect()
     }
 
-    /// What the plan binds.
+    /// The bounds that the plan sets.
     pub fn bounds(&self) -> ConfigBounds {
         let class = |class: &Class| {
             let kind = class
@@ -193,8 +206,8 @@
                     Effect::Keyed => wire::Idempotency::IdempotentByKey,
                     Effect::Unsafe => wire::Idempotency::NonIdempotent,
                 },
-                retry_group: group(class.group),
-                deduplication_group: group(class.drops),
+                retry_group: deduplication_scope(class.group),
+                deduplication_group: deduplication_scope(class.drops),
                 deduplication_window_us: class.window_us,
                 machine_kind: kind.map(|kind| kind.name.clone()),
                 spread: class.spread.map(|spread| SpreadLimit {
@@ -240,7 +253,7 @@
         }
     }
 
-    /// These settings under stricter bounds.
+    /// These settings with the values of the bounds. Classes and kinds that the bounds do not name stay unchanged.
     pub fn bound_by(&self, bounds: &ConfigBounds) -> Self {
         let mut new = self.clone();
         for kind in &mut new.kinds {
@@ -259,8 +272,8 @@
                 wire::Idempotency::NonIdempotent => Effect::Unsafe,
             };
             (class.group, class.drops) = (
-                ungroup(bound.retry_group),
-                ungroup(bound.deduplication_group),
+                group_of_scope(bound.retry_group),
+                group_of_scope(bound.deduplication_group),
             );
             class.window_us = bound.deduplication_window_us;
             let kind = bound
@@ -269,7 +282,7 @@
                 .and_then(|name| kinds.iter().position(|kind| kind == name));
             class.kind = kind.map(|kind| kind as u16);
             class.spread = bound.spread.map(|limit| Spread {
-                over: place(limit.domain),
+                over: place_of_domain(limit.domain),
                 most: limit.max_per_domain,
             });
             class.comes_again = match bound.rescheduling {
@@ -290,8 +303,9 @@
         new
     }
 
-    /// These settings in the numbers of those in use: what stands there keeps its number, what is gone stays, closed,
-    /// for the tasks that stand, and what is new comes after it.
+    /// These settings, with classes, kinds and tenants numbered as in the settings that are in use. Classes that were
+    /// removed stay in place, closed, because running tasks refer to them by number; removed kinds and tenants stay,
+    /// too. New ones are appended.
     pub fn in_numbers_of(&self, used: &Self) -> Self {
         let mut new = self.clone();
         let mut kinds = used.kinds.clone();
@@ -338,34 +352,35 @@
     }
 }
 
-fn class_text(class: &Class, kinds: &[super::Kind], out: &mut String) {
+/// Appends the `[[class]]` table of a class to the canonical text.
+fn write_class(class: &Class, kinds: &[super::Kind], out: &mut String) {
     let mut line = |key: &str, value: String| {
         let _ = writeln!(out, "{key} = {value}");
     };
-    line("\n[[class]]\nname", text(&class.name));
+    line("\n[[class]]\nname", string_literal(&class.name));
     let repeat = match class.effect {
         Effect::Safe => "safe",
         Effect::Keyed => "keyed",
         Effect::Unsafe => "unsafe",
     };
-    line("repeat", text(repeat));
+    line("repeat", string_literal(repeat));
     if class.effect == Effect::Keyed {
         let group = match class.group {
             Group::All => "all",
             Group::Zone => "hall",
             Group::Cell => "rack",
         };
-        line("group", text(group));
+        line("group", string_literal(group));
         class
             .window_us
             .iter()
-            .for_each(|us| line("window", time(*us)));
+            .for_each(|us| line("window", duration_literal(*us)));
     }
-    line("aim", time(class.aim_us));
-    line("give_up", time(class.give_up_us));
+    line("aim", duration_literal(class.aim_us));
+    line("give_up", duration_literal(class.give_up_us));
     let kind = class.kind.and_then(|kind| kinds.get(usize::from(kind)));
     kind.into_iter()
-        .for_each(|kind| line("kind", text(&kind.name)));
+        .for_each(|kind| line("kind", string_literal(&kind.name)));
     if let Some(spread) = class.spread {
         let over = match spread.over {
             Place::Machine => "machine",
@@ -374,7 +389,11 @@
         };
         line(
             "spread",
-            format!("{{ over = {}, most = {} }}", text(over), spread.most),
+            format!(
+                "{{ over = {}, most = {} }}",
+                string_literal(over),
+                spread.most
+            ),
         );
     }
     class
@@ -386,13 +405,13 @@
         ComesAgain::Ended => "ended",
         ComesAgain::Never => "never",
     };
-    line("comes_again", text(again));
-    line("again_after", time(class.again_after_us));
+    line("comes_again", string_literal(again));
+    line("again_after", duration_literal(class.again_after_us));
     line("cores", format!("{:?}", class.cores));
     line("memory", format!("{:?}", class.memory));
 }
 
-fn group(group: Group) -> wire::DeduplicationScope {
+fn deduplication_scope(group: Group) -> wire::DeduplicationScope {
     match group {
         Group::All => wire::DeduplicationScope::All,
         Group::Zone => wire::DeduplicationScope::Zone,
@@ -400,8 +419,8 @@
     }
 }
 
-fn ungroup(group: wire::DeduplicationScope) -> Group {
-    match group {
+fn group_of_scope(scope: wire::DeduplicationScope) -> Group {
+    match scope {
         wire::DeduplicationScope::All => Group::All,
         wire::DeduplicationScope::Zone => Group::Zone,
         wire::DeduplicationScope::Rack => Group::Cell,
@@ -416,7 +435,7 @@
     }
 }
 
-fn place(domain: SpreadDomain) -> Place {
+fn place_of_domain(domain: SpreadDomain) -> Place {
     match domain {
         SpreadDomain::Machine => Place::Machine,
         SpreadDomain::Rack => Place::Cell,
@@ -424,7 +443,8 @@
     }
 }
 
-/// The names of the tables and whose they are, for whoever checks a file.
+/// Maps each table of a settings file to `the plan` or `the placer's own`, for display by the command line program.
+/// Empty if the file can't be parsed.
 pub fn whose_tables(file: &str) -> BTreeMap<String, &'static str> {
     let tables: toml::Table = toml::from_str(file).unwrap_or_default();
     let whose = |name: &str| {
--- a/crates/settings/src/settings/sections.rs
+++ b/crates/settings/src/settings/sections.rs
@@ -1,4 +1,4 @@
-//! Checks of the sections of a settings file, in the order in which problems are listed.
+//! Checks and conversions of the other tables of a settings file.
 
 use std::collections::BTreeMap;
 
@@ -10,16 +10,16 @@
 use super::types::{Category, Class, Kind, Limits, Links, Site};
 use crate::problem::Checker;
 
-/// The tenant of all jobs where the file names none.
+/// The only tenant if the file has no `[[tenant]]` table.
 const DEFAULT_TENANT: &str = "default";
 
-/// What a category may refer to.
+/// Names that the native specification of a category may refer to.
 pub(super) struct Names<'a> {
-    /// Classes by name.
+    /// Names of the classes, by class number.
     pub classes: Vec<&'a str>,
-    /// Tenants by name.
+    /// Names of the tenants, by tenant number.
     pub tenants: Vec<&'a str>,
-    /// Texts of named constraints.
+    /// Texts of the `[[constraint]]` tables, by name.
     pub constraints: &'a BTreeMap<String, String>,
 }
 
@@ -37,20 +37,20 @@
             .map(|(n, class)| class.check(n, &kinds, site, check))
             .collect();
         if classes.is_empty() {
-            let fix = "no class is named; add a [[class]] with name, repeat, aim and give_up";
-            check.wrong(0..0, "class", fix);
+            let fix = "no class is defined; add a [[class]] with name, repeat, aim and give_up";
+            check.report(0..0, "class", fix);
         }
         classes
     }
 
     pub(super) fn check_kinds(&self, check: &mut Checker<'_>) {
         for (n, kind) in self.kind.iter().enumerate() {
-            check.positive(Some(&kind.cores), &format!("kind[{n}].cores"));
-            check.positive(Some(&kind.memory), &format!("kind[{n}].memory"));
+            check.check_positive(Some(&kind.cores), &format!("kind[{n}].cores"));
+            check.check_positive(Some(&kind.memory), &format!("kind[{n}].memory"));
         }
     }
 
-    /// The names of the tenants, in the order of the file; one where it has none.
+    /// The names of the tenants in the order of the file, or [`DEFAULT_TENANT`] if the file has none.
     pub(super) fn tenant_names(&self) -> Vec<String> {
         let mut tenants: Vec<String> = self
             .tenant
@@ -63,9 +63,9 @@
         tenants
     }
 
-    /// The texts of named constraints, by name.
+    /// Checks the `[[constraint]]` tables and returns their texts by name.
     pub(super) fn check_constraints(&self, check: &mut Checker<'_>) -> BTreeMap<String, String> {
-        check.names(
+        check.check_names(
             self.constraint.iter().map(|constraint| &constraint.name),
             "constraint",
         );
@@ -73,7 +73,7 @@
         for (n, constraint) in self.constraint.iter().enumerate() {
             if let Err(mistake) = Constraint::parse(constraint.text.get_ref()) {
                 let key = format!("constraint[{n}].text");
-                check.wrong(constraint.text.span(), key, mistake.to_string());
+                check.report(constraint.text.span(), key, mistake.to_string());
             }
             constraints.insert(
                 constraint.name.get_ref().clone(),
@@ -83,7 +83,7 @@
         constraints
     }
 
-    /// The categories whose native specification can be read.
+    /// Checks the `[[category]]` tables and returns those whose native specification can be parsed.
     pub(super) fn check_categories(
         &self,
         names: &Names<'_>,
@@ -103,7 +103,7 @@
         let native = match Native::parse(self.native.get_ref()) {
             Ok(native) => native,
             Err(error) => {
-                check.wrong(self.native.span(), key, error.message);
+                check.report(self.native.span(), key, error.message);
                 return None;
             }
         };
@@ -113,17 +113,17 @@
             .as_deref()
             .map(|text| Constraint::parse_with(text, named_constraint))
         {
-            check.wrong(self.native.span(), key.clone(), mistake.to_string());
+            check.report(self.native.span(), key.clone(), mistake.to_string());
         }
         let spanned = |name: &Option<String>| {
             name.clone()
                 .map(|name| Spanned::new(self.native.span(), name))
         };
         if let Some(name) = spanned(&native.class) {
-            check.find(&name, &names.classes, &key, "class");
+            check.find_name(&name, &names.classes, &key, "class");
         }
         if let Some(name) = spanned(&native.tenant) {
-            check.find(&name, &names.tenants, &key, "tenant");
+            check.find_name(&name, &names.tenants, &key, "tenant");
         }
         Some(Category {
             name: self.name.get_ref().clone(),
--- a/crates/settings/src/settings/site.rs
+++ b/crates/settings/src/settings/site.rs
@@ -1,13 +1,14 @@
-//! Checks of the site and of the state folder.
+//! Checks of the `[site]`, `[plan]` and `[state]` tables.
 
 use reedring::{ReportField, ReportStyle};
 use toml::Spanned;
 
 use super::tables::{
-    CountsWord, FieldWord, PlanTable, ReportsWord, SiteTable, StateTable, YesWhen,
+    PlanTable, ReportCountsValue, ReportFieldValue, ReportsValue, SiteTable, StateTable,
+    YesWhenValue,
 };
-use super::types::{PlanOwn, Reports, Site, State};
-use crate::problem::{Checker, Time};
+use super::types::{PlanSettings, Reports, Site, State};
+use crate::problem::{Checker, DurationUs};
 
 impl SiteTable {
     pub(super) fn check(self, check: &mut Checker<'_>) -> Site {
@@ -20,39 +21,39 @@
         ];
         amounts
             .into_iter()
-            .for_each(|(key, value)| check.positive(value.as_ref(), key));
+            .for_each(|(key, value)| check.check_positive(value.as_ref(), key));
         for (key, value) in [
             ("site.placers", &self.placers),
             ("site.max_attempts", &self.max_attempts),
         ] {
             if *value.get_ref() == 0 {
-                check.wrong(value.span(), key, "0 is too few; it is at least 1");
+                check.report(value.span(), key, "0 is too few; it is at least 1");
             }
         }
-        // A cold machine's limit holds only where all three of its figures are told.
-        let told = [
+        // The limit on offers to a node that is warming up needs all three values.
+        let is_set = [
             self.warm_after.is_some(),
             self.cold_window.is_some(),
             self.cold_offers.is_some(),
         ];
-        if told.contains(&true) && told.contains(&false) {
+        if is_set.contains(&true) && is_set.contains(&false) {
             let span = self.cold_offers.as_ref().map(Spanned::span);
             let span = span
                 .or(self.cold_window.as_ref().map(Spanned::span))
                 .unwrap_or(0..0);
             let fix = "warm_after, cold_window and cold_offers go together: give all three or none";
-            check.wrong(span, "site.cold_offers", fix);
+            check.report(span, "site.cold_offers", fix);
         }
         let fields = self.report_fields.get_ref();
-        let has = |field: FieldWord| fields.contains(&field);
-        let needs = self.reports != ReportsWord::Never;
-        if needs && !(has(FieldWord::Cores) && has(FieldWord::Memory)) {
-            let fix = "reports are told, so the fields must hold `cores` and `memory`";
-            check.wrong(self.report_fields.span(), "site.report_fields", fix);
+        let has = |field: ReportFieldValue| fields.contains(&field);
+        let sends_reports = self.reports != ReportsValue::Never;
+        if sends_reports && !(has(ReportFieldValue::Cores) && has(ReportFieldValue::Memory)) {
+            let fix = "machines send reports, so the fields must hold `cores` and `memory`";
+            check.report(self.report_fields.span(), "site.report_fields", fix);
         }
-        if self.reports == ReportsWord::Probes && !self.may_probe {
+        if self.reports == ReportsValue::Probes && !self.may_probe {
             let fix = "reports come only with probes, but may_probe is false; set it to true";
-            check.wrong(self.report_fields.span(), "site.reports", fix);
+            check.report(self.report_fields.span(), "site.reports", fix);
         }
         let value = |value: &Option<Spanned<f64>>| value.as_ref().map(|value| *value.get_ref());
         Site {
@@ -61,22 +62,22 @@
             accepts_memory: value(&self.accepts_memory).unwrap_or(1.0),
             mean_cores: value(&self.mean_cores),
             mean_memory: value(&self.mean_memory),
-            yes_when_running: self.yes_when == YesWhen::Running,
+            yes_when_running: self.yes_when == YesWhenValue::Running,
             reports: Reports {
                 style: match self.reports {
-                    ReportsWord::Never => ReportStyle::Never,
-                    ReportsWord::Answers => ReportStyle::Answers,
-                    ReportsWord::Probes => ReportStyle::Probes,
+                    ReportsValue::Never => ReportStyle::Never,
+                    ReportsValue::Answers => ReportStyle::Answers,
+                    ReportsValue::Probes => ReportStyle::Probes,
                 },
                 fields: fields
                     .iter()
                     .map(|field| match field {
-                        FieldWord::Cores => ReportField::Cores,
-                        FieldWord::Memory => ReportField::Memory,
-                        FieldWord::Other => ReportField::Other,
+                        ReportFieldValue::Cores => ReportField::Cores,
+                        ReportFieldValue::Memory => ReportField::Memory,
+                        ReportFieldValue::Other => ReportField::Other,
                     })
                     .collect(),
-                counts_asks: self.report_counts == CountsWord::Asked,
+                counts_requests: self.report_counts == ReportCountsValue::Asked,
             },
             max_attempts: *self.max_attempts.get_ref(),
             may_probe: self.may_probe,
@@ -91,9 +92,9 @@
 }
 
 impl PlanTable {
-    pub(super) fn check(self, check: &mut Checker<'_>) -> PlanOwn {
+    pub(super) fn check(self, check: &mut Checker<'_>) -> PlanSettings {
         if *self.number.get_ref() == 0 {
-            check.wrong(
+            check.report(
                 self.number.span(),
                 "plan.number",
                 "plans are numbered from 1",
@@ -104,11 +105,11 @@
             .as_ref()
             .filter(|lease| lease.get_ref().0 < 1_000_000)
         {
-            let fix = "under 1s a busy node would shut the placer up; write `30s`";
-            check.wrong(lease.span(), "plan.lease", fix);
+            let fix = "under 1s busy nodes would let the lease expire; write `30s`";
+            check.report(lease.span(), "plan.lease", fix);
         }
         let lease_us = self.lease.map_or(30_000_000, |lease| lease.get_ref().0);
-        PlanOwn {
+        PlanSettings {
             number: *self.number.get_ref(),
             pinned: self.pinned,
             lease_us,
@@ -123,24 +124,26 @@
             ("state.retry", &self.retry),
         ] {
             if let Some(time) = time.as_ref().filter(|time| time.get_ref().0 < 100_000) {
-                check.wrong(
+                check.report(
                     time.span(),
                     key,
                     "under 100ms the disk would do nothing else; write `10s`",
                 );
             }
         }
-        let or = |time: Option<Spanned<Time>>, usual| time.map_or(usual, |time| time.get_ref().0);
-        let usual = State::in_folder(self.folder);
+        let time_or = |time: Option<Spanned<DurationUs>>, default| {
+            time.map_or(default, |time| time.get_ref().0)
+        };
+        let defaults = State::in_folder(self.folder);
         let (learn_us, retry_us) = (
-            or(self.learn_every, usual.learn_us),
-            or(self.retry, usual.retry_us),
+            time_or(self.learn_every, defaults.learn_us),
+            time_or(self.retry, defaults.retry_us),
         );
         State {
             when_lost: self.when_lost,
             learn_us,
             retry_us,
-            ..usual
+            ..defaults
         }
     }
 }
--- a/crates/settings/src/settings/tables.rs
+++ b/crates/settings/src/settings/tables.rs
@@ -1,4 +1,5 @@
-//! The file as it stands, before it is checked.
+//! The tables of a settings file as deserialized, before the checks. Names are the keys and values of the file; their
+//! meaning is documented at the types that the checks produce.
 
 use std::path::PathBuf;
 
@@ -6,7 +7,7 @@
 use toml::Spanned;
 
 use super::types::{ComesAgain, WhenLost};
-use crate::problem::Time;
+use crate::problem::DurationUs;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -51,15 +52,15 @@
     pub(super) accepts_memory: Option<Spanned<f64>>,
     pub(super) mean_cores: Option<Spanned<f64>>,
     pub(super) mean_memory: Option<Spanned<f64>>,
-    pub(super) yes_when: YesWhen,
-    pub(super) reports: ReportsWord,
-    pub(super) report_fields: Spanned<Vec<FieldWord>>,
-    pub(super) report_counts: CountsWord,
+    pub(super) yes_when: YesWhenValue,
+    pub(super) reports: ReportsValue,
+    pub(super) report_fields: Spanned<Vec<ReportFieldValue>>,
+    pub(super) report_counts: ReportCountsValue,
     pub(super) max_attempts: Spanned<u32>,
     pub(super) may_probe: bool,
-    pub(super) drain_grace: Time,
-    pub(super) warm_after: Option<Time>,
-    pub(super) cold_window: Option<Spanned<Time>>,
+    pub(super) drain_grace: DurationUs,
+    pub(super) warm_after: Option<DurationUs>,
+    pub(super) cold_window: Option<Spanned<DurationUs>>,
     pub(super) cold_offers: Option<Spanned<f64>>,
     pub(super) price_fleet: Option<f64>,
     pub(super) price_cross_hall: Option<f64>,
@@ -73,13 +74,13 @@
             accepts_memory: None,
             mean_cores: None,
             mean_memory: None,
-            yes_when: YesWhen::Accepted,
-            reports: ReportsWord::Never,
+            yes_when: YesWhenValue::Accepted,
+            reports: ReportsValue::Never,
             report_fields: Spanned::new(0..0, Vec::new()),
-            report_counts: CountsWord::Used,
+            report_counts: ReportCountsValue::Used,
             max_attempts: Spanned::new(0..0, 4),
             may_probe: false,
-            drain_grace: Time(500_000),
+            drain_grace: DurationUs(500_000),
             warm_after: None,
             cold_window: None,
             cold_offers: None,
@@ -91,14 +92,14 @@
 
 #[derive(Clone, Copy, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(super) enum YesWhen {
+pub(super) enum YesWhenValue {
     Accepted,
     Running,
 }
 
 #[derive(Clone, Copy, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(super) enum ReportsWord {
+pub(super) enum ReportsValue {
     Never,
     Answers,
     Probes,
@@ -106,7 +107,7 @@
 
 #[derive(Clone, Copy, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(super) enum FieldWord {
+pub(super) enum ReportFieldValue {
     Cores,
     Memory,
     Other,
@@ -114,7 +115,7 @@
 
 #[derive(Clone, Copy, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(super) enum CountsWord {
+pub(super) enum ReportCountsValue {
     Asked,
     Used,
 }
@@ -126,8 +127,8 @@
     pub(super) sessions: usize,
     pub(super) jobs: usize,
     pub(super) bulk: u64,
-    pub(super) keep_ended: Time,
-    pub(super) settle: Time,
+    pub(super) keep_ended: DurationUs,
+    pub(super) settle: DurationUs,
 }
 
 impl Default for LimitsTable {
@@ -137,8 +138,8 @@
             sessions: 10_000,
             jobs: 1_000_000,
             bulk: 100_000,
-            keep_ended: Time(3_600_000_000),
-            settle: Time(3_000_000),
+            keep_ended: DurationUs(3_600_000_000),
+            settle: DurationUs(3_000_000),
         }
     }
 }
@@ -146,21 +147,21 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(super) struct LinksTable {
-    pub(super) connect: Time,
-    pub(super) reattach: Time,
-    pub(super) stop_wait: Time,
-    pub(super) lost_after: Time,
-    pub(super) probe: Time,
+    pub(super) connect: DurationUs,
+    pub(super) reattach: DurationUs,
+    pub(super) stop_wait: DurationUs,
+    pub(super) lost_after: DurationUs,
+    pub(super) probe: DurationUs,
 }
 
 impl Default for LinksTable {
     fn default() -> Self {
         Self {
-            connect: Time(250_000),
-            reattach: Time(500_000),
-            stop_wait: Time(500_000),
-            lost_after: Time(60_000_000),
-            probe: Time(1_000_000),
+            connect: DurationUs(250_000),
+            reattach: DurationUs(500_000),
+            stop_wait: DurationUs(500_000),
+            lost_after: DurationUs(60_000_000),
+            probe: DurationUs(1_000_000),
         }
     }
 }
@@ -171,8 +172,8 @@
     pub(super) folder: PathBuf,
     #[serde(default)]
     pub(super) when_lost: WhenLost,
-    pub(super) learn_every: Option<Spanned<Time>>,
-    pub(super) retry: Option<Spanned<Time>>,
+    pub(super) learn_every: Option<Spanned<DurationUs>>,
+    pub(super) retry: Option<Spanned<DurationUs>>,
 }
 
 #[derive(Deserialize)]
@@ -181,30 +182,30 @@
     pub(super) number: Spanned<u64>,
     #[serde(default)]
     pub(super) pinned: bool,
-    pub(super) lease: Option<Spanned<Time>>,
+    pub(super) lease: Option<Spanned<DurationUs>>,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct ClassTable {
     pub(super) name: Spanned<String>,
-    pub(super) repeat: Repeat,
-    pub(super) group: Option<Spanned<GroupWord>>,
-    pub(super) window: Option<Spanned<Time>>,
-    pub(super) aim: Spanned<Time>,
-    pub(super) give_up: Time,
+    pub(super) repeat: RepeatValue,
+    pub(super) group: Option<Spanned<GroupValue>>,
+    pub(super) window: Option<Spanned<DurationUs>>,
+    pub(super) aim: Spanned<DurationUs>,
+    pub(super) give_up: DurationUs,
     pub(super) kind: Option<Spanned<String>>,
     pub(super) spread: Option<SpreadTable>,
     pub(super) calm: Option<Spanned<f64>>,
     pub(super) comes_again: Option<Spanned<ComesAgain>>,
-    pub(super) again_after: Option<Time>,
+    pub(super) again_after: Option<DurationUs>,
     pub(super) cores: Option<Spanned<f64>>,
     pub(super) memory: Option<Spanned<f64>>,
 }
 
 #[derive(Clone, Copy, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(super) enum Repeat {
+pub(super) enum RepeatValue {
     Safe,
     Keyed,
     Unsafe,
@@ -212,7 +213,7 @@
 
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(super) enum GroupWord {
+pub(super) enum GroupValue {
     All,
     Hall,
     Rack,
@@ -221,13 +222,13 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct SpreadTable {
-    pub(super) over: Over,
+    pub(super) over: SpreadOverValue,
     pub(super) most: Spanned<u32>,
 }
 
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub(super) enum Over {
+pub(super) enum SpreadOverValue {
     Machine,
     Rack,
     Hall,
--- a/crates/settings/tests/check.rs
+++ b/crates/settings/tests/check.rs
@@ -1,4 +1,4 @@
-//! The examples are accepted; each kind of mistake is named with its line, key and fix.
+//! Checks that the example files are accepted, and that problems are reported with line, key and fix.
 
 use reedring_settings::{ComesAgain, NodeList, Settings};
 
@@ -7,18 +7,21 @@
 
 fn problems(text: &str) -> String {
     Settings::parse(text, "x.toml")
-        .expect_err("the text is wrong")
+        .expect_err("the settings contain a mistake")
         .to_string()
 }
 
-/// The example with one line replaced.
-fn with(line: &str, by: &str) -> String {
-    assert!(EXAMPLE.contains(line), "the example has no `{line}`");
-    EXAMPLE.replacen(line, by, 1)
+/// The example settings with the first occurrence of `old` replaced.
+fn example_with(old: &str, new: &str) -> String {
+    assert!(
+        EXAMPLE.contains(old),
+        "the example does not contain `{old}`"
+    );
+    EXAMPLE.replacen(old, new, 1)
 }
 
 #[test]
-fn the_examples_are_accepted() {
+fn the_example_settings_and_node_list_are_accepted() {
     let settings = Settings::parse(EXAMPLE, "reedring.toml").unwrap();
     assert_eq!(settings.classes.len(), 3);
     assert_eq!(settings.classes[0].comes_again, ComesAgain::Always);
@@ -31,71 +34,75 @@
 }
 
 #[test]
-fn mistakes_are_named_with_line_key_and_fix() {
+fn each_mistake_is_reported_with_line_key_and_fix() {
     let cases = [
         (
-            with("placers = 1 ", "placer = 1 "),
+            example_with("placers = 1 ", "placer = 1 "),
             "placer",
             "unknown field",
         ),
         (
-            with("listen = \"127.0.0.1:4710\"", "listen = \"localhost\""),
+            example_with("listen = \"127.0.0.1:4710\"", "listen = \"localhost\""),
             "placer.listen",
             "no address",
         ),
-        (with("aim = \"700ms\"", "aim = \"700\""), "", "not a time"),
         (
-            with("aim = \"700ms\"", "aim = \"9s\""),
+            example_with("aim = \"700ms\"", "aim = \"700\""),
+            "",
+            "not a time",
+        ),
+        (
+            example_with("aim = \"700ms\"", "aim = \"9s\""),
             "class[0].aim",
             "at most give_up",
         ),
         (
-            with("kind = \"node-64\"", "kind = \"node-46\""),
+            example_with("kind = \"node-64\"", "kind = \"node-46\""),
             "class[2].kind",
             "did you mean `node-64`?",
         ),
         (
-            with("window = \"5s\"", ""),
+            example_with("window = \"5s\"", ""),
             "class[1].window",
             "needs `window`",
         ),
         (
-            with("aim = \"700ms\"", "aim = \"700ms\"\nwindow = \"1s\""),
+            example_with("aim = \"700ms\"", "aim = \"700ms\"\nwindow = \"1s\""),
             "class[0].window",
             "remove it",
         ),
         (
-            with("cold_offers = 40.0", ""),
+            example_with("cold_offers = 40.0", ""),
             "site.cold_offers",
             "go together",
         ),
         (
-            with("reports = \"never\"", "reports = \"probes\""),
+            example_with("reports = \"never\"", "reports = \"probes\""),
             "site.report_fields",
             "must hold",
         ),
         (
-            with("max_attempts = 4", "max_attempts = 0"),
+            example_with("max_attempts = 4", "max_attempts = 0"),
             "site.max_attempts",
             "at least 1",
         ),
         (
-            with("class=edition tenant", "clas=edition tenant"),
+            example_with("class=edition tenant", "clas=edition tenant"),
             "category[1].native",
             "did you mean `class`?",
         ),
         (
-            with("tenant=archive", "tenant=archiv"),
+            example_with("tenant=archive", "tenant=archiv"),
             "category[0].native",
             "did you mean `archive`?",
         ),
         (
-            with("name = \"archive\"", "name = \"radio\""),
+            example_with("name = \"archive\"", "name = \"radio\""),
             "tenant[1].name",
-            "stands twice",
+            "is defined twice",
         ),
         (
-            with(
+            example_with(
                 "give_up = \"9.5s\"",
                 "give_up = \"9.5s\"\ncomes_again = \"always\"",
             ),
@@ -105,11 +112,11 @@
         ("[placer".to_owned(), "", ""),
     ];
     for (text, key, fix) in cases {
-        let told = problems(&text);
-        assert!(told.starts_with("x.toml:"), "{told}");
+        let message = problems(&text);
+        assert!(message.starts_with("x.toml:"), "{message}");
         assert!(
-            told.contains(key) && told.contains(fix),
-            "want {key} and {fix}: {told}"
+            message.contains(key) && message.contains(fix),
+            "expected key `{key}` and fix `{fix}`: {message}"
         );
     }
     let line = EXAMPLE
@@ -118,14 +125,14 @@
         .unwrap()
         + 1;
     assert!(
-        problems(&with("kind = \"node-64\"", "kind = \"x\""))
+        problems(&example_with("kind = \"node-64\"", "kind = \"x\""))
             .starts_with(&format!("x.toml:{line}:"))
     );
 }
 
 #[test]
-fn all_mistakes_are_told_at_once() {
-    let text = with("max_attempts = 4", "max_attempts = 0").replacen(
+fn all_mistakes_are_reported_at_once() {
+    let text = example_with("max_attempts = 4", "max_attempts = 0").replacen(
         "\"node-64\"\ncores = 10.0",
         "\"no\"",
         1,
@@ -136,34 +143,39 @@
 #[test]
 fn node_lists_are_checked_against_the_settings() {
     let settings = Settings::parse(EXAMPLE, "reedring.toml").unwrap();
-    let told = |text: &str| {
+    let problems_of = |text: &str| {
         NodeList::parse(text, "n.toml", &settings)
-            .expect_err("wrong")
+            .expect_err("the node list contains a mistake")
             .to_string()
     };
-    assert!(told(&NODES.replace("node-32", "node-23")).contains("did you mean `node-32`?"));
-    assert!(told(&NODES.replace("7002", "7001")).contains("address of `node-1` too"));
-    assert!(told(&NODES.replace("127.0.0.1:7001", "here")).contains("no address"));
-    assert!(told(&NODES.replace("kind = \"node-32\"\n", "")).contains("several kinds"));
-    assert!(told("[[nodes]]\n").contains("unknown field"));
-    let marked =
-        |word: &str| NODES.replace("rack = \"a1\"", &format!("rack = \"a1\"\ncontrol = {word}"));
+    assert!(problems_of(&NODES.replace("node-32", "node-23")).contains("did you mean `node-32`?"));
+    assert!(problems_of(&NODES.replace("7002", "7001")).contains("address of `node-1` too"));
+    assert!(problems_of(&NODES.replace("127.0.0.1:7001", "here")).contains("no address"));
+    assert!(problems_of(&NODES.replace("kind = \"node-32\"\n", "")).contains("several kinds"));
+    assert!(problems_of("[[nodes]]\n").contains("unknown field"));
+    let marked = |value: &str| {
+        NODES.replace(
+            "rack = \"a1\"",
+            &format!("rack = \"a1\"\ncontrol = {value}"),
+        )
+    };
     let line = NODES
         .lines()
         .position(|line| line == "rack = \"a1\"")
         .unwrap()
         + 2;
-    let wrong = told(&marked("\"yes\""));
+    let not_boolean = problems_of(&marked("\"yes\""));
     assert!(
-        wrong.starts_with(&format!("n.toml:{line}:")) && wrong.contains("expected a boolean"),
-        "{wrong}"
+        not_boolean.starts_with(&format!("n.toml:{line}:"))
+            && not_boolean.contains("expected a boolean"),
+        "{not_boolean}"
     );
-    let gone = told(&marked("true\nhealth = \"gone\""));
+    let all_gone = problems_of(&marked("true\nhealth = \"gone\""));
     assert!(
-        gone.starts_with(&format!("n.toml:{line}:")) && gone.contains("node[0].control"),
-        "{gone}"
+        all_gone.starts_with(&format!("n.toml:{line}:")) && all_gone.contains("node[0].control"),
+        "{all_gone}"
     );
-    assert_eq!(gone.lines().count(), 1, "{gone}");
+    assert_eq!(all_gone.lines().count(), 1, "{all_gone}");
     assert!(
         NodeList::parse("", "n.toml", &settings)
             .unwrap()
@@ -173,7 +185,7 @@
 }
 
 #[test]
-fn control_machines_are_those_that_the_list_marks() {
+fn the_control_machines_are_the_nodes_marked_in_the_list() {
     let settings = Settings::parse(EXAMPLE, "reedring.toml").unwrap();
     let control = |text: &str| {
         let list = NodeList::parse(text, "n.toml", &settings).unwrap();
@@ -182,15 +194,15 @@
             .collect::<Vec<_>>()
     };
     assert_eq!(control(NODES), Vec::<String>::new());
-    let two = NODES
+    let two_marked = NODES
         .replace("rack = \"a1\"", "control = true")
         .replace("rack = \"c1\"", "control = true");
-    assert_eq!(control(&two), ["node-1", "node-3"]);
+    assert_eq!(control(&two_marked), ["node-1", "node-3"]);
     assert_eq!(
         control(&NODES.replace("rack = \"a1\"", "control = false")),
         Vec::<String>::new()
     );
-    // One that is gone, beside one that is up.
-    let one = two.replacen("control = true", "control = true\nhealth = \"gone\"", 1);
-    assert_eq!(control(&one).len(), 2);
+    // A control machine that is gone is accepted if another one is not gone.
+    let one_gone = two_marked.replacen("control = true", "control = true\nhealth = \"gone\"", 1);
+    assert_eq!(control(&one_gone).len(), 2);
 }
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -1,7 +1,8 @@
-//! Settings and node list as commit 073fcce read them: each key, each default, and what is said of a wrong key or value.
+//! Guards the format of the settings file and of the node list against unintended changes: each key, each default, and the
+//! message for each wrong key or value.
 //!
 //! `golden/` holds the files, their values as text, field by field, the canonical text of their configuration, whose
-//! digest the fleet compares, and the messages. Nothing here writes these files anew.
+//! digest all placers compare, and the messages. The tests never write these files.
 
 use std::fmt::{Display, Write as _};
 
@@ -13,7 +14,7 @@
 const NODES: &str = include_str!("golden/nodes.toml");
 const DEFAULTS: &str = include_str!("golden/defaults.toml");
 
-/// Values as text, one a line.
+/// Values as text, one on each line.
 #[derive(Default)]
 struct Values(String);
 
@@ -29,7 +30,7 @@
         }
     }
 
-    /// A number as the shortest text that reads back as the same number.
+    /// Writes a number as the shortest text that parses to the same number.
     fn put_number(&mut self, key: &str, value: f64) {
         self.put(key, format!("{value:?}"));
     }
@@ -39,7 +40,7 @@
     }
 }
 
-fn group(group: Group) -> &'static str {
+fn group_name(group: Group) -> &'static str {
     match group {
         Group::All => "all",
         Group::Zone => "hall",
@@ -47,7 +48,7 @@
     }
 }
 
-fn described(settings: &Settings) -> String {
+fn describe_settings(settings: &Settings) -> String {
     let mut out = Values::default();
     out.put("placer.name", &settings.name);
     match &settings.listen {
@@ -62,7 +63,7 @@
         settings.trace.as_ref().map(|path| path.display()),
     );
     put_site(settings, &mut out);
-    put_own(settings, &mut out);
+    put_placer_tables(settings, &mut out);
     put_classes(settings, &mut out);
     for (n, kind) in settings.kinds.iter().enumerate() {
         out.put(&format!("kind[{n}].name"), &kind.name);
@@ -120,7 +121,7 @@
             .collect::<Vec<_>>()
             .join(" "),
     );
-    out.put("site.report_counts is asked", site.reports.counts_asks);
+    out.put("site.report_counts is asked", site.reports.counts_requests);
     out.put("site.max_attempts", site.max_attempts);
     out.put("site.may_probe", site.may_probe);
     out.put("site.drain_grace", site.drain_grace_us);
@@ -131,7 +132,8 @@
     out.put_number_option("site.price_cross_hall", site.price_cross_hall);
 }
 
-fn put_own(settings: &Settings, out: &mut Values) {
+/// Writes the tables that belong to the single placer: limits, links, state and plan.
+fn put_placer_tables(settings: &Settings, out: &mut Values) {
     let (limits, links) = (&settings.limits, &settings.links);
     out.put("limits.connections", limits.connections);
     out.put("limits.sessions", limits.sessions);
@@ -172,8 +174,8 @@
             Effect::Unsafe => "unsafe",
         };
         out.put(&key("repeat"), repeat);
-        out.put(&key("group"), group(class.group));
-        out.put(&key("group that drops repeats"), group(class.drops));
+        out.put(&key("group"), group_name(class.group));
+        out.put(&key("group that drops repeats"), group_name(class.drops));
         out.put_option(&key("window"), class.window_us);
         out.put(&key("aim"), class.aim_us);
         out.put(&key("give_up"), class.give_up_us);
@@ -224,7 +226,7 @@
     }
 }
 
-fn described_nodes(list: &NodeList) -> String {
+fn describe_nodes(list: &NodeList) -> String {
     let mut out = Values::default();
     out.put("revision", list.revision);
     for (n, node) in list.nodes.iter().enumerate() {
@@ -251,7 +253,8 @@
     out.0
 }
 
-/// A text with each key misspelled in turn, and then with each value in turn an empty table; what is said of it.
+/// The messages of `parse` for each variant of a text in which one key is misspelled or one value is an empty table; `-`
+/// if it reports nothing.
 fn problems(text: &str, parse: impl Fn(&str) -> Option<String>) -> String {
     let lines: Vec<&str> = text.lines().collect();
     let mut out = Values::default();
@@ -265,17 +268,21 @@
         ] {
             let mut lines = lines.clone();
             lines[at] = &wrong;
-            let said = parse(&(lines.join("\n") + "\n")).map(|said| said.replace('\n', " | "));
-            out.put_option(&format!("line {} {key}, wrong {case}", at + 1), said);
+            let message =
+                parse(&(lines.join("\n") + "\n")).map(|message| message.replace('\n', " | "));
+            out.put_option(&format!("line {} {key}, wrong {case}", at + 1), message);
         }
     }
     out.0
 }
 
 #[test]
-fn each_key_of_the_settings_has_the_same_value() {
+fn each_key_of_the_settings_is_parsed_to_its_golden_value() {
     let settings = Settings::parse(SETTINGS, "settings.toml").unwrap();
-    assert_eq!(described(&settings), include_str!("golden/settings.txt"));
+    assert_eq!(
+        describe_settings(&settings),
+        include_str!("golden/settings.txt")
+    );
     assert_eq!(
         settings.plan_text(),
         include_str!("golden/settings-canonical.toml")
@@ -283,9 +290,12 @@
 }
 
 #[test]
-fn each_default_of_the_settings_is_the_same() {
+fn each_default_of_the_settings_has_its_golden_value() {
     let settings = Settings::parse(DEFAULTS, "defaults.toml").unwrap();
-    assert_eq!(described(&settings), include_str!("golden/defaults.txt"));
+    assert_eq!(
+        describe_settings(&settings),
+        include_str!("golden/defaults.txt")
+    );
     assert_eq!(
         settings.plan_text(),
         include_str!("golden/defaults-canonical.toml")
@@ -293,29 +303,29 @@
 }
 
 #[test]
-fn each_key_of_the_node_list_has_the_same_value() {
+fn each_key_of_the_node_list_is_parsed_to_its_golden_value() {
     let settings = Settings::parse(SETTINGS, "settings.toml").unwrap();
     let list = NodeList::parse(NODES, "nodes.toml", &settings).unwrap();
-    assert_eq!(described_nodes(&list), include_str!("golden/nodes.txt"));
+    assert_eq!(describe_nodes(&list), include_str!("golden/nodes.txt"));
 }
 
 #[test]
-fn a_wrong_key_or_value_of_the_settings_is_named_with_the_same_message() {
-    let said = problems(SETTINGS, |text| {
+fn a_wrong_key_or_value_of_the_settings_is_reported_with_its_golden_message() {
+    let messages = problems(SETTINGS, |text| {
         Some(Settings::parse(text, "settings.toml").err()?.to_string())
     });
-    assert_eq!(said, include_str!("golden/settings-problems.txt"));
+    assert_eq!(messages, include_str!("golden/settings-problems.txt"));
 }
 
 #[test]
-fn a_wrong_key_or_value_of_the_node_list_is_named_with_the_same_message() {
+fn a_wrong_key_or_value_of_the_node_list_is_reported_with_its_golden_message() {
     let settings = Settings::parse(SETTINGS, "settings.toml").unwrap();
-    let said = problems(NODES, |text| {
+    let messages = problems(NODES, |text| {
         Some(
             NodeList::parse(text, "nodes.toml", &settings)
                 .err()?
                 .to_string(),
         )
     });
-    assert_eq!(said, include_str!("golden/nodes-problems.txt"));
+    assert_eq!(messages, include_str!("golden/nodes-problems.txt"));
 }
--- a/crates/settings/tests/plan.rs
+++ b/crates/settings/tests/plan.rs
@@ -1,4 +1,5 @@
-//! The plan of a settings file: one canonical text, told apart from the placer's own, and taken from others as a whole.
+//! Checks the plan of a settings file: its canonical text, its separation from the tables of the single placer, and the
+//! adoption of the plan of another placer.
 
 use reedring_plan::delta::{apply, between};
 use reedring_settings::{Class, Settings};
@@ -10,22 +11,22 @@
 }
 
 #[test]
-fn a_canonical_text_reads_back_as_the_same_plan() {
+fn a_canonical_text_is_parsed_to_the_same_plan() {
     let settings = parse(EXAMPLE);
     let (text, plan) = (settings.plan_text(), settings.plan().unwrap().unwrap());
-    let back = settings.with_plan(&text, "plan").unwrap();
-    assert_eq!(back, settings);
-    assert_eq!(back.plan().unwrap().unwrap(), plan);
-    assert_eq!(back.bounds(), settings.bounds());
+    let parsed = settings.with_plan(&text, "plan").unwrap();
+    assert_eq!(parsed, settings);
+    assert_eq!(parsed.plan().unwrap().unwrap(), plan);
+    assert_eq!(parsed.bounds(), settings.bounds());
     assert_eq!(
         settings.bound_by(&settings.bounds()),
         settings,
-        "its own bounds change nothing"
+        "settings must not change when their own bounds are applied"
     );
 }
 
 #[test]
-fn the_digest_is_of_what_a_file_means_and_not_of_how_it_is_written() {
+fn the_digest_depends_on_the_values_of_the_plan_and_not_on_how_the_file_writes_them() {
     let base = parse(EXAMPLE).plan().unwrap().unwrap().version();
     let same = [
         EXAMPLE.replace("drain_grace = \"500ms\"", "drain_grace = \"0.5s\""),
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn without_a_plan_table_there_is_no_plan_and_wrong_ones_are_named() {
+fn without_a_plan_table_there_is_no_plan_and_wrong_plan_tables_are_reported() {
     let without = EXAMPLE.replace("[plan]\nnumber = 1", "");
     assert_eq!(parse(&without).plan().unwrap(), None);
     let wrong = |by: &str| {
@@ -66,9 +67,9 @@
     assert!(wrong("[plan]\nnumber = 1\nleese = \"10s\"").contains("leese"));
 }
 
-/// Whatever comes as a plan's text is read whole or named with its place; nothing panics.
+/// A plan text from elsewhere is parsed completely or rejected with the place of the problem; no text causes a panic.
 #[test]
-fn a_text_from_elsewhere_is_checked_as_a_whole() {
+fn a_received_plan_text_is_checked_as_a_whole() {
     let settings = parse(EXAMPLE);
     let text = settings.plan_text();
     let wrong = |text: &str| settings.with_plan(text, "plan 2").unwrap_err().to_string();
@@ -88,9 +89,9 @@
     }
 }
 
-/// What stands keeps its number; what is gone stays, closed.
+/// Existing classes keep their numbers, and removed classes stay in place, closed.
 #[test]
-fn classes_kinds_and_tenants_keep_their_numbers_over_plans() {
+fn classes_kinds_and_tenants_keep_their_numbers_when_the_plan_changes() {
     let used = parse(EXAMPLE);
     let text = used.plan_text();
     let (head, rest) = text.split_once("[[class]]\nname = \"play\"").unwrap();
@@ -107,8 +108,8 @@
             .collect::<Vec<_>>(),
         ["capture", "edition", "listen"]
     );
-    let told = new.in_numbers_of(&used);
-    let names: Vec<(&str, bool)> = told
+    let renumbered = new.in_numbers_of(&used);
+    let names: Vec<(&str, bool)> = renumbered
         .classes
         .iter()
         .map(|Class { name, closed, .. }| (&name[..], *closed))
@@ -122,11 +123,15 @@
             ("listen", false)
         ]
     );
-    assert_eq!(told.classes[2].kind, used.classes[2].kind);
-    assert_eq!((&told.kinds, &told.tenants), (&used.kinds, &used.tenants));
+    assert_eq!(renumbered.classes[2].kind, used.classes[2].kind);
+    assert_eq!(
+        (&renumbered.kinds, &renumbered.tenants),
+        (&used.kinds, &used.tenants)
+    );
 }
 
-/// Values that look like sections, in every form in which the canonical text writes strings.
+/// A delta edits whole sections of the canonical text. Values that look like section headers must not be taken for
+/// sections, in any form in which the canonical text writes strings.
 #[test]
 fn canonical_texts_have_deltas_whatever_their_values_look_like() {
     const ODD: &str = r#####"
