--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use clap::Args;
-use reedring_settings::{NodeList, Settings, whose_tables};
+use reedring_settings::{NodeList, Settings, table_owners};
 
 use crate::Failure;
 use crate::programs::{beside, read};
@@ -45,7 +45,7 @@
             }
         }
         for whose in ["the plan", "the placer's own"] {
-            let tables = whose_tables(&text)
+            let tables = table_owners(&text)
                 .into_iter()
                 .filter(|(_, of)| *of == whose);
             let names: Vec<String> = tables.map(|(name, _)| name).collect();
--- a/crates/core/src/configuration/catalog.rs
+++ b/crates/core/src/configuration/catalog.rs
@@ -131,6 +131,6 @@
         // If more placers are connected than the configuration allows for, the decision module accounts for the connected
         // number.
         bounds.placers = bounds.placers.max(connected_placers);
-        Some(base.bound_by(&bounds).in_numbers_of(current))
+        Some(base.with_bounds(&bounds).with_numbers_of(current))
     }
 }
--- a/crates/core/src/configuration/mod.rs
+++ b/crates/core/src/configuration/mod.rs
@@ -140,7 +140,7 @@
 
     /// Handles a change of the settings file.
     pub fn file_changed(&mut self, settings: &Settings, cx: &mut Context) {
-        let mut tables = cx.settings().own_changes(settings);
+        let mut tables = cx.settings().changed_placer_tables(settings);
         if tables != self.reported_restart_tables {
             self.reported_restart_tables.clone_from(&tables);
             if self.agreement.is_none() {
--- a/crates/core/src/lifecycle/offers.rs
+++ b/crates/core/src/lifecycle/offers.rs
@@ -142,7 +142,7 @@
                 Effect::Keyed => wire::Idempotency::IdempotentByKey,
                 Effect::Unsafe => wire::Idempotency::NonIdempotent,
             },
-            deduplication_scope: match class.drops {
+            deduplication_scope: match class.deduplication_group {
                 Group::All => wire::DeduplicationScope::All,
                 Group::Zone => wire::DeduplicationScope::Zone,
                 Group::Cell => wire::DeduplicationScope::Rack,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -13,5 +13,5 @@
 pub use problem::{Problem, Problems};
 pub use settings::{
     Address, Category, Class, ComesAgain, DISK_WAIT_US, Kind, Limits, Links, PLACER_TABLES,
-    PLAN_TABLES, PlanSettings, Reports, Settings, Site, Spread, State, WhenLost, whose_tables,
+    PLAN_TABLES, PlanSettings, Reports, Settings, Site, Spread, State, WhenLost, table_owners,
 };
--- a/crates/settings/src/problem.rs
+++ b/crates/settings/src/problem.rs
@@ -178,7 +178,8 @@
         }
     }
 
-    /// Returns the value if no problem was reported, and otherwise all problems.
+    /// Returns the value if no problem was reported, and otherwise all problems in the order of their lines. Problems on
+    /// the same line keep the order in which they were reported.
     pub fn finish<T>(mut self, value: T) -> Result<T, Problems> {
         self.problems.sort_by_key(|problem| problem.line);
         if self.problems.is_empty() {
--- a/crates/settings/src/settings/class.rs
+++ b/crates/settings/src/settings/class.rs
@@ -35,7 +35,7 @@
             name: self.name.get_ref().clone(),
             effect: self.effect(),
             group,
-            drops: group,
+            deduplication_group: group,
             window_us: self.window.as_ref().map(|window| window.get_ref().0),
             aim_us: self.aim.get_ref().0,
             give_up_us: self.give_up.0,
--- a/crates/settings/src/settings/mod.rs
+++ b/crates/settings/src/settings/mod.rs
@@ -15,7 +15,7 @@
 use toml::Spanned;
 
 pub use self::module::DISK_WAIT_US;
-pub use self::plan::{PLACER_TABLES, PLAN_TABLES, whose_tables};
+pub use self::plan::{PLACER_TABLES, PLAN_TABLES, table_owners};
 use self::sections::Names;
 use self::tables::{File, KindTable};
 pub use self::types::{
--- a/crates/settings/src/settings/plan.rs
+++ b/crates/settings/src/settings/plan.rs
@@ -178,7 +178,7 @@
 
     /// The [`PLACER_TABLES`] that differ in another version of the file. Such changes take effect only at a restart. The
     /// number of the plan is not compared.
-    pub fn own_changes(&self, other: &Self) -> Vec<&'static str> {
+    pub fn changed_placer_tables(&self, other: &Self) -> Vec<&'static str> {
         let placer_tables = |settings: &Self| {
             let mut tables: toml::Table =
                 toml::from_str(&settings.placer_tables).unwrap_or_default();
@@ -187,10 +187,10 @@
             }
             tables
         };
-        let (own, other) = (placer_tables(self), placer_tables(other));
+        let (current, other) = (placer_tables(self), placer_tables(other));
         PLACER_TABLES
             .into_iter()
-            .filter(|name| own.get(*name) != other.get(*name))
+            .filter(|name| current.get(*name) != other.get(*name))
             .collect()
     }
 
@@ -207,7 +207,7 @@
                     Effect::Unsafe => wire::Idempotency::NonIdempotent,
                 },
                 retry_group: deduplication_scope(class.group),
-                deduplication_group: deduplication_scope(class.drops),
+                deduplication_group: deduplication_scope(class.deduplication_group),
                 deduplication_window_us: class.window_us,
                 machine_kind: kind.map(|kind| kind.name.clone()),
                 spread: class.spread.map(|spread| SpreadLimit {
@@ -254,7 +254,7 @@
     }
 
     /// These settings with the values of the bounds. Classes and kinds that the bounds do not name stay unchanged.
-    pub fn bound_by(&self, bounds: &ConfigBounds) -> Self {
+    pub fn with_bounds(&self, bounds: &ConfigBounds) -> Self {
         let mut new = self.clone();
         for kind in &mut new.kinds {
             if let Some(size) = bounds.machine_kinds.get(&kind.name) {
@@ -271,7 +271,7 @@
                 wire::Idempotency::IdempotentByKey => Effect::Keyed,
                 wire::Idempotency::NonIdempotent => Effect::Unsafe,
             };
-            (class.group, class.drops) = (
+            (class.group, class.deduplication_group) = (
                 group_of_scope(bound.retry_group),
                 group_of_scope(bound.deduplication_group),
             );
@@ -306,7 +306,7 @@
     /// These settings, with classes, kinds and tenants numbered as in the settings that are in use. Classes that were
     /// removed stay in place, closed, because running tasks refer to them by number; removed kinds and tenants stay,
     /// too. New ones are appended.
-    pub fn in_numbers_of(&self, used: &Self) -> Self {
+    pub fn with_numbers_of(&self, used: &Self) -> Self {
         let mut new = self.clone();
         let mut kinds = used.kinds.clone();
         for kind in &self.kinds {
@@ -445,9 +445,9 @@
 
 /// Maps each table of a settings file to `the plan` or `the placer's own`, for display by the command line program.
 /// Empty if the file can't be parsed.
-pub fn whose_tables(file: &str) -> BTreeMap<String, &'static str> {
+pub fn table_owners(file: &str) -> BTreeMap<String, &'static str> {
     let tables: toml::Table = toml::from_str(file).unwrap_or_default();
-    let whose = |name: &str| {
+    let owner = |name: &str| {
         if PLAN_TABLES.contains(&name) {
             "the plan"
         } else {
@@ -456,6 +456,6 @@
     };
     tables
         .keys()
-        .map(|name| (name.clone(), whose(name)))
+        .map(|name| (name.clone(), owner(name)))
         .collect()
 }
--- a/crates/settings/src/settings/site.rs
+++ b/crates/settings/src/settings/site.rs
@@ -105,7 +105,7 @@
             .as_ref()
             .filter(|lease| lease.get_ref().0 < 1_000_000)
         {
-            let fix = "under 1s busy nodes would let the lease expire; write `30s`";
+            let fix = "under 1s a busy node would let the lease expire and suspend the placer; write `30s`";
             check.report(lease.span(), "plan.lease", fix);
         }
         let lease_us = self.lease.map_or(30_000_000, |lease| lease.get_ref().0);
--- a/crates/settings/src/settings/types.rs
+++ b/crates/settings/src/settings/types.rs
@@ -50,7 +50,7 @@
     pub group: Group,
     /// The group of nodes that drop repeats of a keyed task. It differs from `group` only during the change from one
     /// plan to another. Not used for other classes.
-    pub drops: Group,
+    pub deduplication_group: Group,
     /// For how long repeats of a keyed task are dropped, from the first offer that may have run; `None` unless the class
     /// is keyed.
     pub window_us: Option<Micros>,
--- a/crates/settings/tests/golden.rs
+++ b/crates/settings/tests/golden.rs
@@ -175,7 +175,10 @@
         };
         out.put(&key("repeat"), repeat);
         out.put(&key("group"), group_name(class.group));
-        out.put(&key("group that drops repeats"), group_name(class.drops));
+        out.put(
+            &key("group that drops repeats"),
+            group_name(class.deduplication_group),
+        );
         out.put_option(&key("window"), class.window_us);
         out.put(&key("aim"), class.aim_us);
         out.put(&key("give_up"), class.give_up_us);
--- a/crates/settings/tests/plan.rs
+++ b/crates/settings/tests/plan.rs
@@ -19,7 +19,7 @@
     assert_eq!(parsed.plan().unwrap().unwrap(), plan);
     assert_eq!(parsed.bounds(), settings.bounds());
     assert_eq!(
-        settings.bound_by(&settings.bounds()),
+        settings.with_bounds(&settings.bounds()),
         settings,
         "settings must not change when their own bounds are applied"
     );
@@ -108,7 +108,7 @@
             .collect::<Vec<_>>(),
         ["capture", "edition", "listen"]
     );
-    let renumbered = new.in_numbers_of(&used);
+    let renumbered = new.with_numbers_of(&used);
     let names: Vec<(&str, bool)> = renumbered
         .classes
         .iter()
