--- a/crates/constraint/benches/evaluate.rs
+++ b/crates/constraint/benches/evaluate.rs
@@ -1,6 +1,6 @@
-//! Time of one evaluation, by machines and clauses: `cargo bench -p reedring-constraint`.
+//! Measures the time of one evaluation, by number of machines and clauses: `cargo bench -p reedring-constraint`.
 //!
-//! "Cached" is what a decision costs once the text was worked out for the list; "afresh" works it out too.
+//! "Cached" evaluates a constraint that is already compiled for the fleet; "afresh" includes compiling it.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -8,17 +8,17 @@
 use reedring_constraint::{Census, Compiled, Constraint, Fleet, Line, Own};
 
 fn fleet(machines: usize) -> Fleet {
-    let line = |n: usize| {
-        let mut line = Line::named(&format!("n{n}"))
+    let node = |n: usize| {
+        let mut node = Line::named(&format!("n{n}"))
             .hall(&format!("h{}", n % 3))
             .rack(&format!("r{}", n / 3 % 10));
-        line.kind = ["big", "small"][n % 2].to_owned();
-        line.attr("ssd", ["yes", "no"][n / 7 % 2])
+        node.kind = ["big", "small"][n % 2].to_owned();
+        node.attr("ssd", ["yes", "no"][n / 7 % 2])
     };
-    Fleet::new((0..machines).map(line).collect())
+    Fleet::new((0..machines).map(node).collect())
 }
 
-/// So many clauses, of which every fifth speaks of copies.
+/// A constraint of this many clauses, of which every fifth depends on copies.
 fn constraint(clauses: usize) -> Constraint {
     let clause = |n: usize| match n % 5 {
         0 => "require apart from copies by machine".to_owned(),
@@ -28,18 +28,18 @@
         _ => "require not (rack = r3 and hall = h2)".to_owned(),
     };
     Constraint::parse(&(0..clauses).map(clause).collect::<Vec<_>>().join("; "))
-        .expect("the bench's own text")
+        .expect("the generated constraint is valid")
 }
 
-/// Microseconds of one call: the best of five rounds.
-fn time(mut call: impl FnMut()) -> f64 {
+/// Time of one call in microseconds: the lowest average of five rounds of at least 20 ms each.
+fn micros_per_call(mut call: impl FnMut()) -> f64 {
     let round = |call: &mut dyn FnMut()| {
-        let (began, mut calls) = (Instant::now(), 0);
-        while began.elapsed().as_millis() < 20 {
+        let (start, mut calls) = (Instant::now(), 0);
+        while start.elapsed().as_millis() < 20 {
             call();
             calls += 1;
         }
-        began.elapsed().as_secs_f64() * 1e6 / f64::from(calls)
+        start.elapsed().as_secs_f64() * 1e6 / f64::from(calls)
     };
     (0..5)
         .map(|_| round(&mut call))
@@ -57,8 +57,9 @@
         for clauses in [1, 10, 50] {
             let constraint = constraint(clauses);
             let compiled = Compiled::new(&constraint, &fleet);
-            let cached = time(|| drop(black_box(compiled.open(&fleet, &census, &own, 0))));
-            let afresh = time(|| {
+            let cached =
+                micros_per_call(|| drop(black_box(compiled.open(&fleet, &census, &own, 0))));
+            let afresh = micros_per_call(|| {
                 drop(black_box(
                     Compiled::new(&constraint, &fleet).open(&fleet, &census, &own, 0),
                 ))
--- a/crates/constraint/src/check.rs
+++ b/crates/constraint/src/check.rs
@@ -1,41 +1,42 @@
-//! What is wrong with a tree by itself, or beside what the site knows.
+//! Checks of a constraint: operand types, contradictions, and names and types that the site knows.
 
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-use crate::error::{Mistake, nearest};
+use crate::error::{Mistake, closest_name};
 use crate::fleet::{Attr, Fleet};
 use crate::tree::{Compare, Constraint, Expr, Field, Op, Rule, Strength, Value};
 
-/// Whether a value can be compared so with a field: the part of the types that the text alone shows.
-pub(crate) fn fits(
+/// Checks that the operator and the value fit the field, as far as the text alone shows it: the types of attributes
+/// are known only to a [`Schema`]. `value_span` is the byte range of the value.
+pub(crate) fn check_operand_types(
     text: &str,
     field: &Field,
     op: Op,
     value: &Value,
-    at: Range<usize>,
+    value_span: Range<usize>,
 ) -> Result<(), Mistake> {
-    let wrong = |message: String, here: &str, help: &str| {
-        Err(Mistake::new(text, at.clone(), message, here).help(help))
+    let error = |message: String, here: &str, help: &str| {
+        Err(Mistake::new(text, value_span.clone(), message, here).help(help))
     };
     match (field, op, value) {
         (_, Op::In, Value::Set(_)) | (Field::Attr(_), Op::Has, Value::Text(_)) => Ok(()),
-        (_, Op::In, _) => wrong(
+        (_, Op::In, _) => error(
             "`in` needs a set".into(),
             "no set",
             "write it as {\"a\", \"b\"}",
         ),
-        (Field::Attr(_), Op::Has, _) => wrong(
+        (Field::Attr(_), Op::Has, _) => error(
             "a set holds texts".into(),
             "no text",
             "write the text in quotes",
         ),
-        (field, Op::Has, _) => wrong(
+        (field, Op::Has, _) => error(
             format!("`{field}` is one text, not a set"),
             "`has` needs a set",
             "write `=`",
         ),
-        (_, _, Value::Set(_)) => wrong(
+        (_, _, Value::Set(_)) => error(
             "a set compares with `in` alone".into(),
             "a set",
             "write `in`",
@@ -47,17 +48,17 @@
         ) => Ok(()),
         (Field::Attr(_), Op::Eq | Op::Ne, _) => Ok(()),
         (Field::Attr(_), _, Value::Number(_) | Value::Version(_)) => Ok(()),
-        (Field::Attr(_), op, Value::Text(_)) => wrong(
+        (Field::Attr(_), op, Value::Text(_)) => error(
             format!("texts have no order for `{}`", op.word()),
             "a text",
             "write a number without quotes, or a version such as v6.1",
         ),
-        (field, Op::Eq | Op::Ne, _) => wrong(
+        (field, Op::Eq | Op::Ne, _) => error(
             format!("`{field}` is a text"),
             "no text",
             "write it in quotes",
         ),
-        (field, op, _) => wrong(
+        (field, op, _) => error(
             format!(
                 "`{field}` is a text, and texts have no order for `{}`",
                 op.word()
@@ -68,17 +69,17 @@
     }
 }
 
-/// What every machine that fits must satisfy: conjunctions of comparisons, flattened.
-fn musts<'a>(expr: &'a Expr, found: &mut Vec<&'a Compare>) {
+/// Collects the comparisons that every matching machine must satisfy: those joined by `and` at the top level.
+fn collect_required<'a>(expr: &'a Expr, found: &mut Vec<&'a Compare>) {
     match expr {
-        Expr::And(all) => all.iter().for_each(|inner| musts(inner, found)),
+        Expr::And(all) => all.iter().for_each(|inner| collect_required(inner, found)),
         Expr::Compare(compare) => found.push(compare),
         _ => {}
     }
 }
 
-/// Whether two comparisons of one field exclude each other.
-fn exclude(a: &Compare, b: &Compare) -> bool {
+/// Whether no value of the field can satisfy both comparisons. `false` means that this is not known.
+fn are_contradictory(a: &Compare, b: &Compare) -> bool {
     let one_of = |compare: &Compare| match (&compare.value, compare.op) {
         (Value::Text(text), Op::Eq) => Some(vec![text.clone()]),
         (Value::Set(all), Op::In) => Some(all.clone()),
@@ -89,13 +90,14 @@
     }
     match (a.op, &a.value, b.op, &b.value) {
         (Op::Eq, x, Op::Ne, y) | (Op::Ne, x, Op::Eq, y) => x == y,
-        (_, Value::Number(x), _, Value::Number(y)) => apart(a.op, *x, b.op, *y),
+        (_, Value::Number(x), _, Value::Number(y)) => are_disjoint(a.op, *x, b.op, *y),
         _ => false,
     }
 }
 
-/// The range of numbers that a comparison leaves: its ends, and whether they belong to it.
-fn range(op: Op, x: f64) -> Option<(f64, bool, f64, bool)> {
+/// The interval of numbers that satisfy a comparison, as (low, low is included, high, high is included). `None` for
+/// `!=`, `in` and `has`, which give no interval.
+fn interval(op: Op, x: f64) -> Option<(f64, bool, f64, bool)> {
     let (low, high) = (f64::NEG_INFINITY, f64::INFINITY);
     Some(match op {
         Op::Eq => (x, true, x, true),
@@ -107,8 +109,9 @@
     })
 }
 
-fn apart(a: Op, x: f64, b: Op, y: f64) -> bool {
-    let Some((one, other)) = range(a, x).zip(range(b, y)) else {
+/// Whether the intervals of two numeric comparisons do not overlap.
+fn are_disjoint(a: Op, x: f64, b: Op, y: f64) -> bool {
+    let Some((one, other)) = interval(a, x).zip(interval(b, y)) else {
         return false;
     };
     let before = |a: (f64, bool, f64, bool), b: (f64, bool, f64, bool)| {
@@ -117,7 +120,7 @@
     before(one, other) || before(other, one)
 }
 
-/// Finds required comparisons that no machine whatsoever can satisfy together.
+/// Rejects a constraint with two required comparisons that no machine can satisfy together.
 pub(crate) fn contradiction(constraint: &Constraint, text: &str) -> Result<(), Mistake> {
     let mut found: Vec<&Compare> = Vec::new();
     for clause in constraint
@@ -126,19 +129,22 @@
         .filter(|clause| clause.strength == Strength::Require)
     {
         if let Rule::Where(expr) = &clause.rule {
-            musts(expr, &mut found);
+            collect_required(expr, &mut found);
         }
     }
     let mut by_field: BTreeMap<&Field, Vec<&Compare>> = BTreeMap::new();
     for compare in found {
         let others = by_field.entry(&compare.field).or_default();
-        if let Some(other) = others.iter().find(|other| exclude(other, compare)) {
+        if let Some(other) = others
+            .iter()
+            .find(|other| are_contradictory(other, compare))
+        {
             let message = format!("`{other}` and `{compare}` can't both hold on any machine");
-            // Clauses that came by `use` have their places in another text.
-            let inside = |span: &Range<usize>| text.get(span.clone()).is_some();
+            // The spans of clauses included with `use` refer to the named constraint's text, not to this one.
+            let is_in_text = |span: &Range<usize>| text.get(span.clone()).is_some();
             let mistake = Mistake::new(text, compare.span.clone(), message, "contradicts");
-            return Err(if inside(&other.span) {
-                mistake.also(other.span.clone(), "this")
+            return Err(if is_in_text(&other.span) {
+                mistake.related(other.span.clone(), "this")
             } else {
                 mistake
             });
@@ -148,17 +154,18 @@
     Ok(())
 }
 
-/// What a site knows: names and types, for errors beside the text's own.
+/// The node kinds and attribute types that a site knows, to check a constraint against.
 #[derive(Clone, Debug, Default)]
 pub struct Schema {
-    /// The kinds of the settings.
+    /// The node kinds of the settings. If there are none, kinds are not checked.
     pub kinds: Vec<String>,
-    /// Attributes of the node list with the type that they have: `text`, `number`, `version` or `set`.
+    /// The type of each attribute of the node list, by name: `text`, `number`, `version` or `set`.
     pub attrs: BTreeMap<String, &'static str>,
 }
 
 impl Schema {
-    /// The types of a fleet's attributes.
+    /// A schema of these kinds and of the attributes of the fleet's nodes. If two nodes have an attribute with different
+    /// types, the type on the last one counts.
     pub fn of(kinds: Vec<String>, fleet: &Fleet) -> Self {
         let attrs = fleet.lines().iter().flat_map(|line| line.attrs.iter());
         Self {
@@ -169,10 +176,11 @@
         }
     }
 
-    /// Checks a constraint beside the site: unknown kinds and attributes, and types that do not fit.
+    /// Rejects kinds and attributes that the site does not know, and comparisons with a value of another type. `text` is
+    /// the text that the constraint was parsed from.
     ///
     /// # Errors
-    /// The first mistake.
+    /// The first such error.
     pub fn check(&self, constraint: &Constraint, text: &str) -> Result<(), Mistake> {
         for clause in &constraint.clauses {
             if let Rule::Where(expr) = &clause.rule {
@@ -200,8 +208,8 @@
             0..0
         };
         let unknown = |what: &str, name: &str, known: Vec<&str>| {
-            let near =
-                nearest(name, known.iter().copied()).map(|near| format!("did you mean `{near}`?"));
+            let suggestion = closest_name(name, known.iter().copied())
+                .map(|name| format!("did you mean `{name}`?"));
             let list = if known.is_empty() {
                 "none is known".to_owned()
             } else {
@@ -209,7 +217,7 @@
             };
             let mistake =
                 Mistake::new(text, span.clone(), format!("no {what} `{name}`"), "unknown");
-            Err(mistake.help(near.unwrap_or(list)))
+            Err(mistake.help(suggestion.unwrap_or(list)))
         };
         match (&compare.field, &compare.value) {
             (Field::Kind, Value::Text(name))
--- a/crates/constraint/src/error.rs
+++ b/crates/constraint/src/error.rs
@@ -1,4 +1,4 @@
-//! Mistakes in a text, shown as a compiler shows them.
+//! Errors in the text of a constraint, printed in the style of compiler diagnostics.
 
 use std::fmt;
 use std::ops::Range;
@@ -8,7 +8,7 @@
 use codespan_reporting::term::termcolor::NoColor;
 use codespan_reporting::term::{self, Config};
 
-/// The first mistake in a text. Shown, it is what a compiler would print.
+/// The first error in the text of a constraint. `Display` prints it with the offending line, like a compiler.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Mistake(Box<Details>);
 
@@ -20,18 +20,18 @@
     }
 }
 
-/// What is wrong with a text, where, and what to do.
+/// The message of an error, its position in the text, and a suggested fix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Details {
-    /// What is wrong.
+    /// The error message.
     pub message: String,
-    /// Where, in bytes of the text.
+    /// The byte range of the error in the text.
     pub span: Range<usize>,
-    /// What is wrong at that place, in few words.
-    pub here: String,
-    /// A second place that the mistake has to do with.
-    pub also: Option<(Range<usize>, String)>,
-    /// The fix, where one can be told.
+    /// A short label printed at `span`.
+    pub label: String,
+    /// A second byte range that is related to the error, and its label; `None` if there is none.
+    pub related: Option<(Range<usize>, String)>,
+    /// A suggested fix; `None` if none is known.
     pub help: Option<String>,
     text: String,
 }
@@ -41,14 +41,14 @@
         text: &str,
         span: Range<usize>,
         message: impl Into<String>,
-        here: impl Into<String>,
+        label: impl Into<String>,
     ) -> Self {
-        let (message, here, text) = (message.into(), here.into(), text.to_owned());
+        let (message, label, text) = (message.into(), label.into(), text.to_owned());
         Self(Box::new(Details {
             message,
             span,
-            here,
-            also: None,
+            label,
+            related: None,
             help: None,
             text,
         }))
@@ -59,8 +59,8 @@
         self
     }
 
-    pub(crate) fn also(mut self, span: Range<usize>, here: impl Into<String>) -> Self {
-        self.0.also = Some((span, here.into()));
+    pub(crate) fn related(mut self, span: Range<usize>, label: impl Into<String>) -> Self {
+        self.0.related = Some((span, label.into()));
         self
     }
 }
@@ -69,9 +69,9 @@
 
 impl fmt::Display for Mistake {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let mut labels = vec![Label::primary((), self.span.clone()).with_message(&self.here)];
-        if let Some((span, here)) = &self.also {
-            labels.push(Label::secondary((), span.clone()).with_message(here));
+        let mut labels = vec![Label::primary((), self.span.clone()).with_message(&self.label)];
+        if let Some((span, label)) = &self.related {
+            labels.push(Label::secondary((), span.clone()).with_message(label));
         }
         let notes = self
             .help
@@ -91,8 +91,12 @@
     }
 }
 
-/// The known name that was most likely meant.
-pub(crate) fn nearest<'a>(name: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
+/// The known name closest to `name`, for a suggestion. `None` if `name` is known, or if the closest one differs by more
+/// than one edit plus one for every four characters.
+pub(crate) fn closest_name<'a>(
+    name: &str,
+    known: impl Iterator<Item = &'a str>,
+) -> Option<&'a str> {
     let scored = known.map(|known| (strsim::damerau_levenshtein(name, known), known));
     let (distance, found) = scored.min()?;
     (distance > 0 && distance <= 1 + name.chars().count() / 4).then_some(found)
--- a/crates/constraint/src/eval.rs
+++ b/crates/constraint/src/eval.rs
@@ -1,4 +1,4 @@
-//! Which machines are open to a task.
+//! Evaluates which machines are open to a task.
 
 use std::cmp::Ordering;
 
@@ -9,7 +9,7 @@
     Clause, Compare, Constraint, Expr, Field, Op, Place, Rule, Spread, Strength, Value, Who,
 };
 
-/// Whose constraint it is.
+/// The class and service of the task whose constraint is evaluated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Own {
     class: String,
@@ -17,7 +17,7 @@
 }
 
 impl Own {
-    /// A task of this class and service.
+    /// The service of this name in this class.
     pub fn service(class: &str, service: &str) -> Self {
         Self {
             class: class.to_owned(),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// What copies of `who` are counted by.
+    /// The topic under which a [`Census`] counts the copies that `who` selects.
     pub fn topic(&self, who: &Who) -> Topic {
         match who {
             Who::Copies => Topic::Own(self.class.clone(), self.service.clone()),
@@ -34,7 +34,7 @@
         }
     }
 
-    /// What a task of it with these labels counts as.
+    /// The topics under which a copy of this service with these labels is counted.
     pub fn topics(&self, labels: &[(String, String)]) -> Vec<Topic> {
         let labels = labels
             .iter()
@@ -49,48 +49,48 @@
     }
 }
 
-/// How a constraint stands.
+/// Whether any machine satisfies a constraint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// No line of the list can ever satisfy it, whatever its health and wherever copies stand.
+    /// No node of the list can satisfy it, whatever the nodes' health and wherever copies are.
     Never,
-    /// Some line could, but none does now.
+    /// No machine satisfies it now, but one could with other health or other copies.
     NotNow,
-    /// Some machine is open.
+    /// At least one machine satisfies it now.
     Open,
 }
 
-/// The machines that are open to a task.
+/// The machines that are open to a task, as evaluated by [`Compiled::open`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// Lines, by number.
+    /// The open machines, by index in [`Fleet::lines`].
     pub machines: FixedBitSet,
-    /// Wishes that were dropped, by the number of their clause.
+    /// Indexes of the preference clauses that were not applied, in ascending order.
     pub dropped: Vec<usize>,
-    /// How it stands.
+    /// Whether any machine is open.
     pub verdict: Verdict,
 }
 
-/// A clause that is worked out for one fleet.
+/// A clause, evaluated for one fleet as far as copies and health do not matter.
 #[derive(Clone, Debug)]
-struct Worked {
+struct CompiledClause {
     clause: Clause,
-    /// Lines on which it holds, or may hold where it speaks of copies.
-    may: FixedBitSet,
-    about_copies: bool,
+    /// Nodes that satisfy the clause, or can satisfy it for some placement of copies.
+    possible: FixedBitSet,
+    depends_on_copies: bool,
 }
 
-/// A constraint that is worked out for one fleet, as far as copies and health do not matter.
+/// A constraint, evaluated for one fleet as far as copies and health do not matter.
 #[derive(Clone, Debug)]
 pub struct Compiled {
-    clauses: Vec<Worked>,
-    /// Lines that pass every requirement as far as copies do not matter.
-    may: FixedBitSet,
-    about_copies: bool,
+    clauses: Vec<CompiledClause>,
+    /// Nodes that can satisfy every requirement for some placement of copies.
+    possible: FixedBitSet,
+    depends_on_copies: bool,
 }
 
-/// Whether a comparison holds. A field that is not told satisfies none.
-pub(crate) fn compares(compare: &Compare, line: &Line) -> bool {
+/// Whether a comparison holds for a node. A field without a value satisfies no comparison, not even `!=`.
+pub(crate) fn comparison_holds(compare: &Compare, node: &Line) -> bool {
     let text = |text: &str| {
         let holds = match (compare.op, &compare.value) {
             (Op::In, Value::Set(all)) => all.iter().any(|one| one == text),
@@ -101,21 +101,24 @@
         holds && !text.is_empty()
     };
     match &compare.field {
-        Field::Kind => text(&line.kind),
-        Field::Rack => text(&line.rack),
-        Field::Hall => text(&line.hall),
-        Field::Name => text(&line.name),
-        Field::Attr(name) => match (line.attrs.get(name), compare.op, &compare.value) {
-            (Some(Attr::Text(told)), ..) => text(told),
+        Field::Kind => text(&node.kind),
+        Field::Rack => text(&node.rack),
+        Field::Hall => text(&node.hall),
+        Field::Name => text(&node.name),
+        Field::Attr(name) => match (node.attrs.get(name), compare.op, &compare.value) {
+            (Some(Attr::Text(actual)), ..) => text(actual),
             (Some(Attr::Set(all)), Op::Has, Value::Text(text)) => all.contains(text),
-            (Some(Attr::Number(a)), op, Value::Number(b)) => ordered(op, a.partial_cmp(b)),
-            (Some(Attr::Version(a)), op, Value::Version(b)) => ordered(op, Some(versions(a, b))),
+            (Some(Attr::Number(a)), op, Value::Number(b)) => order_satisfies(op, a.partial_cmp(b)),
+            (Some(Attr::Version(a)), op, Value::Version(b)) => {
+                order_satisfies(op, Some(compare_versions(a, b)))
+            }
             _ => false,
         },
     }
 }
 
-fn versions(a: &[u64], b: &[u64]) -> Ordering {
+/// Compares two versions part by part; missing parts count as 0.
+fn compare_versions(a: &[u64], b: &[u64]) -> Ordering {
     let part = |parts: &[u64], n: usize| parts.get(n).copied().unwrap_or(0);
     let parts = (0..a.len().max(b.len())).map(|n| part(a, n).cmp(&part(b, n)));
     parts
@@ -124,7 +127,8 @@
         .unwrap_or(Ordering::Equal)
 }
 
-fn ordered(op: Op, order: Option<Ordering>) -> bool {
+/// Whether a comparison operator holds for operands in this order; `None` means that they have no order.
+fn order_satisfies(op: Op, order: Option<Ordering>) -> bool {
     let Some(order) = order else { return false };
     match op {
         Op::Eq => order.is_eq(),
@@ -137,248 +141,264 @@
     }
 }
 
-/// Lines on which an expression holds, and lines on which it may hold if copies stood otherwise. What
-/// does not speak of copies gives the same twice.
-struct Both {
-    must: FixedBitSet,
-    may: FixedBitSet,
+/// The nodes that satisfy an expression, for any placement of copies. The two sets are equal if the expression does not
+/// depend on copies.
+struct NodeBounds {
+    /// Nodes that satisfy it for every placement of copies.
+    always: FixedBitSet,
+    /// Nodes that can satisfy it for some placement of copies.
+    possible: FixedBitSet,
 }
 
-fn inverse(set: &FixedBitSet) -> FixedBitSet {
+fn complement(set: &FixedBitSet) -> FixedBitSet {
     let mut out = set.clone();
     out.toggle_range(..);
     out
 }
 
-fn without_copies(expr: &Expr, fleet: &Fleet) -> Both {
+/// Evaluates an expression for every possible placement of copies.
+fn bounds_for_any_copies(expr: &Expr, fleet: &Fleet) -> NodeBounds {
     match expr {
         Expr::Compare(compare) => {
             let mut found = FixedBitSet::with_capacity(fleet.lines().len());
-            let lines = fleet.lines().iter().enumerate();
-            lines
-                .filter(|(_, line)| compares(compare, line))
-                .for_each(|(at, _)| found.insert(at));
-            Both {
-                may: found.clone(),
-                must: found,
+            let nodes = fleet.lines().iter().enumerate();
+            nodes
+                .filter(|(_, node)| comparison_holds(compare, node))
+                .for_each(|(index, _)| found.insert(index));
+            NodeBounds {
+                possible: found.clone(),
+                always: found,
             }
         }
-        Expr::Near(_, place) | Expr::Apart(_, place) => {
-            // It may hold and may not, but for lines whose place is not told: there it never holds.
-            let must = FixedBitSet::with_capacity(fleet.lines().len());
-            Both {
-                must,
-                may: fleet.places(*place).told.clone(),
+        Expr::Near(_, domain_kind) | Expr::Apart(_, domain_kind) => {
+            // Depends on the copies, except on nodes without a domain of this kind: there it never holds.
+            let always = FixedBitSet::with_capacity(fleet.lines().len());
+            NodeBounds {
+                always,
+                possible: fleet.domains(*domain_kind).nodes_with_domain.clone(),
             }
         }
         Expr::Not(inner) => {
-            let inner = without_copies(inner, fleet);
-            Both {
-                must: inverse(&inner.may),
-                may: inverse(&inner.must),
+            let inner = bounds_for_any_copies(inner, fleet);
+            NodeBounds {
+                always: complement(&inner.possible),
+                possible: complement(&inner.always),
             }
         }
-        Expr::And(all) => all.iter().map(|inner| without_copies(inner, fleet)).fold(
-            Both {
-                must: fleet.all(),
-                may: fleet.all(),
-            },
-            |mut sum, next| {
-                sum.must.intersect_with(&next.must);
-                sum.may.intersect_with(&next.may);
-                sum
-            },
-        ),
+        Expr::And(all) => all
+            .iter()
+            .map(|inner| bounds_for_any_copies(inner, fleet))
+            .fold(
+                NodeBounds {
+                    always: fleet.all(),
+                    possible: fleet.all(),
+                },
+                |mut sum, next| {
+                    sum.always.intersect_with(&next.always);
+                    sum.possible.intersect_with(&next.possible);
+                    sum
+                },
+            ),
         Expr::Or(all) => {
             let none = FixedBitSet::with_capacity(fleet.lines().len());
-            let start = Both {
-                must: none.clone(),
-                may: none,
+            let start = NodeBounds {
+                always: none.clone(),
+                possible: none,
             };
             all.iter()
-                .map(|inner| without_copies(inner, fleet))
+                .map(|inner| bounds_for_any_copies(inner, fleet))
                 .fold(start, |mut sum, next| {
-                    sum.must.union_with(&next.must);
-                    sum.may.union_with(&next.may);
+                    sum.always.union_with(&next.always);
+                    sum.possible.union_with(&next.possible);
                     sum
                 })
         }
     }
 }
 
-/// Lines in whose place such a copy stands.
-fn beside(fleet: &Fleet, census: &Census, topic: &Topic, place: Place) -> FixedBitSet {
-    let places = fleet.places(place);
+/// Nodes whose domain holds a copy that is counted under `topic`.
+fn nodes_near(fleet: &Fleet, census: &Census, topic: &Topic, domain_kind: Place) -> FixedBitSet {
+    let domains = fleet.domains(domain_kind);
     let mut found = FixedBitSet::with_capacity(fleet.lines().len());
-    for (line, _) in census.of(topic) {
-        if let Some(place) = places.of.get(line).copied().flatten() {
-            found.union_with(&places.lines[place]);
+    for (node, _) in census.of(topic) {
+        if let Some(domain) = domains.domain_of.get(node).copied().flatten() {
+            found.union_with(&domains.nodes_in[domain]);
         }
     }
     found
 }
 
-fn with_copies(expr: &Expr, fleet: &Fleet, census: &Census, own: &Own) -> FixedBitSet {
+/// Nodes that satisfy an expression with the copies of `census`.
+fn satisfying_nodes(expr: &Expr, fleet: &Fleet, census: &Census, own: &Own) -> FixedBitSet {
     match expr {
-        Expr::Near(who, place) => {
+        Expr::Near(who, domain_kind) => {
             let topic = own.topic(who);
-            // The first copy of the own service has none to be near to.
+            // Affinity to the own service does not restrict its first copy: there is no other copy yet.
             if *who == Who::Copies && census.of(&topic).next().is_none() {
-                return fleet.places(*place).told.clone();
+                return fleet.domains(*domain_kind).nodes_with_domain.clone();
             }
-            beside(fleet, census, &topic, *place)
+            nodes_near(fleet, census, &topic, *domain_kind)
         }
-        Expr::Apart(who, place) => {
-            let mut open = fleet.places(*place).told.clone();
-            open.difference_with(&beside(fleet, census, &own.topic(who), *place));
+        Expr::Apart(who, domain_kind) => {
+            let mut open = fleet.domains(*domain_kind).nodes_with_domain.clone();
+            open.difference_with(&nodes_near(fleet, census, &own.topic(who), *domain_kind));
             open
         }
-        Expr::Not(inner) => inverse(&with_copies(inner, fleet, census, own)),
+        Expr::Not(inner) => complement(&satisfying_nodes(inner, fleet, census, own)),
         Expr::And(all) => all.iter().fold(fleet.all(), |mut sum, inner| {
-            sum.intersect_with(&with_copies(inner, fleet, census, own));
+            sum.intersect_with(&satisfying_nodes(inner, fleet, census, own));
             sum
         }),
         Expr::Or(all) => {
             let none = FixedBitSet::with_capacity(fleet.lines().len());
             all.iter().fold(none, |mut sum, inner| {
-                sum.union_with(&with_copies(inner, fleet, census, own));
+                sum.union_with(&satisfying_nodes(inner, fleet, census, own));
                 sum
             })
         }
-        Expr::Compare(_) => without_copies(expr, fleet).may,
+        Expr::Compare(_) => bounds_for_any_copies(expr, fleet).possible,
     }
 }
 
-/// Own copies in each place.
-pub(crate) fn counts(
+/// The number of copies of the own service in each domain. Copies on gone nodes count only with `include_gone`.
+pub(crate) fn copies_per_domain(
     fleet: &Fleet,
     census: &Census,
     own: &Own,
     by: Place,
-    dark_too: bool,
+    include_gone: bool,
 ) -> Vec<u32> {
-    let places = fleet.places(by);
-    let mut counts = vec![0; places.lines.len()];
-    for (line, count) in census.of(&own.topic(&Who::Copies)) {
-        let counted = dark_too || fleet.lines().get(line).is_some_and(|line| !line.dark);
-        if let Some(place) = places.of.get(line).copied().flatten().filter(|_| counted) {
-            counts[place] += count;
+    let domains = fleet.domains(by);
+    let mut counts = vec![0; domains.nodes_in.len()];
+    for (node, count) in census.of(&own.topic(&Who::Copies)) {
+        let counted = include_gone || fleet.lines().get(node).is_some_and(|node| !node.dark);
+        if let Some(domain) = domains
+            .domain_of
+            .get(node)
+            .copied()
+            .flatten()
+            .filter(|_| counted)
+        {
+            counts[domain] += count;
         }
     }
     counts
 }
 
-/// Lines on which one copy more keeps a spread. `eligible` are lines that pass everything else that does
-/// not speak of copies: the places among which an even spread is counted.
-fn spread(
+/// Nodes on which one more copy keeps the limit of a spread. [`Spread::Within`] compares only domains that have a node in
+/// `eligible`: the ready nodes that can satisfy every requirement.
+fn nodes_keeping_spread(
     fleet: &Fleet,
     census: &Census,
     own: &Own,
     (by, how): (Place, Spread),
     eligible: &FixedBitSet,
 ) -> FixedBitSet {
-    let (places, counts) = (fleet.places(by), counts(fleet, census, own, by, true));
-    let taken = counts.iter().filter(|count| **count > 0).count() as u32;
-    let among = places
-        .lines
+    let (domains, counts) = (
+        fleet.domains(by),
+        copies_per_domain(fleet, census, own, by, true),
+    );
+    let occupied = counts.iter().filter(|count| **count > 0).count() as u32;
+    let among = domains
+        .nodes_in
         .iter()
         .zip(&counts)
-        .filter(|(lines, _)| !lines.is_disjoint(eligible));
+        .filter(|(nodes, _)| !nodes.is_disjoint(eligible));
     let fewest = among.map(|(_, count)| *count).min().unwrap_or(0);
-    let keeps = |place: usize| match how {
-        Spread::AtMost(most) => counts[place] < most,
-        // Until so many places hold a copy, each next one goes to a place that holds none.
-        Spread::AtLeast(least) => taken >= least || counts[place] == 0,
-        Spread::Within(skew) => counts[place] < fewest + skew,
+    let keeps_limit = |domain: usize| match how {
+        Spread::AtMost(most) => counts[domain] < most,
+        // Until `least` domains hold a copy, the next copy must go to a domain without one.
+        Spread::AtLeast(least) => occupied >= least || counts[domain] == 0,
+        Spread::Within(skew) => counts[domain] < fewest + skew,
     };
     let mut open = FixedBitSet::with_capacity(fleet.lines().len());
-    for (place, lines) in places.lines.iter().enumerate() {
-        if keeps(place) {
-            open.union_with(lines);
+    for (domain, nodes) in domains.nodes_in.iter().enumerate() {
+        if keeps_limit(domain) {
+            open.union_with(nodes);
         }
     }
     open
 }
 
 impl Compiled {
-    /// Works a constraint out for a fleet. It holds until a line is added, removed, or changes its kind,
-    /// rack, hall or attributes; health may change.
+    /// Compiles a constraint for a fleet. The result is valid until a node is added or removed, or its kind, rack, hall
+    /// or attributes change; changes of health do not invalidate it.
     pub fn new(constraint: &Constraint, fleet: &Fleet) -> Self {
-        let work = |clause: &Clause| {
-            let may = match &clause.rule {
-                Rule::Where(expr) => without_copies(expr, fleet).may,
+        let compile_clause = |clause: &Clause| {
+            let possible = match &clause.rule {
+                Rule::Where(expr) => bounds_for_any_copies(expr, fleet).possible,
                 Rule::Spread { by, how } => {
-                    let places = fleet.places(*by);
-                    let enough = match how {
-                        Spread::AtLeast(least) => places.lines.len() >= *least as usize,
+                    let domains = fleet.domains(*by);
+                    let has_enough_domains = match how {
+                        Spread::AtLeast(least) => domains.nodes_in.len() >= *least as usize,
                         Spread::AtMost(_) | Spread::Within(_) => true,
                     };
-                    if enough {
-                        places.told.clone()
+                    if has_enough_domains {
+                        domains.nodes_with_domain.clone()
                     } else {
                         FixedBitSet::with_capacity(fleet.lines().len())
                     }
                 }
             };
-            Worked {
+            CompiledClause {
                 clause: clause.clone(),
-                may,
-                about_copies: clause.rule.is_about_copies(),
+                possible,
+                depends_on_copies: clause.rule.is_about_copies(),
             }
         };
-        let clauses: Vec<Worked> = constraint.clauses.iter().map(work).collect();
+        let clauses: Vec<CompiledClause> = constraint.clauses.iter().map(compile_clause).collect();
         let required = clauses
             .iter()
-            .filter(|worked| worked.clause.strength == Strength::Require);
-        let may = required.fold(fleet.all(), |mut sum, worked| {
-            sum.intersect_with(&worked.may);
+            .filter(|compiled| compiled.clause.strength == Strength::Require);
+        let possible = required.fold(fleet.all(), |mut sum, compiled| {
+            sum.intersect_with(&compiled.possible);
             sum
         });
-        // Places that only the other clauses leave: a spread over more of them can never be had.
-        let enough = clauses.iter().all(|worked| match worked.clause.rule {
+        // If the requirements together leave fewer domains than a required spread needs, it can never be satisfied.
+        let has_enough_domains = clauses.iter().all(|compiled| match compiled.clause.rule {
             Rule::Spread {
                 by,
                 how: Spread::AtLeast(least),
-            } if worked.clause.strength == Strength::Require => {
+            } if compiled.clause.strength == Strength::Require => {
                 let open = fleet
-                    .places(by)
-                    .lines
+                    .domains(by)
+                    .nodes_in
                     .iter()
-                    .filter(|lines| !lines.is_disjoint(&may))
+                    .filter(|nodes| !nodes.is_disjoint(&possible))
                     .count();
                 open >= least as usize
             }
             _ => true,
         });
-        let may = if enough {
-            may
+        let possible = if has_enough_domains {
+            possible
         } else {
             FixedBitSet::with_capacity(fleet.lines().len())
         };
-        let about_copies = constraint.is_about_copies();
+        let depends_on_copies = constraint.is_about_copies();
         Self {
             clauses,
-            may,
-            about_copies,
+            possible,
+            depends_on_copies,
         }
     }
 
-    /// Whether no line of the list can ever satisfy it.
+    /// Whether no node of the list can satisfy the requirements, whatever the nodes' health and wherever copies are.
     pub fn is_never(&self) -> bool {
-        self.may.is_clear()
+        self.possible.is_clear()
     }
 
-    /// Lines that pass every requirement as far as health and copies do not matter.
+    /// Indexes of the nodes that can satisfy every requirement, whatever their health, for some placement of copies.
     pub fn ever(&self) -> impl Iterator<Item = usize> + '_ {
-        self.may.ones()
+        self.possible.ones()
     }
 
-    /// The clauses.
+    /// The clauses of the constraint, in the order of its text.
     pub fn clauses(&self) -> impl Iterator<Item = &Clause> {
-        self.clauses.iter().map(|worked| &worked.clause)
+        self.clauses.iter().map(|compiled| &compiled.clause)
     }
 
-    /// Lines on which one clause holds for one copy more.
+    /// Nodes on which one more copy satisfies clause `n`.
     pub(crate) fn clause(
         &self,
         n: usize,
@@ -386,50 +406,50 @@
         census: &Census,
         own: &Own,
     ) -> FixedBitSet {
-        let worked = &self.clauses[n];
-        if !worked.about_copies {
-            return worked.may.clone();
+        let compiled = &self.clauses[n];
+        if !compiled.depends_on_copies {
+            return compiled.possible.clone();
         }
-        match &worked.clause.rule {
-            Rule::Where(expr) => with_copies(expr, fleet, census, own),
+        match &compiled.clause.rule {
+            Rule::Where(expr) => satisfying_nodes(expr, fleet, census, own),
             Rule::Spread { by, how } => {
-                let mut eligible = self.may.clone();
+                let mut eligible = self.possible.clone();
                 eligible.intersect_with(fleet.ready());
-                spread(fleet, census, own, (*by, *how), &eligible)
+                nodes_keeping_spread(fleet, census, own, (*by, *how), &eligible)
             }
         }
     }
 
-    /// The machines that are open to one task more. Wishes are kept where they can be, the first stated
-    /// before the others; the last `dropped` of them are not looked at.
+    /// The machines that are open to one more copy. Preferences are applied in the order of the text; one that would leave
+    /// no machine is skipped. The last `dropped` preferences are ignored.
     pub fn open(&self, fleet: &Fleet, census: &Census, own: &Own, dropped: usize) -> Answer {
-        let mut machines = self.may.clone();
+        let mut machines = self.possible.clone();
         machines.intersect_with(fleet.ready());
-        let of = |strength: Strength| {
+        let clauses_of = |strength: Strength| {
             let all = self.clauses.iter().enumerate();
-            all.filter(move |(_, worked)| worked.clause.strength == strength)
+            all.filter(move |(_, compiled)| compiled.clause.strength == strength)
                 .map(|(n, _)| n)
         };
-        if self.about_copies {
-            for n in of(Strength::Require).filter(|n| self.clauses[*n].about_copies) {
+        if self.depends_on_copies {
+            for n in clauses_of(Strength::Require).filter(|n| self.clauses[*n].depends_on_copies) {
                 machines.intersect_with(&self.clause(n, fleet, census, own));
             }
         }
-        let wishes: Vec<usize> = of(Strength::Prefer).collect();
-        let kept = wishes.len().saturating_sub(dropped);
-        let mut lost: Vec<usize> = wishes[kept..].to_vec();
+        let preferences: Vec<usize> = clauses_of(Strength::Prefer).collect();
+        let kept = preferences.len().saturating_sub(dropped);
+        let mut skipped: Vec<usize> = preferences[kept..].to_vec();
         if !machines.is_clear() {
-            for n in &wishes[..kept] {
-                let mut wished = machines.clone();
-                wished.intersect_with(&self.clause(*n, fleet, census, own));
-                if wished.is_clear() {
-                    lost.push(*n)
+            for n in &preferences[..kept] {
+                let mut preferred = machines.clone();
+                preferred.intersect_with(&self.clause(*n, fleet, census, own));
+                if preferred.is_clear() {
+                    skipped.push(*n)
                 } else {
-                    machines = wished
+                    machines = preferred
                 }
             }
         }
-        lost.sort_unstable();
+        skipped.sort_unstable();
         let verdict = match (self.is_never(), machines.is_clear()) {
             (true, _) => Verdict::Never,
             (false, true) => Verdict::NotNow,
@@ -437,7 +457,7 @@
         };
         Answer {
             machines,
-            dropped: lost,
+            dropped: skipped,
             verdict,
         }
     }
--- a/crates/constraint/src/explain.rs
+++ b/crates/constraint/src/explain.rs
@@ -1,4 +1,4 @@
-//! Why machines are not open, clause by clause.
+//! Explains, clause by clause, why machines are not open to a task.
 
 use std::fmt;
 
@@ -8,54 +8,56 @@
 use crate::fleet::{Census, Fleet};
 use crate::tree::Strength;
 
-/// What one requirement does.
+/// How many machines one requirement excludes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ClauseLine {
-    /// Its text.
+pub struct ClauseEffect {
+    /// The text of the clause.
     pub text: String,
-    /// Machines that it removes by itself.
-    pub alone: usize,
-    /// Machines that it removes from those that the clauses before it left.
-    pub in_order: usize,
+    /// Number of machines that the clause excludes by itself.
+    pub removed_alone: usize,
+    /// Number of machines that the clause excludes among those that the requirements before it left.
+    pub removed_in_order: usize,
 }
 
-/// Why a task has the machines that it has.
+/// Which machines are open to a task, and which requirements exclude the others.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Explanation {
-    /// How it stands.
+    /// Whether any machine is open.
     pub verdict: Verdict,
-    /// Lines of the list.
+    /// Number of nodes in the list.
     pub machines: usize,
-    /// Lines that are not ready.
+    /// Number of nodes in the list that are not ready.
     pub not_ready: usize,
-    /// The requirements, in order.
-    pub clauses: Vec<ClauseLine>,
-    /// Machines that are left.
+    /// The requirements, in the order of the text.
+    pub clauses: Vec<ClauseEffect>,
+    /// Number of open machines.
     pub open: usize,
-    /// The clause that removed the last machine.
-    pub last: Option<usize>,
-    /// Clauses that can't all hold, of which none could be left out: a smallest conflict. Empty where
-    /// machines are open, or where health alone stands in the way.
+    /// Index in `clauses` of the requirement that excluded the last machine; `None` if the requirements leave
+    /// one, or if there was none before the first requirement.
+    pub last_removing: Option<usize>,
+    /// Indexes in `clauses` of a minimal conflict: requirements that no machine satisfies together, while some machine
+    /// satisfies them if any one is left out. Empty if the requirements, applied in order, leave a machine,
+    /// or if there was none before the first requirement.
     pub conflict: Vec<usize>,
 }
 
 impl Compiled {
-    /// Explains the machines that [`Compiled::open`] gives, wishes left out.
+    /// Explains the machines that [`Compiled::open`] returns if all preferences are ignored.
     pub fn explain(&self, fleet: &Fleet, census: &Census, own: &Own) -> Explanation {
         let never = self.is_never();
-        let lines = fleet.all().count_ones(..);
-        let numbers: Vec<usize> = (0..self.clauses().count())
+        let machines = fleet.all().count_ones(..);
+        let requirements: Vec<usize> = (0..self.clauses().count())
             .filter(|n| {
                 self.clauses()
                     .nth(*n)
                     .is_some_and(|c| c.strength == Strength::Require)
             })
             .collect();
-        let sets: Vec<FixedBitSet> = numbers
+        let sets: Vec<FixedBitSet> = requirements
             .iter()
             .map(|n| self.clause(*n, fleet, census, own))
             .collect();
-        // What can never be had is explained by the whole list, health aside.
+        // A constraint that can never be satisfied is explained over the whole list, whatever the nodes' health.
         let base = if never {
             fleet.all()
         } else {
@@ -68,14 +70,14 @@
             let after = left.count_ones(..);
             let text = self
                 .clauses()
-                .nth(numbers[at])
+                .nth(requirements[at])
                 .map(ToString::to_string)
                 .unwrap_or_default();
-            let alone = base.difference(set).count();
-            clauses.push(ClauseLine {
+            let removed_alone = base.difference(set).count();
+            clauses.push(ClauseEffect {
                 text,
-                alone,
-                in_order: before - after,
+                removed_alone,
+                removed_in_order: before - after,
             });
             if before > 0 && after == 0 {
                 last = Some(at);
@@ -83,7 +85,7 @@
         }
         let open = if never { 0 } else { left.count_ones(..) };
         let conflict = if left.is_clear() && !base.is_clear() {
-            smallest(&base, &sets)
+            minimal_conflict(&base, &sets)
         } else {
             Vec::new()
         };
@@ -93,18 +95,19 @@
                 (false, 0) => Verdict::NotNow,
                 (false, _) => Verdict::Open,
             },
-            machines: lines,
-            not_ready: lines - fleet.ready().count_ones(..),
+            machines,
+            not_ready: machines - fleet.ready().count_ones(..),
             clauses,
             open,
-            last,
+            last_removing: last,
             conflict,
         }
     }
 }
 
-/// Sets whose intersection is empty, none of which can be left out: each is tried in turn.
-fn smallest(base: &FixedBitSet, sets: &[FixedBitSet]) -> Vec<usize> {
+/// Indexes of a minimal choice of `sets` whose intersection with `base` is empty. Starts with all of them and, from the
+/// last to the first, leaves out each one that is not needed.
+fn minimal_conflict(base: &FixedBitSet, sets: &[FixedBitSet]) -> Vec<usize> {
     let empty = |keep: &[usize]| {
         let mut left = base.clone();
         keep.iter().for_each(|n| left.intersect_with(&sets[*n]));
@@ -140,7 +143,7 @@
             )?,
         }
         for (n, clause) in self.clauses.iter().enumerate() {
-            let word = if self.last == Some(n) {
+            let word = if self.last_removing == Some(n) {
                 ", the last of them"
             } else {
                 ""
@@ -148,7 +151,7 @@
             write!(
                 f,
                 "; `{}` removes {} of {}{word}",
-                clause.text, clause.in_order, clause.alone
+                clause.text, clause.removed_in_order, clause.removed_alone
             )?;
         }
         if self.conflict.len() > 1 {
--- a/crates/constraint/src/fleet.rs
+++ b/crates/constraint/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The node list as constraints see it, and the copies that stand on it.
+//! The nodes and the copies that constraints are evaluated against.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use crate::tree::{Place, Value};
 
-/// An attribute of the node list.
+/// The value of an attribute of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Attr {
     /// A text.
@@ -20,7 +20,7 @@
 }
 
 impl Attr {
-    /// The word for its type.
+    /// The name of the value's type, as it appears in messages.
     pub const fn kind(&self) -> &'static str {
         match self {
             Self::Text(_) => "text",
@@ -30,6 +30,7 @@
         }
     }
 
+    /// The name of a constant's type, as it appears in messages.
     pub(crate) const fn kind_of(value: &Value) -> &'static str {
         match value {
             Value::Text(_) => "text",
@@ -39,7 +40,7 @@
         }
     }
 
-    /// An attribute from a text: a version where it has that form.
+    /// An attribute value from a text: a [`Attr::Version`] if the text has the form of one, otherwise [`Attr::Text`].
     pub fn text(text: &str) -> Self {
         let parts = text
             .strip_prefix('v')
@@ -51,29 +52,30 @@
     }
 }
 
-/// One line of the node list. An empty rack or hall is not told.
+/// One node of the node list, as constraints see it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Line {
-    /// Its name.
+    /// The node's name.
     pub name: String,
-    /// Its kind.
+    /// The node's kind; empty if unknown.
     pub kind: String,
-    /// Its rack.
+    /// The node's rack; empty if unknown.
     pub rack: String,
-    /// Its hall.
+    /// The node's hall; empty if unknown.
     pub hall: String,
-    /// Its attributes.
+    /// The node's attributes, by name.
     pub attrs: BTreeMap<String, Attr>,
-    /// The list holds it; a line that it held before keeps its number for the copies on it.
+    /// Whether the node is in the node list. A node that was removed from the list keeps its index, because copies on it
+    /// are counted by that index.
     pub listed: bool,
-    /// It takes tasks.
+    /// Whether the node accepts tasks.
     pub ready: bool,
-    /// It is gone, or dark: copies on it do not count as standing.
+    /// Whether the node is gone: it is unknown whether copies on it still run, so they are not counted as running.
     pub dark: bool,
 }
 
 impl Line {
-    /// A ready line of which nothing else is told.
+    /// A listed, ready node of this name without kind, rack, hall and attributes.
     pub fn named(name: &str) -> Self {
         Self {
             name: name.to_owned(),
@@ -83,7 +85,7 @@
         }
     }
 
-    /// With this hall.
+    /// Sets the node's hall.
     #[must_use]
     pub fn hall(self, hall: &str) -> Self {
         Self {
@@ -92,7 +94,7 @@
         }
     }
 
-    /// With this rack.
+    /// Sets the node's rack.
     #[must_use]
     pub fn rack(self, rack: &str) -> Self {
         Self {
@@ -101,7 +103,7 @@
         }
     }
 
-    /// With this attribute, a text or a version.
+    /// Adds an attribute, a text or a version; see [`Attr::text`].
     #[must_use]
     pub fn attr(mut self, name: &str, text: &str) -> Self {
         self.attrs.insert(name.to_owned(), Attr::text(text));
@@ -109,97 +111,101 @@
     }
 }
 
-/// The places of one kind: the place of each line, and the lines of each place.
+/// The nodes grouped by the domains of one kind. Domains are numbered in the order in which nodes first name them.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Places {
-    pub of: Vec<Option<usize>>,
-    pub lines: Vec<FixedBitSet>,
-    /// Lines of which the place is told.
-    pub told: FixedBitSet,
+pub(crate) struct Domains {
+    /// The domain of each node, by node index; `None` if the node's domain is unknown.
+    pub domain_of: Vec<Option<usize>>,
+    /// The nodes of each domain.
+    pub nodes_in: Vec<FixedBitSet>,
+    /// The nodes whose domain is known.
+    pub nodes_with_domain: FixedBitSet,
 }
 
-impl Places {
+impl Domains {
     fn new(lines: &[Line], name: impl Fn(&Line) -> Option<String>) -> Self {
         let mut numbers: BTreeMap<String, usize> = BTreeMap::new();
-        let mut places = Self {
-            told: FixedBitSet::with_capacity(lines.len()),
+        let mut domains = Self {
+            nodes_with_domain: FixedBitSet::with_capacity(lines.len()),
             ..Self::default()
         };
-        for (at, line) in lines.iter().enumerate() {
+        for (index, line) in lines.iter().enumerate() {
             let number = name(line).map(|name| {
                 let next = numbers.len();
                 *numbers.entry(name).or_insert(next)
             });
             if let Some(number) = number {
-                if number == places.lines.len() {
-                    places.lines.push(FixedBitSet::with_capacity(lines.len()));
+                if number == domains.nodes_in.len() {
+                    domains
+                        .nodes_in
+                        .push(FixedBitSet::with_capacity(lines.len()));
                 }
-                places.lines[number].insert(at);
-                places.told.insert(at);
+                domains.nodes_in[number].insert(index);
+                domains.nodes_with_domain.insert(index);
             }
-            places.of.push(number);
+            domains.domain_of.push(number);
         }
-        places
+        domains
     }
 }
 
-/// A node list with its places worked out.
+/// A node list, with its nodes grouped by machine, rack and hall.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
     lines: Vec<Line>,
-    places: [Places; 3],
+    domains: [Domains; 3],
     ready: FixedBitSet,
-    numbers: BTreeMap<String, usize>,
+    indexes: BTreeMap<String, usize>,
 }
 
 impl Fleet {
-    /// A list. Lines are numbered by their position.
+    /// A fleet of these nodes. The index of a node is its position in the list.
     pub fn new(lines: Vec<Line>) -> Self {
-        let told = |text: &str| (!text.is_empty()).then(|| text.to_owned());
-        let rack = |line: &Line| told(&line.rack).map(|rack| format!("{}\n{rack}", line.hall));
-        let places = [
-            Places::new(&lines, |line| Some(line.name.clone())),
-            Places::new(&lines, rack),
-            Places::new(&lines, |line| told(&line.hall)),
+        let non_empty = |text: &str| (!text.is_empty()).then(|| text.to_owned());
+        let rack = |line: &Line| non_empty(&line.rack).map(|rack| format!("{}\n{rack}", line.hall));
+        let domains = [
+            Domains::new(&lines, |line| Some(line.name.clone())),
+            Domains::new(&lines, rack),
+            Domains::new(&lines, |line| non_empty(&line.hall)),
         ];
         let mut ready = FixedBitSet::with_capacity(lines.len());
         lines
             .iter()
             .enumerate()
             .filter(|(_, line)| line.ready)
-            .for_each(|(at, _)| ready.insert(at));
-        let numbers = lines
+            .for_each(|(index, _)| ready.insert(index));
+        let indexes = lines
             .iter()
             .enumerate()
-            .map(|(at, line)| (line.name.clone(), at))
+            .map(|(index, line)| (line.name.clone(), index))
             .collect();
         Self {
             lines,
-            places,
+            domains,
             ready,
-            numbers,
+            indexes,
         }
     }
 
-    /// The lines.
+    /// The nodes, in the order of their indexes, including those that are no longer listed.
     pub fn lines(&self) -> &[Line] {
         &self.lines
     }
 
-    /// The number of a node's line.
+    /// The index of the node of this name; `None` if there is none.
     pub fn number(&self, name: &str) -> Option<usize> {
-        self.numbers.get(name).copied()
+        self.indexes.get(name).copied()
     }
 
-    pub(crate) fn places(&self, place: Place) -> &Places {
-        &self.places[place as usize]
+    pub(crate) fn domains(&self, domain_kind: Place) -> &Domains {
+        &self.domains[domain_kind as usize]
     }
 
     pub(crate) fn ready(&self) -> &FixedBitSet {
         &self.ready
     }
 
-    /// Every line.
+    /// The nodes that are in the node list.
     pub(crate) fn all(&self) -> FixedBitSet {
         let mut all = FixedBitSet::with_capacity(self.lines.len());
         let listed = self
@@ -207,39 +213,38 @@
             .iter()
             .enumerate()
             .filter(|(_, line)| line.listed);
-        listed.for_each(|(at, _)| all.insert(at));
+        listed.for_each(|(index, _)| all.insert(index));
         all
     }
 
-    /// Another health for one line.
-    pub fn set_health(&mut self, at: usize, ready: bool, dark: bool) {
-        if let Some(line) = self.lines.get_mut(at) {
+    /// Updates the health of one node. An index that does not exist is ignored.
+    pub fn set_health(&mut self, index: usize, ready: bool, dark: bool) {
+        if let Some(line) = self.lines.get_mut(index) {
             (line.ready, line.dark) = (ready, dark);
-            self.ready.set(at, ready);
+            self.ready.set(index, ready);
         }
     }
 }
 
-/// What copies are counted by.
+/// A group of copies that a [`Census`] counts together.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Topic {
-    /// A service of a class.
+    /// The copies of a service in one class, as (class, service).
     Own(String, String),
-    /// A service of any class.
+    /// The copies of a service in any class.
     Service(String),
-    /// A label with its value.
+    /// The copies with a label, as (key, value).
     Label(String, String),
 }
 
-/// The copies that stand or may stand, by what they are counted by and by line. A copy whose outcome is
-/// not known counts.
+/// The number of copies that run or may run, by topic and node index. A copy whose outcome is unknown is counted.
 #[derive(Clone, Debug, Default)]
 pub struct Census {
     counts: BTreeMap<Topic, BTreeMap<usize, u32>>,
 }
 
 impl Census {
-    /// One copy more.
+    /// Adds a copy on a node under each of its topics.
     pub fn add(&mut self, topics: &[Topic], line: usize) {
         for topic in topics {
             *self
@@ -251,7 +256,7 @@
         }
     }
 
-    /// One copy less.
+    /// Removes a copy on a node under each of its topics. Topics without a copy there are ignored.
     pub fn remove(&mut self, topics: &[Topic], line: usize) {
         for topic in topics {
             let Some(lines) = self.counts.get_mut(topic) else {
@@ -269,7 +274,7 @@
         }
     }
 
-    /// Copies by line.
+    /// The nodes with copies of a topic, as (node index, number of copies), in ascending order of the index.
     pub fn of(&self, topic: &Topic) -> impl Iterator<Item = (usize, u32)> + '_ {
         self.counts
             .get(topic)
--- a/crates/constraint/src/lib.rs
+++ b/crates/constraint/src/lib.rs
@@ -1,4 +1,4 @@
-//! Where tasks may stand: a small language for node kinds, attributes, affinity, anti-affinity and spread.
+//! Placement constraints for tasks: a small language over node kinds, attributes, affinity, anti-affinity and spread.
 //!
 //! ```
 //! use reedring_constraint::{Census, Compiled, Constraint, Fleet, Line, Own};
@@ -12,8 +12,8 @@
 //! assert_eq!(answer.machines.ones().collect::<Vec<_>>(), [0]);
 //! ```
 //!
-//! What this crate is not: it places nothing, and knows of copies what it is told. `docs/constraints.md` is
-//! the reference for users. Everything is free of I/O; equal inputs give equal answers.
+//! This crate places nothing: it evaluates constraints against the nodes and copies that the caller passes in.
+//! `docs/constraints.md` is the reference for users. There is no I/O; equal inputs give equal results.
 #![forbid(unsafe_code)]
 
 mod check;
@@ -22,22 +22,22 @@
 mod explain;
 mod fleet;
 mod parse;
-mod standing;
 mod tree;
+mod violations;
 
 pub use check::Schema;
 pub use error::{Details, Mistake};
 pub use eval::{Answer, Compiled, Own, Verdict};
-pub use explain::{ClauseLine, Explanation};
+pub use explain::{ClauseEffect, Explanation};
 pub use fleet::{Attr, Census, Fleet, Line, Topic};
-pub use standing::{Breach, broken};
 pub use tree::{
     Clause, Compare, Constraint, Expr, Field, Op, Place, Rule, Spread, Strength, Value, Who,
 };
+pub use violations::{Breach, broken};
 
-/// Characters of a constraint's text at most.
+/// Maximum length of a constraint's text, in characters.
 pub const MAX_TEXT: usize = 10_000;
-/// Parentheses and `not`s inside each other at most.
+/// Maximum nesting depth of parentheses and `not`.
 pub const MAX_DEPTH: usize = 50;
-/// Clauses of a constraint at most.
+/// Maximum number of clauses in a constraint.
 pub const MAX_CLAUSES: usize = 64;
--- a/crates/constraint/src/parse.rs
+++ b/crates/constraint/src/parse.rs
@@ -1,4 +1,4 @@
-//! Text to tree: words by winnow, then clauses by what they begin with.
+//! Parses the text of a constraint: winnow splits it into tokens, a recursive descent parser builds the tree.
 
 use std::ops::Range;
 
@@ -8,7 +8,7 @@
 use winnow::stream::{AsChar, LocatingSlice};
 use winnow::token::{any, none_of, one_of, take_while};
 
-use crate::error::{Mistake, nearest};
+use crate::error::{Mistake, closest_name};
 use crate::tree::{
     Clause, Compare, Constraint, Expr, Field, Op, Place, Rule, Spread, Strength, Value, Who,
 };
@@ -20,7 +20,7 @@
     Quoted(String),
     Number(f64),
     Version(Vec<u64>),
-    /// One of `= != < <= > >= ( ) { } , ;`
+    /// An operator or a punctuation mark: one of `= != < <= > >= ( ) { } , ;`
     Sign(&'static str),
 }
 
@@ -108,18 +108,18 @@
 
 type Spanned = (Token, Range<usize>);
 
-/// Words with their places. A line's end between clauses is a `;` too.
+/// Splits the text into tokens with their byte ranges. A line end outside parentheses and braces is a `;` token.
 fn tokens(text: &str) -> Result<Vec<Spanned>, Mistake> {
     let mut input = LocatingSlice::new(text);
-    let (mut found, mut open) = (Vec::<Spanned>::new(), 0_i32);
+    let (mut found, mut open_brackets) = (Vec::<Spanned>::new(), 0_i32);
     loop {
-        // It takes no character where there is none to take.
+        // Cannot fail: it accepts an empty match.
         let _ = blank(&mut input);
         let at = text.len() - input.len();
         if input.starts_with(['\n', '\r']) {
             let _: ModalResult<char> = any.parse_next(&mut input);
-            // Inside parentheses a clause goes on.
-            if open <= 0 {
+            // Inside parentheses and braces a line end does not end the clause.
+            if open_brackets <= 0 {
                 found.push((Token::Sign(";"), at..at + 1));
             }
             continue;
@@ -133,17 +133,17 @@
         {
             Ok((token, span)) => {
                 match &token {
-                    Token::Sign("(" | "{") => open += 1,
-                    Token::Sign(")" | "}") => open -= 1,
+                    Token::Sign("(" | "{") => open_brackets += 1,
+                    Token::Sign(")" | "}") => open_brackets -= 1,
                     _ => {}
                 }
                 found.push((token, span));
             }
             Err(_) if text[at..].starts_with(['"', '\'']) => {
-                let wrong =
+                let error =
                     Mistake::new(text, at..text.len(), "a quote is not closed", "opened here");
                 return Err(
-                    wrong.help("inside quotes, write \\\" for a quote and \\\\ for a backslash")
+                    error.help("inside quotes, write \\\" for a quote and \\\\ for a backslash")
                 );
             }
             Err(_) => {
@@ -161,23 +161,26 @@
     }
 }
 
-struct Reading<'a> {
+struct ConstraintParser<'a> {
     text: &'a str,
     tokens: Vec<Spanned>,
-    at: usize,
+    /// Index of the next token.
+    next: usize,
+    /// Number of parentheses and `not` around the next token.
     depth: usize,
 }
 
 impl Constraint {
-    /// Reads a text.
+    /// Parses the text of a constraint. A clause `use NAME` is an error here; see [`Constraint::parse_with`].
     ///
     /// # Errors
-    /// The first mistake, with its place, what was expected and the nearest known word.
+    /// The first error, with its position, what was expected, and the closest known word if there is one.
     pub fn parse(text: &str) -> Result<Self, Mistake> {
         Self::parse_with(text, |_| None)
     }
 
-    /// As [`Constraint::parse`]; `named` gives the text of a constraint that a clause `use NAME` names.
+    /// Parses the text of a constraint. `named` returns the text of the constraint that a clause `use NAME` includes, or
+    /// `None` if there is none of that name.
     ///
     /// # Errors
     /// As [`Constraint::parse`], and an unknown name after `use`.
@@ -190,28 +193,27 @@
             let message = format!("the text has {length} characters, at most {MAX_TEXT} fit");
             return Err(Mistake::new("", 0..0, message, "too long"));
         }
-        let mut parser = Reading {
+        let mut parser = ConstraintParser {
             text,
             tokens: tokens(text)?,
-            at: 0,
+            next: 0,
             depth: 0,
         };
         let mut clauses = Vec::new();
         loop {
-            while parser.takes_sign(";") {}
-            if parser.at == parser.tokens.len() {
+            while parser.accept_sign(";") {}
+            if parser.next == parser.tokens.len() {
                 break;
             }
             parser.clause(&named, &mut clauses)?;
             if clauses.len() > MAX_CLAUSES {
-                let span = parser.place();
+                let span = parser.next_span();
                 let message = format!("more than {MAX_CLAUSES} clauses");
                 return Err(Mistake::new(text, span, message, "one too many"));
             }
-            if parser.at < parser.tokens.len() && !parser.takes_sign(";") {
-                return Err(
-                    parser.expected("`;`, `and`, `or` or the end of the clause", &["and", "or"])
-                );
+            if parser.next < parser.tokens.len() && !parser.accept_sign(";") {
+                return Err(parser
+                    .expected_error("`;`, `and`, `or` or the end of the clause", &["and", "or"]));
             }
         }
         let constraint = Self { clauses };
@@ -220,103 +222,109 @@
     }
 }
 
-impl Reading<'_> {
+impl ConstraintParser<'_> {
     fn peek(&self) -> Option<&Token> {
-        self.tokens.get(self.at).map(|(token, _)| token)
+        self.tokens.get(self.next).map(|(token, _)| token)
     }
 
-    /// The place of the next token, or the end of the text.
-    fn place(&self) -> Range<usize> {
+    /// The byte range of the next token, or an empty range at the end of the text.
+    fn next_span(&self) -> Range<usize> {
         let end = self.text.len();
         self.tokens
-            .get(self.at)
+            .get(self.next)
             .map_or(end..end, |(_, span)| span.clone())
     }
 
-    fn shown(&self) -> String {
-        let place = self.place();
-        if place.is_empty() {
+    /// The next token for an error message.
+    fn next_token_for_message(&self) -> String {
+        let span = self.next_span();
+        if span.is_empty() {
             "the end".to_owned()
         } else {
-            format!("`{}`", self.text[place].trim_end())
+            format!("`{}`", self.text[span].trim_end())
         }
     }
 
-    fn expected(&self, what: &str, words: &[&str]) -> Mistake {
+    /// The error that `what` was expected; suggests the closest of `words`.
+    fn expected_error(&self, what: &str, words: &[&str]) -> Mistake {
         let mistake = Mistake::new(
             self.text,
-            self.place(),
-            format!("expected {what}, found {}", self.shown()),
+            self.next_span(),
+            format!("expected {what}, found {}", self.next_token_for_message()),
             "here",
         );
-        let near = match self.peek() {
-            Some(Token::Word(word)) => nearest(word, words.iter().copied()),
+        let suggestion = match self.peek() {
+            Some(Token::Word(word)) => closest_name(word, words.iter().copied()),
             _ => None,
         };
-        match near {
-            Some(near) => mistake.help(format!("did you mean `{near}`?")),
+        match suggestion {
+            Some(word) => mistake.help(format!("did you mean `{word}`?")),
             None => mistake,
         }
     }
 
-    fn takes_sign(&mut self, sign: &str) -> bool {
-        let takes = matches!(self.peek(), Some(Token::Sign(found)) if *found == sign);
-        self.at += usize::from(takes);
-        takes
+    /// Consumes the next token if it is this sign; returns whether it was.
+    fn accept_sign(&mut self, sign: &str) -> bool {
+        let matches = matches!(self.peek(), Some(Token::Sign(found)) if *found == sign);
+        self.next += usize::from(matches);
+        matches
     }
 
-    fn takes_word(&mut self, word: &str) -> bool {
-        let takes = matches!(self.peek(), Some(Token::Word(found)) if found == word);
-        self.at += usize::from(takes);
-        takes
+    /// Consumes the next token if it is this keyword; returns whether it was.
+    fn accept_word(&mut self, word: &str) -> bool {
+        let matches = matches!(self.peek(), Some(Token::Word(found)) if found == word);
+        self.next += usize::from(matches);
+        matches
     }
 
-    fn needs_word(&mut self, word: &str) -> Result<(), Mistake> {
-        if self.takes_word(word) {
+    /// Consumes this keyword, or fails if the next token is another.
+    fn expect_word(&mut self, word: &str) -> Result<(), Mistake> {
+        if self.accept_word(word) {
             Ok(())
         } else {
-            Err(self.expected(&format!("`{word}`"), &[word]))
+            Err(self.expected_error(&format!("`{word}`"), &[word]))
         }
     }
 
+    /// Parses one clause and appends it to `clauses`; a clause `use` appends all clauses of the named constraint.
     fn clause<'n>(
         &mut self,
         named: &impl Fn(&str) -> Option<&'n str>,
         clauses: &mut Vec<Clause>,
     ) -> Result<(), Mistake> {
-        let from = self.place().start;
-        if self.takes_word("use") {
-            let place = self.place();
+        let start = self.next_span().start;
+        if self.accept_word("use") {
+            let span = self.next_span();
             let name = self.text_value("the name of a constraint of the settings")?;
             let Some(text) = named(&name) else {
                 let message = format!("the settings name no constraint `{name}`");
-                return Err(Mistake::new(self.text, place, message, "unknown"));
+                return Err(Mistake::new(self.text, span, message, "unknown"));
             };
-            // A named text holds no `use` of its own, so that none can name itself.
+            // A named constraint can't contain `use`, so that none can include itself.
             let inner = Constraint::parse(text).map_err(|inner| {
                 Mistake::new(
                     self.text,
-                    place.clone(),
+                    span.clone(),
                     format!("constraint `{name}`: {}", inner.message),
                     "used here",
                 )
             })?;
             clauses.extend(inner.clauses.into_iter().map(|clause| Clause {
-                span: place.clone(),
+                span: span.clone(),
                 ..clause
             }));
             return Ok(());
         }
-        let strength = if self.takes_word("prefer") {
+        let strength = if self.accept_word("prefer") {
             Strength::Prefer
         } else {
-            // `require` may be left out.
-            self.takes_word("require");
+            // The keyword `require` is optional.
+            self.accept_word("require");
             Strength::Require
         };
-        let rule = if self.takes_word("spread") {
-            self.needs_word("by")?;
-            let by = self.by()?;
+        let rule = if self.accept_word("spread") {
+            self.expect_word("by")?;
+            let by = self.domain_kind()?;
             Rule::Spread {
                 by,
                 how: self.spread()?,
@@ -324,7 +332,7 @@
         } else {
             Rule::Where(self.or()?)
         };
-        let span = from..self.tokens[self.at - 1].1.end;
+        let span = start..self.tokens[self.next - 1].1.end;
         clauses.push(Clause {
             strength,
             rule,
@@ -333,31 +341,32 @@
         Ok(())
     }
 
-    fn by(&mut self) -> Result<Place, Mistake> {
+    fn domain_kind(&mut self) -> Result<Place, Mistake> {
         let found = Place::ALL
             .into_iter()
-            .find(|place| self.takes_word(place.word()));
+            .find(|kind| self.accept_word(kind.word()));
         found.ok_or_else(|| {
-            self.expected("`machine`, `rack` or `hall`", &["machine", "rack", "hall"])
+            self.expected_error("`machine`, `rack` or `hall`", &["machine", "rack", "hall"])
         })
     }
 
     fn spread(&mut self) -> Result<Spread, Mistake> {
-        if self.takes_word("within") {
+        if self.accept_word("within") {
             return Ok(Spread::Within(self.count()?));
         }
-        if !self.takes_word("at") {
-            return Err(self.expected("`at most`, `at least` or `within`", &["at", "within"]));
+        if !self.accept_word("at") {
+            return Err(self.expected_error("`at most`, `at least` or `within`", &["at", "within"]));
         }
-        if self.takes_word("most") {
+        if self.accept_word("most") {
             Ok(Spread::AtMost(self.count()?))
-        } else if self.takes_word("least") {
+        } else if self.accept_word("least") {
             Ok(Spread::AtLeast(self.count()?))
         } else {
-            Err(self.expected("`most` or `least`", &["most", "least"]))
+            Err(self.expected_error("`most` or `least`", &["most", "least"]))
         }
     }
 
+    /// Parses the limit of a spread.
     fn count(&mut self) -> Result<u32, Mistake> {
         let count = match self.peek() {
             Some(Token::Number(n)) if n.fract() == 0.0 && (1.0..=1e6).contains(n) => {
@@ -365,27 +374,29 @@
             }
             _ => None,
         };
-        let count = count.ok_or_else(|| self.expected("a whole number from 1 to 1000000", &[]))?;
-        self.at += 1;
+        let count =
+            count.ok_or_else(|| self.expected_error("a whole number from 1 to 1000000", &[]))?;
+        self.next += 1;
         Ok(count)
     }
 
     fn or(&mut self) -> Result<Expr, Mistake> {
-        self.joined("or", Self::and, Expr::Or)
+        self.separated_by("or", Self::and, Expr::Or)
     }
 
     fn and(&mut self) -> Result<Expr, Mistake> {
-        self.joined("and", Self::unary, Expr::And)
+        self.separated_by("and", Self::unary, Expr::And)
     }
 
-    fn joined(
+    /// Parses one or more parts separated by `word`; several parts are combined by `join`.
+    fn separated_by(
         &mut self,
         word: &str,
         part: fn(&mut Self) -> Result<Expr, Mistake>,
         join: fn(Vec<Expr>) -> Expr,
     ) -> Result<Expr, Mistake> {
         let mut all = vec![part(self)?];
-        while self.takes_word(word) {
+        while self.accept_word(word) {
             all.push(part(self)?);
         }
         Ok(if all.len() == 1 {
@@ -395,14 +406,20 @@
         })
     }
 
-    fn deeper<T>(
+    /// Parses a part that is one level deeper; fails beyond [`MAX_DEPTH`].
+    fn nested<T>(
         &mut self,
         part: impl FnOnce(&mut Self) -> Result<T, Mistake>,
     ) -> Result<T, Mistake> {
         self.depth += 1;
         if self.depth > MAX_DEPTH {
             let message = format!("more than {MAX_DEPTH} levels of parentheses and `not`");
-            return Err(Mistake::new(self.text, self.place(), message, "too deep"));
+            return Err(Mistake::new(
+                self.text,
+                self.next_span(),
+                message,
+                "too deep",
+            ));
         }
         let result = part(self);
         self.depth -= 1;
@@ -410,58 +427,59 @@
     }
 
     fn unary(&mut self) -> Result<Expr, Mistake> {
-        if self.takes_word("not") {
-            return Ok(Expr::Not(Box::new(self.deeper(Self::unary)?)));
+        if self.accept_word("not") {
+            return Ok(Expr::Not(Box::new(self.nested(Self::unary)?)));
         }
-        let open = self.place();
-        if self.takes_sign("(") {
-            let inner = self.deeper(Self::or)?;
-            if !self.takes_sign(")") {
-                return Err(self.expected("`)`", &[]).also(open, "opened here"));
+        let open = self.next_span();
+        if self.accept_sign("(") {
+            let inner = self.nested(Self::or)?;
+            if !self.accept_sign(")") {
+                return Err(self.expected_error("`)`", &[]).related(open, "opened here"));
             }
             return Ok(inner);
         }
-        if self.takes_word("near") {
-            let who = self.who()?;
-            self.needs_word("by")?;
-            return Ok(Expr::Near(who, self.by()?));
+        if self.accept_word("near") {
+            let who = self.copy_selector()?;
+            self.expect_word("by")?;
+            return Ok(Expr::Near(who, self.domain_kind()?));
         }
-        if self.takes_word("apart") {
-            self.needs_word("from")?;
-            let who = self.who()?;
-            self.needs_word("by")?;
-            return Ok(Expr::Apart(who, self.by()?));
+        if self.accept_word("apart") {
+            self.expect_word("from")?;
+            let who = self.copy_selector()?;
+            self.expect_word("by")?;
+            return Ok(Expr::Apart(who, self.domain_kind()?));
         }
         self.compare()
     }
 
-    fn who(&mut self) -> Result<Who, Mistake> {
-        if self.takes_word("copies") {
+    fn copy_selector(&mut self) -> Result<Who, Mistake> {
+        if self.accept_word("copies") {
             return Ok(Who::Copies);
         }
-        if self.takes_word("service") {
+        if self.accept_word("service") {
             return Ok(Who::Service(self.text_value("the name of a service")?));
         }
-        if self.takes_word("label") {
+        if self.accept_word("label") {
             let key = self.text_value("the name of a label")?;
-            if !self.takes_sign("=") {
-                return Err(self.expected("`=` and the label's value", &[]));
+            if !self.accept_sign("=") {
+                return Err(self.expected_error("`=` and the label's value", &[]));
             }
             return Ok(Who::Label(key, self.text_value("the label's value")?));
         }
-        Err(self.expected(
+        Err(self.expected_error(
             "`copies`, `service NAME` or `label NAME = VALUE`",
             &["copies", "service", "label"],
         ))
     }
 
+    /// Parses a word or a quoted text; `what` names it in the error message.
     fn text_value(&mut self, what: &str) -> Result<String, Mistake> {
         let text = match self.peek() {
             Some(Token::Word(text) | Token::Quoted(text)) => Some(text.clone()),
             _ => None,
         };
-        let text = text.ok_or_else(|| self.expected(what, &[]))?;
-        self.at += 1;
+        let text = text.ok_or_else(|| self.expected_error(what, &[]))?;
+        self.next += 1;
         Ok(text)
     }
 
@@ -491,31 +509,31 @@
             _ => None,
         };
         let what = "a condition: `kind`, `rack`, `hall`, `name`, `attr.NAME`, `near`, `apart from` or `not`";
-        let field = field.ok_or_else(|| self.expected(what, &words))?;
-        self.at += 1;
+        let field = field.ok_or_else(|| self.expected_error(what, &words))?;
+        self.next += 1;
         Ok(field)
     }
 
     fn compare(&mut self) -> Result<Expr, Mistake> {
-        let from = self.place().start;
+        let start = self.next_span().start;
         let field = self.field()?;
         let signs = [Op::Ne, Op::Le, Op::Ge, Op::Eq, Op::Lt, Op::Gt];
-        let sign = signs.into_iter().find(|op| self.takes_sign(op.word()));
+        let sign = signs.into_iter().find(|op| self.accept_sign(op.word()));
         let op = sign.or_else(|| {
             [Op::In, Op::Has]
                 .into_iter()
-                .find(|op| self.takes_word(op.word()))
+                .find(|op| self.accept_word(op.word()))
         });
         let op = op.ok_or_else(|| {
-            self.expected(
+            self.expected_error(
                 "`=`, `!=`, `<`, `<=`, `>`, `>=`, `in` or `has`",
                 &["in", "has"],
             )
         })?;
-        let at = self.place();
+        let value_span = self.next_span();
         let value = self.value()?;
-        let span = from..self.tokens[self.at - 1].1.end;
-        crate::check::fits(self.text, &field, op, &value, at)?;
+        let span = start..self.tokens[self.next - 1].1.end;
+        crate::check::check_operand_types(self.text, &field, op, &value, value_span)?;
         Ok(Expr::Compare(Compare {
             field,
             op,
@@ -525,14 +543,14 @@
     }
 
     fn value(&mut self) -> Result<Value, Mistake> {
-        let open = self.place();
-        if self.takes_sign("{") {
+        let open = self.next_span();
+        if self.accept_sign("{") {
             let mut all = Vec::new();
-            while !self.takes_sign("}") {
-                if !all.is_empty() && !self.takes_sign(",") {
+            while !self.accept_sign("}") {
+                if !all.is_empty() && !self.accept_sign(",") {
                     return Err(self
-                        .expected("`,` or `}`", &[])
-                        .also(open, "the set begins here"));
+                        .expected_error("`,` or `}`", &[])
+                        .related(open, "the set begins here"));
                 }
                 all.push(self.text_value("a text of the set")?);
             }
@@ -553,9 +571,9 @@
             _ => None,
         };
         let value = value.ok_or_else(|| {
-            self.expected("a text, a number, a version such as `v6.1`, or a set", &[])
+            self.expected_error("a text, a number, a version such as `v6.1`, or a set", &[])
         })?;
-        self.at += 1;
+        self.next += 1;
         Ok(value)
     }
 }
--- a/crates/constraint/src/tree.rs
+++ b/crates/constraint/src/tree.rs
@@ -1,94 +1,96 @@
-//! The syntax tree, and its text.
+//! The syntax tree of a constraint, and how it is printed.
 
 use std::fmt;
 use std::ops::Range;
 
-/// A constraint: clauses, in the order in which they are stated.
+/// A parsed constraint.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Constraint {
-    /// The clauses.
+    /// The clauses, in the order of the text. The order matters for [`Strength::Prefer`].
     pub clauses: Vec<Clause>,
 }
 
-/// One clause.
+/// One clause of a constraint: a rule and whether it is a requirement or a preference.
 #[derive(Clone, Debug)]
 pub struct Clause {
-    /// Whether it must hold.
+    /// Whether the rule is a requirement or a preference.
     pub strength: Strength,
-    /// What it says.
+    /// The rule that the clause states.
     pub rule: Rule,
-    /// Where it stands in the text.
+    /// The clause's byte range in the text. For a clause from a constraint included with `use`, the range of the name
+    /// after `use`.
     pub span: Range<usize>,
 }
 
-/// Clauses are equal where they say the same, wherever they stand.
+/// Two clauses are equal if strength and rule are equal; the span is ignored.
 impl PartialEq for Clause {
     fn eq(&self, other: &Self) -> bool {
         (self.strength, &self.rule) == (other.strength, &other.rule)
     }
 }
 
-/// Whether a clause must hold.
+/// Whether a clause is a requirement or a preference.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Strength {
-    /// It must.
+    /// A machine that violates the clause is not open.
     Require,
-    /// It is kept where it can be; the clause stated last is dropped first.
+    /// The clause is applied as long as it leaves a machine open; preferences stated first take precedence.
     Prefer,
 }
 
-/// What a clause says.
+/// The rule of a clause.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Rule {
-    /// The machine is such that this holds.
+    /// The machine must satisfy this condition.
     Where(Expr),
-    /// The copies of the own service are spread.
+    /// The copies of the task's own service are spread over domains.
     Spread {
-        /// Over these places.
+        /// The kind of domain that copies are counted in.
         by: Place,
-        /// So.
+        /// The limit on the copies.
         how: Spread,
     },
 }
 
-/// How copies are spread.
+/// The limit that a spread sets on the number of copies in each domain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Spread {
-    /// So many in one place at most.
+    /// At most this many copies in one domain.
     AtMost(u32),
-    /// In so many places at least, as soon as there are so many copies.
+    /// The copies occupy at least this many domains once there are at least as many copies.
     AtLeast(u32),
-    /// No place has so many more than another.
+    /// A domain holds at most this many more copies than the eligible domain with the fewest.
     Within(u32),
 }
 
 /// A condition on a machine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Expr {
-    /// All hold.
+    /// Every operand holds.
     And(Vec<Expr>),
-    /// One holds.
+    /// At least one operand holds.
     Or(Vec<Expr>),
-    /// It does not hold.
+    /// The operand does not hold.
     Not(Box<Expr>),
-    /// A field compares so with a value.
+    /// The comparison of a field with a value holds.
     Compare(Compare),
-    /// Such a copy stands in the machine's place.
+    /// Affinity: a selected copy is in the machine's domain.
     Near(Who, Place),
-    /// No such copy stands in the machine's place.
+    /// Anti-affinity: no selected copy is in the machine's domain.
     Apart(Who, Place),
 }
 
-/// A comparison.
+/// A comparison of a node's field with a constant. Equality ignores the span.
 #[derive(Clone, Debug)]
 pub struct Compare {
-    /// What is compared.
+    /// The field of the node, on the left side.
     pub field: Field,
-    /// How.
+    /// The comparison operator.
     pub op: Op,
-    /// With what.
+    /// The constant on the right side.
     pub value: Value,
-    /// Where it stands in the text.
+    /// The comparison's byte range in the text that it was parsed from: a named constraint's own text if it was
+    /// included with `use`.
     pub span: Range<usize>,
 }
 
@@ -98,22 +100,22 @@
     }
 }
 
-/// What the node list says of a machine.
+/// A field of a node in the node list.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Field {
-    /// Its kind.
+    /// The node's kind.
     Kind,
-    /// Its rack.
+    /// The node's rack.
     Rack,
-    /// Its hall.
+    /// The node's hall.
     Hall,
-    /// Its name.
+    /// The node's name.
     Name,
-    /// One of its attributes.
+    /// The node's attribute of this name.
     Attr(String),
 }
 
-/// How a field compares.
+/// A comparison operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Op {
     /// `=`
@@ -128,13 +130,13 @@
     Gt,
     /// `>=`
     Ge,
-    /// `in`: the field is one of a set.
+    /// `in`: the field's text is a member of the given set.
     In,
-    /// `has`: the field is a set and holds the value.
+    /// `has`: the field is a set that contains the given text.
     Has,
 }
 
-/// A value.
+/// The constant that a field is compared with.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
     /// A text.
@@ -147,33 +149,33 @@
     Set(Vec<String>),
 }
 
-/// Whose copies.
+/// Selects the copies that an affinity or anti-affinity refers to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Who {
-    /// The own service's.
+    /// Copies of the task's own service, in its own class.
     Copies,
-    /// Another service's, of any class.
+    /// Copies of the service of this name, in any class.
     Service(String),
-    /// Jobs with this label.
+    /// Copies with this label key and value.
     Label(String, String),
 }
 
-/// A kind of place.
+/// A kind of failure domain that nodes are grouped by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Place {
-    /// One machine.
+    /// Each machine is a domain.
     Machine,
-    /// One rack of a hall.
+    /// Each rack of a hall is a domain; racks of the same name in two halls are different domains.
     Rack,
-    /// One hall.
+    /// Each hall is a domain.
     Hall,
 }
 
 impl Place {
-    /// Every kind.
+    /// Every kind, from the smallest domain to the largest.
     pub const ALL: [Self; 3] = [Self::Machine, Self::Rack, Self::Hall];
 
-    /// Its word.
+    /// The keyword of the language for this kind.
     pub const fn word(self) -> &'static str {
         match self {
             Self::Machine => "machine",
@@ -184,7 +186,7 @@
 }
 
 impl Op {
-    /// Its word.
+    /// The operator as it is written in the language.
     pub const fn word(self) -> &'static str {
         match self {
             Self::Eq => "=",
@@ -200,7 +202,7 @@
 }
 
 impl Expr {
-    /// Whether it speaks of copies, and not of the node list alone.
+    /// Whether the result depends on where copies are, and not on the node list alone.
     pub fn is_about_copies(&self) -> bool {
         match self {
             Self::And(all) | Self::Or(all) => all.iter().any(Self::is_about_copies),
@@ -210,7 +212,7 @@
         }
     }
 
-    /// Whose copies it speaks of.
+    /// Appends the copy selectors of this expression to `found`.
     pub fn whose(&self, found: &mut Vec<Who>) {
         match self {
             Self::And(all) | Self::Or(all) => all.iter().for_each(|inner| inner.whose(found)),
@@ -222,7 +224,7 @@
 }
 
 impl Rule {
-    /// Whether it speaks of copies.
+    /// Whether the rule depends on where copies are.
     pub fn is_about_copies(&self) -> bool {
         match self {
             Self::Where(expr) => expr.is_about_copies(),
@@ -232,14 +234,14 @@
 }
 
 impl Constraint {
-    /// Whether any clause speaks of copies.
+    /// Whether any clause depends on where copies are.
     pub fn is_about_copies(&self) -> bool {
         self.clauses
             .iter()
             .any(|clause| clause.rule.is_about_copies())
     }
 
-    /// Whose copies it speaks of.
+    /// The copy selectors of all clauses, sorted and without duplicates. A spread selects the own service.
     pub fn whose(&self) -> Vec<Who> {
         let mut found = Vec::new();
         for clause in &self.clauses {
@@ -254,8 +256,9 @@
     }
 }
 
-// ---- The text of a tree: it parses to the same tree ----
+// ---- Printing: the printed text parses to an equal tree ----
 
+/// Prints a text in double quotes, with the escapes that the parser accepts.
 struct Quoted<'a>(&'a str);
 
 impl fmt::Display for Quoted<'_> {
@@ -308,7 +311,7 @@
 
 impl fmt::Display for Expr {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // Parentheses wherever the tree has a level of its own, so that it reads back the same.
+        // Nested `and` and `or` are put in parentheses, so that parsing the text gives the same nesting.
         let joined = |f: &mut fmt::Formatter<'_>, all: &[Expr], word: &str| {
             for (n, inner) in all.iter().enumerate() {
                 if n > 0 {
--- a/crates/constraint/tests/mistakes.rs
+++ b/crates/constraint/tests/language.rs
@@ -1,13 +1,13 @@
-//! What is wrong is shown with its place and its fix; what is odd is read; limits hold.
+//! Error messages, limits, schema checks, explanations and version comparison, each on chosen texts.
 
 use reedring_constraint::*;
 
-fn mistake(text: &str) -> String {
+fn parse_error(text: &str) -> String {
     Constraint::parse(text).expect_err(text).to_string()
 }
 
 #[test]
-fn mistakes_point_at_the_place_and_name_the_fix() {
+fn an_error_shows_its_position_and_a_fix() {
     let cases = [
         ("require hal = a", "did you mean `hall`?"),
         ("require hall a", "expected `=`"),
@@ -48,14 +48,14 @@
         ("require kind = x and kind != x", "can't both hold"),
     ];
     for (text, want) in cases {
-        let shown = mistake(text);
+        let shown = parse_error(text);
         assert!(shown.contains(want), "{text}: want {want}:\n{shown}");
         assert!(shown.contains('^'), "{text}:\n{shown}");
     }
 }
 
 #[test]
-fn what_can_hold_together_is_no_contradiction() {
+fn comparisons_that_can_hold_together_are_accepted() {
     for text in [
         "require hall = a or hall = b",
         "prefer hall = a; prefer hall = b",
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn quotes_letters_and_lines_are_read() {
+fn escapes_non_ascii_letters_and_line_ends_are_parsed() {
     let text = "require name = \"Haus \\\"Öpfel\\\" \\\\ 3\"\n\n  prefer hall = größe.1\nrequire (hall = a\n or rack = b)";
     let read = Constraint::parse(text).unwrap();
     assert_eq!(read.clauses.len(), 3);
@@ -77,26 +77,26 @@
 }
 
 #[test]
-fn limits_hold_with_one_clear_mistake() {
+fn a_text_beyond_a_limit_is_rejected_with_that_limit() {
     let long = format!("require hall = \"{}\"", "x".repeat(MAX_TEXT));
-    assert!(mistake(&long).contains("at most 10000 fit"));
+    assert!(parse_error(&long).contains("at most 10000 fit"));
     let fits = format!("require hall = \"{}\"", "x".repeat(MAX_TEXT - 20));
     Constraint::parse(&fits).unwrap();
     let deep = format!("require {}hall = a{}", "(".repeat(5_000), ")".repeat(4_000));
-    assert!(mistake(&deep).contains("more than 50 levels"));
+    assert!(parse_error(&deep).contains("more than 50 levels"));
     assert!(
-        mistake(&format!("require {} hall = a", "not ".repeat(2_000)))
+        parse_error(&format!("require {} hall = a", "not ".repeat(2_000)))
             .contains("more than 50 levels")
     );
     let many = "require hall = a;".repeat(MAX_CLAUSES + 1);
-    assert!(mistake(&many).contains("more than 64 clauses"));
+    assert!(parse_error(&many).contains("more than 64 clauses"));
 }
 
 #[test]
-fn a_schema_knows_kinds_and_types() {
-    let mut line = Line::named("n").hall("a").attr("kernel", "v6.1");
-    line.attrs.insert("gpus".into(), Attr::Number(2.0));
-    let schema = Schema::of(vec!["big".into()], &Fleet::new(vec![line]));
+fn a_schema_rejects_unknown_kinds_and_attributes_and_wrong_types() {
+    let mut node = Line::named("n").hall("a").attr("kernel", "v6.1");
+    node.attrs.insert("gpus".into(), Attr::Number(2.0));
+    let schema = Schema::of(vec!["big".into()], &Fleet::new(vec![node]));
     let check = |text: &str| {
         schema
             .check(&Constraint::parse(text).unwrap(), text)
@@ -125,7 +125,7 @@
     check("require kind = big and attr.gpus >= 2 and attr.kernel >= v6").unwrap();
 }
 
-/// Lines that a text leaves open where no copy stands.
+/// Indexes of the nodes that are open under a constraint if there are no copies.
 fn open(text: &str, fleet: &Fleet) -> Vec<usize> {
     let compiled = Compiled::new(&Constraint::parse(text).unwrap(), fleet);
     compiled
@@ -136,18 +136,18 @@
 }
 
 fn fleet() -> Fleet {
-    let line = |n: usize| {
-        let mut line = Line::named(&format!("n{n}"))
+    let node = |n: usize| {
+        let mut node = Line::named(&format!("n{n}"))
             .hall(["a", "b"][n % 2])
             .rack(["1", "2"][n / 2 % 2]);
-        line.kind = ["big", "small"][n / 4 % 2].to_owned();
-        line
+        node.kind = ["big", "small"][n / 4 % 2].to_owned();
+        node
     };
-    Fleet::new((0..8).map(line).collect())
+    Fleet::new((0..8).map(node).collect())
 }
 
 #[test]
-fn an_explanation_names_the_clause_and_the_smallest_conflict() {
+fn an_explanation_names_the_last_removing_clause_and_a_minimal_conflict() {
     let explain = |text: &str| {
         let constraint = Constraint::parse(text).unwrap();
         Compiled::new(&constraint, &fleet()).explain(
@@ -158,11 +158,17 @@
     };
     let never = explain("require kind = big; require hall = x; require rack = \"1\"");
     assert_eq!(
-        (never.verdict, never.last, never.conflict.clone()),
+        (never.verdict, never.last_removing, never.conflict.clone()),
         (Verdict::Never, Some(1), vec![1])
     );
-    assert_eq!((never.clauses[0].in_order, never.clauses[1].alone), (4, 8));
-    // Each leaves machines, and no two of them conflict but the first and the last.
+    assert_eq!(
+        (
+            never.clauses[0].removed_in_order,
+            never.clauses[1].removed_alone
+        ),
+        (4, 8)
+    );
+    // Each clause by itself leaves machines; of the pairs, only the first and the last clause conflict.
     let together =
         explain("require name in {\"n0\", \"n1\"}; require rack = \"1\"; require kind = small");
     assert_eq!(
@@ -178,25 +184,25 @@
 
 #[test]
 fn versions_compare_by_their_parts() {
-    let line = |name: &str, version: &str| Line::named(name).attr("os", version);
+    let node = |name: &str, version: &str| Line::named(name).attr("os", version);
     let fleet = Fleet::new(vec![
-        line("a", "v6.1"),
-        line("b", "v6.10.2"),
-        line("c", "v5"),
-        line("d", "six"),
+        node("a", "v6.1"),
+        node("b", "v6.10.2"),
+        node("c", "v5"),
+        node("d", "six"),
     ]);
     let open = |text: &str| open(text, &fleet);
     assert_eq!(open("require attr.os >= v6.2"), [1]);
     assert_eq!(open("require attr.os = v6.1.0"), [0]);
     assert_eq!(open("require attr.os < v6"), [2]);
     assert_eq!(open("require attr.os = six"), [3]);
-    // What is not told satisfies no comparison, and so every `not`.
+    // An attribute that is missing or of another type satisfies no comparison, so `not` of a comparison holds.
     assert_eq!(open("require not attr.os >= v1"), [3]);
     assert_eq!(open("require attr.none != x"), Vec::<usize>::new());
 }
 
 #[test]
-fn a_line_without_rack_or_hall_has_no_place() {
+fn a_node_without_rack_or_hall_is_in_no_such_domain() {
     let fleet = Fleet::new(vec![Line::named("a"), Line::named("b").hall("h")]);
     let open = |text: &str| open(text, &fleet);
     assert_eq!(open("require apart from copies by hall"), [1]);
@@ -205,9 +211,9 @@
     assert_eq!(open("spread by hall at least 2"), Vec::<usize>::new());
 }
 
-/// Texts that once were interesting: each is read as its first word says.
+/// The first word of each line of the corpus is `good` if the text must parse and `bad` if it must be rejected.
 #[test]
-fn the_corpus_is_read_as_it_says() {
+fn each_corpus_text_is_parsed_or_rejected_as_marked() {
     for (n, line) in include_str!("corpus.txt").lines().enumerate() {
         let (want, text) = line.split_once(' ').unwrap_or((line, ""));
         let text = text.replace("\\n", "\n");
--- a/crates/constraint/tests/brute.rs
+++ b/crates/constraint/tests/reference.rs
@@ -1,33 +1,35 @@
-//! An evaluator of its own, line by line and by the words of the reference, beside the package's.
+//! Compares the package's evaluator with a reference evaluator that checks each node by itself, without bit sets.
+//!
+//! Also checks on random input that printing and parsing agree and that the parser never panics.
 
 use std::collections::BTreeMap;
 
 use proptest::prelude::*;
 use reedring_constraint::*;
 
-/// A copy: what it counts as, and where.
+/// The copies, each as (topics that it is counted under, index of its node).
 type Copies = Vec<(Vec<Topic>, usize)>;
 
-fn place(line: &Line, by: Place) -> Option<String> {
-    let told = |text: &String| (!text.is_empty()).then(|| text.clone());
+fn domain(node: &Line, by: Place) -> Option<String> {
+    let known = |text: &String| (!text.is_empty()).then(|| text.clone());
     match by {
-        Place::Machine => Some(line.name.clone()),
-        Place::Rack => told(&line.rack).map(|rack| format!("{}/{rack}", line.hall)),
-        Place::Hall => told(&line.hall),
+        Place::Machine => Some(node.name.clone()),
+        Place::Rack => known(&node.rack).map(|rack| format!("{}/{rack}", node.hall)),
+        Place::Hall => known(&node.hall),
     }
 }
 
-fn compares(compare: &Compare, line: &Line) -> bool {
+fn comparison_holds(compare: &Compare, node: &Line) -> bool {
     let field = match &compare.field {
-        Field::Kind => Some(&line.kind),
-        Field::Rack => Some(&line.rack),
-        Field::Hall => Some(&line.hall),
-        Field::Name => Some(&line.name),
+        Field::Kind => Some(&node.kind),
+        Field::Rack => Some(&node.rack),
+        Field::Hall => Some(&node.hall),
+        Field::Name => Some(&node.name),
         Field::Attr(_) => None,
     };
     if let Some(text) = field {
-        let told = !text.is_empty();
-        return told
+        let known = !text.is_empty();
+        return known
             && match (&compare.op, &compare.value) {
                 (Op::Eq, Value::Text(other)) => text == other,
                 (Op::Ne, Value::Text(other)) => text != other,
@@ -38,7 +40,7 @@
     let Field::Attr(name) = &compare.field else {
         return false;
     };
-    match (line.attrs.get(name), &compare.value) {
+    match (node.attrs.get(name), &compare.value) {
         (Some(Attr::Number(a)), Value::Number(b)) => match compare.op {
             Op::Eq => a == b,
             Op::Ne => a != b,
@@ -59,29 +61,29 @@
     }
 }
 
-struct World<'a> {
-    lines: &'a [Line],
+struct Reference<'a> {
+    nodes: &'a [Line],
     copies: &'a Copies,
     own: &'a Own,
 }
 
-impl World<'_> {
-    fn beside(&self, who: &Who, by: Place, line: &Line) -> Option<bool> {
-        let here = place(line, by)?;
+impl Reference<'_> {
+    fn has_copy_in_domain(&self, who: &Who, by: Place, node: &Line) -> Option<bool> {
+        let here = domain(node, by)?;
         let topic = self.own.topic(who);
         let mut all = self
             .copies
             .iter()
             .filter(|(topics, _)| topics.contains(&topic));
-        Some(all.any(|(_, at)| place(&self.lines[*at], by).as_ref() == Some(&here)))
+        Some(all.any(|(_, at)| domain(&self.nodes[*at], by).as_ref() == Some(&here)))
     }
 
-    fn holds(&self, expr: &Expr, line: &Line) -> bool {
+    fn holds(&self, expr: &Expr, node: &Line) -> bool {
         match expr {
-            Expr::And(all) => all.iter().all(|inner| self.holds(inner, line)),
-            Expr::Or(all) => all.iter().any(|inner| self.holds(inner, line)),
-            Expr::Not(inner) => !self.holds(inner, line),
-            Expr::Compare(compare) => compares(compare, line),
+            Expr::And(all) => all.iter().all(|inner| self.holds(inner, node)),
+            Expr::Or(all) => all.iter().any(|inner| self.holds(inner, node)),
+            Expr::Not(inner) => !self.holds(inner, node),
+            Expr::Compare(compare) => comparison_holds(compare, node),
             Expr::Near(who, by) => {
                 let topic = self.own.topic(who);
                 let first = *who == Who::Copies
@@ -89,49 +91,50 @@
                         .copies
                         .iter()
                         .any(|(topics, _)| topics.contains(&topic));
-                match self.beside(who, *by, line) {
-                    Some(beside) => beside || first,
+                match self.has_copy_in_domain(who, *by, node) {
+                    Some(found) => found || first,
                     None => false,
                 }
             }
-            Expr::Apart(who, by) => self.beside(who, *by, line) == Some(false),
+            Expr::Apart(who, by) => self.has_copy_in_domain(who, *by, node) == Some(false),
         }
     }
 
-    /// Whether it can hold on this line under any copies whatsoever: each mention of copies is tried both ways.
-    fn can_hold(expr: &Expr, line: &Line, want: bool) -> bool {
+    /// Whether the expression can be `want` on this node for some placement of copies: each affinity and anti-affinity is
+    /// tried both ways.
+    fn can_hold(expr: &Expr, node: &Line, want: bool) -> bool {
         match expr {
-            Expr::And(all) if want => all.iter().all(|inner| Self::can_hold(inner, line, true)),
-            Expr::And(all) => all.iter().any(|inner| Self::can_hold(inner, line, false)),
-            Expr::Or(all) if want => all.iter().any(|inner| Self::can_hold(inner, line, true)),
-            Expr::Or(all) => all.iter().all(|inner| Self::can_hold(inner, line, false)),
-            Expr::Not(inner) => Self::can_hold(inner, line, !want),
-            Expr::Compare(compare) => compares(compare, line) == want,
-            Expr::Near(_, by) | Expr::Apart(_, by) => !want || place(line, *by).is_some(),
+            Expr::And(all) if want => all.iter().all(|inner| Self::can_hold(inner, node, true)),
+            Expr::And(all) => all.iter().any(|inner| Self::can_hold(inner, node, false)),
+            Expr::Or(all) if want => all.iter().any(|inner| Self::can_hold(inner, node, true)),
+            Expr::Or(all) => all.iter().all(|inner| Self::can_hold(inner, node, false)),
+            Expr::Not(inner) => Self::can_hold(inner, node, !want),
+            Expr::Compare(compare) => comparison_holds(compare, node) == want,
+            Expr::Near(_, by) | Expr::Apart(_, by) => !want || domain(node, *by).is_some(),
         }
     }
 
     fn counts(&self, by: Place) -> BTreeMap<String, u32> {
         let mut counts: BTreeMap<String, u32> = self
-            .lines
+            .nodes
             .iter()
-            .filter_map(|line| place(line, by))
-            .map(|place| (place, 0))
+            .filter_map(|node| domain(node, by))
+            .map(|domain| (domain, 0))
             .collect();
         let topic = self.own.topic(&Who::Copies);
         for (topics, at) in self.copies {
-            if let Some(p) = place(&self.lines[*at], by).filter(|_| topics.contains(&topic)) {
-                *counts.entry(p).or_insert(0) += 1;
+            if let Some(domain) = domain(&self.nodes[*at], by).filter(|_| topics.contains(&topic)) {
+                *counts.entry(domain).or_insert(0) += 1;
             }
         }
         counts
     }
 
-    fn passes(&self, clause: &Clause, line: &Line, eligible: &[&Line]) -> bool {
+    fn passes(&self, clause: &Clause, node: &Line, eligible: &[&Line]) -> bool {
         match &clause.rule {
-            Rule::Where(expr) => self.holds(expr, line),
+            Rule::Where(expr) => self.holds(expr, node),
             Rule::Spread { by, how } => {
-                let Some(here) = place(line, *by) else {
+                let Some(here) = domain(node, *by) else {
                     return false;
                 };
                 let counts = self.counts(*by);
@@ -142,8 +145,8 @@
                             || counts[&here] == 0
                     }
                     Spread::Within(skew) => {
-                        let open = eligible.iter().filter_map(|line| place(line, *by));
-                        let fewest = open.map(|place| counts[&place]).min().unwrap_or(0);
+                        let open = eligible.iter().filter_map(|node| domain(node, *by));
+                        let fewest = open.map(|domain| counts[&domain]).min().unwrap_or(0);
                         counts[&here] < fewest + skew
                     }
                 }
@@ -151,55 +154,55 @@
         }
     }
 
-    /// Lines that could be had whatever copies stand where.
-    fn ever(&self, constraint: &Constraint) -> Vec<&Line> {
+    /// Nodes that can satisfy every requirement for some placement of copies, whatever their health.
+    fn possible_nodes(&self, constraint: &Constraint) -> Vec<&Line> {
         let required = || {
             constraint
                 .clauses
                 .iter()
                 .filter(|clause| clause.strength == Strength::Require)
         };
-        let can = |line: &&Line| {
+        let can = |node: &&Line| {
             required().all(|clause| match &clause.rule {
-                Rule::Where(expr) => Self::can_hold(expr, line, true),
-                Rule::Spread { by, .. } => place(line, *by).is_some(),
+                Rule::Where(expr) => Self::can_hold(expr, node, true),
+                Rule::Spread { by, .. } => domain(node, *by).is_some(),
             })
         };
-        let lines: Vec<&Line> = self.lines.iter().filter(can).collect();
+        let nodes: Vec<&Line> = self.nodes.iter().filter(can).collect();
         let enough = required().all(|clause| match clause.rule {
             Rule::Spread {
                 by,
                 how: Spread::AtLeast(least),
             } => {
                 let mut places: Vec<String> =
-                    lines.iter().filter_map(|line| place(line, by)).collect();
+                    nodes.iter().filter_map(|node| domain(node, by)).collect();
                 places.sort();
                 places.dedup();
                 places.len() >= least as usize
             }
             _ => true,
         });
-        if enough { lines } else { Vec::new() }
+        if enough { nodes } else { Vec::new() }
     }
 
     fn open(&self, constraint: &Constraint) -> Vec<String> {
-        let ever = self.ever(constraint);
-        let eligible: Vec<&Line> = ever.iter().copied().filter(|line| line.ready).collect();
+        let possible = self.possible_nodes(constraint);
+        let eligible: Vec<&Line> = possible.iter().copied().filter(|node| node.ready).collect();
         let required: Vec<&Clause> = constraint
             .clauses
             .iter()
             .filter(|clause| clause.strength == Strength::Require)
             .collect();
-        let open = eligible.iter().filter(|line| {
+        let open = eligible.iter().filter(|node| {
             required
                 .iter()
-                .all(|clause| self.passes(clause, line, &eligible))
+                .all(|clause| self.passes(clause, node, &eligible))
         });
-        open.map(|line| line.name.clone()).collect()
+        open.map(|node| node.name.clone()).collect()
     }
 }
 
-fn name() -> impl Strategy<Value = String> {
+fn text() -> impl Strategy<Value = String> {
     prop_oneof![
         "[abc]",
         Just("hütte \"3\"".to_owned()),
@@ -223,16 +226,16 @@
                 .prop_map(|(op, n)| (op, Value::Number(f64::from(n))))
                 .boxed()
         }
-        "tags" => name().prop_map(|text| (Op::Has, Value::Text(text))).boxed(),
+        "tags" => text().prop_map(|text| (Op::Has, Value::Text(text))).boxed(),
         _ => prop_oneof![
-            (text_ops, name()).prop_map(|(op, text)| (op, Value::Text(text))),
-            prop::collection::vec(name(), 1..3).prop_map(|all| (Op::In, Value::Set(all))),
+            (text_ops, text()).prop_map(|(op, text)| (op, Value::Text(text))),
+            prop::collection::vec(text(), 1..3).prop_map(|all| (Op::In, Value::Set(all))),
         ]
         .boxed(),
     }
 }
 
-fn compare() -> impl Strategy<Value = Expr> {
+fn comparison() -> impl Strategy<Value = Expr> {
     let field = prop_oneof![
         Just(Field::Kind),
         Just(Field::Rack),
@@ -258,23 +261,23 @@
     })
 }
 
-fn who() -> impl Strategy<Value = Who> {
+fn copy_selector() -> impl Strategy<Value = Who> {
     prop_oneof![
         Just(Who::Copies),
-        name().prop_map(Who::Service),
-        (name(), name()).prop_map(|(key, value)| Who::Label(key, value)),
+        text().prop_map(Who::Service),
+        (text(), text()).prop_map(|(key, value)| Who::Label(key, value)),
     ]
 }
 
-fn by() -> impl Strategy<Value = Place> {
+fn domain_kind() -> impl Strategy<Value = Place> {
     prop_oneof![Just(Place::Machine), Just(Place::Rack), Just(Place::Hall)]
 }
 
 fn expr() -> impl Strategy<Value = Expr> {
     let leaf = prop_oneof![
-        4 => compare(),
-        1 => (who(), by()).prop_map(|(who, by)| Expr::Near(who, by)),
-        1 => (who(), by()).prop_map(|(who, by)| Expr::Apart(who, by)),
+        4 => comparison(),
+        1 => (copy_selector(), domain_kind()).prop_map(|(who, by)| Expr::Near(who, by)),
+        1 => (copy_selector(), domain_kind()).prop_map(|(who, by)| Expr::Apart(who, by)),
     ];
     leaf.prop_recursive(3, 12, 3, |inner| {
         prop_oneof![
@@ -286,7 +289,7 @@
 }
 
 fn clause() -> impl Strategy<Value = Clause> {
-    let spread = (by(), 1..4_u32, 0..3).prop_map(|(by, n, which)| {
+    let spread = (domain_kind(), 1..4_u32, 0..3).prop_map(|(by, n, which)| {
         let how = [Spread::AtMost(n), Spread::AtLeast(n), Spread::Within(n)][which as usize];
         Rule::Spread { by, how }
     });
@@ -303,12 +306,12 @@
     prop::collection::vec(clause(), 0..4).prop_map(|clauses| Constraint { clauses })
 }
 
-fn lines() -> impl Strategy<Value = Vec<Line>> {
-    prop_oneof![9 => some_lines(1..30), 1 => some_lines(150..201)]
+fn nodes() -> impl Strategy<Value = Vec<Line>> {
+    prop_oneof![9 => nodes_of_count(1..30), 1 => nodes_of_count(150..201)]
 }
 
-fn some_lines(count: std::ops::Range<usize>) -> impl Strategy<Value = Vec<Line>> {
-    let line = (
+fn nodes_of_count(count: std::ops::Range<usize>) -> impl Strategy<Value = Vec<Line>> {
+    let node = (
         0..4_usize,
         0..4_usize,
         0..3_usize,
@@ -316,36 +319,36 @@
         0..4_usize,
         any::<bool>(),
     );
-    prop::collection::vec(line, count).prop_map(|all| {
+    prop::collection::vec(node, count).prop_map(|all| {
         let texts = ["", "a", "b", "c"];
-        let line = |(n, (hall, rack, kind, cores, tag, ready)): (
+        let node = |(n, (hall, rack, kind, cores, tag, ready)): (
             usize,
             (usize, usize, usize, i32, usize, bool),
         )| {
-            let mut line = Line::named(&format!("n{n}"))
+            let mut node = Line::named(&format!("n{n}"))
                 .hall(texts[hall])
                 .rack(texts[rack]);
-            line.kind = texts[kind + 1].to_owned();
-            line.ready = ready;
-            line.attrs
+            node.kind = texts[kind + 1].to_owned();
+            node.ready = ready;
+            node.attrs
                 .insert("cores".into(), Attr::Number(f64::from(cores)));
             if tag > 0 {
-                line.attrs
+                node.attrs
                     .insert("tags".into(), Attr::Set(vec![texts[tag].to_owned()]));
-                line.attrs
+                node.attrs
                     .insert("ssd".into(), Attr::Text(texts[tag].to_owned()));
             }
-            line
+            node
         };
-        all.into_iter().enumerate().map(line).collect()
+        all.into_iter().enumerate().map(node).collect()
     })
 }
 
 fn copies() -> impl Strategy<Value = Vec<(usize, String, usize)>> {
-    prop::collection::vec((0..2_usize, name(), 0..100_usize), 0..8)
+    prop::collection::vec((0..2_usize, text(), 0..100_usize), 0..8)
 }
 
-fn stand(all: Vec<(usize, String, usize)>, lines: usize) -> (Copies, Census) {
+fn place_copies(all: Vec<(usize, String, usize)>, nodes: usize) -> (Copies, Census) {
     let (mut copies, mut census) = (Vec::new(), Census::default());
     for (which, service, at) in all {
         let own = Own::service(
@@ -353,8 +356,8 @@
             if which == 0 { "own" } else { &service },
         );
         let topics = own.topics(&[("a".into(), service)]);
-        census.add(&topics, at % lines);
-        copies.push((topics, at % lines));
+        census.add(&topics, at % nodes);
+        copies.push((topics, at % nodes));
     }
     (copies, census)
 }
@@ -363,16 +366,16 @@
     #![proptest_config(ProptestConfig::with_cases(512))]
 
     #[test]
-    fn open_machines_are_those_of_the_brute_force(constraint in constraint(), lines in lines(), copies in copies()) {
-        let (copies, census) = stand(copies, lines.len());
-        let (fleet, own) = (Fleet::new(lines.clone()), Own::service("play", "own"));
-        let world = World { lines: &lines, copies: &copies, own: &own };
+    fn open_machines_are_those_of_the_reference_evaluator(constraint in constraint(), nodes in nodes(), copies in copies()) {
+        let (copies, census) = place_copies(copies, nodes.len());
+        let (fleet, own) = (Fleet::new(nodes.clone()), Own::service("play", "own"));
+        let reference = Reference { nodes: &nodes, copies: &copies, own: &own };
         let compiled = Compiled::new(&constraint, &fleet);
-        // Wishes aside, so that only requirements count.
+        // Ignores all preferences, which the reference evaluator does not have.
         let answer = compiled.open(&fleet, &census, &own, usize::MAX);
-        let open: Vec<String> = answer.machines.ones().map(|at| lines[at].name.clone()).collect();
-        prop_assert_eq!(&open, &world.open(&constraint));
-        prop_assert_eq!(compiled.is_never(), world.ever(&constraint).is_empty());
+        let open: Vec<String> = answer.machines.ones().map(|at| nodes[at].name.clone()).collect();
+        prop_assert_eq!(&open, &reference.open(&constraint));
+        prop_assert_eq!(compiled.is_never(), reference.possible_nodes(&constraint).is_empty());
         let explained = compiled.explain(&fleet, &census, &own);
         prop_assert_eq!(explained.verdict, answer.verdict);
         if answer.verdict == Verdict::Open {
@@ -381,22 +384,22 @@
     }
 
     #[test]
-    fn the_printed_text_parses_to_the_same_tree(constraint in constraint()) {
+    fn a_printed_constraint_parses_to_an_equal_tree(constraint in constraint()) {
         let text = constraint.to_string();
         match Constraint::parse(&text) {
             Ok(read) => prop_assert_eq!(&read, &constraint, "{}", text),
-            // A drawn tree may contradict itself; nothing else may be wrong with it.
+            // A random tree may contain a contradiction; any other error is a failure.
             Err(mistake) => prop_assert!(mistake.message.contains("can't both hold"), "{}", mistake),
         }
     }
 
     #[test]
-    fn one_requirement_more_never_opens_a_machine(one in constraint(), more in clause(), lines in lines(), copies in copies()) {
-        let (_, census) = stand(copies, lines.len());
-        let (fleet, own) = (Fleet::new(lines), Own::service("play", "own"));
-        // An even spread counts the places that the others leave open: fewer places can open more machines.
-        let even = |c: &Clause| matches!(c.rule, Rule::Spread { how: Spread::Within(_), .. });
-        prop_assume!(!one.clauses.iter().any(even));
+    fn adding_a_requirement_never_opens_a_machine(one in constraint(), more in clause(), nodes in nodes(), copies in copies()) {
+        let (_, census) = place_copies(copies, nodes.len());
+        let (fleet, own) = (Fleet::new(nodes), Own::service("play", "own"));
+        // `spread within` compares the domains that the other clauses leave open: with fewer of them, more machines can be open.
+        let compares_domains = |c: &Clause| matches!(c.rule, Rule::Spread { how: Spread::Within(_), .. });
+        prop_assume!(!one.clauses.iter().any(compares_domains));
         let mut both = one.clone();
         both.clauses.push(Clause { strength: Strength::Require, ..more });
         let open = |c: &Constraint| Compiled::new(c, &fleet).open(&fleet, &census, &own, usize::MAX).machines;
@@ -404,24 +407,24 @@
     }
 
     #[test]
-    fn wishes_only_choose_among_what_is_open(constraint in constraint(), lines in lines(), copies in copies()) {
-        let (_, census) = stand(copies, lines.len());
-        let (fleet, own) = (Fleet::new(lines), Own::service("play", "own"));
+    fn preferences_choose_only_among_open_machines(constraint in constraint(), nodes in nodes(), copies in copies()) {
+        let (_, census) = place_copies(copies, nodes.len());
+        let (fleet, own) = (Fleet::new(nodes), Own::service("play", "own"));
         let compiled = Compiled::new(&constraint, &fleet);
-        let (wished, all) = (compiled.open(&fleet, &census, &own, 0), compiled.open(&fleet, &census, &own, usize::MAX));
-        prop_assert!(wished.machines.is_subset(&all.machines));
-        prop_assert_eq!(wished.machines.is_clear(), all.machines.is_clear());
+        let (preferred, all) = (compiled.open(&fleet, &census, &own, 0), compiled.open(&fleet, &census, &own, usize::MAX));
+        prop_assert!(preferred.machines.is_subset(&all.machines));
+        prop_assert_eq!(preferred.machines.is_clear(), all.machines.is_clear());
     }
 
     #[test]
-    fn any_text_is_read_or_refused(text in ".{0,80}") {
+    fn any_text_is_parsed_or_rejected_with_a_message(text in ".{0,80}") {
         if let Err(mistake) = Constraint::parse(&text) {
             prop_assert!(!mistake.to_string().is_empty());
         }
     }
 
     #[test]
-    fn words_in_any_order_are_read_or_refused(words in prop::collection::vec(
+    fn tokens_in_any_order_never_panic_the_parser(words in prop::collection::vec(
         prop::sample::select(vec!["require", "prefer", "spread", "by", "hall", "at", "most", "2", "near", "apart",
             "from", "copies", "service", "label", "(", ")", "not", "and", "or", "=", "in", "{", "}", ",", ";", "attr.x",
             "\"é\"", "v1.2", "-3.5", "kind", "has", "use", "within", "\n"]), 0..25)) {
