--- a/crates/audit/src/checker/observed.rs
+++ b/crates/audit/src/checker/observed.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use reedring_constraint::Place;
+use reedring_constraint::DomainKind;
 use reedring_drmaa::native::Native;
 use reedring_node_protocol::{AttemptId, DeduplicationScope, Idempotency};
 use serde_json::Value;
@@ -67,7 +67,7 @@
     pub(super) time_us: u64,
     pub(super) attempt: AttemptId,
     /// The domains over which it is spread.
-    pub(super) by: Place,
+    pub(super) by: DomainKind,
     pub(super) skew: u32,
     pub(super) clause: String,
     pub(super) locations: BTreeMap<String, Location>,
--- a/crates/audit/src/checker/spread.rs
+++ b/crates/audit/src/checker/spread.rs
@@ -189,7 +189,7 @@
             Strength::Require,
             constraint::Rule::Spread {
                 by,
-                how: constraint::Spread::Within(skew),
+                limit: constraint::SpreadLimit::Within(skew),
             },
         ) = (clause.strength, &clause.rule)
         {
--- a/crates/audit/src/constraint.rs
+++ b/crates/audit/src/constraint.rs
@@ -3,7 +3,8 @@
 use std::collections::BTreeMap;
 
 use reedring_constraint::{
-    Attr, Compare, Constraint, Expr, Field, Op, Place, Rule, Spread, Strength, Value, Who,
+    Attr, Compare, Constraint, CopySelector, DomainKind, Expr, Field, Op, Rule, SpreadLimit,
+    Strength, Value,
 };
 
 /// What a node list says of a node.
@@ -44,15 +45,17 @@
 }
 
 /// The domain of a node, if the list names it.
-pub(crate) fn domain(location: &Location, by: Place) -> Option<Domain> {
+pub(crate) fn domain(location: &Location, by: DomainKind) -> Option<Domain> {
     let domain = |outer: &String, rack: &str| Domain {
         outer: outer.clone(),
         rack: rack.to_owned(),
     };
     match by {
-        Place::Machine => Some(domain(&location.name, "")),
-        Place::Rack => (!location.rack.is_empty()).then(|| domain(&location.zone, &location.rack)),
-        Place::Hall => (!location.zone.is_empty()).then(|| domain(&location.zone, "")),
+        DomainKind::Machine => Some(domain(&location.name, "")),
+        DomainKind::Rack => {
+            (!location.rack.is_empty()).then(|| domain(&location.zone, &location.rack))
+        }
+        DomainKind::Hall => (!location.zone.is_empty()).then(|| domain(&location.zone, "")),
     }
 }
 
@@ -95,18 +98,20 @@
 }
 
 impl OfferContext<'_> {
-    fn is_meant(&self, copy: &RunningCopy, who: &Who) -> bool {
+    fn is_meant(&self, copy: &RunningCopy, who: &CopySelector) -> bool {
         match who {
-            Who::Copies => {
+            CopySelector::OwnService => {
                 (copy.class.as_str(), copy.service.as_str()) == (self.class, self.service)
             }
-            Who::Service(name) => copy.service == *name,
-            Who::Label(key, value) => copy.labels.iter().any(|(k, v)| (k, v) == (key, value)),
+            CopySelector::Service(name) => copy.service == *name,
+            CopySelector::Label(key, value) => {
+                copy.labels.iter().any(|(k, v)| (k, v) == (key, value))
+            }
         }
     }
 
     /// How many copies run in each domain; a copy on a node that no list names is in none.
-    fn counts(&self, who: &Who, by: Place) -> BTreeMap<Domain, u32> {
+    fn counts(&self, who: &CopySelector, by: DomainKind) -> BTreeMap<Domain, u32> {
         let mut counts = BTreeMap::new();
         for copy in self.copies.iter().filter(|copy| self.is_meant(copy, who)) {
             if let Some(domain) = self
@@ -126,11 +131,11 @@
             Expr::Or(all) => all.iter().any(|inner| self.is_true(inner, location)),
             Expr::Not(inner) => !self.is_true(inner, location),
             Expr::Compare(compare) => compares(compare, location),
-            Expr::Near(who, by) => domain(location, *by).is_some_and(|here| {
+            Expr::Affinity(who, by) => domain(location, *by).is_some_and(|here| {
                 let counts = self.counts(who, *by);
-                counts.contains_key(&here) || *who == Who::Copies && counts.is_empty()
+                counts.contains_key(&here) || *who == CopySelector::OwnService && counts.is_empty()
             }),
-            Expr::Apart(who, by) => {
+            Expr::AntiAffinity(who, by) => {
                 domain(location, *by).is_some_and(|here| !self.counts(who, *by).contains_key(&here))
             }
         }
@@ -145,7 +150,7 @@
                     .iter()
                     .filter(|clause| clause.strength == Strength::Require)
                     .all(|clause| match &clause.rule {
-                        Rule::Where(expr) if !expr.is_about_copies() => {
+                        Rule::Where(expr) if !expr.depends_on_copies() => {
                             self.is_true(expr, location)
                         }
                         _ => true,
@@ -165,13 +170,13 @@
         };
         let is_satisfied = |rule: &Rule| match rule {
             Rule::Where(expr) => self.is_true(expr, location),
-            Rule::Spread { by, how } => domain(location, *by).is_some_and(|here| {
-                let counts = self.counts(&Who::Copies, *by);
+            Rule::Spread { by, limit } => domain(location, *by).is_some_and(|here| {
+                let counts = self.counts(&CopySelector::OwnService, *by);
                 let count = counts.get(&here).copied().unwrap_or(0);
-                match how {
-                    Spread::AtMost(most) => count < *most,
-                    Spread::AtLeast(least) => counts.len() >= *least as usize || count == 0,
-                    Spread::Within(_) => true,
+                match limit {
+                    SpreadLimit::AtMost(most) => count < *most,
+                    SpreadLimit::AtLeast(least) => counts.len() >= *least as usize || count == 0,
+                    SpreadLimit::Within(_) => true,
                 }
             }),
         };
--- a/crates/cli/src/constraint.rs
+++ b/crates/cli/src/constraint.rs
@@ -5,7 +5,7 @@
 
 use clap::{Args, Subcommand};
 use reedring_client::Operator;
-use reedring_constraint::{Census, Compiled, Constraint, Fleet, Line, Own, Schema};
+use reedring_constraint::{Census, Compiled, Constraint, Fleet, FleetNode, OwnService, Schema};
 use reedring_settings::{Health, NodeList, Settings};
 
 use crate::Failure;
@@ -72,14 +72,16 @@
     let nodes = beside(config, &settings.nodes);
     let list = NodeList::parse(&read(&nodes)?, &nodes.display().to_string(), &settings)?;
     let line = |node: &reedring_settings::NodeEntry| {
-        let mut line = Line::named(&node.name).hall(&node.hall).rack(&node.rack);
+        let mut line = FleetNode::named(&node.name)
+            .hall(&node.hall)
+            .rack(&node.rack);
         line.kind = settings
             .kinds
             .get(usize::from(node.kind))
             .map(|kind| kind.name.clone())
             .unwrap_or_default();
         line.attrs = node.attrs.clone();
-        (line.ready, line.dark) = (node.health == Health::Ready, node.health == Health::Gone);
+        (line.ready, line.gone) = (node.health == Health::Ready, node.health == Health::Gone);
         line
     };
     // Control machines take no tasks, and no constraint counts them.
@@ -135,12 +137,12 @@
                     return Ok(ExitCode::FAILURE);
                 };
                 let compiled = Compiled::new(&constraint, &site.1);
-                let (census, own) = (Census::default(), Own::service("", ""));
+                let (census, own) = (Census::default(), OwnService::new("", ""));
                 tell(&compiled.explain(&site.1, &census, &own).to_string());
                 let open = compiled.open(&site.1, &census, &own, 0).machines;
                 let names: Vec<&str> = open
                     .ones()
-                    .map(|n| site.1.lines()[n].name.as_str())
+                    .map(|n| site.1.nodes()[n].name.as_str())
                     .collect();
                 println!(
                     "open: {}",
--- a/crates/constraint/benches/evaluate.rs
+++ b/crates/constraint/benches/evaluate.rs
@@ -5,11 +5,11 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-use reedring_constraint::{Census, Compiled, Constraint, Fleet, Line, Own};
+use reedring_constraint::{Census, Compiled, Constraint, Fleet, FleetNode, OwnService};
 
 fn fleet(machines: usize) -> Fleet {
     let node = |n: usize| {
-        let mut node = Line::named(&format!("n{n}"))
+        let mut node = FleetNode::named(&format!("n{n}"))
             .hall(&format!("h{}", n % 3))
             .rack(&format!("r{}", n / 3 % 10));
         node.kind = ["big", "small"][n % 2].to_owned();
@@ -52,7 +52,11 @@
         "machines", "clauses", "cached us", "afresh us"
     );
     for machines in [20, 200, 2_000] {
-        let (fleet, own, mut census) = (fleet(machines), Own::service("c", "s"), Census::default());
+        let (fleet, own, mut census) = (
+            fleet(machines),
+            OwnService::new("c", "s"),
+            Census::default(),
+        );
         (0..10).for_each(|n| census.add(&own.topics(&[]), n * machines / 10));
         for clauses in [1, 10, 50] {
             let constraint = constraint(clauses);
--- a/crates/constraint/src/check.rs
+++ b/crates/constraint/src/check.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::ops::Range;
 
-use crate::error::{Mistake, closest_name};
+use crate::error::{ConstraintError, closest_name};
 use crate::fleet::{Attr, Fleet};
 use crate::tree::{Compare, Constraint, Expr, Field, Op, Rule, Strength, Value};
 
@@ -15,9 +15,9 @@
     op: Op,
     value: &Value,
     value_span: Range<usize>,
-) -> Result<(), Mistake> {
+) -> Result<(), ConstraintError> {
     let error = |message: String, here: &str, help: &str| {
-        Err(Mistake::new(text, value_span.clone(), message, here).help(help))
+        Err(ConstraintError::new(text, value_span.clone(), message, here).help(help))
     };
     match (field, op, value) {
         (_, Op::In, Value::Set(_)) | (Field::Attr(_), Op::Has, Value::Text(_)) => Ok(()),
@@ -121,7 +121,7 @@
 }
 
 /// Rejects a constraint with two required comparisons that no machine can satisfy together.
-pub(crate) fn contradiction(constraint: &Constraint, text: &str) -> Result<(), Mistake> {
+pub(crate) fn contradiction(constraint: &Constraint, text: &str) -> Result<(), ConstraintError> {
     let mut found: Vec<&Compare> = Vec::new();
     for clause in constraint
         .clauses
@@ -142,11 +142,11 @@
             let message = format!("`{other}` and `{compare}` can't both hold on any machine");
             // The spans of clauses included with `use` refer to the named constraint's text, not to this one.
             let is_in_text = |span: &Range<usize>| text.get(span.clone()).is_some();
-            let mistake = Mistake::new(text, compare.span.clone(), message, "contradicts");
+            let error = ConstraintError::new(text, compare.span.clone(), message, "contradicts");
             return Err(if is_in_text(&other.span) {
-                mistake.related(other.span.clone(), "this")
+                error.related(other.span.clone(), "this")
             } else {
-                mistake
+                error
             });
         }
         others.push(compare);
@@ -164,10 +164,10 @@
 }
 
 impl Schema {
-    /// A schema of these kinds and of the attributes of the fleet's nodes. If two nodes have an attribute with different
-    /// types, the type on the last one counts.
+    /// A schema of these kinds and of the attributes of the fleet's nodes. If two nodes have an attribute with
+    /// different types, the type on the last one counts.
     pub fn of(kinds: Vec<String>, fleet: &Fleet) -> Self {
-        let attrs = fleet.lines().iter().flat_map(|line| line.attrs.iter());
+        let attrs = fleet.nodes().iter().flat_map(|node| node.attrs.iter());
         Self {
             kinds,
             attrs: attrs
@@ -176,12 +176,12 @@
         }
     }
 
-    /// Rejects kinds and attributes that the site does not know, and comparisons with a value of another type. `text` is
-    /// the text that the constraint was parsed from.
+    /// Rejects kinds and attributes that the site does not know, and comparisons with a value of another type. `text`
+    /// is the text that the constraint was parsed from.
     ///
     /// # Errors
     /// The first such error.
-    pub fn check(&self, constraint: &Constraint, text: &str) -> Result<(), Mistake> {
+    pub fn check(&self, constraint: &Constraint, text: &str) -> Result<(), ConstraintError> {
         for clause in &constraint.clauses {
             if let Rule::Where(expr) = &clause.rule {
                 self.expr(expr, text)?;
@@ -190,18 +190,18 @@
         Ok(())
     }
 
-    fn expr(&self, expr: &Expr, text: &str) -> Result<(), Mistake> {
+    fn expr(&self, expr: &Expr, text: &str) -> Result<(), ConstraintError> {
         match expr {
             Expr::And(all) | Expr::Or(all) => {
                 all.iter().try_for_each(|inner| self.expr(inner, text))
             }
             Expr::Not(inner) => self.expr(inner, text),
             Expr::Compare(compare) => self.compare(compare, text),
-            Expr::Near(..) | Expr::Apart(..) => Ok(()),
+            Expr::Affinity(..) | Expr::AntiAffinity(..) => Ok(()),
         }
     }
 
-    fn compare(&self, compare: &Compare, text: &str) -> Result<(), Mistake> {
+    fn compare(&self, compare: &Compare, text: &str) -> Result<(), ConstraintError> {
         let span = if text.get(compare.span.clone()).is_some() {
             compare.span.clone()
         } else {
@@ -215,9 +215,9 @@
             } else {
                 format!("known are {}", known.join(", "))
             };
-            let mistake =
-                Mistake::new(text, span.clone(), format!("no {what} `{name}`"), "unknown");
-            Err(mistake.help(suggestion.unwrap_or(list)))
+            let error =
+                ConstraintError::new(text, span.clone(), format!("no {what} `{name}`"), "unknown");
+            Err(error.help(suggestion.unwrap_or(list)))
         };
         match (&compare.field, &compare.value) {
             (Field::Kind, Value::Text(name))
@@ -246,7 +246,7 @@
                     return Ok(());
                 }
                 let message = format!("`attr.{name}` is a {kind} on the node list");
-                Err(Mistake::new(
+                Err(ConstraintError::new(
                     text,
                     span,
                     message,
--- a/crates/constraint/src/error.rs
+++ b/crates/constraint/src/error.rs
@@ -10,19 +10,19 @@
 
 /// The first error in the text of a constraint. `Display` prints it with the offending line, like a compiler.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Mistake(Box<Details>);
+pub struct ConstraintError(Box<ErrorDetails>);
 
-impl std::ops::Deref for Mistake {
-    type Target = Details;
+impl std::ops::Deref for ConstraintError {
+    type Target = ErrorDetails;
 
-    fn deref(&self) -> &Details {
+    fn deref(&self) -> &ErrorDetails {
         &self.0
     }
 }
 
 /// The message of an error, its position in the text, and a suggested fix.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Details {
+pub struct ErrorDetails {
     /// The error message.
     pub message: String,
     /// The byte range of the error in the text.
@@ -36,7 +36,7 @@
     text: String,
 }
 
-impl Mistake {
+impl ConstraintError {
     pub(crate) fn new(
         text: &str,
         span: Range<usize>,
@@ -44,7 +44,7 @@
         label: impl Into<String>,
     ) -> Self {
         let (message, label, text) = (message.into(), label.into(), text.to_owned());
-        Self(Box::new(Details {
+        Self(Box::new(ErrorDetails {
             message,
             span,
             label,
@@ -65,9 +65,9 @@
     }
 }
 
-impl std::error::Error for Mistake {}
+impl std::error::Error for ConstraintError {}
 
-impl fmt::Display for Mistake {
+impl fmt::Display for ConstraintError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut labels = vec![Label::primary((), self.span.clone()).with_message(&self.label)];
         if let Some((span, label)) = &self.related {
--- a/crates/constraint/src/eval.rs
+++ b/crates/constraint/src/eval.rs
@@ -4,33 +4,36 @@
 
 use fixedbitset::FixedBitSet;
 
-use crate::fleet::{Attr, Census, Fleet, Line, Topic};
+use crate::fleet::{Attr, Census, Fleet, FleetNode, Topic};
 use crate::tree::{
-    Clause, Compare, Constraint, Expr, Field, Op, Place, Rule, Spread, Strength, Value, Who,
+    Clause, Compare, Constraint, CopySelector, DomainKind, Expr, Field, Op, Rule, SpreadLimit,
+    Strength, Value,
 };
 
 /// The class and service of the task whose constraint is evaluated.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Own {
+pub struct OwnService {
     class: String,
     service: String,
 }
 
-impl Own {
+impl OwnService {
     /// The service of this name in this class.
-    pub fn service(class: &str, service: &str) -> Self {
+    pub fn new(class: &str, service: &str) -> Self {
         Self {
             class: class.to_owned(),
             service: service.to_owned(),
         }
     }
 
-    /// The topic under which a [`Census`] counts the copies that `who` selects.
-    pub fn topic(&self, who: &Who) -> Topic {
-        match who {
-            Who::Copies => Topic::Own(self.class.clone(), self.service.clone()),
-            Who::Service(name) => Topic::Service(name.clone()),
-            Who::Label(key, value) => Topic::Label(key.clone(), value.clone()),
+    /// The topic under which a [`Census`] counts the copies that `selector` selects.
+    pub fn topic(&self, selector: &CopySelector) -> Topic {
+        match selector {
+            CopySelector::OwnService => {
+                Topic::ClassService(self.class.clone(), self.service.clone())
+            }
+            CopySelector::Service(name) => Topic::Service(name.clone()),
+            CopySelector::Label(key, value) => Topic::Label(key.clone(), value.clone()),
         }
     }
 
@@ -40,7 +43,7 @@
             .iter()
             .map(|(key, value)| Topic::Label(key.clone(), value.clone()));
         [
-            self.topic(&Who::Copies),
+            self.topic(&CopySelector::OwnService),
             Topic::Service(self.service.clone()),
         ]
         .into_iter()
@@ -62,8 +65,8 @@
 
 /// The machines that are open to a task, as evaluated by [`Compiled::open`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
-    /// The open machines, by index in [`Fleet::lines`].
+pub struct Evaluation {
+    /// The open machines, by index in [`Fleet::nodes`].
     pub machines: FixedBitSet,
     /// Indexes of the preference clauses that were not applied, in ascending order.
     pub dropped: Vec<usize>,
@@ -90,7 +93,7 @@
 }
 
 /// Whether a comparison holds for a node. A field without a value satisfies no comparison, not even `!=`.
-pub(crate) fn comparison_holds(compare: &Compare, node: &Line) -> bool {
+pub(crate) fn comparison_holds(compare: &Compare, node: &FleetNode) -> bool {
     let text = |text: &str| {
         let holds = match (compare.op, &compare.value) {
             (Op::In, Value::Set(all)) => all.iter().any(|one| one == text),
@@ -160,8 +163,8 @@
 fn bounds_for_any_copies(expr: &Expr, fleet: &Fleet) -> NodeBounds {
     match expr {
         Expr::Compare(compare) => {
-            let mut found = FixedBitSet::with_capacity(fleet.lines().len());
-            let nodes = fleet.lines().iter().enumerate();
+            let mut found = FixedBitSet::with_capacity(fleet.nodes().len());
+            let nodes = fleet.nodes().iter().enumerate();
             nodes
                 .filter(|(_, node)| comparison_holds(compare, node))
                 .for_each(|(index, _)| found.insert(index));
@@ -170,9 +173,9 @@
                 always: found,
             }
         }
-        Expr::Near(_, domain_kind) | Expr::Apart(_, domain_kind) => {
+        Expr::Affinity(_, domain_kind) | Expr::AntiAffinity(_, domain_kind) => {
             // Depends on the copies, except on nodes without a domain of this kind: there it never holds.
-            let always = FixedBitSet::with_capacity(fleet.lines().len());
+            let always = FixedBitSet::with_capacity(fleet.nodes().len());
             NodeBounds {
                 always,
                 possible: fleet.domains(*domain_kind).nodes_with_domain.clone(),
@@ -200,7 +203,7 @@
                 },
             ),
         Expr::Or(all) => {
-            let none = FixedBitSet::with_capacity(fleet.lines().len());
+            let none = FixedBitSet::with_capacity(fleet.nodes().len());
             let start = NodeBounds {
                 always: none.clone(),
                 possible: none,
@@ -217,9 +220,14 @@
 }
 
 /// Nodes whose domain holds a copy that is counted under `topic`.
-fn nodes_near(fleet: &Fleet, census: &Census, topic: &Topic, domain_kind: Place) -> FixedBitSet {
+fn nodes_near(
+    fleet: &Fleet,
+    census: &Census,
+    topic: &Topic,
+    domain_kind: DomainKind,
+) -> FixedBitSet {
     let domains = fleet.domains(domain_kind);
-    let mut found = FixedBitSet::with_capacity(fleet.lines().len());
+    let mut found = FixedBitSet::with_capacity(fleet.nodes().len());
     for (node, _) in census.of(topic) {
         if let Some(domain) = domains.domain_of.get(node).copied().flatten() {
             found.union_with(&domains.nodes_in[domain]);
@@ -229,19 +237,24 @@
 }
 
 /// Nodes that satisfy an expression with the copies of `census`.
-fn satisfying_nodes(expr: &Expr, fleet: &Fleet, census: &Census, own: &Own) -> FixedBitSet {
+fn satisfying_nodes(expr: &Expr, fleet: &Fleet, census: &Census, own: &OwnService) -> FixedBitSet {
     match expr {
-        Expr::Near(who, domain_kind) => {
-            let topic = own.topic(who);
+        Expr::Affinity(selector, domain_kind) => {
+            let topic = own.topic(selector);
             // Affinity to the own service does not restrict its first copy: there is no other copy yet.
-            if *who == Who::Copies && census.of(&topic).next().is_none() {
+            if *selector == CopySelector::OwnService && census.of(&topic).next().is_none() {
                 return fleet.domains(*domain_kind).nodes_with_domain.clone();
             }
             nodes_near(fleet, census, &topic, *domain_kind)
         }
-        Expr::Apart(who, domain_kind) => {
+        Expr::AntiAffinity(selector, domain_kind) => {
             let mut open = fleet.domains(*domain_kind).nodes_with_domain.clone();
-            open.difference_with(&nodes_near(fleet, census, &own.topic(who), *domain_kind));
+            open.difference_with(&nodes_near(
+                fleet,
+                census,
+                &own.topic(selector),
+                *domain_kind,
+            ));
             open
         }
         Expr::Not(inner) => complement(&satisfying_nodes(inner, fleet, census, own)),
@@ -250,7 +263,7 @@
             sum
         }),
         Expr::Or(all) => {
-            let none = FixedBitSet::with_capacity(fleet.lines().len());
+            let none = FixedBitSet::with_capacity(fleet.nodes().len());
             all.iter().fold(none, |mut sum, inner| {
                 sum.union_with(&satisfying_nodes(inner, fleet, census, own));
                 sum
@@ -264,14 +277,14 @@
 pub(crate) fn copies_per_domain(
     fleet: &Fleet,
     census: &Census,
-    own: &Own,
-    by: Place,
+    own: &OwnService,
+    by: DomainKind,
     include_gone: bool,
 ) -> Vec<u32> {
     let domains = fleet.domains(by);
     let mut counts = vec![0; domains.nodes_in.len()];
-    for (node, count) in census.of(&own.topic(&Who::Copies)) {
-        let counted = include_gone || fleet.lines().get(node).is_some_and(|node| !node.dark);
+    for (node, count) in census.of(&own.topic(&CopySelector::OwnService)) {
+        let counted = include_gone || fleet.nodes().get(node).is_some_and(|node| !node.gone);
         if let Some(domain) = domains
             .domain_of
             .get(node)
@@ -285,13 +298,13 @@
     counts
 }
 
-/// Nodes on which one more copy keeps the limit of a spread. [`Spread::Within`] compares only domains that have a node in
-/// `eligible`: the ready nodes that can satisfy every requirement.
+/// Nodes on which one more copy keeps the limit of a spread. [`SpreadLimit::Within`] compares only domains that have a
+/// node in `eligible`: the ready nodes that can satisfy every requirement.
 fn nodes_keeping_spread(
     fleet: &Fleet,
     census: &Census,
-    own: &Own,
-    (by, how): (Place, Spread),
+    own: &OwnService,
+    (by, limit): (DomainKind, SpreadLimit),
     eligible: &FixedBitSet,
 ) -> FixedBitSet {
     let (domains, counts) = (
@@ -305,13 +318,13 @@
         .zip(&counts)
         .filter(|(nodes, _)| !nodes.is_disjoint(eligible));
     let fewest = among.map(|(_, count)| *count).min().unwrap_or(0);
-    let keeps_limit = |domain: usize| match how {
-        Spread::AtMost(most) => counts[domain] < most,
+    let keeps_limit = |domain: usize| match limit {
+        SpreadLimit::AtMost(most) => counts[domain] < most,
         // Until `least` domains hold a copy, the next copy must go to a domain without one.
-        Spread::AtLeast(least) => occupied >= least || counts[domain] == 0,
-        Spread::Within(skew) => counts[domain] < fewest + skew,
+        SpreadLimit::AtLeast(least) => occupied >= least || counts[domain] == 0,
+        SpreadLimit::Within(skew) => counts[domain] < fewest + skew,
     };
-    let mut open = FixedBitSet::with_capacity(fleet.lines().len());
+    let mut open = FixedBitSet::with_capacity(fleet.nodes().len());
     for (domain, nodes) in domains.nodes_in.iter().enumerate() {
         if keeps_limit(domain) {
             open.union_with(nodes);
@@ -327,23 +340,23 @@
         let compile_clause = |clause: &Clause| {
             let possible = match &clause.rule {
                 Rule::Where(expr) => bounds_for_any_copies(expr, fleet).possible,
-                Rule::Spread { by, how } => {
+                Rule::Spread { by, limit } => {
                     let domains = fleet.domains(*by);
-                    let has_enough_domains = match how {
-                        Spread::AtLeast(least) => domains.nodes_in.len() >= *least as usize,
-                        Spread::AtMost(_) | Spread::Within(_) => true,
+                    let has_enough_domains = match limit {
+                        SpreadLimit::AtLeast(least) => domains.nodes_in.len() >= *least as usize,
+                        SpreadLimit::AtMost(_) | SpreadLimit::Within(_) => true,
                     };
                     if has_enough_domains {
                         domains.nodes_with_domain.clone()
                     } else {
-                        FixedBitSet::with_capacity(fleet.lines().len())
+                        FixedBitSet::with_capacity(fleet.nodes().len())
                     }
                 }
             };
             CompiledClause {
                 clause: clause.clone(),
                 possible,
-                depends_on_copies: clause.rule.is_about_copies(),
+                depends_on_copies: clause.rule.depends_on_copies(),
             }
         };
         let clauses: Vec<CompiledClause> = constraint.clauses.iter().map(compile_clause).collect();
@@ -358,7 +371,7 @@
         let has_enough_domains = clauses.iter().all(|compiled| match compiled.clause.rule {
             Rule::Spread {
                 by,
-                how: Spread::AtLeast(least),
+                limit: SpreadLimit::AtLeast(least),
             } if compiled.clause.strength == Strength::Require => {
                 let open = fleet
                     .domains(by)
@@ -373,9 +386,9 @@
         let possible = if has_enough_domains {
             possible
         } else {
-            FixedBitSet::with_capacity(fleet.lines().len())
+            FixedBitSet::with_capacity(fleet.nodes().len())
         };
-        let depends_on_copies = constraint.is_about_copies();
+        let depends_on_copies = constraint.depends_on_copies();
         Self {
             clauses,
             possible,
@@ -389,7 +402,7 @@
     }
 
     /// Indexes of the nodes that can satisfy every requirement, whatever their health, for some placement of copies.
-    pub fn ever(&self) -> impl Iterator<Item = usize> + '_ {
+    pub fn eligible_ignoring_health(&self) -> impl Iterator<Item = usize> + '_ {
         self.possible.ones()
     }
 
@@ -404,7 +417,7 @@
         n: usize,
         fleet: &Fleet,
         census: &Census,
-        own: &Own,
+        own: &OwnService,
     ) -> FixedBitSet {
         let compiled = &self.clauses[n];
         if !compiled.depends_on_copies {
@@ -412,17 +425,23 @@
         }
         match &compiled.clause.rule {
             Rule::Where(expr) => satisfying_nodes(expr, fleet, census, own),
-            Rule::Spread { by, how } => {
+            Rule::Spread { by, limit } => {
                 let mut eligible = self.possible.clone();
                 eligible.intersect_with(fleet.ready());
-                nodes_keeping_spread(fleet, census, own, (*by, *how), &eligible)
+                nodes_keeping_spread(fleet, census, own, (*by, *limit), &eligible)
             }
         }
     }
 
-    /// The machines that are open to one more copy. Preferences are applied in the order of the text; one that would leave
-    /// no machine is skipped. The last `dropped` preferences are ignored.
-    pub fn open(&self, fleet: &Fleet, census: &Census, own: &Own, dropped: usize) -> Answer {
+    /// The machines that are open to one more copy. Preferences are applied in the order of the text; one that would
+    /// leave no machine is skipped. The last `dropped` preferences are ignored.
+    pub fn open(
+        &self,
+        fleet: &Fleet,
+        census: &Census,
+        own: &OwnService,
+        dropped: usize,
+    ) -> Evaluation {
         let mut machines = self.possible.clone();
         machines.intersect_with(fleet.ready());
         let clauses_of = |strength: Strength| {
@@ -455,7 +474,7 @@
             (false, true) => Verdict::NotNow,
             (false, false) => Verdict::Open,
         };
-        Answer {
+        Evaluation {
             machines,
             dropped: skipped,
             verdict,
--- a/crates/constraint/src/explain.rs
+++ b/crates/constraint/src/explain.rs
@@ -4,7 +4,7 @@
 
 use fixedbitset::FixedBitSet;
 
-use crate::eval::{Compiled, Own, Verdict};
+use crate::eval::{Compiled, OwnService, Verdict};
 use crate::fleet::{Census, Fleet};
 use crate::tree::Strength;
 
@@ -43,7 +43,7 @@
 
 impl Compiled {
     /// Explains the machines that [`Compiled::open`] returns if all preferences are ignored.
-    pub fn explain(&self, fleet: &Fleet, census: &Census, own: &Own) -> Explanation {
+    pub fn explain(&self, fleet: &Fleet, census: &Census, own: &OwnService) -> Explanation {
         let never = self.is_never();
         let machines = fleet.all().count_ones(..);
         let requirements: Vec<usize> = (0..self.clauses().count())
--- a/crates/constraint/src/fleet.rs
+++ b/crates/constraint/src/fleet.rs
@@ -4,7 +4,7 @@
 
 use fixedbitset::FixedBitSet;
 
-use crate::tree::{Place, Value};
+use crate::tree::{DomainKind, Value};
 
 /// The value of an attribute of a node.
 #[derive(Clone, Debug, PartialEq)]
@@ -54,7 +54,7 @@
 
 /// One node of the node list, as constraints see it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Line {
+pub struct FleetNode {
     /// The node's name.
     pub name: String,
     /// The node's kind; empty if unknown.
@@ -65,16 +65,16 @@
     pub hall: String,
     /// The node's attributes, by name.
     pub attrs: BTreeMap<String, Attr>,
-    /// Whether the node is in the node list. A node that was removed from the list keeps its index, because copies on it
-    /// are counted by that index.
+    /// Whether the node is in the node list. A node that was removed from the list keeps its index, because copies on
+    /// it are counted by that index.
     pub listed: bool,
     /// Whether the node accepts tasks.
     pub ready: bool,
     /// Whether the node is gone: it is unknown whether copies on it still run, so they are not counted as running.
-    pub dark: bool,
+    pub gone: bool,
 }
 
-impl Line {
+impl FleetNode {
     /// A listed, ready node of this name without kind, rack, hall and attributes.
     pub fn named(name: &str) -> Self {
         Self {
@@ -123,14 +123,14 @@
 }
 
 impl Domains {
-    fn new(lines: &[Line], name: impl Fn(&Line) -> Option<String>) -> Self {
+    fn new(nodes: &[FleetNode], name: impl Fn(&FleetNode) -> Option<String>) -> Self {
         let mut numbers: BTreeMap<String, usize> = BTreeMap::new();
         let mut domains = Self {
-            nodes_with_domain: FixedBitSet::with_capacity(lines.len()),
+            nodes_with_domain: FixedBitSet::with_capacity(nodes.len()),
             ..Self::default()
         };
-        for (index, line) in lines.iter().enumerate() {
-            let number = name(line).map(|name| {
+        for (index, node) in nodes.iter().enumerate() {
+            let number = name(node).map(|name| {
                 let next = numbers.len();
                 *numbers.entry(name).or_insert(next)
             });
@@ -138,7 +138,7 @@
                 if number == domains.nodes_in.len() {
                     domains
                         .nodes_in
-                        .push(FixedBitSet::with_capacity(lines.len()));
+                        .push(FixedBitSet::with_capacity(nodes.len()));
                 }
                 domains.nodes_in[number].insert(index);
                 domains.nodes_with_domain.insert(index);
@@ -152,7 +152,7 @@
 /// A node list, with its nodes grouped by machine, rack and hall.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
-    lines: Vec<Line>,
+    nodes: Vec<FleetNode>,
     domains: [Domains; 3],
     ready: FixedBitSet,
     indexes: BTreeMap<String, usize>,
@@ -160,27 +160,28 @@
 
 impl Fleet {
     /// A fleet of these nodes. The index of a node is its position in the list.
-    pub fn new(lines: Vec<Line>) -> Self {
+    pub fn new(nodes: Vec<FleetNode>) -> Self {
         let non_empty = |text: &str| (!text.is_empty()).then(|| text.to_owned());
-        let rack = |line: &Line| non_empty(&line.rack).map(|rack| format!("{}\n{rack}", line.hall));
+        let rack =
+            |node: &FleetNode| non_empty(&node.rack).map(|rack| format!("{}\n{rack}", node.hall));
         let domains = [
-            Domains::new(&lines, |line| Some(line.name.clone())),
-            Domains::new(&lines, rack),
-            Domains::new(&lines, |line| non_empty(&line.hall)),
+            Domains::new(&nodes, |node| Some(node.name.clone())),
+            Domains::new(&nodes, rack),
+            Domains::new(&nodes, |node| non_empty(&node.hall)),
         ];
-        let mut ready = FixedBitSet::with_capacity(lines.len());
-        lines
+        let mut ready = FixedBitSet::with_capacity(nodes.len());
+        nodes
             .iter()
             .enumerate()
-            .filter(|(_, line)| line.ready)
+            .filter(|(_, node)| node.ready)
             .for_each(|(index, _)| ready.insert(index));
-        let indexes = lines
+        let indexes = nodes
             .iter()
             .enumerate()
-            .map(|(index, line)| (line.name.clone(), index))
+            .map(|(index, node)| (node.name.clone(), index))
             .collect();
         Self {
-            lines,
+            nodes,
             domains,
             ready,
             indexes,
@@ -188,16 +189,16 @@
     }
 
     /// The nodes, in the order of their indexes, including those that are no longer listed.
-    pub fn lines(&self) -> &[Line] {
-        &self.lines
+    pub fn nodes(&self) -> &[FleetNode] {
+        &self.nodes
     }
 
     /// The index of the node of this name; `None` if there is none.
-    pub fn number(&self, name: &str) -> Option<usize> {
+    pub fn index(&self, name: &str) -> Option<usize> {
         self.indexes.get(name).copied()
     }
 
-    pub(crate) fn domains(&self, domain_kind: Place) -> &Domains {
+    pub(crate) fn domains(&self, domain_kind: DomainKind) -> &Domains {
         &self.domains[domain_kind as usize]
     }
 
@@ -207,20 +208,20 @@
 
     /// The nodes that are in the node list.
     pub(crate) fn all(&self) -> FixedBitSet {
-        let mut all = FixedBitSet::with_capacity(self.lines.len());
+        let mut all = FixedBitSet::with_capacity(self.nodes.len());
         let listed = self
-            .lines
+            .nodes
             .iter()
             .enumerate()
-            .filter(|(_, line)| line.listed);
+            .filter(|(_, node)| node.listed);
         listed.for_each(|(index, _)| all.insert(index));
         all
     }
 
     /// Updates the health of one node. An index that does not exist is ignored.
-    pub fn set_health(&mut self, index: usize, ready: bool, dark: bool) {
-        if let Some(line) = self.lines.get_mut(index) {
-            (line.ready, line.dark) = (ready, dark);
+    pub fn set_health(&mut self, index: usize, ready: bool, gone: bool) {
+        if let Some(node) = self.nodes.get_mut(index) {
+            (node.ready, node.gone) = (ready, gone);
             self.ready.set(index, ready);
         }
     }
@@ -230,7 +231,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Topic {
     /// The copies of a service in one class, as (class, service).
-    Own(String, String),
+    ClassService(String, String),
     /// The copies of a service in any class.
     Service(String),
     /// The copies with a label, as (key, value).
@@ -245,30 +246,30 @@
 
 impl Census {
     /// Adds a copy on a node under each of its topics.
-    pub fn add(&mut self, topics: &[Topic], line: usize) {
+    pub fn add(&mut self, topics: &[Topic], node: usize) {
         for topic in topics {
             *self
                 .counts
                 .entry(topic.clone())
                 .or_default()
-                .entry(line)
+                .entry(node)
                 .or_default() += 1;
         }
     }
 
     /// Removes a copy on a node under each of its topics. Topics without a copy there are ignored.
-    pub fn remove(&mut self, topics: &[Topic], line: usize) {
+    pub fn remove(&mut self, topics: &[Topic], node: usize) {
         for topic in topics {
-            let Some(lines) = self.counts.get_mut(topic) else {
+            let Some(counts) = self.counts.get_mut(topic) else {
                 continue;
             };
-            if let Some(count) = lines.get_mut(&line) {
+            if let Some(count) = counts.get_mut(&node) {
                 *count = count.saturating_sub(1);
                 if *count == 0 {
-                    lines.remove(&line);
+                    counts.remove(&node);
                 }
             }
-            if lines.is_empty() {
+            if counts.is_empty() {
                 self.counts.remove(topic);
             }
         }
@@ -280,6 +281,6 @@
             .get(topic)
             .into_iter()
             .flatten()
-            .map(|(line, count)| (*line, *count))
+            .map(|(node, count)| (*node, *count))
     }
 }
--- a/crates/constraint/src/lib.rs
+++ b/crates/constraint/src/lib.rs
@@ -1,14 +1,14 @@
 //! Placement constraints for tasks: a small language over node kinds, attributes, affinity, anti-affinity and spread.
 //!
 //! ```
-//! use reedring_constraint::{Census, Compiled, Constraint, Fleet, Line, Own};
+//! use reedring_constraint::{Census, Compiled, Constraint, Fleet, FleetNode, OwnService};
 //!
 //! let text = r#"require hall in {"north", "south"} and attr.ssd = "yes"; require apart from copies by machine"#;
 //! let constraint = Constraint::parse(text).unwrap();
-//! let line = |name: &str, hall: &str, ssd: &str| Line::named(name).hall(hall).attr("ssd", ssd);
-//! let fleet = Fleet::new(vec![line("n1", "north", "yes"), line("n2", "south", "no"), line("n3", "west", "yes")]);
+//! let node = |name: &str, hall: &str, ssd: &str| FleetNode::named(name).hall(hall).attr("ssd", ssd);
+//! let fleet = Fleet::new(vec![node("n1", "north", "yes"), node("n2", "south", "no"), node("n3", "west", "yes")]);
 //! let compiled = Compiled::new(&constraint, &fleet);
-//! let answer = compiled.open(&fleet, &Census::default(), &Own::service("play", "player"), 0);
+//! let answer = compiled.open(&fleet, &Census::default(), &OwnService::new("play", "player"), 0);
 //! assert_eq!(answer.machines.ones().collect::<Vec<_>>(), [0]);
 //! ```
 //!
@@ -26,14 +26,15 @@
 mod violations;
 
 pub use check::Schema;
-pub use error::{Details, Mistake};
-pub use eval::{Answer, Compiled, Own, Verdict};
+pub use error::{ConstraintError, ErrorDetails};
+pub use eval::{Compiled, Evaluation, OwnService, Verdict};
 pub use explain::{ClauseEffect, Explanation};
-pub use fleet::{Attr, Census, Fleet, Line, Topic};
+pub use fleet::{Attr, Census, Fleet, FleetNode, Topic};
 pub use tree::{
-    Clause, Compare, Constraint, Expr, Field, Op, Place, Rule, Spread, Strength, Value, Who,
+    Clause, Compare, Constraint, CopySelector, DomainKind, Expr, Field, Op, Rule, SpreadLimit,
+    Strength, Value,
 };
-pub use violations::{Breach, broken};
+pub use violations::{Violation, violations};
 
 /// Maximum length of a constraint's text, in characters.
 pub const MAX_TEXT: usize = 10_000;
--- a/crates/constraint/src/parse.rs
+++ b/crates/constraint/src/parse.rs
@@ -8,9 +8,10 @@
 use winnow::stream::{AsChar, LocatingSlice};
 use winnow::token::{any, none_of, one_of, take_while};
 
-use crate::error::{Mistake, closest_name};
+use crate::error::{ConstraintError, closest_name};
 use crate::tree::{
-    Clause, Compare, Constraint, Expr, Field, Op, Place, Rule, Spread, Strength, Value, Who,
+    Clause, Compare, Constraint, CopySelector, DomainKind, Expr, Field, Op, Rule, SpreadLimit,
+    Strength, Value,
 };
 use crate::{MAX_CLAUSES, MAX_DEPTH, MAX_TEXT};
 
@@ -109,7 +110,7 @@
 type Spanned = (Token, Range<usize>);
 
 /// Splits the text into tokens with their byte ranges. A line end outside parentheses and braces is a `;` token.
-fn tokens(text: &str) -> Result<Vec<Spanned>, Mistake> {
+fn tokens(text: &str) -> Result<Vec<Spanned>, ConstraintError> {
     let mut input = LocatingSlice::new(text);
     let (mut found, mut open_brackets) = (Vec::<Spanned>::new(), 0_i32);
     loop {
@@ -140,8 +141,12 @@
                 found.push((token, span));
             }
             Err(_) if text[at..].starts_with(['"', '\'']) => {
-                let error =
-                    Mistake::new(text, at..text.len(), "a quote is not closed", "opened here");
+                let error = ConstraintError::new(
+                    text,
+                    at..text.len(),
+                    "a quote is not closed",
+                    "opened here",
+                );
                 return Err(
                     error.help("inside quotes, write \\\" for a quote and \\\\ for a backslash")
                 );
@@ -150,7 +155,7 @@
                 let length = text[at..].chars().next().map_or(1, char::len_utf8);
                 let odd = &text[at..at + length];
                 let span = at..at + length;
-                return Err(Mistake::new(
+                return Err(ConstraintError::new(
                     text,
                     span,
                     format!("`{odd}` means nothing here"),
@@ -175,23 +180,23 @@
     ///
     /// # Errors
     /// The first error, with its position, what was expected, and the closest known word if there is one.
-    pub fn parse(text: &str) -> Result<Self, Mistake> {
+    pub fn parse(text: &str) -> Result<Self, ConstraintError> {
         Self::parse_with(text, |_| None)
     }
 
-    /// Parses the text of a constraint. `named` returns the text of the constraint that a clause `use NAME` includes, or
-    /// `None` if there is none of that name.
+    /// Parses the text of a constraint. `named` returns the text of the constraint that a clause `use NAME` includes,
+    /// or `None` if there is none of that name.
     ///
     /// # Errors
     /// As [`Constraint::parse`], and an unknown name after `use`.
     pub fn parse_with<'n>(
         text: &str,
         named: impl Fn(&str) -> Option<&'n str>,
-    ) -> Result<Self, Mistake> {
+    ) -> Result<Self, ConstraintError> {
         let length = text.chars().count();
         if length > MAX_TEXT {
             let message = format!("the text has {length} characters, at most {MAX_TEXT} fit");
-            return Err(Mistake::new("", 0..0, message, "too long"));
+            return Err(ConstraintError::new("", 0..0, message, "too long"));
         }
         let mut parser = ConstraintParser {
             text,
@@ -209,7 +214,7 @@
             if clauses.len() > MAX_CLAUSES {
                 let span = parser.next_span();
                 let message = format!("more than {MAX_CLAUSES} clauses");
-                return Err(Mistake::new(text, span, message, "one too many"));
+                return Err(ConstraintError::new(text, span, message, "one too many"));
             }
             if parser.next < parser.tokens.len() && !parser.accept_sign(";") {
                 return Err(parser
@@ -246,8 +251,8 @@
     }
 
     /// The error that `what` was expected; suggests the closest of `words`.
-    fn expected_error(&self, what: &str, words: &[&str]) -> Mistake {
-        let mistake = Mistake::new(
+    fn expected_error(&self, what: &str, words: &[&str]) -> ConstraintError {
+        let error = ConstraintError::new(
             self.text,
             self.next_span(),
             format!("expected {what}, found {}", self.next_token_for_message()),
@@ -258,8 +263,8 @@
             _ => None,
         };
         match suggestion {
-            Some(word) => mistake.help(format!("did you mean `{word}`?")),
-            None => mistake,
+            Some(word) => error.help(format!("did you mean `{word}`?")),
+            None => error,
         }
     }
 
@@ -278,7 +283,7 @@
     }
 
     /// Consumes this keyword, or fails if the next token is another.
-    fn expect_word(&mut self, word: &str) -> Result<(), Mistake> {
+    fn expect_word(&mut self, word: &str) -> Result<(), ConstraintError> {
         if self.accept_word(word) {
             Ok(())
         } else {
@@ -291,18 +296,18 @@
         &mut self,
         named: &impl Fn(&str) -> Option<&'n str>,
         clauses: &mut Vec<Clause>,
-    ) -> Result<(), Mistake> {
+    ) -> Result<(), ConstraintError> {
         let start = self.next_span().start;
         if self.accept_word("use") {
             let span = self.next_span();
             let name = self.text_value("the name of a constraint of the settings")?;
             let Some(text) = named(&name) else {
                 let message = format!("the settings name no constraint `{name}`");
-                return Err(Mistake::new(self.text, span, message, "unknown"));
+                return Err(ConstraintError::new(self.text, span, message, "unknown"));
             };
             // A named constraint can't contain `use`, so that none can include itself.
             let inner = Constraint::parse(text).map_err(|inner| {
-                Mistake::new(
+                ConstraintError::new(
                     self.text,
                     span.clone(),
                     format!("constraint `{name}`: {}", inner.message),
@@ -327,7 +332,7 @@
             let by = self.domain_kind()?;
             Rule::Spread {
                 by,
-                how: self.spread()?,
+                limit: self.spread()?,
             }
         } else {
             Rule::Where(self.or()?)
@@ -341,8 +346,8 @@
         Ok(())
     }
 
-    fn domain_kind(&mut self) -> Result<Place, Mistake> {
-        let found = Place::ALL
+    fn domain_kind(&mut self) -> Result<DomainKind, ConstraintError> {
+        let found = DomainKind::ALL
             .into_iter()
             .find(|kind| self.accept_word(kind.word()));
         found.ok_or_else(|| {
@@ -350,24 +355,24 @@
         })
     }
 
-    fn spread(&mut self) -> Result<Spread, Mistake> {
+    fn spread(&mut self) -> Result<SpreadLimit, ConstraintError> {
         if self.accept_word("within") {
-            return Ok(Spread::Within(self.count()?));
+            return Ok(SpreadLimit::Within(self.count()?));
         }
         if !self.accept_word("at") {
             return Err(self.expected_error("`at most`, `at least` or `within`", &["at", "within"]));
         }
         if self.accept_word("most") {
-            Ok(Spread::AtMost(self.count()?))
+            Ok(SpreadLimit::AtMost(self.count()?))
         } else if self.accept_word("least") {
-            Ok(Spread::AtLeast(self.count()?))
+            Ok(SpreadLimit::AtLeast(self.count()?))
         } else {
             Err(self.expected_error("`most` or `least`", &["most", "least"]))
         }
     }
 
     /// Parses the limit of a spread.
-    fn count(&mut self) -> Result<u32, Mistake> {
+    fn count(&mut self) -> Result<u32, ConstraintError> {
         let count = match self.peek() {
             Some(Token::Number(n)) if n.fract() == 0.0 && (1.0..=1e6).contains(n) => {
                 Some(*n as u32)
@@ -380,11 +385,11 @@
         Ok(count)
     }
 
-    fn or(&mut self) -> Result<Expr, Mistake> {
+    fn or(&mut self) -> Result<Expr, ConstraintError> {
         self.separated_by("or", Self::and, Expr::Or)
     }
 
-    fn and(&mut self) -> Result<Expr, Mistake> {
+    fn and(&mut self) -> Result<Expr, ConstraintError> {
         self.separated_by("and", Self::unary, Expr::And)
     }
 
@@ -392,9 +397,9 @@
     fn separated_by(
         &mut self,
         word: &str,
-        part: fn(&mut Self) -> Result<Expr, Mistake>,
+        part: fn(&mut Self) -> Result<Expr, ConstraintError>,
         join: fn(Vec<Expr>) -> Expr,
-    ) -> Result<Expr, Mistake> {
+    ) -> Result<Expr, ConstraintError> {
         let mut all = vec![part(self)?];
         while self.accept_word(word) {
             all.push(part(self)?);
@@ -409,12 +414,12 @@
     /// Parses a part that is one level deeper; fails beyond [`MAX_DEPTH`].
     fn nested<T>(
         &mut self,
-        part: impl FnOnce(&mut Self) -> Result<T, Mistake>,
-    ) -> Result<T, Mistake> {
+        part: impl FnOnce(&mut Self) -> Result<T, ConstraintError>,
+    ) -> Result<T, ConstraintError> {
         self.depth += 1;
         if self.depth > MAX_DEPTH {
             let message = format!("more than {MAX_DEPTH} levels of parentheses and `not`");
-            return Err(Mistake::new(
+            return Err(ConstraintError::new(
                 self.text,
                 self.next_span(),
                 message,
@@ -426,7 +431,7 @@
         result
     }
 
-    fn unary(&mut self) -> Result<Expr, Mistake> {
+    fn unary(&mut self) -> Result<Expr, ConstraintError> {
         if self.accept_word("not") {
             return Ok(Expr::Not(Box::new(self.nested(Self::unary)?)));
         }
@@ -439,32 +444,37 @@
             return Ok(inner);
         }
         if self.accept_word("near") {
-            let who = self.copy_selector()?;
+            let selector = self.copy_selector()?;
             self.expect_word("by")?;
-            return Ok(Expr::Near(who, self.domain_kind()?));
+            return Ok(Expr::Affinity(selector, self.domain_kind()?));
         }
         if self.accept_word("apart") {
             self.expect_word("from")?;
-            let who = self.copy_selector()?;
+            let selector = self.copy_selector()?;
             self.expect_word("by")?;
-            return Ok(Expr::Apart(who, self.domain_kind()?));
+            return Ok(Expr::AntiAffinity(selector, self.domain_kind()?));
         }
         self.compare()
     }
 
-    fn copy_selector(&mut self) -> Result<Who, Mistake> {
+    fn copy_selector(&mut self) -> Result<CopySelector, ConstraintError> {
         if self.accept_word("copies") {
-            return Ok(Who::Copies);
+            return Ok(CopySelector::OwnService);
         }
         if self.accept_word("service") {
-            return Ok(Who::Service(self.text_value("the name of a service")?));
+            return Ok(CopySelector::Service(
+                self.text_value("the name of a service")?,
+            ));
         }
         if self.accept_word("label") {
             let key = self.text_value("the name of a label")?;
             if !self.accept_sign("=") {
                 return Err(self.expected_error("`=` and the label's value", &[]));
             }
-            return Ok(Who::Label(key, self.text_value("the label's value")?));
+            return Ok(CopySelector::Label(
+                key,
+                self.text_value("the label's value")?,
+            ));
         }
         Err(self.expected_error(
             "`copies`, `service NAME` or `label NAME = VALUE`",
@@ -473,7 +483,7 @@
     }
 
     /// Parses a word or a quoted text; `what` names it in the error message.
-    fn text_value(&mut self, what: &str) -> Result<String, Mistake> {
+    fn text_value(&mut self, what: &str) -> Result<String, ConstraintError> {
         let text = match self.peek() {
             Some(Token::Word(text) | Token::Quoted(text)) => Some(text.clone()),
             _ => None,
@@ -483,7 +493,7 @@
         Ok(text)
     }
 
-    fn field(&mut self) -> Result<Field, Mistake> {
+    fn field(&mut self) -> Result<Field, ConstraintError> {
         let words = [
             "kind",
             "rack",
@@ -514,7 +524,7 @@
         Ok(field)
     }
 
-    fn compare(&mut self) -> Result<Expr, Mistake> {
+    fn compare(&mut self) -> Result<Expr, ConstraintError> {
         let start = self.next_span().start;
         let field = self.field()?;
         let signs = [Op::Ne, Op::Le, Op::Ge, Op::Eq, Op::Lt, Op::Gt];
@@ -542,7 +552,7 @@
         }))
     }
 
-    fn value(&mut self) -> Result<Value, Mistake> {
+    fn value(&mut self) -> Result<Value, ConstraintError> {
         let open = self.next_span();
         if self.accept_sign("{") {
             let mut all = Vec::new();
@@ -555,7 +565,7 @@
                 all.push(self.text_value("a text of the set")?);
             }
             if all.is_empty() {
-                return Err(Mistake::new(
+                return Err(ConstraintError::new(
                     self.text,
                     open,
                     "an empty set holds nothing",
--- a/crates/constraint/src/tree.rs
+++ b/crates/constraint/src/tree.rs
@@ -46,15 +46,15 @@
     /// The copies of the task's own service are spread over domains.
     Spread {
         /// The kind of domain that copies are counted in.
-        by: Place,
+        by: DomainKind,
         /// The limit on the copies.
-        how: Spread,
+        limit: SpreadLimit,
     },
 }
 
 /// The limit that a spread sets on the number of copies in each domain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Spread {
+pub enum SpreadLimit {
     /// At most this many copies in one domain.
     AtMost(u32),
     /// The copies occupy at least this many domains once there are at least as many copies.
@@ -75,9 +75,9 @@
     /// The comparison of a field with a value holds.
     Compare(Compare),
     /// Affinity: a selected copy is in the machine's domain.
-    Near(Who, Place),
+    Affinity(CopySelector, DomainKind),
     /// Anti-affinity: no selected copy is in the machine's domain.
-    Apart(Who, Place),
+    AntiAffinity(CopySelector, DomainKind),
 }
 
 /// A comparison of a node's field with a constant. Equality ignores the span.
@@ -151,9 +151,9 @@
 
 /// Selects the copies that an affinity or anti-affinity refers to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Who {
+pub enum CopySelector {
     /// Copies of the task's own service, in its own class.
-    Copies,
+    OwnService,
     /// Copies of the service of this name, in any class.
     Service(String),
     /// Copies with this label key and value.
@@ -162,7 +162,7 @@
 
 /// A kind of failure domain that nodes are grouped by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Place {
+pub enum DomainKind {
     /// Each machine is a domain.
     Machine,
     /// Each rack of a hall is a domain; racks of the same name in two halls are different domains.
@@ -171,7 +171,7 @@
     Hall,
 }
 
-impl Place {
+impl DomainKind {
     /// Every kind, from the smallest domain to the largest.
     pub const ALL: [Self; 3] = [Self::Machine, Self::Rack, Self::Hall];
 
@@ -203,31 +203,35 @@
 
 impl Expr {
     /// Whether the result depends on where copies are, and not on the node list alone.
-    pub fn is_about_copies(&self) -> bool {
+    pub fn depends_on_copies(&self) -> bool {
         match self {
-            Self::And(all) | Self::Or(all) => all.iter().any(Self::is_about_copies),
-            Self::Not(inner) => inner.is_about_copies(),
+            Self::And(all) | Self::Or(all) => all.iter().any(Self::depends_on_copies),
+            Self::Not(inner) => inner.depends_on_copies(),
             Self::Compare(_) => false,
-            Self::Near(..) | Self::Apart(..) => true,
+            Self::Affinity(..) | Self::AntiAffinity(..) => true,
         }
     }
 
     /// Appends the copy selectors of this expression to `found`.
-    pub fn whose(&self, found: &mut Vec<Who>) {
+    pub fn copy_selectors(&self, found: &mut Vec<CopySelector>) {
         match self {
-            Self::And(all) | Self::Or(all) => all.iter().for_each(|inner| inner.whose(found)),
-            Self::Not(inner) => inner.whose(found),
+            Self::And(all) | Self::Or(all) => {
+                all.iter().for_each(|inner| inner.copy_selectors(found))
+            }
+            Self::Not(inner) => inner.copy_selectors(found),
             Self::Compare(_) => {}
-            Self::Near(who, _) | Self::Apart(who, _) => found.push(who.clone()),
+            Self::Affinity(selector, _) | Self::AntiAffinity(selector, _) => {
+                found.push(selector.clone())
+            }
         }
     }
 }
 
 impl Rule {
     /// Whether the rule depends on where copies are.
-    pub fn is_about_copies(&self) -> bool {
+    pub fn depends_on_copies(&self) -> bool {
         match self {
-            Self::Where(expr) => expr.is_about_copies(),
+            Self::Where(expr) => expr.depends_on_copies(),
             Self::Spread { .. } => true,
         }
     }
@@ -235,19 +239,19 @@
 
 impl Constraint {
     /// Whether any clause depends on where copies are.
-    pub fn is_about_copies(&self) -> bool {
+    pub fn depends_on_copies(&self) -> bool {
         self.clauses
             .iter()
-            .any(|clause| clause.rule.is_about_copies())
+            .any(|clause| clause.rule.depends_on_copies())
     }
 
     /// The copy selectors of all clauses, sorted and without duplicates. A spread selects the own service.
-    pub fn whose(&self) -> Vec<Who> {
+    pub fn copy_selectors(&self) -> Vec<CopySelector> {
         let mut found = Vec::new();
         for clause in &self.clauses {
             match &clause.rule {
-                Rule::Where(expr) => expr.whose(&mut found),
-                Rule::Spread { .. } => found.push(Who::Copies),
+                Rule::Where(expr) => expr.copy_selectors(&mut found),
+                Rule::Spread { .. } => found.push(CopySelector::OwnService),
             }
         }
         found.sort();
@@ -300,10 +304,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Where(expr) => write!(f, "{expr}"),
-            Self::Spread { by, how } => match how {
-                Spread::AtMost(n) => write!(f, "spread by {} at most {n}", by.word()),
-                Spread::AtLeast(n) => write!(f, "spread by {} at least {n}", by.word()),
-                Spread::Within(n) => write!(f, "spread by {} within {n}", by.word()),
+            Self::Spread { by, limit } => match limit {
+                SpreadLimit::AtMost(n) => write!(f, "spread by {} at most {n}", by.word()),
+                SpreadLimit::AtLeast(n) => write!(f, "spread by {} at least {n}", by.word()),
+                SpreadLimit::Within(n) => write!(f, "spread by {} within {n}", by.word()),
             },
         }
     }
@@ -332,8 +336,12 @@
                 _ => write!(f, "not {inner}"),
             },
             Self::Compare(compare) => write!(f, "{compare}"),
-            Self::Near(who, place) => write!(f, "near {who} by {}", place.word()),
-            Self::Apart(who, place) => write!(f, "apart from {who} by {}", place.word()),
+            Self::Affinity(selector, domain_kind) => {
+                write!(f, "near {selector} by {}", domain_kind.word())
+            }
+            Self::AntiAffinity(selector, domain_kind) => {
+                write!(f, "apart from {selector} by {}", domain_kind.word())
+            }
         }
     }
 }
@@ -373,10 +381,10 @@
     }
 }
 
-impl fmt::Display for Who {
+impl fmt::Display for CopySelector {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Copies => f.write_str("copies"),
+            Self::OwnService => f.write_str("copies"),
             Self::Service(name) => write!(f, "service {}", Quoted(name)),
             Self::Label(key, value) => write!(f, "label {} = {}", Quoted(key), Quoted(value)),
         }
--- a/crates/constraint/src/violations.rs
+++ b/crates/constraint/src/violations.rs
@@ -2,42 +2,42 @@
 
 use std::collections::BTreeMap;
 
-use crate::eval::{Compiled, Own, copies_per_domain};
+use crate::eval::{Compiled, OwnService, copies_per_domain};
 use crate::fleet::{Census, Fleet, Topic};
-use crate::tree::{Constraint, Expr, Rule, Spread, Strength, Who};
+use crate::tree::{Constraint, CopySelector, DomainKind, Expr, Rule, SpreadLimit, Strength};
 
 /// A requirement that a running copy violates.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Breach {
+pub struct Violation {
     /// The index of the clause in the constraint.
     pub clause: usize,
     /// The text of the clause.
     pub text: String,
     /// A description of what would satisfy the clause again.
-    pub mends: String,
+    pub remedy: String,
 }
 
 /// The requirements that the copy on node `node` violates.
 ///
 /// `census` includes this copy, under `topics`. For a copy on a gone node the result is empty, because it is unknown
 /// whether the copy runs. `reached` stores, by clause index, the highest number of domains that the copies of a
-/// [`Spread::AtLeast`] occupied so far, up to its limit: the spread is violated if the number falls below that, and not
-/// while copies are still being added.
+/// [`SpreadLimit::AtLeast`] occupied so far, up to its limit: the spread is violated if the number falls below that,
+/// and not while copies are still being added.
 #[allow(
     clippy::too_many_arguments,
     reason = "each argument is a separate part of the state that the result depends on"
 )]
-pub fn broken(
+pub fn violations(
     constraint: &Constraint,
     compiled: &Compiled,
     fleet: &Fleet,
     census: &Census,
-    own: &Own,
+    own: &OwnService,
     topics: &[Topic],
     node: usize,
     reached: &mut BTreeMap<usize, u32>,
-) -> Vec<Breach> {
-    if fleet.lines().get(node).is_none_or(|node| node.dark) {
+) -> Vec<Violation> {
+    if fleet.nodes().get(node).is_none_or(|node| node.gone) {
         return Vec::new();
     }
     let mut found = Vec::new();
@@ -45,22 +45,22 @@
         if clause.strength == Strength::Prefer {
             continue;
         }
-        let mends = match &clause.rule {
-            Rule::Where(expr) if !expr.is_about_copies() => {
+        let remedy = match &clause.rule {
+            Rule::Where(expr) if !expr.depends_on_copies() => {
                 (!compiled.clause(n, fleet, census, own).contains(node)).then(|| {
                     format!(
                         "node {} must satisfy it again, or the job be moved",
-                        fleet.lines()[node].name
+                        fleet.nodes()[node].name
                     )
                 })
             }
             Rule::Where(expr) => (!holds_for_copy(expr, fleet, census, own, topics, node))
                 .then(|| "copies must come or go as it says".to_owned()),
-            Rule::Spread { by, how } => {
+            Rule::Spread { by, limit } => {
                 let counts = copies_per_domain(fleet, census, own, *by, false);
                 let occupied = counts.iter().filter(|count| **count > 0).count() as u32;
-                match how {
-                    Spread::AtMost(most) => {
+                match limit {
+                    SpreadLimit::AtMost(most) => {
                         let over = counts
                             .iter()
                             .copied()
@@ -70,7 +70,7 @@
                         (over > 0)
                             .then(|| format!("{over} copies must leave the fullest {}", by.word()))
                     }
-                    Spread::AtLeast(least) => {
+                    SpreadLimit::AtLeast(least) => {
                         let highest = reached.entry(n).or_default();
                         *highest = (*highest).max(occupied.min(*least));
                         let expected = *highest;
@@ -81,7 +81,7 @@
                             )
                         })
                     }
-                    Spread::Within(skew) => {
+                    SpreadLimit::Within(skew) => {
                         let most = counts.iter().copied().max().unwrap_or(0);
                         let fewest = fewest_in_open_domains(fleet, compiled, &counts, *by);
                         (most > fewest + skew)
@@ -90,11 +90,11 @@
                 }
             }
         };
-        if let Some(mends) = mends {
-            found.push(Breach {
+        if let Some(remedy) = remedy {
+            found.push(Violation {
                 clause: n,
                 text: clause.to_string(),
-                mends,
+                remedy,
             });
         }
     }
@@ -116,10 +116,15 @@
     fleet: &Fleet,
     compiled: &Compiled,
     counts: &[u32],
-    by: crate::tree::Place,
+    by: DomainKind,
 ) -> u32 {
     let open = compiled
-        .open(fleet, &Census::default(), &Own::service("", ""), usize::MAX)
+        .open(
+            fleet,
+            &Census::default(),
+            &OwnService::new("", ""),
+            usize::MAX,
+        )
         .machines;
     let domains = fleet.domains(by).nodes_in.iter().zip(counts);
     domains
@@ -134,17 +139,17 @@
     expr: &Expr,
     fleet: &Fleet,
     census: &Census,
-    own: &Own,
+    own: &OwnService,
     topics: &[Topic],
     node: usize,
 ) -> bool {
-    // Returns whether the node's domain is known, the number of other selected copies in that domain, and 1 if `who`
-    // selects the copy itself (0 if not).
-    let others = |who: &Who, domain_kind: crate::tree::Place| {
-        let (topic, domains) = (own.topic(who), fleet.domains(domain_kind));
+    // Returns whether the node's domain is known, the number of other selected copies in that domain, and 1 if
+    // `selector` selects the copy itself (0 if not).
+    let others = |selector: &CopySelector, domain_kind: DomainKind| {
+        let (topic, domains) = (own.topic(selector), fleet.domains(domain_kind));
         let here = domains.domain_of.get(node).copied().flatten();
         let copies_here = census.of(&topic).filter(|(other, _)| {
-            let available = fleet.lines().get(*other).is_some_and(|node| !node.dark);
+            let available = fleet.nodes().get(*other).is_some_and(|node| !node.gone);
             available && here.is_some() && domains.domain_of.get(*other).copied().flatten() == here
         });
         let count: u32 = copies_here.map(|(_, count)| count).sum();
@@ -160,17 +165,21 @@
             .any(|inner| holds_for_copy(inner, fleet, census, own, topics, node)),
         Expr::Not(inner) => !holds_for_copy(inner, fleet, census, own, topics, node),
         Expr::Compare(compare) => fleet
-            .lines()
+            .nodes()
             .get(node)
             .is_some_and(|node| crate::eval::comparison_holds(compare, node)),
-        Expr::Near(who, domain_kind) => {
-            let (has_domain, others_here, own_count) = others(who, *domain_kind);
-            let total: u32 = census.of(&own.topic(who)).map(|(_, count)| count).sum();
+        Expr::Affinity(selector, domain_kind) => {
+            let (has_domain, others_here, own_count) = others(selector, *domain_kind);
+            let total: u32 = census
+                .of(&own.topic(selector))
+                .map(|(_, count)| count)
+                .sum();
             // Affinity to the own service holds if the service has no other copy.
-            has_domain && (others_here > 0 || *who == Who::Copies && total <= own_count)
+            has_domain
+                && (others_here > 0 || *selector == CopySelector::OwnService && total <= own_count)
         }
-        Expr::Apart(who, domain_kind) => {
-            let (has_domain, others_here, _) = others(who, *domain_kind);
+        Expr::AntiAffinity(selector, domain_kind) => {
+            let (has_domain, others_here, _) = others(selector, *domain_kind);
             has_domain && others_here == 0
         }
     }
--- a/crates/constraint/tests/language.rs
+++ b/crates/constraint/tests/language.rs
@@ -94,7 +94,7 @@
 
 #[test]
 fn a_schema_rejects_unknown_kinds_and_attributes_and_wrong_types() {
-    let mut node = Line::named("n").hall("a").attr("kernel", "v6.1");
+    let mut node = FleetNode::named("n").hall("a").attr("kernel", "v6.1");
     node.attrs.insert("gpus".into(), Attr::Number(2.0));
     let schema = Schema::of(vec!["big".into()], &Fleet::new(vec![node]));
     let check = |text: &str| {
@@ -129,7 +129,7 @@
 fn open(text: &str, fleet: &Fleet) -> Vec<usize> {
     let compiled = Compiled::new(&Constraint::parse(text).unwrap(), fleet);
     compiled
-        .open(fleet, &Census::default(), &Own::service("c", "s"), 0)
+        .open(fleet, &Census::default(), &OwnService::new("c", "s"), 0)
         .machines
         .ones()
         .collect()
@@ -137,7 +137,7 @@
 
 fn fleet() -> Fleet {
     let node = |n: usize| {
-        let mut node = Line::named(&format!("n{n}"))
+        let mut node = FleetNode::named(&format!("n{n}"))
             .hall(["a", "b"][n % 2])
             .rack(["1", "2"][n / 2 % 2]);
         node.kind = ["big", "small"][n / 4 % 2].to_owned();
@@ -153,7 +153,7 @@
         Compiled::new(&constraint, &fleet()).explain(
             &fleet(),
             &Census::default(),
-            &Own::service("c", "s"),
+            &OwnService::new("c", "s"),
         )
     };
     let never = explain("require kind = big; require hall = x; require rack = \"1\"");
@@ -184,7 +184,7 @@
 
 #[test]
 fn versions_compare_by_their_parts() {
-    let node = |name: &str, version: &str| Line::named(name).attr("os", version);
+    let node = |name: &str, version: &str| FleetNode::named(name).attr("os", version);
     let fleet = Fleet::new(vec![
         node("a", "v6.1"),
         node("b", "v6.10.2"),
@@ -203,7 +203,7 @@
 
 #[test]
 fn a_node_without_rack_or_hall_is_in_no_such_domain() {
-    let fleet = Fleet::new(vec![Line::named("a"), Line::named("b").hall("h")]);
+    let fleet = Fleet::new(vec![FleetNode::named("a"), FleetNode::named("b").hall("h")]);
     let open = |text: &str| open(text, &fleet);
     assert_eq!(open("require apart from copies by hall"), [1]);
     assert_eq!(open("spread by rack at most 1"), Vec::<usize>::new());
@@ -226,7 +226,7 @@
                     n + 1
                 )
             }
-            ("bad", Err(mistake)) => assert!(!mistake.to_string().is_empty()),
+            ("bad", Err(error)) => assert!(!error.to_string().is_empty()),
             (_, got) => panic!("line {}: {text}: {got:?}", n + 1),
         }
     }
--- a/crates/constraint/tests/reference.rs
+++ b/crates/constraint/tests/reference.rs
@@ -10,16 +10,16 @@
 /// The copies, each as (topics that it is counted under, index of its node).
 type Copies = Vec<(Vec<Topic>, usize)>;
 
-fn domain(node: &Line, by: Place) -> Option<String> {
+fn domain(node: &FleetNode, by: DomainKind) -> Option<String> {
     let known = |text: &String| (!text.is_empty()).then(|| text.clone());
     match by {
-        Place::Machine => Some(node.name.clone()),
-        Place::Rack => known(&node.rack).map(|rack| format!("{}/{rack}", node.hall)),
-        Place::Hall => known(&node.hall),
+        DomainKind::Machine => Some(node.name.clone()),
+        DomainKind::Rack => known(&node.rack).map(|rack| format!("{}/{rack}", node.hall)),
+        DomainKind::Hall => known(&node.hall),
     }
 }
 
-fn comparison_holds(compare: &Compare, node: &Line) -> bool {
+fn comparison_holds(compare: &Compare, node: &FleetNode) -> bool {
     let field = match &compare.field {
         Field::Kind => Some(&node.kind),
         Field::Rack => Some(&node.rack),
@@ -62,15 +62,20 @@
 }
 
 struct Reference<'a> {
-    nodes: &'a [Line],
+    nodes: &'a [FleetNode],
     copies: &'a Copies,
-    own: &'a Own,
+    own: &'a OwnService,
 }
 
 impl Reference<'_> {
-    fn has_copy_in_domain(&self, who: &Who, by: Place, node: &Line) -> Option<bool> {
+    fn has_copy_in_domain(
+        &self,
+        selector: &CopySelector,
+        by: DomainKind,
+        node: &FleetNode,
+    ) -> Option<bool> {
         let here = domain(node, by)?;
-        let topic = self.own.topic(who);
+        let topic = self.own.topic(selector);
         let mut all = self
             .copies
             .iter()
@@ -78,31 +83,33 @@
         Some(all.any(|(_, at)| domain(&self.nodes[*at], by).as_ref() == Some(&here)))
     }
 
-    fn holds(&self, expr: &Expr, node: &Line) -> bool {
+    fn holds(&self, expr: &Expr, node: &FleetNode) -> bool {
         match expr {
             Expr::And(all) => all.iter().all(|inner| self.holds(inner, node)),
             Expr::Or(all) => all.iter().any(|inner| self.holds(inner, node)),
             Expr::Not(inner) => !self.holds(inner, node),
             Expr::Compare(compare) => comparison_holds(compare, node),
-            Expr::Near(who, by) => {
-                let topic = self.own.topic(who);
-                let first = *who == Who::Copies
+            Expr::Affinity(selector, by) => {
+                let topic = self.own.topic(selector);
+                let first = *selector == CopySelector::OwnService
                     && !self
                         .copies
                         .iter()
                         .any(|(topics, _)| topics.contains(&topic));
-                match self.has_copy_in_domain(who, *by, node) {
+                match self.has_copy_in_domain(selector, *by, node) {
                     Some(found) => found || first,
                     None => false,
                 }
             }
-            Expr::Apart(who, by) => self.has_copy_in_domain(who, *by, node) == Some(false),
+            Expr::AntiAffinity(selector, by) => {
+                self.has_copy_in_domain(selector, *by, node) == Some(false)
+            }
         }
     }
 
-    /// Whether the expression can be `want` on this node for some placement of copies: each affinity and anti-affinity is
-    /// tried both ways.
-    fn can_hold(expr: &Expr, node: &Line, want: bool) -> bool {
+    /// Whether the expression can be `want` on this node for some placement of copies: each affinity and anti-affinity
+    /// is tried both ways.
+    fn can_hold(expr: &Expr, node: &FleetNode, want: bool) -> bool {
         match expr {
             Expr::And(all) if want => all.iter().all(|inner| Self::can_hold(inner, node, true)),
             Expr::And(all) => all.iter().any(|inner| Self::can_hold(inner, node, false)),
@@ -110,18 +117,20 @@
             Expr::Or(all) => all.iter().all(|inner| Self::can_hold(inner, node, false)),
             Expr::Not(inner) => Self::can_hold(inner, node, !want),
             Expr::Compare(compare) => comparison_holds(compare, node) == want,
-            Expr::Near(_, by) | Expr::Apart(_, by) => !want || domain(node, *by).is_some(),
+            Expr::Affinity(_, by) | Expr::AntiAffinity(_, by) => {
+                !want || domain(node, *by).is_some()
+            }
         }
     }
 
-    fn counts(&self, by: Place) -> BTreeMap<String, u32> {
+    fn counts(&self, by: DomainKind) -> BTreeMap<String, u32> {
         let mut counts: BTreeMap<String, u32> = self
             .nodes
             .iter()
             .filter_map(|node| domain(node, by))
             .map(|domain| (domain, 0))
             .collect();
-        let topic = self.own.topic(&Who::Copies);
+        let topic = self.own.topic(&CopySelector::OwnService);
         for (topics, at) in self.copies {
             if let Some(domain) = domain(&self.nodes[*at], by).filter(|_| topics.contains(&topic)) {
                 *counts.entry(domain).or_insert(0) += 1;
@@ -130,21 +139,21 @@
         counts
     }
 
-    fn passes(&self, clause: &Clause, node: &Line, eligible: &[&Line]) -> bool {
+    fn passes(&self, clause: &Clause, node: &FleetNode, eligible: &[&FleetNode]) -> bool {
         match &clause.rule {
             Rule::Where(expr) => self.holds(expr, node),
-            Rule::Spread { by, how } => {
+            Rule::Spread { by, limit } => {
                 let Some(here) = domain(node, *by) else {
                     return false;
                 };
                 let counts = self.counts(*by);
-                match how {
-                    Spread::AtMost(most) => counts[&here] < *most,
-                    Spread::AtLeast(least) => {
+                match limit {
+                    SpreadLimit::AtMost(most) => counts[&here] < *most,
+                    SpreadLimit::AtLeast(least) => {
                         counts.values().filter(|count| **count > 0).count() as u32 >= *least
                             || counts[&here] == 0
                     }
-                    Spread::Within(skew) => {
+                    SpreadLimit::Within(skew) => {
                         let open = eligible.iter().filter_map(|node| domain(node, *by));
                         let fewest = open.map(|domain| counts[&domain]).min().unwrap_or(0);
                         counts[&here] < fewest + skew
@@ -155,24 +164,24 @@
     }
 
     /// Nodes that can satisfy every requirement for some placement of copies, whatever their health.
-    fn possible_nodes(&self, constraint: &Constraint) -> Vec<&Line> {
+    fn possible_nodes(&self, constraint: &Constraint) -> Vec<&FleetNode> {
         let required = || {
             constraint
                 .clauses
                 .iter()
                 .filter(|clause| clause.strength == Strength::Require)
         };
-        let can = |node: &&Line| {
+        let can = |node: &&FleetNode| {
             required().all(|clause| match &clause.rule {
                 Rule::Where(expr) => Self::can_hold(expr, node, true),
                 Rule::Spread { by, .. } => domain(node, *by).is_some(),
             })
         };
-        let nodes: Vec<&Line> = self.nodes.iter().filter(can).collect();
+        let nodes: Vec<&FleetNode> = self.nodes.iter().filter(can).collect();
         let enough = required().all(|clause| match clause.rule {
             Rule::Spread {
                 by,
-                how: Spread::AtLeast(least),
+                limit: SpreadLimit::AtLeast(least),
             } => {
                 let mut places: Vec<String> =
                     nodes.iter().filter_map(|node| domain(node, by)).collect();
@@ -187,7 +196,8 @@
 
     fn open(&self, constraint: &Constraint) -> Vec<String> {
         let possible = self.possible_nodes(constraint);
-        let eligible: Vec<&Line> = possible.iter().copied().filter(|node| node.ready).collect();
+        let eligible: Vec<&FleetNode> =
+            possible.iter().copied().filter(|node| node.ready).collect();
         let required: Vec<&Clause> = constraint
             .clauses
             .iter()
@@ -261,23 +271,27 @@
     })
 }
 
-fn copy_selector() -> impl Strategy<Value = Who> {
+fn copy_selector() -> impl Strategy<Value = CopySelector> {
     prop_oneof![
-        Just(Who::Copies),
-        text().prop_map(Who::Service),
-        (text(), text()).prop_map(|(key, value)| Who::Label(key, value)),
+        Just(CopySelector::OwnService),
+        text().prop_map(CopySelector::Service),
+        (text(), text()).prop_map(|(key, value)| CopySelector::Label(key, value)),
     ]
 }
 
-fn domain_kind() -> impl Strategy<Value = Place> {
-    prop_oneof![Just(Place::Machine), Just(Place::Rack), Just(Place::Hall)]
+fn domain_kind() -> impl Strategy<Value = DomainKind> {
+    prop_oneof![
+        Just(DomainKind::Machine),
+        Just(DomainKind::Rack),
+        Just(DomainKind::Hall)
+    ]
 }
 
 fn expr() -> impl Strategy<Value = Expr> {
     let leaf = prop_oneof![
         4 => comparison(),
-        1 => (copy_selector(), domain_kind()).prop_map(|(who, by)| Expr::Near(who, by)),
-        1 => (copy_selector(), domain_kind()).prop_map(|(who, by)| Expr::Apart(who, by)),
+        1 => (copy_selector(), domain_kind()).prop_map(|(selector, by)| Expr::Affinity(selector, by)),
+        1 => (copy_selector(), domain_kind()).prop_map(|(selector, by)| Expr::AntiAffinity(selector, by)),
     ];
     leaf.prop_recursive(3, 12, 3, |inner| {
         prop_oneof![
@@ -290,8 +304,12 @@
 
 fn clause() -> impl Strategy<Value = Clause> {
     let spread = (domain_kind(), 1..4_u32, 0..3).prop_map(|(by, n, which)| {
-        let how = [Spread::AtMost(n), Spread::AtLeast(n), Spread::Within(n)][which as usize];
-        Rule::Spread { by, how }
+        let limit = [
+            SpreadLimit::AtMost(n),
+            SpreadLimit::AtLeast(n),
+            SpreadLimit::Within(n),
+        ][which as usize];
+        Rule::Spread { by, limit }
     });
     let strength = prop_oneof![4 => Just(Strength::Require), 1 => Just(Strength::Prefer)];
     let rule = prop_oneof![3 => expr().prop_map(Rule::Where), 1 => spread];
@@ -306,11 +324,11 @@
     prop::collection::vec(clause(), 0..4).prop_map(|clauses| Constraint { clauses })
 }
 
-fn nodes() -> impl Strategy<Value = Vec<Line>> {
+fn nodes() -> impl Strategy<Value = Vec<FleetNode>> {
     prop_oneof![9 => nodes_of_count(1..30), 1 => nodes_of_count(150..201)]
 }
 
-fn nodes_of_count(count: std::ops::Range<usize>) -> impl Strategy<Value = Vec<Line>> {
+fn nodes_of_count(count: std::ops::Range<usize>) -> impl Strategy<Value = Vec<FleetNode>> {
     let node = (
         0..4_usize,
         0..4_usize,
@@ -325,7 +343,7 @@
             usize,
             (usize, usize, usize, i32, usize, bool),
         )| {
-            let mut node = Line::named(&format!("n{n}"))
+            let mut node = FleetNode::named(&format!("n{n}"))
                 .hall(texts[hall])
                 .rack(texts[rack]);
             node.kind = texts[kind + 1].to_owned();
@@ -351,7 +369,7 @@
 fn place_copies(all: Vec<(usize, String, usize)>, nodes: usize) -> (Copies, Census) {
     let (mut copies, mut census) = (Vec::new(), Census::default());
     for (which, service, at) in all {
-        let own = Own::service(
+        let own = OwnService::new(
             ["play", "other"][which],
             if which == 0 { "own" } else { &service },
         );
@@ -368,7 +386,7 @@
     #[test]
     fn open_machines_are_those_of_the_reference_evaluator(constraint in constraint(), nodes in nodes(), copies in copies()) {
         let (copies, census) = place_copies(copies, nodes.len());
-        let (fleet, own) = (Fleet::new(nodes.clone()), Own::service("play", "own"));
+        let (fleet, own) = (Fleet::new(nodes.clone()), OwnService::new("play", "own"));
         let reference = Reference { nodes: &nodes, copies: &copies, own: &own };
         let compiled = Compiled::new(&constraint, &fleet);
         // Ignores all preferences, which the reference evaluator does not have.
@@ -389,16 +407,17 @@
         match Constraint::parse(&text) {
             Ok(read) => prop_assert_eq!(&read, &constraint, "{}", text),
             // A random tree may contain a contradiction; any other error is a failure.
-            Err(mistake) => prop_assert!(mistake.message.contains("can't both hold"), "{}", mistake),
+            Err(error) => prop_assert!(error.message.contains("can't both hold"), "{}", error),
         }
     }
 
     #[test]
     fn adding_a_requirement_never_opens_a_machine(one in constraint(), more in clause(), nodes in nodes(), copies in copies()) {
         let (_, census) = place_copies(copies, nodes.len());
-        let (fleet, own) = (Fleet::new(nodes), Own::service("play", "own"));
-        // `spread within` compares the domains that the other clauses leave open: with fewer of them, more machines can be open.
-        let compares_domains = |c: &Clause| matches!(c.rule, Rule::Spread { how: Spread::Within(_), .. });
+        let (fleet, own) = (Fleet::new(nodes), OwnService::new("play", "own"));
+        // `spread within` compares the domains that the other clauses leave open: with fewer of them, more machines can
+        // be open.
+        let compares_domains = |c: &Clause| matches!(c.rule, Rule::Spread { limit: SpreadLimit::Within(_), .. });
         prop_assume!(!one.clauses.iter().any(compares_domains));
         let mut both = one.clone();
         both.clauses.push(Clause { strength: Strength::Require, ..more });
@@ -409,7 +428,7 @@
     #[test]
     fn preferences_choose_only_among_open_machines(constraint in constraint(), nodes in nodes(), copies in copies()) {
         let (_, census) = place_copies(copies, nodes.len());
-        let (fleet, own) = (Fleet::new(nodes), Own::service("play", "own"));
+        let (fleet, own) = (Fleet::new(nodes), OwnService::new("play", "own"));
         let compiled = Compiled::new(&constraint, &fleet);
         let (preferred, all) = (compiled.open(&fleet, &census, &own, 0), compiled.open(&fleet, &census, &own, usize::MAX));
         prop_assert!(preferred.machines.is_subset(&all.machines));
@@ -418,8 +437,8 @@
 
     #[test]
     fn any_text_is_parsed_or_rejected_with_a_message(text in ".{0,80}") {
-        if let Err(mistake) = Constraint::parse(&text) {
-            prop_assert!(!mistake.to_string().is_empty());
+        if let Err(error) = Constraint::parse(&text) {
+            prop_assert!(!error.to_string().is_empty());
         }
     }
 
@@ -428,6 +447,6 @@
         prop::sample::select(vec!["require", "prefer", "spread", "by", "hall", "at", "most", "2", "near", "apart",
             "from", "copies", "service", "label", "(", ")", "not", "and", "or", "=", "in", "{", "}", ",", ";", "attr.x",
             "\"é\"", "v1.2", "-3.5", "kind", "has", "use", "within", "\n"]), 0..25)) {
-        let _ = Constraint::parse(&words.join(" ")).map_err(|mistake| mistake.to_string());
+        let _ = Constraint::parse(&words.join(" ")).map_err(|error| error.to_string());
     }
 }
--- a/crates/core/src/constraints/constrained_job.rs
+++ b/crates/core/src/constraints/constrained_job.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use reedring_constraint::{Constraint, Own, Strength, Topic};
+use reedring_constraint::{Constraint, OwnService, Strength, Topic};
 
 /// The constraint of a submission, shared by all its jobs.
 #[derive(Debug, PartialEq)]
@@ -15,9 +15,9 @@
 }
 
 impl JobConstraint {
-    pub fn new(constraint: Constraint, own: &Own) -> Self {
+    pub fn new(constraint: Constraint, own: &OwnService) -> Self {
         let referenced_topics = constraint
-            .whose()
+            .copy_selectors()
             .iter()
             .map(|who| own.topic(who))
             .collect();
@@ -31,7 +31,7 @@
     /// Whether requests with this constraint are opened one at a time. True if the constraint refers to copies or has
     /// preferences, because then placing one request can change the open machines of the next.
     pub fn takes_turns(&self) -> bool {
-        self.constraint.is_about_copies()
+        self.constraint.depends_on_copies()
             || self
                 .constraint
                 .clauses
@@ -45,7 +45,7 @@
 pub(crate) struct ConstrainedJob {
     pub constraint: Arc<JobConstraint>,
     /// The class and service of the job.
-    pub own: Own,
+    pub own: OwnService,
     /// The topics under which the job's copies are counted by the constraints of other jobs.
     pub topics: Arc<Vec<Topic>>,
 }
--- a/crates/core/src/constraints/mod.rs
+++ b/crates/core/src/constraints/mod.rs
@@ -73,7 +73,7 @@
 
     /// Whether any node has ever been listed or restored since this placer started.
     pub fn has_nodes(&self) -> bool {
-        !self.site.fleet().lines().is_empty()
+        !self.site.fleet().nodes().is_empty()
     }
 
     /// Explains why no listed machine can ever satisfy the job's constraint; `None` if some machine can, or if no node
--- a/crates/core/src/constraints/placed.rs
+++ b/crates/core/src/constraints/placed.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use reedring::Micros;
-use reedring_constraint::{Breach, Topic, broken};
+use reedring_constraint::{Topic, Violation, violations};
 
 use super::constrained_job::ConstrainedJob;
 use super::site::SiteView;
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 pub(crate) struct ClauseChange {
     pub job: JobNumber,
-    pub breach: Breach,
+    pub breach: Violation,
     /// If the clause is satisfied again, the time at which it was last found violated; `None` if it became violated.
     pub violated_since: Option<Micros>,
 }
@@ -110,7 +110,7 @@
     ) {
         let compiled = site.compiled(&self.job.constraint);
         let constraint = &self.job.constraint.constraint;
-        let breaches = broken(
+        let breaches = violations(
             constraint,
             &compiled,
             site.fleet(),
@@ -120,9 +120,9 @@
             self.node.index(),
             &mut self.spread_reached,
         );
-        let node = site.fleet().lines().get(self.node.index());
+        let node = site.fleet().nodes().get(self.node.index());
         // While a node is gone, it is unknown whether its copy runs: clauses are not reported as satisfied again.
-        let is_node_gone = node.is_none_or(|line| line.dark);
+        let is_node_gone = node.is_none_or(|line| line.gone);
         if !is_node_gone {
             let violated = breaches.iter().map(|breach| breach.clause).collect();
             self.record_restored(job, &violated, changes);
@@ -152,10 +152,10 @@
             .filter(|(clause, _)| !violated.contains(clause));
         for (clause, since) in restored {
             let text = clauses[*clause].to_string();
-            let breach = Breach {
+            let breach = Violation {
                 clause: *clause,
                 text,
-                mends: String::new(),
+                remedy: String::new(),
             };
             changes.push(ClauseChange {
                 job,
--- a/crates/core/src/constraints/site.rs
+++ b/crates/core/src/constraints/site.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use reedring::MachineId;
-use reedring_constraint::{Answer, Census, Compiled, Explanation, Fleet, Line, Topic};
+use reedring_constraint::{Census, Compiled, Evaluation, Explanation, Fleet, FleetNode, Topic};
 use reedring_settings::Health;
 
 use super::constrained_job::{ConstrainedJob, JobConstraint};
@@ -61,11 +61,11 @@
     /// Updates the nodes and their health from the registry; returns what changed.
     pub fn update(&mut self, nodes: &NodeRegistry) -> SiteChange {
         // The index of a line is the node's number: the registry numbers nodes consecutively and never removes one.
-        let lines: Vec<Line> = nodes
+        let lines: Vec<FleetNode> = nodes
             .iter()
             .map(|(_, node)| node_line(node, nodes))
             .collect();
-        let known = self.fleet.lines();
+        let known = self.fleet.nodes();
         let has_same_nodes =
             lines.len() == known.len() && lines.iter().zip(known).all(|(a, b)| same_node(a, b));
         if !has_same_nodes {
@@ -81,7 +81,7 @@
             return SiteChange::None;
         }
         for n in changed {
-            self.fleet.set_health(n, lines[n].ready, lines[n].dark);
+            self.fleet.set_health(n, lines[n].ready, lines[n].gone);
         }
         SiteChange::Health
     }
@@ -110,7 +110,7 @@
     /// is listed.
     pub fn explain_impossible(&mut self, job: &ConstrainedJob) -> Option<Explanation> {
         let compiled = self.compiled(&job.constraint);
-        let has_listed_nodes = self.fleet.lines().iter().any(|line| line.listed);
+        let has_listed_nodes = self.fleet.nodes().iter().any(|line| line.listed);
         (has_listed_nodes && compiled.is_never())
             .then(|| compiled.explain(&self.fleet, &self.census, &job.own))
     }
@@ -118,7 +118,7 @@
     /// The machines that are open to a job now, ignoring its last `dropped` preferences.
     pub fn open_now(&mut self, job: &ConstrainedJob, dropped: usize) -> Vec<MachineId> {
         let compiled = self.compiled(&job.constraint);
-        let answer: Answer = compiled.open(&self.fleet, &self.census, &job.own, dropped);
+        let answer: Evaluation = compiled.open(&self.fleet, &self.census, &job.own, dropped);
         self.machine_ids(answer.machines.ones())
     }
 
@@ -126,7 +126,7 @@
     /// copies nor have preferences.
     pub fn eligible_ignoring_health(&mut self, job: &ConstrainedJob) -> Vec<MachineId> {
         let compiled = self.compiled(&job.constraint);
-        self.machine_ids(compiled.ever())
+        self.machine_ids(compiled.eligible_ignoring_health())
     }
 
     /// Maps node numbers to machine ids, without the excluded machines, in ascending order.
@@ -140,13 +140,13 @@
     }
 }
 
-fn node_line(node: &Node, nodes: &NodeRegistry) -> Line {
+fn node_line(node: &Node, nodes: &NodeRegistry) -> FleetNode {
     let (health, entry) = (node.health(), node.entry());
-    let mut line = Line::named(node.name());
+    let mut line = FleetNode::named(node.name());
     // Control machines run no tasks, so constraints treat them as not listed.
     line.listed = node.is_listed() && !entry.control;
     line.ready = health == Health::Ready && line.listed;
-    line.dark = health == Health::Gone;
+    line.gone = health == Health::Gone;
     if line.listed {
         (line.rack, line.hall) = (entry.rack.clone(), entry.hall.clone());
         (line.kind, line.attrs) = (nodes.kind_name(entry.kind).to_owned(), entry.attrs.clone());
@@ -155,7 +155,7 @@
 }
 
 /// Whether two lines are equal in everything but health.
-fn same_node(a: &Line, b: &Line) -> bool {
+fn same_node(a: &FleetNode, b: &FleetNode) -> bool {
     (&a.name, &a.kind, &a.rack, &a.hall, &a.attrs, a.listed)
         == (&b.name, &b.kind, &b.rack, &b.hall, &b.attrs, b.listed)
 }
--- a/crates/core/src/core.rs
+++ b/crates/core/src/core.rs
@@ -357,7 +357,7 @@
                 None => Event::ConstraintViolated {
                     job,
                     clause,
-                    remedy: change.breach.mends,
+                    remedy: change.breach.remedy,
                 },
                 Some(since) => {
                     let violated_us = now.saturating_sub(since);
--- a/crates/core/src/requests/queries.rs
+++ b/crates/core/src/requests/queries.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use reedring::Micros;
-use reedring_constraint::{Mistake, Own, Schema};
+use reedring_constraint::{ConstraintError, OwnService, Schema};
 use reedring_drmaa::rpc::{Answer, JobLine, JobsPage, NodeLine, Stats};
 use reedring_drmaa::{ErrorCode, Result};
 
@@ -103,12 +103,13 @@
 
 /// How a constraint would be evaluated now.
 pub(super) fn explain(lifecycle: &mut JobLifecycle<'_>, text: &str) -> Result<Answer> {
-    let invalid = |mistake: Mistake| error(ErrorCode::InvalidAttributeValue, mistake.to_string());
+    let invalid =
+        |mistake: ConstraintError| error(ErrorCode::InvalidAttributeValue, mistake.to_string());
     let constraint = lifecycle.cx.settings().constraint(text).map_err(invalid)?;
     schema(lifecycle)
         .map_or(Ok(()), |schema| schema.check(&constraint, text))
         .map_err(invalid)?;
-    let own = Own::service("", "");
+    let own = OwnService::new("", "");
     let constraint = Arc::new(JobConstraint::new(constraint, &own));
     let job = ConstrainedJob {
         constraint,
--- a/crates/core/src/requirements.rs
+++ b/crates/core/src/requirements.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use reedring::Micros;
-use reedring_constraint::{Mistake, Own, Schema, Topic};
+use reedring_constraint::{ConstraintError, OwnService, Schema, Topic};
 use reedring_drmaa::native::Native;
 use reedring_drmaa::template::nearest;
 use reedring_drmaa::{Error, ErrorCode, JobSpec, Result};
@@ -35,7 +35,7 @@
     /// The placement constraint, if the template has one.
     pub constraint: Option<Arc<JobConstraint>>,
     /// The job's own class and service, to which its constraint may refer.
-    pub own: Own,
+    pub own: OwnService,
     /// The topics under which its copies count for the constraints of other jobs.
     pub topics: Arc<Vec<Topic>>,
 }
@@ -55,7 +55,7 @@
         spec: Option<JobSpec>,
         reason: impl Into<String>,
     ) -> Self {
-        let own = Own::service("", "");
+        let own = OwnService::new("", "");
         let topics = Arc::new(own.topics(&[]));
         let remaining = JobRequirements {
             spec: spec.unwrap_or_default(),
@@ -181,7 +181,7 @@
             );
             return Err(invalid(text));
         }
-        let own = Own::service(&class_settings.name, &service);
+        let own = OwnService::new(&class_settings.name, &service);
         let constraint = match native.constraint.as_deref() {
             Some(text) => Some(Arc::new(parse_constraint(text, &own, settings, schema)?)),
             None => None,
@@ -240,11 +240,11 @@
 /// Parses a constraint and checks it against `schema`, where one is given.
 fn parse_constraint(
     text: &str,
-    own: &Own,
+    own: &OwnService,
     settings: &Settings,
     schema: Option<&Schema>,
 ) -> Result<JobConstraint> {
-    let invalid_constraint = |mistake: Mistake| invalid(format!("constraint: {mistake}"));
+    let invalid_constraint = |mistake: ConstraintError| invalid(format!("constraint: {mistake}"));
     let constraint = settings.constraint(text).map_err(invalid_constraint)?;
     schema
         .map_or(Ok(()), |schema| schema.check(&constraint, text))
--- a/crates/core/tests/world/observations.rs
+++ b/crates/core/tests/world/observations.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use reedring_constraint::{Census, Compiled, Constraint, Fleet, Line, Own};
+use reedring_constraint::{Census, Compiled, Constraint, Fleet, FleetNode, OwnService};
 use reedring_core::event::Event;
 use reedring_drmaa::JobSpec;
 use reedring_node_protocol::AttemptId;
@@ -75,16 +75,18 @@
             reedring_drmaa::native::Native::parse(&spec.native).unwrap()
         };
         let line = |entry: &NodeEntry| {
-            let mut line = Line::named(&entry.name).hall(&entry.hall).rack(&entry.rack);
+            let mut line = FleetNode::named(&entry.name)
+                .hall(&entry.hall)
+                .rack(&entry.rack);
             line.ready = entry.health == Health::Ready;
             line
         };
-        let own = Own::service(&task.class, &task.service);
+        let own = OwnService::new(&task.class, &task.service);
         if let Some(text) = native(&task.payload).constraint {
             let fleet = Fleet::new(self.node_list.iter().map(line).collect());
             let mut census = Census::default();
             for (service, at) in self.known_copies.values() {
-                census.add(&Own::service(&task.class, service).topics(&[]), *at);
+                census.add(&OwnService::new(&task.class, service).topics(&[]), *at);
             }
             let constraint = Constraint::parse(&text).unwrap();
             let open = Compiled::new(&constraint, &fleet).open(&fleet, &census, &own, usize::MAX);
--- a/crates/settings/src/settings/mod.rs
+++ b/crates/settings/src/settings/mod.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use reedring_constraint::{Constraint, Mistake};
+use reedring_constraint::{Constraint, ConstraintError};
 use toml::Spanned;
 
 pub use self::module::DISK_WAIT_US;
@@ -29,7 +29,7 @@
     ///
     /// # Errors
     /// The first mistake in the text.
-    pub fn constraint(&self, text: &str) -> Result<Constraint, Mistake> {
+    pub fn constraint(&self, text: &str) -> Result<Constraint, ConstraintError> {
         Constraint::parse_with(text, |name| self.constraints.get(name).map(String::as_str))
     }
 
