--- a/crates/core/tests/configuration_changes.rs
+++ b/crates/core/tests/configuration_changes.rs
@@ -254,7 +254,7 @@
     );
     world.process_outputs(1);
     assert!(
-        last_message(&world, 1).contains("what comes of the delta"),
+        last_message(&world, 1).contains("the result of the delta is invalid"),
         "{}",
         last_message(&world, 1)
     );
